--- /dev/null
+++ b/tests/lease/decision_digest_test.cpp
@@ -0,0 +1,44 @@
+// That the decisions of the lease are what they were: digests of seeded schedules, taken before the code
+// was changed. One that differs means that a message, a grant, a holder, a permit or what a voter keeps
+// differs. A change that is meant to do so takes new digests; each failed check prints its own.
+#include <array>
+#include <catch2/catch.hpp>
+
+#include "digest.hpp"
+#include "lease/world.hpp"
+
+namespace {
+
+// Of seeds 1, 2, ...
+constexpr std::array<std::uint64_t, 40> kDigests{
+    0x9e3d6ce1bb0c8140ULL, 0x97014e384983ddfdULL, 0xe5ddf51209764af1ULL, 0x1b3aab2f118aba07ULL,
+    0x4e344d98b05f9e67ULL, 0xe2152ac14815d1c0ULL, 0x89b821cd126c3d09ULL, 0x1ed42d8bcbd178fcULL,
+    0x6d63e3008c59e270ULL, 0x4baa89c4ecb26aebULL, 0x69975e5f986c23dfULL, 0xbde563b77887fccdULL,
+    0x7c1f1e5a86839d86ULL, 0x184e3b6890db56fdULL, 0x3e12c0b149022c2eULL, 0x48dde698876a7f8fULL,
+    0x2d8bce2b0d26b790ULL, 0x209ad22335ee7a00ULL, 0x82638f272a904befULL, 0x57e08bb1c3528422ULL,
+    0xcd0546e19d009036ULL, 0xea9021fc406218f9ULL, 0x82faee67b911868aULL, 0xa3d6b3931bdb5bf6ULL,
+    0x495fb19c7e856e62ULL, 0x17601630a53c70c8ULL, 0xf5ef9273c9979ba4ULL, 0x17937f61ff40eddaULL,
+    0xc96fdfa272d25c95ULL, 0xabfb19bcd95c978aULL, 0xb62bb21e280868ccULL, 0xb1d34bd0224dfbb6ULL,
+    0x6ca23088906bf2bfULL, 0x732cc5d9bec3fcd3ULL, 0x5240673a6409e30fULL, 0x39fddcc5600c7a3cULL,
+    0x64aefd738094a82dULL, 0x7a2f1fe835923f52ULL, 0xaf00893d75d21762ULL, 0x266920adda7d66ebULL};
+
+}   // namespace
+
+TEST_CASE("digests of the lease's decisions", "[lease]") {
+    for (std::uint64_t seed = 1; seed <= kDigests.size(); ++seed) {
+        INFO("seed " << seed);
+        world::World world(world::random_plan(seed), seed);
+        CHECK(world.run().breach == "");
+        CHECK(world.digest() == kDigests[seed - 1]);
+    }
+}
+
+TEST_CASE("one digest of the lease's decisions over more seeds", "[lease]") {
+    Digest all;
+    for (std::uint64_t seed = kDigests.size() + 1; seed <= 400; ++seed) {
+        world::World world(world::random_plan(seed), seed);
+        world.run();
+        all.add(world.digest());
+    }
+    CHECK(all.value() == 0xf8d897701a202e63ULL);
+}
--- a/tests/lease/world.hpp
+++ b/tests/lease/world.hpp
@@ -15,6 +15,7 @@
 #include <utility>
 #include <vector>
 
+#include "digest.hpp"
 #include "lease/room.hpp"
 
 namespace world {
@@ -84,6 +85,8 @@
             if (one.room) result_.lost += one.room->lost();
         return result_;
     }
+    // Of all that the rooms have put out so far: messages, changes of leases, permits, what voters keep.
+    std::uint64_t digest() const { return digest_.value(); }
 
   private:
     struct Memories : Home {
@@ -149,8 +152,12 @@
 
     void settle(std::size_t i) {
         Node& node = nodes_[i];
-        for (const auto& post : node.room->take_posts()) send(i, place(post.to), post.body);
+        for (const auto& post : node.room->take_posts()) {
+            digest_.add(now_, i, post.to, post.body);
+            send(i, place(post.to), post.body);
+        }
         for (const auto& change : node.room->take_changes()) {
+            digest_.add(now_, i, change.what, change.lease, change.slot, change.number, change.until);
             if (change.what == Change::What::lost) continue;
             ++result_.holds;
             // The two processes of an upgrade are one holder.
@@ -162,6 +169,7 @@
                 breach("number " + std::to_string(change.number) + " gained by " + who + " and " +
                        old->second);
         }
+        digest_views(i);
         act_last(i);
         const double due = node.room->due();
         if (due > 1e17) return;
@@ -170,6 +178,18 @@
         node.armed = time;
         at(time, [this, i, life = node.life] { wake(i, life); });
     }
+    // What the room holds or seeks, as it says itself, and what its voter has made durable.
+    void digest_views(std::size_t i) {
+        const Node& node = nodes_[i];
+        for (const View& view : node.room->views())
+            digest_.add(view.lease, view.slot, view.state, view.number, view.until, view.since, view.other);
+        digest_.add(node.room->due(), node.room->gained(), node.room->lost(), node.room->not_kept());
+        if (!node.home.memory) return;
+        digest_.add(node.home.memory->step);
+        for (const auto& [lease, grant] : node.home.memory->grants)
+            digest_.add(lease, grant.holder, grant.round, grant.number, grant.number_of, grant.until,
+                        grant.name);
+    }
     void wake(std::size_t i, std::uint64_t life) {
         Node& node = nodes_[i];
         if (node.life != life || node.paused) return;
@@ -221,7 +241,9 @@
     void act(std::size_t i, bool longest = false) {
         Node& node = nodes_[i];
         Permit permit;
-        if (node.paused || !node.room->permit(clock(i), "job", permit)) return;
+        const bool permitted = !node.paused && node.room->permit(clock(i), "job", permit);
+        digest_.add(permitted, permit.number, permit.until);
+        if (!permitted) return;
         std::string slot = "job";
         for (const View& view : node.room->views()) slot += "/" + std::to_string(view.slot);
         ++result_.acts;
@@ -308,6 +330,8 @@
         Node& node = nodes_[i];
         if (!node.room || node.paused || node.room->voter()) return;
         const auto holds = node.room->give(clock(i));
+        for (const auto& hold : holds)
+            digest_.add(hold.lease, hold.holder, hold.round, hold.number, hold.until, hold.since);
         settle(i);
         Voters set{voters_, before_, step_};
         node.room = std::make_unique<Room>(RoomSettings{name(i), plan_.times, set}, ++lives_, random_(),
@@ -360,6 +384,7 @@
     bool held_ = false, ever_ = false;
     double gone_at_ = 0, measured_at_ = 0;
     Result result_;
+    Digest digest_;
 };
 
 // The edge of what is promised: clocks as far apart as drift says, hardly a margin, answers as late as an
