--- a/tests/rollout/world.hpp
+++ b/tests/rollout/world.hpp
@@ -14,6 +14,7 @@
 #include <string>
 #include <vector>
 
+#include "digest.hpp"
 #include "events.hpp"
 #include "rollout/bound.hpp"
 #include "rollout/feeder.hpp"
@@ -127,6 +128,9 @@
         judge();
         return result_;
     }
+    // Of all that the cores have put out so far: messages, what they wrote to their homes, proposals taken
+    // and refused, events of sources, versions in force with their states.
+    std::uint64_t digest() const { return digest_.value(); }
 
     // --- by hand
 
@@ -158,6 +162,7 @@
         Node& node = nodes_.at(name);
         if (!node.up || stopped(node)) return {0, ProposeError::not_source};
         const Proposed proposed = node.source->propose(now(), key, value);
+        digest_.add(now(), name, proposed.number, proposed.error);
         if (proposed.number != 0)
             note({Fact::What::proposed,
                   now(),
@@ -275,6 +280,7 @@
         Node& node() { return world.nodes_.at(name); }
         bool keep_promise(std::uint64_t term, bool remembers) override {
             if (node().full) return false;
+            world.digest_.add(world.now(), name, term, remembers);
             node().replica_home.promised = term;
             node().replica_home.remembers = remembers;
             return true;
@@ -289,6 +295,7 @@
         }
         bool truncate(std::uint64_t number) override {
             if (node().full) return false;
+            world.digest_.add(world.now(), name, number);
             node().replica_home.log.truncate(number);
             return true;
         }
@@ -343,7 +350,14 @@
     std::string pick() {
         return random_() % 2 == 0 ? pick_control() : follower(random_() % plan_.followers);
     }
-    void note(Fact fact) { history_.push_back(std::move(fact)); }
+    void note(Fact fact) {
+        digest_.add(fact.what, fact.time, fact.node, fact.number, fact.usable);
+        digest_.add(fact.record.number, fact.record.term, fact.record.kind, fact.record.key,
+                    fact.record.value, fact.record.reverts);
+        digest_.add(fact.state.size());
+        for (const auto& [key, value] : fact.state) digest_.add(key, value);
+        history_.push_back(std::move(fact));
+    }
     void fail(const std::string& why) {
         if (result_.breach.empty()) result_.breach = why;
     }
@@ -455,6 +469,7 @@
     }
     void pump_source(const std::string& name, Node& node) {
         for (const SourceEvent& event : node.source->take_events()) {
+            digest_.add(now(), event.what, event.number, event.name, event.reason);
             source_events_.push_back(event);
             if (event.what == SourceEvent::What::committed) {
                 const std::uint64_t from = committed_told_ + 1;
@@ -484,6 +499,7 @@
         post(name, node.replica->take_posts());
         if (node.replica->diverged()) fail(name + " has diverged");
         if (node.replica->changes() == node.changes) return;
+        digest_.add(name, node.replica->changes(), node.replica->committed(), node.replica->promised());
         node.changes = node.replica->changes();
         const Log& log = node.replica->log();
         for (std::uint64_t at = std::max(node.known, log.base().number) + 1;
@@ -495,6 +511,7 @@
     void pump_follower(const std::string& name, Node& node) {
         for (const InForce& one : node.follower->take_in_force()) {
             ++result_.versions;
+            digest_.add(one.version.number, one.version.chain);
             const State& state = node.follower->state();
             note({Fact::What::in_force,
                   now(),
@@ -573,6 +590,7 @@
 
     void post(const std::string& from, const std::vector<Post>& posts) {
         for (const Post& one : posts) {
+            digest_.add(now(), from, one.to, *one.body);
             if (one.body->size() > kBodyMost)
                 fail(from + ": a message of " + std::to_string(one.body->size()) + " bytes");
             send(from, one.to, *one.body);
@@ -765,6 +783,7 @@
     std::size_t wakes_ = 0;
     Filter filter_;
     Result result_;
+    Digest digest_;
 };
 
 }   // namespace rollout_world
