--- a/tests/peers/net.hpp
+++ b/tests/peers/net.hpp
@@ -11,6 +11,7 @@
 #include <utility>
 #include <vector>
 
+#include "digest.hpp"
 #include "events.hpp"
 #include "links.hpp"
 #include "peers/members.hpp"
@@ -108,18 +109,27 @@
     std::uint64_t false_deaths() const { return false_deaths_; }
     std::uint64_t disputes() const { return disputes_; }
     const std::vector<Heard>& heard(std::size_t i) const { return nodes_[i].heard; }
+    // Of all that the members have put out so far: datagrams, changes, bodies for rooms above.
+    std::uint64_t digest() const { return digest_.value(); }
     void settle(std::size_t i) {
         Node& node = nodes_[i];
         if (!node.members) return;
         for (const Datagram& one : node.members->take_datagrams()) send(i, one);
-        for (auto& one : node.members->take_heard()) node.heard.push_back(std::move(one));
+        for (auto& one : node.members->take_heard()) {
+            digest_.add(now(), i, one.from, one.process, one.channel, one.body);
+            node.heard.push_back(std::move(one));
+        }
         for (const Change& one : node.members->take_changes()) {
+            digest_.add(now(), i, one.what, one.member.name, one.member.address, one.member.site,
+                        one.member.version, one.member.incarnation, one.member.process, one.member.state,
+                        one.member.since, one.member.heard_at, one.member.disputed);
             disputes_ += one.what == Change::What::disputed;
             if (one.what != Change::What::state || one.member.state != State::gone) continue;
             for (const Node& other : nodes_)
                 false_deaths_ += other.members && other.process == one.member.process;
         }
         const double due = node.members->due();
+        digest_.add(due, node.members->alive(), node.members->health(), node.members->waits_for_name());
         if (due > 1e17 || (due >= node.armed - 1e-9 && node.armed >= now())) return;
         node.armed = std::max(due, now());
         events_.at(when(node, node.armed), [this, i, life = node.life] {
@@ -148,6 +158,7 @@
     }
     void send(std::size_t from, const Datagram& one) {
         ++datagrams_;
+        digest_.add(now(), from, one.address, one.process, one.payload);
         bytes_ += one.payload.size() + kSealBytes;
         largest_ = std::max(largest_, one.payload.size() + kSealBytes);
         for (std::size_t to = 0; to < nodes_.size(); ++to) {
@@ -171,6 +182,7 @@
     Events events_;
     std::uint64_t processes_ = 0, bytes_ = 0, datagrams_ = 0, false_deaths_ = 0, disputes_ = 0;
     std::size_t largest_ = 0;
+    Digest digest_;
 };
 
 }   // namespace net_model
