--- a/tests/fleetlimit/world.hpp
+++ b/tests/fleetlimit/world.hpp
@@ -10,6 +10,7 @@
 #include <string>
 #include <vector>
 
+#include "digest.hpp"
 #include "events.hpp"
 #include "fleetlimit/room.hpp"
 
@@ -57,6 +58,8 @@
         if (result_.worst > result_.stated + 1e-6) result_.breach = "over the bound";
         return result_;
     }
+    // Of all that the rooms have put out so far: how long each request is to wait, and their datagrams.
+    std::uint64_t digest() const { return digest_.value(); }
 
   private:
     struct Node {
@@ -130,7 +133,9 @@
         ++result_.asked;
         double& full_at = stores_[key];
         const double room = plan_.spec.burst - std::max(0.0, full_at - events_.now()) * plan_.spec.rate;
-        if (node.room->look(events_.now(), 1, key, 1) > 0) {
+        const double wait_s = node.room->look(events_.now(), 1, key, 1);
+        digest_.add(events_.now(), i, key, wait_s);
+        if (wait_s > 0) {
             result_.with_room += room >= 1;
             return;
         }
@@ -149,8 +154,12 @@
         if (!node.room) return;
         if (node.room->due() <= events_.now() && events_.now() >= node.stopped_until)
             node.room->wake(events_.now());
-        for (const auto& post : node.room->take_posts()) send(i, std::stoul(post.to.substr(1)), post.body);
+        for (const auto& post : node.room->take_posts()) {
+            digest_.add(events_.now(), i, post.to, post.body);
+            send(i, std::stoul(post.to.substr(1)), post.body);
+        }
         const double due = node.room->due();
+        digest_.add(due, node.room->doubts(), node.room->forgotten(), node.room->unreadable());
         if (due > 1e17 || (node.armed <= due && node.armed > events_.now())) return;
         node.armed = std::max(due, events_.now() + 1e-4);
         events_.at(node.armed, [this, i, process = node.process, time = node.armed] {
@@ -200,6 +209,7 @@
     std::set<std::size_t> away_, down_;
     std::uint64_t processes_ = 0;
     Result result_;
+    Digest digest_;
 };
 
 inline Plan random_plan(std::uint64_t seed) {
