--- a/tests/quota/model.hpp
+++ b/tests/quota/model.hpp
@@ -16,6 +16,7 @@
 #include <utility>
 #include <vector>
 
+#include "digest.hpp"
 #include "quota/bank.hpp"
 
 namespace model {
@@ -87,6 +88,9 @@
         result_.allowed = allowed();
         return result_;
     }
+    // Of all that the banks have put out so far: how long each request is to wait, and calls to the
+    // counter.
+    std::uint64_t digest() const { return digest_.value(); }
 
     // The healthy error, and what each fault adds to it.
     double allowed() const {
@@ -247,7 +251,9 @@
             ++result_.inside;
         }
         quota::Bank& bank = *banks_[i].bank;
-        if (even_split ? share_of(c, i) < 1 : bank.look(clock(i), c + 1, customer(c).plan, doors, 1) > 0) {
+        const double wait_s = even_split ? 0 : bank.look(clock(i), c + 1, customer(c).plan, doors, 1);
+        digest_.add(now_, i, c, wait_s, bank.level(c + 1));
+        if (even_split ? share_of(c, i) < 1 : wait_s > 0) {
             result_.refused_with_room += store.room >= quota.burst / 2;
             return;
         }
@@ -281,6 +287,7 @@
     void flush(unsigned i) {
         for (quota::Call& call : banks_[i].bank->take_calls()) {
             ++result_.calls;
+            digest_.add(now_, i, call.id, call.part, call.name, call.by, call.life_ms);
             banks_[i].out[call.id] = now_;
             const double there = now_ + kWay * (0.7 + 0.6 * uniform());
             const bool cut = active(Fault::Kind::split, i) || active(Fault::Kind::down);
@@ -295,6 +302,7 @@
         }
         const double rate = i < plan_.clock.size() ? plan_.clock[i] : 1;
         const double due = (banks_[i].bank->due() - start_) / rate;
+        digest_.add(banks_[i].bank->due(), banks_[i].bank->empties());
         if (due != banks_[i].wake_at || banks_[i].wake_at < now_) wake_later(i, std::max(now_ + 1e-6, due));
     }
 
@@ -339,6 +347,7 @@
     std::map<std::string, Named> names_, older_;
     std::map<std::pair<unsigned, unsigned>, std::pair<double, double>> shares_;   // level and since
     Result result_;
+    Digest digest_;
 };
 
 // The mix of a site of three plans: of a hundred customers most use a part of their quota, some nearly all,
--- a/tests/quota/small.hpp
+++ b/tests/quota/small.hpp
@@ -12,6 +12,7 @@
 #include <string>
 #include <vector>
 
+#include "digest.hpp"
 #include "quota/bank.hpp"
 
 namespace model {
@@ -51,6 +52,9 @@
         return {};
     }
     std::uint64_t schedules = 0;
+    // Of all that the banks have put out so far: how long each request is to wait, and calls to the
+    // counter.
+    std::uint64_t digest() const { return digest_.value(); }
 
   private:
     struct Sent {
@@ -75,7 +79,11 @@
         bool lost = false;
         const auto collect = [&] {
             for (unsigned i = 0; i < 2; ++i) {
-                for (auto& call : banks[i].take_calls()) calls.push_back({i, std::move(call)});
+                for (auto& call : banks[i].take_calls()) {
+                    digest_.add(i, call.id, call.part, call.name, call.by, call.life_ms);
+                    calls.push_back({i, std::move(call)});
+                }
+                digest_.add(banks[i].due(), banks[i].empties(), banks[i].lost(0));
                 lost |= banks[i].lost(0);
             }
         };
@@ -88,7 +96,9 @@
             banks[sent.from].answered(now, sent.call.id, names[sent.call.name] += sent.call.by);
         }
         const auto ask = [&](unsigned i) {
-            if (banks[i].look(now, 7, 0, {0, 2}, 1) > 0) return;
+            const double wait_s = banks[i].look(now, 7, 0, {0, 2}, 1);
+            digest_.add(i, wait_s);
+            if (wait_s > 0) return;
             banks[i].take(now, 7, 0, {0, 2}, 1);
             banks[i].ended(7);
             level -= 1;
@@ -151,6 +161,7 @@
 
     std::size_t depth_;
     quota::Settings settings_;
+    Digest digest_;
 };
 
 }   // namespace model
