--- a/bench/limit-model.cpp
+++ b/bench/limit-model.cpp
@@ -5,7 +5,7 @@
 #include <cstdio>
 #include <cstdlib>
 
-#include "fleetlimit/world.hpp"
+#include "fleet_rate_limit/world.hpp"
 
 int main(int argc, char** argv) {
     const std::uint64_t runs = argc > 1 ? std::strtoull(argv[1], nullptr, 10) : 10'000;
--- a/bench/rule-times.cpp
+++ b/bench/rule-times.cpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "operator/options.hpp"
+#include "operator_config/options.hpp"
 #include "rules/rules.hpp"
 
 namespace {
@@ -236,8 +236,9 @@
 
 // The rules of an operator's file over one request of usual form.
 void time_file(const std::string& path) {
-    operating::Options options;
-    for (const std::string& fault : operating::load(path, options)) std::printf("%s\n", fault.c_str());
+    operator_config::Options options;
+    for (const std::string& fault : operator_config::load(path, options))
+        std::printf("%s\n", fault.c_str());
     std::vector<std::string> faults;
     const auto made = rules::Rules::load(options.rules, {"n0", "z"}, faults);
     const std::vector<http::Field> headers{
--- a/bench/scale/backends.cpp
+++ b/bench/scale/backends.cpp
@@ -5,13 +5,13 @@
 
 #include <cmath>
 
-#include "directory/listing.hpp"
+#include "admin/operator_overrides.hpp"
+#include "backend/connection_pool.hpp"
+#include "discovery/endpoint_list.hpp"
 #include "duties.hpp"
 #include "http/message.hpp"
 #include "meter.hpp"
 #include "net/timers.hpp"
-#include "operations/operations.hpp"
-#include "provider/pool.hpp"
 #include "sample.hpp"
 #include "table.hpp"
 
@@ -20,9 +20,9 @@
 
 constexpr std::size_t kChanged = 10;   // entries of a list of changes
 
-struct Nobody final : provider::CallHost {
-    void on_call_end(const provider::CallTag&, const provider::CallEnd&) override {}
-    void on_probe_end(const std::string&, const provider::CallEnd&) override {}
+struct Nobody final : backend::CallHost {
+    void on_call_end(const backend::CallTag&, const backend::CallEnd&) override {}
+    void on_probe_end(const std::string&, const backend::CallEnd&) override {}
 };
 
 // What the directory answers, over HTTP; false: the ingress turns it down.
@@ -55,13 +55,13 @@
 
 double kb(std::size_t from) { return (static_cast<double>(allocated()) - static_cast<double>(from)) / 1e3; }
 
-directory::Listing parse(const std::string& text, double& json_ms, double& entries_ms) {
-    const directory::UnixClock clock;
+discovery::Listing parse(const std::string& text, double& json_ms, double& entries_ms) {
+    const discovery::UnixClock clock;
     rapidjson::Document document;
     json_ms = ms([&] { document.Parse(text.data(), text.size()); });
-    directory::Listing listing;
+    discovery::Listing listing;
     int broken = 0;
-    entries_ms = ms([&] { directory::read_listing(document, clock, listing, broken); });
+    entries_ms = ms([&] { discovery::read_listing(document, clock, listing, broken); });
     return listing;
 }
 
@@ -78,12 +78,12 @@
         const bool fits = taken(text);
         const std::size_t began = allocated();
         double json_ms = 0, entries_ms = 0;
-        const directory::Listing listing = parse(text, json_ms, entries_ms);
+        const discovery::Listing listing = parse(text, json_ms, entries_ms);
         const double listing_kb = kb(began);
 
         std::size_t from = allocated();
-        operations::Operations operations;
-        directory::Listing laid = listing;
+        admin::OperatorOverrides operations;
+        discovery::Listing laid = listing;
         const double copy_kb = kb(from);
         const double operations_ms = ms([&] { operations.lay_over(laid); });
         const double operations_kb = kb(from) - copy_kb;
@@ -92,7 +92,7 @@
         net::Timers timers;
         http::Budget budget(1 << 20);
         from = allocated();
-        provider::Pool pool(nobody, timers, {}, budget, {});
+        backend::Pool pool(nobody, timers, {}, budget, {});
         const double pool_first_ms = ms([&] { pool.update(listing); });
         const double pool_kb = kb(from);
         const double pool_again_ms = ms([&] { pool.update(listing); });
@@ -109,7 +109,7 @@
 
         const std::string few = list_text(n, 0, std::min(n, kChanged), false);
         double few_json = 0, few_entries = 0;
-        directory::Listing change = parse(few, few_json, few_entries);
+        discovery::Listing change = parse(few, few_json, few_entries);
         const double change_ms = few_json + few_entries + ms([&] {
                                      operations.lay_over(change);
                                      pool.update(change);
--- a/bench/scale/configuration.cpp
+++ b/bench/scale/configuration.cpp
@@ -1,6 +1,6 @@
-// Files that are read again on a reload: the operator's with N routes, as operating::load checks it and the
-// rules part compiles it a second time; the platform's with N services and as many contracts. And quotas
-// through a shared counter by the customers known.
+// Files that are read again on a reload: the operator's with N routes, as operator_config::load checks it
+// and the rules part compiles it a second time; the platform's with N services and as many contracts. And
+// quotas through a shared counter by the customers known.
 #include <filesystem>
 #include <fstream>
 #include <limits>
@@ -10,8 +10,8 @@
 #include "config/config.hpp"
 #include "duties.hpp"
 #include "meter.hpp"
-#include "operator/options.hpp"
-#include "quota/bank.hpp"
+#include "operator_config/options.hpp"
+#include "quota/shared_quota.hpp"
 #include "rules/rules.hpp"
 #include "sample.hpp"
 #include "table.hpp"
@@ -35,9 +35,9 @@
         const std::string text = operator_text(n, 10);
         std::ofstream(path) << text;
         const std::size_t before = allocated(), resident_before = resident();
-        operating::Options options;
+        operator_config::Options options;
         const double from = cpu_s();
-        const auto faults = operating::load(path, options);
+        const auto faults = operator_config::load(path, options);
         const double load_ms = (cpu_s() - from) * 1e3;
         const double options_kb = kb_since(before);
         const std::size_t compiled_from = allocated();
@@ -73,7 +73,7 @@
     Table table{"configuration_services", {"services", "file_kb", "read_ms", "kb"}, {}};
     for (const std::size_t n : run.sizes({4, 40, 100, 400, 1000, 4000, 20'000}, 400)) {
         const std::string text = platform_text(n);
-        const directory::UnixClock clock;
+        const discovery::UnixClock clock;
         const std::size_t before = allocated();
         const double from = cpu_s();
         const config::Config made = config::read(text, clock);
--- a/bench/scale/crowd.cpp
+++ b/bench/scale/crowd.cpp
@@ -7,17 +7,17 @@
 
 #include "duties.hpp"
 #include "events.hpp"
+#include "membership.pb.h"
+#include "membership/datagram_auth.hpp"
+#include "membership/swim.hpp"
 #include "meter.hpp"
 #include "names.hpp"
-#include "peers.pb.h"
-#include "peers/members.hpp"
-#include "peers/seal.hpp"
 #include "table.hpp"
 
 namespace slatejunction::scale {
 namespace {
 
-using peers::wire::Packet;
+using membership::wire::Packet;
 
 constexpr std::size_t kZones = 17;
 
@@ -56,8 +56,8 @@
     bool quiet() const { return last_datagrams_ < 8; }
 
   private:
-    static peers::Settings settings() {
-        peers::Settings settings;
+    static membership::Settings settings() {
+        membership::Settings settings;
         settings.name = "ingress-99999";
         settings.address = "10.99.99.99:7946";
         settings.site = "zone-99";
@@ -65,7 +65,7 @@
         return settings;
     }
     static std::uint64_t process(std::size_t i) { return 1000 + i; }
-    static void fill(peers::wire::Member& to, std::size_t i) {
+    static void fill(membership::wire::Member& to, std::size_t i) {
         to.set_name(ingress_name(i));
         to.set_address(ingress_address(i, i % kZones));
         to.set_site(zone_name(i % kZones));
@@ -80,7 +80,7 @@
     }
     void give(std::size_t i, const Packet& packet) {
         const std::string bytes = packet.SerializeAsString();
-        heard_ += static_cast<double>(bytes.size() + peers::kSealBytes);
+        heard_ += static_cast<double>(bytes.size() + membership::kSealBytes);
         {
             const Booked booked(meter_, &cpu_);
             member_.receive(now(), process(i), true, bytes);
@@ -88,13 +88,13 @@
         pump();
     }
     void pump() {
-        std::vector<peers::Datagram> datagrams;
+        std::vector<membership::Datagram> datagrams;
         {
             const Booked booked(meter_, &cpu_);
             datagrams = member_.take_datagrams();
             member_.take_changes();
         }
-        for (const peers::Datagram& one : datagrams) {
+        for (const membership::Datagram& one : datagrams) {
             Packet said;
             if (!said.ParseFromString(one.payload) || one.process < process(0)) continue;
             const std::size_t to = one.process - process(0);
@@ -130,7 +130,8 @@
             Packet ping = packet(i, kPing);
             ping.set_number(++numbers_);
             give(i, ping);
-            const double every = peers::kSyncLeast + peers::kSyncPerMember * static_cast<double>(others_);
+            const double every =
+                membership::kSyncLeast + membership::kSyncPerMember * static_cast<double>(others_);
             if (std::uniform_real_distribution<double>(0, 1)(random_) < 1 / every) {
                 teach();
                 Packet sync = packet(i, kSync);
@@ -145,7 +146,7 @@
     std::mt19937_64 random_{3};
     Events events_;
     Meter meter_;
-    peers::Members member_;
+    membership::Members member_;
     std::uint64_t numbers_ = 0;
     double cpu_ = 0, heard_ = 0, armed_ = 1e18;
     double last_bytes_ = 0, last_cpu_ = 0, most_bytes_ = 0, most_cpu_ = 0;
@@ -178,7 +179,7 @@
         crowd.forget_worst();
         const double from = crowd.now(), sent = crowd.sent(), heard = crowd.heard(), cpu = crowd.cpu();
         const double datagrams = crowd.datagrams(), held_back = crowd.held_back();
-        const double s = 3 * (peers::kSyncLeast + peers::kSyncPerMember * static_cast<double>(n));
+        const double s = 3 * (membership::kSyncLeast + membership::kSyncPerMember * static_cast<double>(n));
         crowd.run(from + s);
         steady.add({static_cast<double>(n), static_cast<double>(crowd.known()),
                     (crowd.sent() - sent + crowd.heard() - heard) / s, (crowd.datagrams() - datagrams) / s,
@@ -194,15 +195,15 @@
     constexpr std::uint64_t kReceiver = 1'000'000;   // its process
     const std::string payload(200, 'x');
     for (const std::size_t n : run.sizes({30, 100, 300, 1000, 3000, 7000}, 300)) {
-        std::vector<peers::Seal> senders;
-        for (std::size_t i = 0; i < n; ++i) senders.emplace_back(std::vector<peers::Key>{{}}, i + 1);
+        std::vector<membership::Seal> senders;
+        for (std::size_t i = 0; i < n; ++i) senders.emplace_back(std::vector<membership::Key>{{}}, i + 1);
         std::vector<std::string> sealed;
         const double from = cpu_s();
         for (std::size_t i = 0; i < kRounds; ++i)
             sealed.push_back(senders[i % n].close(kReceiver, payload));
         const double between = cpu_s();
         const std::size_t before = allocated();
-        peers::Seal receiver({peers::Key{}}, kReceiver);
+        membership::Seal receiver({membership::Key{}}, kReceiver);
         std::uint64_t who = 0;
         std::string_view text;
         for (const std::string& one : sealed) receiver.open(one, who, text);
--- a/bench/scale/fleet.cpp
+++ b/bench/scale/fleet.cpp
@@ -11,12 +11,12 @@
 
 constexpr const char* kConductor = "conductor";
 constexpr double kGrace = 1;            // s, of the sums
-constexpr double kAnswersEvery = 0.2;   // s; as in src/sums/driver.cpp
+constexpr double kAnswersEvery = 0.2;   // s; as in src/fleet_counters/driver.cpp
 constexpr std::size_t kAnswersAtOnce = 8;
 constexpr double kNever = 1e17;
 constexpr std::uint32_t kLimit = 1;
 
-std::vector<peers::Key> keys() { return {peers::Key{}}; }
+std::vector<membership::Key> keys() { return {membership::Key{}}; }
 
 std::uint32_t channel_of(Duty duty) { return static_cast<std::uint32_t>(duty); }
 
@@ -81,9 +81,10 @@
     Node& node = *nodes_[i];
     node.process = ++processes_;
     node.armed.fill(1e18);
-    if (plan_.sealed && plan_.membership) node.seal = std::make_unique<peers::Seal>(keys(), node.process);
+    if (plan_.sealed && plan_.membership)
+        node.seal = std::make_unique<membership::Seal>(keys(), node.process);
     if (plan_.membership) {
-        peers::Settings settings;
+        membership::Settings settings;
         settings.name = ingress_name(i);
         settings.address = ingress_address(i, zone(i));
         settings.site = zone_name(zone(i));
@@ -91,7 +92,7 @@
         settings.interval_s = plan_.interval_s;
         for (std::size_t s = 0; s < 5 && s < plan_.ingresses; ++s)
             settings.seeds.push_back(ingress_address(s, zone(s)));
-        node.members = std::make_unique<peers::Members>(settings, node.process, random_());
+        node.members = std::make_unique<membership::Members>(settings, node.process, random_());
     }
     if (plan_.voters > 0) make_leases(i, first);
     if (plan_.period_s > 0) make_sums(i);
@@ -121,9 +122,9 @@
 
 void Fleet::make_sums(std::size_t i) {
     Node& node = *nodes_[i];
-    node.teller = std::make_unique<sums::Teller>(node.process);
-    node.collector = std::make_unique<sums::Collector>(sums::Settings{plan_.period_s, kGrace}, times_,
-                                                       voters_, random_());
+    node.teller = std::make_unique<fleet_counters::Teller>(node.process);
+    node.collector = std::make_unique<fleet_counters::Collector>(
+        fleet_counters::Settings{plan_.period_s, kGrace}, times_, voters_, random_());
     node.period = static_cast<std::uint64_t>(unix_s() / plan_.period_s);
     node.teller->cut(node.period, node.values);
     cut(i);
@@ -131,8 +132,8 @@
 
 void Fleet::make_limits(std::size_t i) {
     Node& node = *nodes_[i];
-    node.limits =
-        std::make_unique<fleetlimit::Room>(fleetlimit::Settings{ingress_name(i), names_}, random_());
+    node.limits = std::make_unique<fleet_rate_limit::Room>(
+        fleet_rate_limit::Settings{ingress_name(i), names_}, random_());
     node.limits->define(kLimit, plan_.limit);
     if (!plan_.membership) node.limits->set_there(now(), names_);
     ask_later(i, node.process);
@@ -160,7 +161,7 @@
 void Fleet::arrive(std::size_t to, std::uint64_t process, const std::string& bytes) {
     if (!nodes_[to]) return;
     Node& node = *nodes_[to];
-    const std::size_t size = bytes.size() + (node.seal ? 0 : peers::kSealBytes);
+    const std::size_t size = bytes.size() + (node.seal ? 0 : membership::kSealBytes);
     spent_[to].heard[0] += size;
     {
         const Booked booked(meter_, account(to, Duty::membership));
@@ -168,9 +169,9 @@
         std::uint64_t who = process;
         bool fresh = true;
         if (node.seal) {
-            const peers::Opened opened = node.seal->open(bytes, who, payload);
-            if (opened != peers::Opened::fresh && opened != peers::Opened::stranger) return;
-            fresh = opened == peers::Opened::fresh;
+            const membership::Opened opened = node.seal->open(bytes, who, payload);
+            if (opened != membership::Opened::fresh && opened != membership::Opened::stranger) return;
+            fresh = opened == membership::Opened::fresh;
         }
         node.members->receive(now(), who, fresh, payload);
     }
@@ -181,31 +182,32 @@
     if (!nodes_[i]) return;
     Node& node = *nodes_[i];
     Spent& spent = spent_[i];
-    std::vector<peers::Datagram> datagrams;
-    std::vector<peers::Heard> heard;
-    std::vector<peers::Change> changes;
+    std::vector<membership::Datagram> datagrams;
+    std::vector<membership::Heard> heard;
+    std::vector<membership::Change> changes;
     {
         const Booked booked(meter_, account(i, Duty::membership));
         datagrams = node.members->take_datagrams();
         heard = node.members->take_heard();
         changes = node.members->take_changes();
     }
-    for (peers::Datagram& one : datagrams) {
+    for (membership::Datagram& one : datagrams) {
         spent.datagrams[0] += 1;
-        spent.bytes[0] += one.payload.size() + peers::kSealBytes;
+        spent.bytes[0] += one.payload.size() + membership::kSealBytes;
         const auto to = by_address_.find(one.address);
         if (to != by_address_.end()) carry(i, one.process, to->second, std::move(one.payload));
     }
     spent.held_back = node.members->tally().held_back;
     const std::uint64_t process = node.process;
-    for (const peers::Heard& one : heard) {
+    for (const membership::Heard& one : heard) {
         spent.heard[0] -= arrived;
         spent.heard[one.channel] += arrived;
         hear(i, by_name_.at(one.from), one.process, static_cast<Duty>(one.channel), one.body);
         if (!nodes_[i] || nodes_[i]->process != process) return;
     }
-    for (const peers::Change& one : changes) {
-        if (one.what != peers::Change::What::state || one.member.state != peers::State::gone) continue;
+    for (const membership::Change& one : changes) {
+        if (one.what != membership::Change::What::state || one.member.state != membership::State::gone)
+            continue;
         const auto& other = nodes_[by_name_.at(one.member.name)];
         false_deaths_ += other && other->process == one.member.process;
     }
@@ -216,8 +218,8 @@
 void Fleet::changed_members(std::size_t i) {
     const Booked booked(meter_, account(i, Duty::limits));
     std::vector<std::string> there;
-    for (const peers::Member& one : nodes_[i]->members->list())
-        if (one.state == peers::State::alive || one.state == peers::State::suspected)
+    for (const membership::Member& one : nodes_[i]->members->list())
+        if (one.state == membership::State::alive || one.state == membership::State::suspected)
             there.push_back(one.name);
     std::sort(there.begin(), there.end());
     nodes_[i]->limits->set_there(now(), std::move(there));
@@ -231,15 +233,15 @@
     }
     Node& node = *nodes_[i];
     Spent& spent = spent_[i];
-    std::vector<peers::Datagram> datagrams;
+    std::vector<membership::Datagram> datagrams;
     {
         const Booked booked(meter_, account(i, duty));
         node.members->send(now(), to, channel_of(duty), body);
         datagrams = node.members->take_datagrams();
     }
-    for (peers::Datagram& one : datagrams) {
+    for (membership::Datagram& one : datagrams) {
         spent.datagrams[static_cast<std::size_t>(duty)] += 1;
-        spent.bytes[static_cast<std::size_t>(duty)] += one.payload.size() + peers::kSealBytes;
+        spent.bytes[static_cast<std::size_t>(duty)] += one.payload.size() + membership::kSealBytes;
         const auto at = by_address_.find(one.address);
         if (at != by_address_.end()) carry(i, one.process, at->second, std::move(one.payload));
     }
@@ -280,8 +282,8 @@
             bool more = false;
             {
                 const Booked booked(meter_, account(i, duty));
-                sums::Report report;
-                if (!sums::read(body, report)) return;
+                fleet_counters::Report report;
+                if (!fleet_counters::read(body, report)) return;
                 if (report.cuts.empty())
                     node.teller->counted(report.process, report.counted);
                 else
@@ -404,14 +406,14 @@
 void Fleet::tell(std::size_t i, std::uint64_t process) {
     if (!nodes_[i] || nodes_[i]->process != process) return;
     Node& node = *nodes_[i];
-    std::optional<sums::Report> report;
+    std::optional<fleet_counters::Report> report;
     std::string body, to;
     {
         const Booked booked(meter_, account(i, Duty::sums));
         report = node.teller->report();
         if (!report) return;
         to = conductor(i);
-        body = sums::write(*report);
+        body = fleet_counters::write(*report);
     }
     if (to == ingress_name(i)) {
         {
@@ -431,7 +433,7 @@
     for (bool more = true; more;) {
         more = false;
         std::vector<lease::NoteBook::Post> posts;
-        std::vector<sums::Row> rows;
+        std::vector<fleet_counters::Row> rows;
         {
             const Booked booked(meter_, account(i, Duty::sums));
             posts = node.collector->take_posts();
@@ -449,7 +451,7 @@
             node.collector->on_note(now(), unix_s(), ingress_name(i), answer);
             more = true;
         }
-        for (const sums::Row& row : rows) {
+        for (const fleet_counters::Row& row : rows) {
             ++rows_;
             row_delay_ = unix_s() - static_cast<double>(row.period) * plan_.period_s;
             row_processes_ = row.processes;
@@ -462,7 +464,7 @@
         if (answer.to == ingress_name(i))
             node.teller->counted(answer.report.process, answer.report.counted);
         else
-            say(i, Duty::sums, answer.to, sums::write(answer.report));
+            say(i, Duty::sums, answer.to, fleet_counters::write(answer.report));
     }
     if (!node.answers.empty() && !std::exchange(node.answering, true))
         events_.at(now() + kAnswersEvery, [this, i, process = node.process] {
@@ -504,7 +506,7 @@
 
 void Fleet::pump_limits(std::size_t i) {
     Node& node = *nodes_[i];
-    std::vector<fleetlimit::Room::Post> posts;
+    std::vector<fleet_rate_limit::Room::Post> posts;
     double due = 0;
     {
         const Booked booked(meter_, account(i, Duty::limits));
@@ -624,11 +626,11 @@
     return true;
 }
 
-bool Fleet::all_have(std::size_t i, peers::State state) const {
+bool Fleet::all_have(std::size_t i, membership::State state) const {
     const std::string who = ingress_name(i);
     for (std::size_t k = 0; k < nodes_.size(); ++k) {
         if (k == i || !nodes_[k]) continue;
-        const peers::Member* const one = nodes_[k]->members->find(who);
+        const membership::Member* const one = nodes_[k]->members->find(who);
         if (!one || one->state != state) return false;
     }
     return true;
--- a/bench/scale/fleet.hpp
+++ b/bench/scale/fleet.hpp
@@ -1,8 +1,8 @@
 // A fleet of hollow ingresses in one process: the real cores of membership, leases, notes, sums and fleet
 // limits, sealed as on sockets, over a simulated network of regions and zones. Time is the model's own, the
 // seed repeats all of it; CPU is this process's, booked to each ingress and duty. The glue between the
-// cores is that of src/app/fleet_part.cpp, src/app/limits_part.cpp and src/sums/driver.cpp, without
-// sockets.
+// cores is that of src/app/fleet_component.cpp, src/app/fleet_rate_limit_component.cpp and
+// src/fleet_counters/driver.cpp, without sockets.
 #pragma once
 
 #include <array>
@@ -16,15 +16,15 @@
 #include <vector>
 
 #include "events.hpp"
-#include "fleetlimit/room.hpp"
-#include "lease/notes.hpp"
-#include "lease/room.hpp"
+#include "fleet_counters/aggregator.hpp"
+#include "fleet_counters/reporter.hpp"
+#include "fleet_rate_limit/rate_limit_node.hpp"
+#include "lease/lease_node.hpp"
+#include "lease/replicated_register.hpp"
 #include "links.hpp"
+#include "membership/datagram_auth.hpp"
+#include "membership/swim.hpp"
 #include "meter.hpp"
-#include "peers/members.hpp"
-#include "peers/seal.hpp"
-#include "sums/collector.hpp"
-#include "sums/teller.hpp"
 
 namespace slatejunction::scale {
 
@@ -45,7 +45,7 @@
     double period_s = 0;       // of the fleet's sums; 0: none; wants voters
     double requests_s = 0;     // at each ingress, that a fleet limit counts; 0: none
     std::size_t keys = 1000;   // that they are of, evenly
-    fleetlimit::Spec limit{100, 100, 1};
+    fleet_rate_limit::Spec limit{100, 100, 1};
     std::size_t started = ~std::size_t{0};   // so many are started at first, over `start_s`
     double start_s = 1;
 };
@@ -98,7 +98,7 @@
     bool all_agree() const;
     // The same while region 0, of `inside` ingresses, is apart from the others: on each side.
     bool all_agree(std::size_t inside) const;
-    bool all_have(std::size_t i, peers::State state) const;
+    bool all_have(std::size_t i, membership::State state) const;
     std::uint64_t false_deaths() const { return false_deaths_; }
 
     const Spent& spent(std::size_t i) const { return spent_[i]; }
@@ -121,20 +121,20 @@
     std::uint64_t turned_away() const;
     std::uint64_t passed() const { return passed_; }   // requests, by fleet limits
     std::uint64_t asked() const { return asked_; }
-    fleetlimit::Room* limits(std::size_t i) { return nodes_[i]->limits.get(); }
+    fleet_rate_limit::Room* limits(std::size_t i) { return nodes_[i]->limits.get(); }
 
   private:
     struct Node {
         std::uint64_t process = 0;
-        std::unique_ptr<peers::Seal> seal;
-        std::unique_ptr<peers::Members> members;
+        std::unique_ptr<membership::Seal> seal;
+        std::unique_ptr<membership::Members> members;
         std::unique_ptr<lease::Room> leases;
         std::unique_ptr<lease::NoteKeeper> notes;
-        std::unique_ptr<sums::Teller> teller;
-        std::unique_ptr<sums::Collector> collector;
-        std::deque<sums::Collector::Answer> answers;
-        std::unique_ptr<fleetlimit::Room> limits;
-        sums::Values values{};
+        std::unique_ptr<fleet_counters::Teller> teller;
+        std::unique_ptr<fleet_counters::Collector> collector;
+        std::deque<fleet_counters::Collector::Answer> answers;
+        std::unique_ptr<fleet_rate_limit::Room> limits;
+        fleet_counters::Values values{};
         std::uint64_t period = 0, told_holds = 0;
         std::array<double, kDuties> armed{};
         bool answering = false;
--- a/bench/scale/limits.cpp
+++ b/bench/scale/limits.cpp
@@ -6,16 +6,16 @@
 
 #include "duties.hpp"
 #include "fleet.hpp"
-#include "fleetlimit.pb.h"
+#include "fleet_rate_limit.pb.h"
 #include "names.hpp"
 #include "table.hpp"
 
 namespace slatejunction::scale {
 namespace {
 
-constexpr double kRequests = 257;               // a second, at each ingress at the peak
-constexpr double kTenants = 150'000.0 / 7000;   // for each ingress
-constexpr fleetlimit::Spec kSpec{20, 40, 1};    // a tenant asks 12 times a second
+constexpr double kRequests = 257;                    // a second, at each ingress at the peak
+constexpr double kTenants = 150'000.0 / 7000;        // for each ingress
+constexpr fleet_rate_limit::Spec kSpec{20, 40, 1};   // a tenant asks 12 times a second
 constexpr std::uint32_t kLimit = 1;
 constexpr double kRoundTrip = 0.07;   // s; about the mean between regions
 
@@ -103,7 +103,7 @@
         std::sort(all.begin(), all.end());
         return all;
     }
-    fleetlimit::Settings settings() const { return {names_[0], names_}; }
+    fleet_rate_limit::Settings settings() const { return {names_[0], names_}; }
     template <class Call>
     double booked(double& account, Call call) {
         const Booked one(meter_, &account);
@@ -120,10 +120,10 @@
     }
     // A report of another for a key that is this one's: as many come as it asks.
     void report() {
-        fleetlimit::wire::Batch batch;
+        fleet_rate_limit::wire::Batch batch;
         const std::size_t i = 1 + random_() % (n_ - 1);
         batch.set_number(++numbers_);
-        fleetlimit::wire::Item& item = *batch.add_item();
+        fleet_rate_limit::wire::Item& item = *batch.add_item();
         item.set_limit(kLimit);
         item.set_key(random_() % keys_ * n_);
         item.set_units(1);
@@ -153,7 +153,7 @@
         for (const auto& post : room_.take_posts()) {
             posts_ += 1;
             bytes_ += static_cast<double>(post.body.size() + kEnvelope);
-            fleetlimit::wire::Batch said;
+            fleet_rate_limit::wire::Batch said;
             if (!said.ParseFromString(post.body) || said.answer()) continue;
             said.set_answer(true);
             for (int i = 0; i < said.item_size(); ++i) {
@@ -169,7 +169,7 @@
     const std::vector<std::string> names_;
     std::mt19937_64 random_{11};
     Meter meter_;
-    fleetlimit::Room room_;
+    fleet_rate_limit::Room room_;
     struct Answer {
         double at;
         std::string from, body;
--- a/bench/scale/membership.cpp
+++ b/bench/scale/membership.cpp
@@ -99,8 +99,9 @@
     bool steady() {
         const Look from = Look::of(fleet_);
         const std::uint64_t wrong = fleet_.false_deaths();
-        // Two full exchanges, as src/peers/bound.hpp spaces them.
-        if (!fleet_.run(fleet_.now() + 2 * (peers::kSyncLeast + peers::kSyncPerMember * n_))) return false;
+        // Two full exchanges, as src/membership/detection_bounds.hpp spaces them.
+        if (!fleet_.run(fleet_.now() + 2 * (membership::kSyncLeast + membership::kSyncPerMember * n_)))
+            return false;
         const Look to = Look::of(fleet_);
         const double s = to.at - from.at;
         tables_.steady.add({n_, (to.bytes - from.bytes) / n_ / s, (to.datagrams - from.datagrams) / n_ / s,
@@ -112,10 +113,11 @@
         const std::size_t who = fleet_.plan().ingresses - 1;
         const Look from = Look::of(fleet_);
         fleet_.kill(who);
-        if (!fleet_.run_until(300, [&] { return fleet_.all_have(who, peers::State::gone); })) return false;
+        if (!fleet_.run_until(300, [&] { return fleet_.all_have(who, membership::State::gone); }))
+            return false;
         const double took = fleet_.now() - from.at;
         const Second worst = fleet_.worst(from.at);
-        tables_.death.add({n_, took, peers::known_within_s(fleet_.plan().ingresses, 1), kb_each(from),
+        tables_.death.add({n_, took, membership::known_within_s(fleet_.plan().ingresses, 1), kb_each(from),
                            cpu_ms_each(from), worst.most_bytes / 1e3, worst.most_cpu * 1e3});
         fleet_.start(who);
         return fleet_.run_until(300, [&] { return fleet_.all_agree(); }) && settle(1);
--- a/bench/scale/rollout_faults.cpp
+++ b/bench/scale/rollout_faults.cpp
@@ -9,7 +9,7 @@
 #include <map>
 
 #include "duties.hpp"
-#include "lease/bound.hpp"
+#include "lease/lease_bounds.hpp"
 #include "rollout_fleet.hpp"
 #include "table.hpp"
 
--- a/bench/scale/rollout_fleet.cpp
+++ b/bench/scale/rollout_fleet.cpp
@@ -160,7 +160,8 @@
     it.started_at = now();
     it.changes = it.urgent = 0;
     if (plan_.sealed)
-        it.seal = std::make_unique<peers::Seal>(std::vector<peers::Key>{peers::Key{}}, it.process);
+        it.seal =
+            std::make_unique<membership::Seal>(std::vector<membership::Key>{membership::Key{}}, it.process);
     is_control(node) ? start_control(node) : start_follower(node);
     if (it.feeder) tell_every_second(node, it.life);
     pump(node);
@@ -261,7 +262,7 @@
         bytes = std::make_shared<const std::string>(it.seal->close(process, *body));
     }
     const std::size_t around =
-        (it.seal ? 0 : peers::kSealBytes) + (is_control(from) && is_control(to) ? kEnvelope : 0);
+        (it.seal ? 0 : membership::kSealBytes) + (is_control(from) && is_control(to) ? kEnvelope : 0);
     spent_[from].sent_bytes += bytes->size() + around;
     ++spent_[from].sent;
     if (!nodes_[to].up) return;
@@ -281,8 +282,8 @@
     if (plan_.sealed) {
         const Booked booked(meter_, account(to));
         std::uint64_t who = sender;
-        const peers::Opened opened = nodes_[to].seal->open(bytes, who, payload);
-        if (opened != peers::Opened::fresh && opened != peers::Opened::stranger) return;
+        const membership::Opened opened = nodes_[to].seal->open(bytes, who, payload);
+        if (opened != membership::Opened::fresh && opened != membership::Opened::stranger) return;
     }
     hear(from, to, sender, payload);
 }
--- a/bench/scale/rollout_fleet.hpp
+++ b/bench/scale/rollout_fleet.hpp
@@ -16,12 +16,12 @@
 
 #include "events.hpp"
 #include "links.hpp"
+#include "membership/datagram_auth.hpp"
 #include "meter.hpp"
-#include "peers/seal.hpp"
-#include "rollout/feeder.hpp"
 #include "rollout/follower.hpp"
+#include "rollout/leader.hpp"
+#include "rollout/publisher.hpp"
 #include "rollout/replica.hpp"
-#include "rollout/source.hpp"
 
 namespace slatejunction::scale {
 
@@ -139,7 +139,7 @@
         bool up = false;
         std::uint64_t life = 0, process = 0;
         double armed = 1e18, started_at = 0;   // s
-        std::unique_ptr<peers::Seal> seal;
+        std::unique_ptr<membership::Seal> seal;
         std::unique_ptr<ReplicaDisk> replica_disk;
         std::unique_ptr<FollowerDisk> follower_disk;
         std::unique_ptr<rollout::Replica> replica;
--- a/standins/provider.cpp
+++ b/fakes/backend.cpp
@@ -1,8 +1,8 @@
-#include "provider.hpp"
+#include "backend.hpp"
 
 #include <algorithm>
 
-namespace standin {
+namespace fakes {
 
 namespace net = slatejunction::net;
 
@@ -84,4 +84,4 @@
            ",\"falls\":" + std::to_string(falls_) + "}";
 }
 
-}   // namespace standin
+}   // namespace fakes
--- a/standins/provider.hpp
+++ b/fakes/backend.hpp
@@ -10,7 +10,7 @@
 
 #include "server.hpp"
 
-namespace standin {
+namespace fakes {
 
 struct ProviderSettings {
     std::string id = "s-1", listen;
@@ -47,4 +47,4 @@
     std::mt19937_64 random_;
 };
 
-}   // namespace standin
+}   // namespace fakes
--- a/standins/counter.cpp
+++ b/fakes/counter.cpp
@@ -8,7 +8,7 @@
 #include <optional>
 #include <sstream>
 
-namespace standin {
+namespace fakes {
 
 namespace net = slatejunction::net;
 
@@ -325,4 +325,4 @@
     return text;
 }
 
-}   // namespace standin
+}   // namespace fakes
--- a/standins/counter.hpp
+++ b/fakes/counter.hpp
@@ -16,7 +16,7 @@
 #include "net/stream.hpp"
 #include "net/timers.hpp"
 
-namespace standin {
+namespace fakes {
 
 struct CounterSettings {
     std::vector<std::string> listen;
@@ -70,4 +70,4 @@
     std::size_t calls_ = 0, refused_ = 0, unanswered_ = 0, bad_ = 0, twice_ = 0, most_callers_ = 0;
 };
 
-}   // namespace standin
+}   // namespace fakes
--- a/standins/directory.cpp
+++ b/fakes/discovery.cpp
@@ -1,4 +1,4 @@
-#include "directory.hpp"
+#include "discovery.hpp"
 
 #include <rapidjson/stringbuffer.h>
 #include <rapidjson/writer.h>
@@ -7,7 +7,7 @@
 #include <chrono>
 #include <cstdlib>
 
-namespace standin {
+namespace fakes {
 
 namespace {
 
@@ -131,4 +131,4 @@
     return "{\"revision\":" + std::to_string(revision_) + ",\"asked\":" + std::to_string(asked_) + "}";
 }
 
-}   // namespace standin
+}   // namespace fakes
--- a/standins/directory.hpp
+++ b/fakes/discovery.hpp
@@ -6,7 +6,7 @@
 
 #include "server.hpp"
 
-namespace standin {
+namespace fakes {
 
 class Directory {
   public:
@@ -56,4 +56,4 @@
     Server server_;
 };
 
-}   // namespace standin
+}   // namespace fakes
--- a/standins/sums.cpp
+++ b/fakes/fleet_counters.cpp
@@ -1,11 +1,11 @@
-#include "sums.hpp"
+#include "fleet_counters.hpp"
 
 #include <rapidjson/document.h>
 
 #include <fstream>
 #include <stdexcept>
 
-namespace standin {
+namespace fakes {
 
 Sums logged(const std::string& path) {
     std::ifstream in(path);
@@ -39,4 +39,4 @@
     return sums;
 }
 
-}   // namespace standin
+}   // namespace fakes
--- a/standins/sums.hpp
+++ b/fakes/fleet_counters.hpp
@@ -6,7 +6,7 @@
 
 #include "recording.hpp"
 
-namespace standin {
+namespace fakes {
 
 // By "CLASS PLAN OUTCOME", and refusals by "CLASS PLAN (REASON)" too. What stands at 0 is left out.
 using Sums = std::map<std::string, double>;
@@ -15,4 +15,4 @@
 // Of a series that has ended, the figure before its end.
 Sums counted(const Recording& recording);
 
-}   // namespace standin
+}   // namespace fakes
--- a/standins/ledger.cpp
+++ b/fakes/ledger.cpp
@@ -5,7 +5,7 @@
 #include <cstdio>
 #include <ctime>
 
-namespace standin {
+namespace fakes {
 
 Ledger::Ledger(slatejunction::net::Timers& timers, std::string address, const std::string& out)
     : address_(std::move(address)),
@@ -52,4 +52,4 @@
     return text;
 }
 
-}   // namespace standin
+}   // namespace fakes
--- a/standins/ledger.hpp
+++ b/fakes/ledger.hpp
@@ -9,7 +9,7 @@
 
 #include "server.hpp"
 
-namespace standin {
+namespace fakes {
 
 class Ledger {
   public:
@@ -28,4 +28,4 @@
     std::string holder_;
 };
 
-}   // namespace standin
+}   // namespace fakes
--- a/standins/link.cpp
+++ b/fakes/link.cpp
@@ -9,7 +9,7 @@
 #include <sstream>
 #include <utility>
 
-namespace standin {
+namespace fakes {
 
 namespace net = slatejunction::net;
 
@@ -278,4 +278,4 @@
     return text;
 }
 
-}   // namespace standin
+}   // namespace fakes
--- a/standins/link.hpp
+++ b/fakes/link.hpp
@@ -26,7 +26,7 @@
 #include "net/stream.hpp"
 #include "net/timers.hpp"
 
-namespace standin {
+namespace fakes {
 
 struct LinkFault {
     bool there = true, back = true;   // passes
@@ -94,4 +94,4 @@
     std::vector<std::unique_ptr<Link>> links_;
 };
 
-}   // namespace standin
+}   // namespace fakes
--- a/standins/load.cpp
+++ b/fakes/load.cpp
@@ -6,7 +6,7 @@
 
 #include "http/message.hpp"
 
-namespace standin {
+namespace fakes {
 
 namespace net = slatejunction::net;
 namespace http = slatejunction::http;
@@ -248,4 +248,4 @@
                 1e3 * quantile(sorted, 1));
 }
 
-}   // namespace standin
+}   // namespace fakes
--- a/standins/load.hpp
+++ b/fakes/load.hpp
@@ -14,7 +14,7 @@
 #include "net/stream.hpp"
 #include "net/timers.hpp"
 
-namespace standin {
+namespace fakes {
 
 struct LoadSettings {
     std::string target;
@@ -74,4 +74,4 @@
     bool over_ = false;
 };
 
-}   // namespace standin
+}   // namespace fakes
--- a/standins/main.cpp
+++ b/fakes/main.cpp
@@ -1,4 +1,4 @@
-// slatejunction-standin: what the ingress talks to, one sub-command each, on loopback addresses.
+// slatejunction_fakes: what the ingress talks to, one sub-command each, on loopback addresses.
 #include <glib-unix.h>
 
 #include <CLI/CLI.hpp>
@@ -10,17 +10,17 @@
 #include <memory>
 #include <string>
 
+#include "backend.hpp"
 #include "counter.hpp"
-#include "directory.hpp"
+#include "discovery.hpp"
+#include "fleet_counters.hpp"
 #include "ledger.hpp"
 #include "link.hpp"
 #include "load.hpp"
-#include "provider.hpp"
 #include "quotas.hpp"
 #include "receiver_server.hpp"
 #include "recording.hpp"
 #include "rules.hpp"
-#include "sums.hpp"
 
 namespace {
 
@@ -43,7 +43,7 @@
     // `order` takes the path of an order and returns what is wrong with it.
     int run(const std::function<std::string()>& summary,
             const std::function<std::string(const std::string&)>& order) {
-        standin::Server control(timers_, [&](const auto& client, standin::Request& request) {
+        fakes::Server control(timers_, [&](const auto& client, fakes::Request& request) {
             if (request.target == "/stats") return client->answer(200, summary());
             const std::string why = order(request.target);
             client->answer(why.empty() ? 200 : 400, why);
@@ -84,9 +84,9 @@
     return path;
 }
 
-int run_provider(const Common& common, const standin::ProviderSettings& settings) {
+int run_provider(const Common& common, const fakes::ProviderSettings& settings) {
     Stage stage(common);
-    standin::Provider provider(stage.timers(), settings);
+    fakes::Provider provider(stage.timers(), settings);
     std::string why;
     if (!provider.start(why)) return Stage::fail(settings.listen + ": " + why);
     return stage.run([&] { return provider.summary(); },
@@ -97,9 +97,9 @@
                      });
 }
 
-int run_counter(const Common& common, const standin::CounterSettings& settings) {
+int run_counter(const Common& common, const fakes::CounterSettings& settings) {
     Stage stage(common);
-    standin::Counter counter(stage.timers(), settings);
+    fakes::Counter counter(stage.timers(), settings);
     std::string why;
     if (!counter.start(why)) return Stage::fail(why);
     return stage.run([&] { return counter.summary(); },
@@ -120,7 +120,7 @@
 
 int run_directory(const Common& common, const std::string& listen,
                   const std::vector<std::string>& members) {
-    std::vector<standin::Directory::Member> all;
+    std::vector<fakes::Directory::Member> all;
     for (const std::string& one : members) {
         const std::size_t mark = one.find('=');
         if (mark == std::string::npos) return Stage::fail("'" + one + "' is not ID=ADDRESS:PORT");
@@ -129,7 +129,7 @@
         if (comma < one.size()) all.back().flavor = one.substr(comma + 1);
     }
     Stage stage(common);
-    standin::Directory directory(stage.timers(), listen, all);
+    fakes::Directory directory(stage.timers(), listen, all);
     std::string why;
     if (!directory.start(why)) return Stage::fail(listen + ": " + why);
     return stage.run(
@@ -147,14 +147,14 @@
 int run_receiver(const Common& common, const std::string& listen, bool v1_only,
                  const std::string& credentials, const std::vector<std::string>& script,
                  const std::string& out) {
-    std::vector<standin::Step> steps;
+    std::vector<fakes::Step> steps;
     for (const std::string& one : script) {
         const std::size_t mark = one.find(' ');
         if (mark == std::string::npos) return Stage::fail("'" + one + "' is not 'SECONDS FAULT'");
-        steps.push_back({std::stod(one.substr(0, mark)), standin::read_fault(one.substr(mark + 1))});
+        steps.push_back({std::stod(one.substr(0, mark)), fakes::read_fault(one.substr(mark + 1))});
     }
     Stage stage(common);
-    standin::ReceiverServer receiver(stage.timers(), listen, v1_only, steps);
+    fakes::ReceiverServer receiver(stage.timers(), listen, v1_only, steps);
     receiver.credentials = credentials;
     std::string why;
     if (!receiver.start(why)) return Stage::fail(listen + ": " + why);
@@ -162,41 +162,41 @@
         stage.run([&] { return receiver.summary(); },
                   [&](const std::string& path) -> std::string {
                       if (path == "/write" && !out.empty()) {
-                          standin::write_recording(standin::recording_of(receiver.receiver()), out);
+                          fakes::write_recording(fakes::recording_of(receiver.receiver()), out);
                           return "";
                       }
                       const std::string words = words_of(path, "/fault/");
                       if (words.empty()) return "no such order";
                       try {
                           std::string fault;
-                          return receiver.set(standin::read_fault(words), fault) ? "" : fault;
+                          return receiver.set(fakes::read_fault(words), fault) ? "" : fault;
                       } catch (const std::exception& bad) {
                           return bad.what();
                       }
                   });
-    if (!out.empty()) standin::write_recording(standin::recording_of(receiver.receiver()), out);
+    if (!out.empty()) fakes::write_recording(fakes::recording_of(receiver.receiver()), out);
     return status != 0 ? status : receiver.receiver().breach_count() == 0 ? 0 : 1;
 }
 
 // One line an alert that fired: when, for how long, with which labels.
 int check_rules(const std::string& rules, const std::string& recording, double speed,
                 const std::string& trimmed) {
-    const auto all = standin::read_rules(rules, speed);
+    const auto all = fakes::read_rules(rules, speed);
     std::printf("%zu rules\n", all.size());
     if (recording.empty()) return 0;
-    auto samples = standin::read_recording(recording);
+    auto samples = fakes::read_recording(recording);
     if (!trimmed.empty()) {   // the series that no rule names leave, so that a recording can be kept
         std::erase_if(samples, [&](const auto& one) {
-            return std::none_of(all.begin(), all.end(), [&](const standin::Rule& rule) {
+            return std::none_of(all.begin(), all.end(), [&](const fakes::Rule& rule) {
                 return rule.expression.find(one.first.front().second) != std::string::npos;
             });
         });
-        standin::write_recording(samples, trimmed);
+        fakes::write_recording(samples, trimmed);
     }
     double first = 1e18;
     for (const auto& [key, points] : samples)
         if (!points.empty()) first = std::min(first, static_cast<double>(points.front().at_ms) / 1e3);
-    for (const standin::Firing& one : standin::evaluate(all, samples)) {
+    for (const fakes::Firing& one : fakes::evaluate(all, samples)) {
         std::printf("%s from %.1f s", one.alert.c_str(), one.from_s - first);
         one.to_s > 0 ? std::printf(" to %.1f s", one.to_s - first) : std::printf(" to the end");
         for (const auto& [label, value] : one.labels) std::printf(" %s=%s", label.c_str(), value.c_str());
@@ -207,8 +207,8 @@
 
 // Both sums side by side; exit status 1 when any differs.
 int compare_sums(const std::string& recording, const std::string& log) {
-    const standin::Sums there = standin::counted(standin::read_recording(recording));
-    const standin::Sums here = standin::logged(log);
+    const fakes::Sums there = fakes::counted(fakes::read_recording(recording));
+    const fakes::Sums here = fakes::logged(log);
     std::map<std::string, std::pair<double, double>> both;
     for (const auto& [key, sum] : there) both[key].first = sum;
     for (const auto& [key, sum] : here) both[key].second = sum;
@@ -227,7 +227,7 @@
 int check_quotas(const std::vector<std::string>& logs, const std::string& config,
                  const std::vector<std::string>& errors) {
     const auto settings =
-        slatejunction::config::load(config, slatejunction::directory::UnixClock()).settings;
+        slatejunction::config::load(config, slatejunction::discovery::UnixClock()).settings;
     std::map<std::string, double> stated;
     for (const std::string& one : errors) {
         const std::size_t mark = one.find('=');
@@ -235,7 +235,7 @@
         stated[one.substr(0, mark)] = std::stod(one.substr(mark + 1));
     }
     int status = 0;
-    for (const auto& [plan, found] : standin::check_quotas(logs, settings).plans) {
+    for (const auto& [plan, found] : fakes::check_quotas(logs, settings).plans) {
         const auto part = [](std::size_t a, std::size_t b) {
             return b > 0 ? static_cast<double>(a) / static_cast<double>(b) : 0;
         };
@@ -254,7 +254,7 @@
 
 int run_links(const Common& common, const std::vector<std::string>& pairs, std::uint64_t seed) {
     Stage stage(common);
-    standin::Links links(stage.timers(), seed);
+    fakes::Links links(stage.timers(), seed);
     for (const std::string& one : pairs)
         if (const std::string why = links.add(one); !why.empty()) return Stage::fail(why);
     return stage.run([&] { return links.summary(); },
@@ -263,21 +263,21 @@
 
 int run_ledger(const Common& common, const std::string& listen, const std::string& out) {
     Stage stage(common);
-    standin::Ledger ledger(stage.timers(), listen, out);
+    fakes::Ledger ledger(stage.timers(), listen, out);
     std::string why;
     if (!ledger.start(why)) return Stage::fail(listen + ": " + why);
     return stage.run([&] { return ledger.summary(); }, [](const std::string&) { return "no such order"; });
 }
 
-int run_load(const Common& common, const standin::LoadSettings& settings, const std::string& config) {
-    const slatejunction::directory::UnixClock clock;
+int run_load(const Common& common, const fakes::LoadSettings& settings, const std::string& config) {
+    const slatejunction::discovery::UnixClock clock;
     std::ifstream in(config, std::ios::binary);
     const std::string text((std::istreambuf_iterator<char>(in)), std::istreambuf_iterator<char>());
     const auto platform = slatejunction::config::read(text, clock);
     if (!net::parse_address(settings.target))
         return Stage::fail("'" + settings.target + "' is no address and port");
     Stage stage(common);
-    standin::Load load(stage.timers(), settings, platform.settings, [&] { stage.quit(); });
+    fakes::Load load(stage.timers(), settings, platform.settings, [&] { stage.quit(); });
     load.start();
     const int status =
         stage.run([&] { return load.summary(); }, [](const std::string&) { return "no such order"; });
@@ -290,7 +290,7 @@
 int main(int argc, char** argv) {
     std::signal(SIGPIPE, SIG_IGN);
     CLI::App app("Stand-ins for what the ingress talks to, for its demo, tests and measurements.",
-                 "slatejunction-standin");
+                 "slatejunction_fakes");
     app.require_subcommand(1, 1);
     Common common;
     const auto shared = [&common](CLI::App* command) {
@@ -300,9 +300,9 @@
         command->add_option("--report", common.report, "a file for the summary at the end");
     };
 
-    standin::ProviderSettings provider;
+    fakes::ProviderSettings provider;
     auto* providing = app.add_subcommand(
-        "provider", "a provider with cores, a queue and service times; orders: POST /drain, POST /restart");
+        "backend", "a backend with cores, a queue and service times; orders: POST /drain, POST /restart");
     shared(providing);
     providing->add_option("--listen", provider.listen, "ADDRESS:PORT")->required();
     providing->add_option("--id", provider.id, "its name in answers")->capture_default_str();
@@ -325,7 +325,7 @@
     providing->add_option("--fall-s", provider.fall_s, "over so long")->capture_default_str();
     providing->add_option("--seed", provider.seed, "of the service times")->capture_default_str();
 
-    standin::CounterSettings counter;
+    fakes::CounterSettings counter;
     auto* counting = app.add_subcommand("counter",
                                         "a shared counter that speaks HTTP and RESP. Orders: POST "
                                         "/fault/NAME[/N] (none, silent, lost, refuse,\n"
@@ -342,7 +342,7 @@
     std::string listen;
     std::vector<std::string> members;
     auto* directing = app.add_subcommand(
-        "directory", "the list of providers; orders: POST /phase/ID/PHASE, POST /restart/ID");
+        "discovery", "the list of backends; orders: POST /phase/ID/PHASE, POST /restart/ID");
     shared(directing);
     directing->add_option("--listen", listen, "ADDRESS:PORT")->required();
     directing->add_option("--member", members, "ID=ADDRESS:PORT[,FLAVOR], once for each provider");
@@ -413,7 +413,7 @@
     accounting->add_option("--config", config, "an ingress's configuration, for its plans")->required();
     accounting->add_option("--error", errors, "PLAN=UNITS, what is stated")->expected(1)->take_all();
 
-    standin::LoadSettings load;
+    fakes::LoadSettings load;
     auto* loading = app.add_subcommand("load", "an open loop of requests");
     shared(loading);
     loading->add_option("--target", load.target, "the ingress: ADDRESS:PORT")->required();
--- a/standins/promql.cpp
+++ b/fakes/promql.cpp
@@ -8,7 +8,7 @@
 #include <set>
 #include <stdexcept>
 
-namespace standin {
+namespace fakes {
 namespace {
 
 constexpr double kLookback = 300;   // s; how long an instant selector takes a sample for the present one
@@ -495,4 +495,4 @@
 
 Vector Query::at(const Recording& recording, double time_s) const { return root_->at(recording, time_s); }
 
-}   // namespace standin
+}   // namespace fakes
--- a/standins/promql.hpp
+++ b/fakes/promql.hpp
@@ -11,7 +11,7 @@
 
 #include "recording.hpp"
 
-namespace standin {
+namespace fakes {
 
 using LabelSet = std::map<std::string, std::string>;
 
@@ -40,4 +40,4 @@
 // "5m", "1h30m", "15s", "100ms" in seconds; throws std::runtime_error.
 double duration_of(const std::string& text);
 
-}   // namespace standin
+}   // namespace fakes
--- a/standins/quotas.cpp
+++ b/fakes/quotas.cpp
@@ -6,7 +6,7 @@
 #include <fstream>
 #include <stdexcept>
 
-namespace standin {
+namespace fakes {
 namespace {
 
 struct Event {
@@ -79,4 +79,4 @@
     return findings;
 }
 
-}   // namespace standin
+}   // namespace fakes
--- a/standins/quotas.hpp
+++ b/fakes/quotas.hpp
@@ -8,7 +8,7 @@
 
 #include "slatejunction/gateway.hpp"
 
-namespace standin {
+namespace fakes {
 
 struct QuotaFindings {
     struct OfPlan {
@@ -27,4 +27,4 @@
 // which is a little before it is sent on. Throws std::runtime_error for a file that can't be read.
 QuotaFindings check_quotas(const std::vector<std::string>& logs, const slatejunction::Settings& platform);
 
-}   // namespace standin
+}   // namespace fakes
--- a/standins/receiver.cpp
+++ b/fakes/receiver.cpp
@@ -6,7 +6,7 @@
 #include <bit>
 #include <cstring>
 
-namespace standin {
+namespace fakes {
 namespace {
 
 // Protocol buffers' wire format, by its public description: fields of varints, 64 bits or bytes.
@@ -286,4 +286,4 @@
     }
 }
 
-}   // namespace standin
+}   // namespace fakes
--- a/standins/receiver.hpp
+++ b/fakes/receiver.hpp
@@ -10,7 +10,7 @@
 
 #include "server.hpp"
 
-namespace standin {
+namespace fakes {
 
 // name{label="value",...} with the labels in the order in which they came.
 using SeriesKey = std::vector<std::pair<std::string, std::string>>;
@@ -28,7 +28,7 @@
 
 class Receiver {
   public:
-    using Point = standin::Point;
+    using Point = fakes::Point;
     struct Series {
         std::vector<Point> points;
         bool counter = false;
@@ -68,4 +68,4 @@
 
 std::string to_text(const SeriesKey& key);
 
-}   // namespace standin
+}   // namespace fakes
--- a/standins/receiver_server.cpp
+++ b/fakes/receiver_server.cpp
@@ -8,7 +8,7 @@
 #include <sstream>
 #include <stdexcept>
 
-namespace standin {
+namespace fakes {
 
 namespace net = slatejunction::net;
 
@@ -121,4 +121,4 @@
     return text.GetString();
 }
 
-}   // namespace standin
+}   // namespace fakes
--- a/standins/receiver_server.hpp
+++ b/fakes/receiver_server.hpp
@@ -7,7 +7,7 @@
 #include "receiver.hpp"
 #include "server.hpp"
 
-namespace standin {
+namespace fakes {
 
 // What the receiver does in place of what it should.
 //   none            takes batches
@@ -61,4 +61,4 @@
     Fault fault_;
 };
 
-}   // namespace standin
+}   // namespace fakes
--- a/standins/recording.cpp
+++ b/fakes/recording.cpp
@@ -8,7 +8,7 @@
 #include <sstream>
 #include <stdexcept>
 
-namespace standin {
+namespace fakes {
 namespace {
 
 constexpr std::uint64_t kStale = 0x7ff0000000000002;
@@ -113,4 +113,4 @@
     return recording;
 }
 
-}   // namespace standin
+}   // namespace fakes
--- a/standins/recording.hpp
+++ b/fakes/recording.hpp
@@ -9,7 +9,7 @@
 
 #include "receiver.hpp"
 
-namespace standin {
+namespace fakes {
 
 // Points by time. __name__ comes first in each key, so that the series of one name lie together.
 using Recording = std::map<SeriesKey, std::vector<Point>>;
@@ -20,4 +20,4 @@
 Recording read_recording(const std::string& path);
 bool is_stale(double value);   // the marker that ends a series
 
-}   // namespace standin
+}   // namespace fakes
--- a/standins/rules.cpp
+++ b/fakes/rules.cpp
@@ -8,7 +8,7 @@
 #include <set>
 #include <stdexcept>
 
-namespace standin {
+namespace fakes {
 namespace {
 
 void only(const YAML::Node& node, const std::set<std::string>& keys, const std::string& where) {
@@ -99,4 +99,4 @@
     return firings;
 }
 
-}   // namespace standin
+}   // namespace fakes
--- a/standins/rules.hpp
+++ b/fakes/rules.hpp
@@ -6,7 +6,7 @@
 
 #include "promql.hpp"
 
-namespace standin {
+namespace fakes {
 
 struct Rule {
     std::string name, expression;
@@ -28,4 +28,4 @@
 // From the recording's first sample to its last, every rule each interval.
 std::vector<Firing> evaluate(const std::vector<Rule>& rules, const Recording& recording);
 
-}   // namespace standin
+}   // namespace fakes
--- a/standins/server.cpp
+++ b/fakes/server.cpp
@@ -7,7 +7,7 @@
 #include <cctype>
 #include <cstdlib>
 
-namespace standin {
+namespace fakes {
 
 namespace net = slatejunction::net;
 
@@ -150,4 +150,4 @@
     client->stream.adopt(std::move(socket));
 }
 
-}   // namespace standin
+}   // namespace fakes
--- a/standins/server.hpp
+++ b/fakes/server.hpp
@@ -13,7 +13,7 @@
 #include "net/stream.hpp"
 #include "net/timers.hpp"
 
-namespace standin {
+namespace fakes {
 
 struct Request {
     std::string method, target, body;
@@ -82,4 +82,4 @@
     std::unordered_set<std::shared_ptr<Client>> clients_;
 };
 
-}   // namespace standin
+}   // namespace fakes
--- a/src/operations/operations.cpp
+++ b/src/admin/operator_overrides.cpp
@@ -1,14 +1,14 @@
-#include "operations/operations.hpp"
+#include "admin/operator_overrides.hpp"
 
 #include <unordered_set>
 #include <utility>
 
-namespace slatejunction::operations {
+namespace slatejunction::admin {
 
 using slatejunction::ListKind;
 using slatejunction::ServerState;
 
-Operations::Known& Operations::known(const std::string& id) {
+OperatorOverrides::Known& OperatorOverrides::known(const std::string& id) {
     const auto [at, fresh] = known_.try_emplace(id);
     if (fresh) {
         at->second.entry.server = id;
@@ -18,7 +18,7 @@
     return at->second;
 }
 
-void Operations::list(const std::string& id, Known& known, bool listed) {
+void OperatorOverrides::list(const std::string& id, Known& known, bool listed) {
     if (listed == (known.gone == 0)) return;
     if (listed) {
         gone_.erase(std::exchange(known.gone, 0));
@@ -28,7 +28,7 @@
     }
 }
 
-void Operations::forget_some() {
+void OperatorOverrides::forget_some() {
     for (auto at = gone_.begin(); gone_.size() > kGoneMost + suspensions_ && at != gone_.end();) {
         const auto known = known_.find(at->second);
         if (known->second.suspended) {
@@ -40,7 +40,7 @@
     }
 }
 
-void Operations::restore_unread(directory::Listing& listing) const {
+void OperatorOverrides::restore_unread(discovery::Listing& listing) const {
     for (const std::string& id : listing.unread) {
         const auto at = known_.find(id);
         if (at == known_.end() || at->second.gone != 0) continue;
@@ -49,7 +49,7 @@
     }
 }
 
-void Operations::lay_over(directory::Listing& listing) {
+void OperatorOverrides::lay_over(discovery::Listing& listing) {
     std::unordered_set<std::string_view> named;
     const bool whole = listing.update.kind != ListKind::changes;
     for (std::size_t i = 0; i < listing.update.entries.size(); ++i) {
@@ -70,7 +70,7 @@
     forget_some();
 }
 
-Verdict Operations::suspend(Known& one, directory::Listing& change) {
+Verdict OperatorOverrides::suspend(Known& one, discovery::Listing& change) {
     if (one.suspended) return Verdict::done;
     if (suspensions_ >= kSuspendedMost) return Verdict::too_many;
     one.suspended = true;
@@ -83,21 +83,21 @@
     return Verdict::done;
 }
 
-Verdict Operations::suspend(std::string_view id, directory::Listing& change) {
+Verdict OperatorOverrides::suspend(std::string_view id, discovery::Listing& change) {
     const auto at = known_.find(std::string(id));
     return at == known_.end() ? Verdict::never_listed : suspend(at->second, change);
 }
 
-Verdict Operations::impose(std::string_view id, directory::Listing& change) {
+Verdict OperatorOverrides::impose(std::string_view id, discovery::Listing& change) {
     return suspend(known(std::string(id)), change);
 }
 
-void Operations::remember(std::string_view id) {
+void OperatorOverrides::remember(std::string_view id) {
     known(std::string(id));
     forget_some();
 }
 
-Verdict Operations::resume(std::string_view id, directory::Listing& change) {
+Verdict OperatorOverrides::resume(std::string_view id, discovery::Listing& change) {
     const auto at = known_.find(std::string(id));
     if (at == known_.end()) return Verdict::never_listed;
     Known& one = at->second;
@@ -111,26 +111,26 @@
     return Verdict::done;
 }
 
-bool Operations::suspended(std::string_view id) const {
+bool OperatorOverrides::suspended(std::string_view id) const {
     const auto at = known_.find(std::string(id));
     return at != known_.end() && at->second.suspended;
 }
 
-std::vector<std::string> Operations::suspended() const {
+std::vector<std::string> OperatorOverrides::suspended() const {
     std::vector<std::string> ids;
     for (const auto& [id, one] : known_)
         if (one.suspended) ids.push_back(id);
     return ids;
 }
 
-std::vector<std::string> Operations::ever_listed() const {
+std::vector<std::string> OperatorOverrides::ever_listed() const {
     std::vector<std::string> ids;
     for (const auto& [id, one] : known_) ids.push_back(id);
     return ids;
 }
 
-directory::Listing Operations::listed() const {
-    directory::Listing listing;
+discovery::Listing OperatorOverrides::listed() const {
+    discovery::Listing listing;
     listing.update.kind = ListKind::total;
     for (const auto& [id, one] : known_) {
         if (one.gone != 0) continue;
@@ -140,4 +140,4 @@
     return listing;
 }
 
-}   // namespace slatejunction::operations
+}   // namespace slatejunction::admin
--- a/src/operations/operations.hpp
+++ b/src/admin/operator_overrides.hpp
@@ -11,9 +11,9 @@
 #include <utility>
 #include <vector>
 
-#include "directory/listing.hpp"
+#include "discovery/endpoint_list.hpp"
 
-namespace slatejunction::operations {
+namespace slatejunction::admin {
 
 // Of ids that no list names any more the latest are remembered, so that an operator's call for one is not
 // taken for a mistake. Suspended ones are never forgotten, and no more than so many may be.
@@ -21,24 +21,24 @@
 
 enum class Verdict { done, never_listed, too_many };
 
-class Operations {
+class OperatorOverrides {
   public:
     // Puts those that the listing names without being read back into it, as they were listed last.
-    void restore_unread(directory::Listing& listing) const;
+    void restore_unread(discovery::Listing& listing) const;
     // Remembers what the directory lists, and makes each suspended entry Terminating, whatever is listed.
-    void lay_over(directory::Listing& listing);
+    void lay_over(discovery::Listing& listing);
 
     // `change` gets what has changed of the list as the module is to see it; nothing when nothing has.
-    Verdict suspend(std::string_view id, directory::Listing& change);
-    Verdict resume(std::string_view id, directory::Listing& change);
+    Verdict suspend(std::string_view id, discovery::Listing& change);
+    Verdict resume(std::string_view id, discovery::Listing& change);
     // Suspended at another process of this ingress, which may have seen lists that this one has not.
-    Verdict impose(std::string_view id, directory::Listing& change);
+    Verdict impose(std::string_view id, discovery::Listing& change);
     void remember(std::string_view id);   // listed there at some time
 
     bool suspended(std::string_view id) const;
     std::vector<std::string> suspended() const;
     std::vector<std::string> ever_listed() const;
-    directory::Listing listed() const;   // the whole list in force, as the directory has it
+    discovery::Listing listed() const;   // the whole list in force, as the directory has it
     std::size_t suspensions() const { return suspensions_; }
 
     // False when that was so already.
@@ -54,7 +54,7 @@
         std::uint64_t gone = 0;   // its place in gone_; 0: the list names it
     };
     Known& known(const std::string& id);
-    Verdict suspend(Known& known, directory::Listing& change);
+    Verdict suspend(Known& known, discovery::Listing& change);
     void list(const std::string& id, Known& known, bool listed);
     void forget_some();
 
@@ -65,4 +65,4 @@
     bool drained_ = false;
 };
 
-}   // namespace slatejunction::operations
+}   // namespace slatejunction::admin
--- a/src/admin/server.cpp
+++ b/src/admin/server.cpp
@@ -4,7 +4,7 @@
 #include <utility>
 #include <vector>
 
-#include "net/spare.hpp"
+#include "net/idle_eviction.hpp"
 
 namespace slatejunction::admin {
 namespace {
--- a/src/app/part.hpp
+++ b/src/app/component.hpp
@@ -6,7 +6,7 @@
 #include <string>
 
 #include "config/config.hpp"
-#include "operator/options.hpp"
+#include "operator_config/options.hpp"
 
 namespace slatejunction::app {
 
@@ -23,9 +23,9 @@
     }
     // A reload in two steps, so that a fault changes nothing. prepare() throws std::runtime_error for what
     // can't be used; it may change what the ingress is told of the platform's file.
-    virtual void prepare(const operating::Options&, config::Config&) {}
+    virtual void prepare(const operator_config::Options&, config::Config&) {}
     // Takes what was prepared; returns what waits for the next start, empty: nothing does.
-    virtual std::string take(const operating::Options&) { return {}; }
+    virtual std::string take(const operator_config::Options&) { return {}; }
 };
 
 }   // namespace slatejunction::app
--- a/src/app/fleet_part.cpp
+++ b/src/app/fleet_component.cpp
@@ -1,4 +1,4 @@
-#include "app/fleet_part.hpp"
+#include "app/fleet_component.hpp"
 
 #include <rapidjson/stringbuffer.h>
 #include <rapidjson/writer.h>
@@ -8,9 +8,9 @@
 #include <cmath>
 #include <stdexcept>
 
-#include "app/draw.hpp"
+#include "app/random_seed.hpp"
 #include "lease.pb.h"
-#include "lease/clock.hpp"
+#include "lease/boot_clock.hpp"
 
 namespace slatejunction::app {
 namespace {
@@ -26,23 +26,23 @@
                                           .count());
 }
 
-std::vector<peers::Key> keys_of(const operating::Options& options) {
-    std::vector<peers::Key> keys;
-    const std::string why = peers::load_keys(options.peers, keys);
+std::vector<membership::Key> keys_of(const operator_config::Options& options) {
+    std::vector<membership::Key> keys;
+    const std::string why = membership::load_keys(options.peers, keys);
     if (!why.empty()) throw std::runtime_error("[peers] " + why);
     return keys;
 }
 
-sums::Values sums_of(const metrics::Measures& measures) {
+fleet_counters::Values sums_of(const metrics::Measures& measures) {
     using metrics::Id;
-    sums::Values values{};
+    fleet_counters::Values values{};
     for (std::size_t ending = 0; ending < metrics::kEndings.size(); ++ending)
-        values[sums::served + ending] =
+        values[fleet_counters::served + ending] =
             static_cast<std::uint64_t>(measures.sum(Id::requests, metrics::kEndings.size(), ending));
-    values[sums::worth_offered] =
-        static_cast<std::uint64_t>(std::llround(measures.sum(Id::worth_offered) * sums::kWorthScale));
-    values[sums::worth_served] =
-        static_cast<std::uint64_t>(std::llround(measures.sum(Id::worth_served) * sums::kWorthScale));
+    values[fleet_counters::worth_offered] = static_cast<std::uint64_t>(
+        std::llround(measures.sum(Id::worth_offered) * fleet_counters::kWorthScale));
+    values[fleet_counters::worth_served] = static_cast<std::uint64_t>(
+        std::llround(measures.sum(Id::worth_served) * fleet_counters::kWorthScale));
     return values;
 }
 
@@ -53,15 +53,16 @@
 
 }   // namespace
 
-FleetPart::FleetPart(const operating::Options& options, const config::Config& config,
+FleetPart::FleetPart(const operator_config::Options& options, const config::Config& config,
                      ingress::Ingress& ingress, telemetry::Telemetry* telemetry, net::Timers& timers,
                      Log& log)
     : options_(options),
       name_(config.name),
       ingress_(ingress),
       log_(log),
-      peers_(peers::settings_of(options.peers, config.name, config.settings.zone, SLATEJUNCTION_VERSION),
-             keys_of(options), draw_process(), config.seed, timers, log),
+      peers_(
+          membership::settings_of(options.peers, config.name, config.settings.zone, SLATEJUNCTION_VERSION),
+          keys_of(options), draw_process(), config.seed, timers, log),
       telemetry_(telemetry),
       timer_(timers, [this] { wake(); }) {
     ingress_.join(static_cast<ingress::CallTaker&>(*this));
@@ -83,7 +84,7 @@
     leases_ =
         std::make_unique<lease::Room>(settings, peers_.process(), config.seed ^ peers_.process(), boot_s(),
                                       floor, home_ ? home_->memory() : nullptr, home_.get());
-    peers_.listen(peers::Channel::lease, [this](const peers::Heard& heard) {
+    peers_.listen(membership::Channel::lease, [this](const membership::Heard& heard) {
         leases_->receive(boot_s(), heard.from, heard.body);
         pump();
     });
@@ -102,15 +103,15 @@
             log_.write(Log::Level::error, net::now(), "lease: a broken file was put aside as %s",
                        notes_home_->broken().c_str());
     }
-    peers_.listen(peers::Channel::notes,
-                  [this](const peers::Heard& heard) { hear_note(heard.from, heard.body); });
+    peers_.listen(membership::Channel::notes,
+                  [this](const membership::Heard& heard) { hear_note(heard.from, heard.body); });
     if (options.sums.on()) make_sums(config, timers);
     for (const std::string& line : lease::stated(options.lease))
         log_.write(Log::Level::info, net::now(), "%s", line.c_str());
 }
 
 void FleetPart::make_sums(const config::Config& config, net::Timers& timers) {
-    sums::Driver::Ways ways;
+    fleet_counters::Driver::Ways ways;
     ways.values = [this, before = sums_of(telemetry_->measures())] {
         auto now = sums_of(telemetry_->measures());
         for (std::size_t i = 0; i < now.size(); ++i)
@@ -123,20 +124,20 @@
         return may_conduct(permit);
     };
     ways.tell = [this](const std::string& to, const std::string& body) {
-        peers_.send(to, peers::Channel::sums, body);
+        peers_.send(to, membership::Channel::sums, body);
     };
     ways.note = [this](const std::string& to, const std::string& body) {
-        if (to != name_) return void(peers_.send(to, peers::Channel::notes, body));
+        if (to != name_) return void(peers_.send(to, membership::Channel::notes, body));
         lease::NoteMessage message, answer;
         if (lease::read(body, message) && keep_note(message, answer)) sums_->hear_note(name_, answer);
     };
-    sums_ = std::make_unique<sums::Driver>(options_.sums, options_.remote_write, name_, peers_.process(),
-                                           options_.lease.times, leases_->settings().voters, config.seed,
-                                           SLATEJUNCTION_VERSION, std::move(ways), timers, log_);
-    peers_.listen(peers::Channel::sums,
-                  [this](const peers::Heard& heard) { sums_->hear(heard.from, heard.body); });
+    sums_ = std::make_unique<fleet_counters::Driver>(
+        options_.sums, options_.remote_write, name_, peers_.process(), options_.lease.times,
+        leases_->settings().voters, config.seed, SLATEJUNCTION_VERSION, std::move(ways), timers, log_);
+    peers_.listen(membership::Channel::sums,
+                  [this](const membership::Heard& heard) { sums_->hear(heard.from, heard.body); });
     log_.write(Log::Level::info, net::now(), "%s",
-               sums::stated(options_.sums, options_.lease.times).c_str());
+               fleet_counters::stated(options_.sums, options_.lease.times).c_str());
 }
 
 void FleetPart::start() {
@@ -154,19 +155,19 @@
 void FleetPart::on_members(std::function<void(const std::vector<std::string>&)> call) {
     const auto tell = [this, call = std::move(call)] {
         std::vector<std::string> there;
-        for (const peers::Member& one : peers_.members().list())
-            if (one.state == peers::State::alive || one.state == peers::State::suspected)
+        for (const membership::Member& one : peers_.members().list())
+            if (one.state == membership::State::alive || one.state == membership::State::suspected)
                 there.push_back(one.name);
         std::sort(there.begin(), there.end());
         call(there);
     };
     tell();
-    peers_.on_change([tell](const peers::Change&) { tell(); });
+    peers_.on_change([tell](const membership::Change&) { tell(); });
 }
 
-void FleetPart::send_all(peers::Channel channel, std::string_view body) {
-    for (const peers::Member& one : peers_.members().list())
-        if (one.name != name_ && one.state != peers::State::left) peers_.send(one.name, channel, body);
+void FleetPart::send_all(membership::Channel channel, std::string_view body) {
+    for (const membership::Member& one : peers_.members().list())
+        if (one.name != name_ && one.state != membership::State::left) peers_.send(one.name, channel, body);
 }
 
 std::string FleetPart::conductor() const {
@@ -203,7 +204,7 @@
         if (sums_) sums_->hear_note(from, message);
         return;
     }
-    if (keep_note(message, answer)) peers_.send(from, peers::Channel::notes, lease::write(answer));
+    if (keep_note(message, answer)) peers_.send(from, membership::Channel::notes, lease::write(answer));
 }
 
 void FleetPart::stop(double, std::function<void()> done) {
@@ -279,7 +280,7 @@
     for (bool more = true; more;) {
         more = false;
         for (const auto& post : leases_->take_posts())
-            peers_.send(post.to, peers::Channel::lease, post.body);
+            peers_.send(post.to, membership::Channel::lease, post.body);
         for (const auto& change : leases_->take_changes()) {
             more = true;
             changed(change);
@@ -383,17 +384,17 @@
     };
     std::array<double, metrics::kMembers.size()> states{};
     double disputed = 0;
-    for (const peers::Member& one : peers_.members().list()) {
+    for (const membership::Member& one : peers_.members().list()) {
         ++states[static_cast<std::size_t>(one.state)];
         disputed += one.disputed;
     }
     for (std::size_t i = 0; i < states.size(); ++i) set(Id::peers_members, states[i], i);
     set(Id::peers_disputed, disputed);
-    const peers::Tally& tally = peers_.members().tally();
+    const membership::Tally& tally = peers_.members().tally();
     moved(Id::peers_sent, tally.sent);
     moved(Id::peers_sent_bytes, tally.sent_bytes);
     constexpr std::size_t kRead = 2;   // kinds of opened datagrams that are read
-    for (std::size_t i = kRead; i < peers::kOpened.size(); ++i)
+    for (std::size_t i = kRead; i < membership::kOpened.size(); ++i)
         moved(Id::peers_dropped, peers_.seal().counts()[i], i - kRead);
     moved(Id::peers_dropped, tally.held_back, metrics::kNotRead.size() - 1);
     if (!leases_) return;
@@ -423,7 +424,7 @@
     rapidjson::StringBuffer out;
     Json json(out);
     const double now = net::now(), boot = boot_s();
-    const peers::Members& members = peers_.members();
+    const membership::Members& members = peers_.members();
     json.StartObject();
     text(json, "name", name_);
     json.Key("stale_s");
@@ -434,13 +435,13 @@
     json.Int(members.health());
     json.Key("members");
     json.StartArray();
-    for (const peers::Member& one : members.list()) {
+    for (const membership::Member& one : members.list()) {
         json.StartObject();
         text(json, "name", one.name);
         text(json, "site", one.site);
         text(json, "address", one.address);
         text(json, "version", one.version);
-        text(json, "state", peers::kStates[static_cast<int>(one.state)]);
+        text(json, "state", membership::kStates[static_cast<int>(one.state)]);
         json.Key("incarnation");
         json.Uint(one.incarnation);
         json.Key("since_s");
@@ -453,8 +454,8 @@
     // Datagrams that were dropped before they were read, by why.
     json.Key("dropped");
     json.StartObject();
-    for (std::size_t i = 2; i < peers::kOpened.size(); ++i) {
-        json.Key(peers::kOpened[i].data());
+    for (std::size_t i = 2; i < membership::kOpened.size(); ++i) {
+        json.Key(membership::kOpened[i].data());
         json.Uint64(peers_.seal().counts()[i]);
     }
     json.EndObject();
@@ -490,12 +491,12 @@
 
 // Reloading. ------------------------------------------------------------------------------------------
 
-void FleetPart::prepare(const operating::Options& fresh, config::Config&) {
-    prepared_keys_ = fresh.peers.on() ? keys_of(fresh) : std::vector<peers::Key>{};
+void FleetPart::prepare(const operator_config::Options& fresh, config::Config&) {
+    prepared_keys_ = fresh.peers.on() ? keys_of(fresh) : std::vector<membership::Key>{};
 }
 
 // Keys, ways and voters are taken at once; the rest waits.
-std::string FleetPart::take(const operating::Options& fresh) {
+std::string FleetPart::take(const operator_config::Options& fresh) {
     if (!prepared_keys_.empty()) peers_.set_keys(prepared_keys_);
     prepared_keys_.clear();
     auto as_here = fresh.peers;
@@ -508,7 +509,7 @@
     const bool later = as_here != options_.peers || lease != options_.lease;
     if (fresh.peers.on())
         peers_.members().set_via(
-            peers::settings_of(fresh.peers, name_, peers_.members().self().site, SLATEJUNCTION_VERSION)
+            membership::settings_of(fresh.peers, name_, peers_.members().self().site, SLATEJUNCTION_VERSION)
                 .via);
     options_.peers.via = fresh.peers.via;
     if (leases_ && fresh.lease.on()) {
--- a/src/app/fleet_part.hpp
+++ b/src/app/fleet_component.hpp
@@ -8,15 +8,15 @@
 #include <optional>
 #include <string>
 
-#include "app/part.hpp"
+#include "app/component.hpp"
+#include "fleet_counters/driver.hpp"
 #include "ingress/ingress.hpp"
-#include "lease/announce.hpp"
-#include "lease/fleet.hpp"
-#include "lease/home.hpp"
-#include "lease/room.hpp"
+#include "lease/acceptor_storage.hpp"
+#include "lease/fleet_context.hpp"
+#include "lease/holder_webhook.hpp"
+#include "lease/lease_node.hpp"
 #include "log/log.hpp"
-#include "peers/driver.hpp"
-#include "sums/driver.hpp"
+#include "membership/gossip_transport.hpp"
 #include "telemetry/telemetry.hpp"
 
 namespace slatejunction::app {
@@ -26,24 +26,24 @@
     // The options have been checked. Throws std::runtime_error for a key file or state directory that can't
     // be used.
     // `telemetry` counts what the fleet's sums are made of; null: there are none.
-    FleetPart(const operating::Options& options, const config::Config& config, ingress::Ingress& ingress,
-              telemetry::Telemetry* telemetry, net::Timers& timers, Log& log);
+    FleetPart(const operator_config::Options& options, const config::Config& config,
+              ingress::Ingress& ingress, telemetry::Telemetry* telemetry, net::Timers& timers, Log& log);
 
     const char* name() const override { return "peers"; }
     void start() override;
     void stop(double most_s, std::function<void()> done) override;
-    void prepare(const operating::Options& fresh, config::Config& config) override;
-    std::string take(const operating::Options& fresh) override;
+    void prepare(const operator_config::Options& fresh, config::Config& config) override;
+    std::string take(const operator_config::Options& fresh) override;
 
     bool may_conduct(lease::Permit& permit) const override;
     std::string conductor() const override;
     void on_conducts(std::function<void(bool)> call) override { conducts_.push_back(std::move(call)); }
-    bool send(const std::string& to, peers::Channel channel, std::string_view body) override {
+    bool send(const std::string& to, membership::Channel channel, std::string_view body) override {
         return peers_.send(to, channel, body);
     }
     void on_members(std::function<void(const std::vector<std::string>&)> call) override;
-    void send_all(peers::Channel channel, std::string_view body) override;
-    void listen(peers::Channel channel, peers::Driver::Listener listener) override {
+    void send_all(membership::Channel channel, std::string_view body) override;
+    void listen(membership::Channel channel, membership::Driver::Listener listener) override {
         peers_.listen(channel, std::move(listener));
     }
 
@@ -67,12 +67,12 @@
     std::string describe() const;   // JSON
     std::string drain_lease() const { return "drain:" + peers_.members().self().site; }
 
-    operating::Options options_;
+    operator_config::Options options_;
     const std::string name_;
     ingress::Ingress& ingress_;
     Log& log_;
-    std::vector<peers::Key> prepared_keys_;
-    peers::Driver peers_;
+    std::vector<membership::Key> prepared_keys_;
+    membership::Driver peers_;
     std::unique_ptr<lease::FileHome> home_;
     std::unique_ptr<lease::Room> leases_;   // null: off
     std::unique_ptr<lease::Announce> announce_;
@@ -80,7 +80,7 @@
     std::unique_ptr<lease::NotesHome> notes_home_;
     std::uint64_t notes_kept_ = 0;   // changes that the home has
     const telemetry::Telemetry* const telemetry_;
-    std::unique_ptr<sums::Driver> sums_;
+    std::unique_ptr<fleet_counters::Driver> sums_;
     std::vector<std::function<void(bool)>> conducts_;
     std::map<std::pair<metrics::Id, std::size_t>, std::uint64_t>
         counted_;   // as far as the measures have it
--- a/src/app/limits_part.cpp
+++ b/src/app/fleet_rate_limit_component.cpp
@@ -1,24 +1,25 @@
-#include "app/limits_part.hpp"
+#include "app/fleet_rate_limit_component.hpp"
 
 #include <algorithm>
 #include <cstdio>
 
+#include "membership/detection_bounds.hpp"
 #include "net/stream.hpp"
-#include "peers/bound.hpp"
 
 namespace slatejunction::app {
 
-fleetlimit::Spec spec_of(const rules::LimitSettings& settings, double largest_units) {
+fleet_rate_limit::Spec spec_of(const rules::LimitSettings& settings, double largest_units) {
     return {settings.rate, settings.burst, settings.count == 1 ? largest_units : 1};
 }
 
-std::vector<std::string> stated(const operating::Options& options, std::size_t all, double largest_units) {
+std::vector<std::string> stated(const operator_config::Options& options, std::size_t all,
+                                double largest_units) {
     std::vector<std::string> lines;
-    const double known = peers::known_within_s(all, options.peers.interval_s);
+    const double known = membership::known_within_s(all, options.peers.interval_s);
     for (const rules::LimitSettings& one : options.rules.limits) {
         if (one.scope != 1) continue;
-        const auto b =
-            fleetlimit::bound(spec_of(one, largest_units), options.fleet_limits.credit, all, 1, known);
+        const auto b = fleet_rate_limit::bound(spec_of(one, largest_units), options.fleet_limits.credit,
+                                               all, 1, known);
         char text[400];
         std::snprintf(
             text, sizeof text,
@@ -34,7 +35,7 @@
 }
 
 LimitsPart::LimitsPart(const std::string& name, std::vector<std::string> all, double largest_units,
-                       const operating::Options& options, lease::Fleet& fleet, std::uint64_t seed,
+                       const operator_config::Options& options, lease::Fleet& fleet, std::uint64_t seed,
                        net::Timers& timers)
     : largest_units_(largest_units),
       fleet_(fleet),
@@ -45,7 +46,7 @@
           room_.wake(net::now());
           pump();
       }) {
-    fleet_.listen(peers::Channel::limits, [this](const peers::Heard& heard) {
+    fleet_.listen(membership::Channel::limits, [this](const membership::Heard& heard) {
         room_.receive(net::now(), heard.from, heard.process, heard.body);
         pump();
     });
@@ -79,7 +80,8 @@
 
 void LimitsPart::pump() {
     if (stopped_) return;
-    for (const auto& post : room_.take_posts()) fleet_.send(post.to, peers::Channel::limits, post.body);
+    for (const auto& post : room_.take_posts())
+        fleet_.send(post.to, membership::Channel::limits, post.body);
     if (const double due = room_.due(); due < 1e17)
         timer_.arm(std::max(due, net::now()));
     else
--- a/src/app/limits_part.hpp
+++ b/src/app/fleet_rate_limit_component.hpp
@@ -1,9 +1,9 @@
 // Limits over the fleet in the program: carries the room's datagrams over peers, and answers the rules.
 #pragma once
 
-#include "app/part.hpp"
-#include "fleetlimit/room.hpp"
-#include "lease/fleet.hpp"
+#include "app/component.hpp"
+#include "fleet_rate_limit/rate_limit_node.hpp"
+#include "lease/fleet_context.hpp"
 #include "net/timers.hpp"
 #include "rules/rules.hpp"
 
@@ -13,7 +13,7 @@
   public:
     // `all`: every ingress of the fleet by name.
     LimitsPart(const std::string& name, std::vector<std::string> all, double largest_units,
-               const operating::Options& options, lease::Fleet& fleet, std::uint64_t seed,
+               const operator_config::Options& options, lease::Fleet& fleet, std::uint64_t seed,
                net::Timers& timers);
 
     const char* name() const override { return "limits"; }
@@ -22,21 +22,22 @@
     void define(std::uint32_t limit, const rules::LimitSettings& settings) override;
     double look(double now, std::uint32_t limit, std::uint64_t key, double count) override;
     void take(double now, std::uint32_t limit, std::uint64_t key, double count) override;
-    const fleetlimit::Room& room() const { return room_; }
+    const fleet_rate_limit::Room& room() const { return room_; }
 
   private:
     void pump();
 
     const double largest_units_;
     lease::Fleet& fleet_;
-    fleetlimit::Room room_;
+    fleet_rate_limit::Room room_;
     net::Timer timer_;
     bool stopped_ = false;
 };
 
 // What is promised of the file's limits over the fleet, for check-config. `all`: ingresses.
-std::vector<std::string> stated(const operating::Options& options, std::size_t all, double largest_units);
+std::vector<std::string> stated(const operator_config::Options& options, std::size_t all,
+                                double largest_units);
 // As the room is to have it.
-fleetlimit::Spec spec_of(const rules::LimitSettings& settings, double largest_units);
+fleet_rate_limit::Spec spec_of(const rules::LimitSettings& settings, double largest_units);
 
 }   // namespace slatejunction::app
--- a/src/app/program.cpp
+++ b/src/app/program.cpp
@@ -14,19 +14,19 @@
 #include <stdexcept>
 #include <vector>
 
-#include "app/draw.hpp"
-#include "app/fleet_part.hpp"
-#include "app/limits_part.hpp"
+#include "app/fleet_component.hpp"
+#include "app/fleet_rate_limit_component.hpp"
 #include "app/process.hpp"
-#include "app/quota_part.hpp"
-#include "app/rollout_part.hpp"
-#include "app/rules_part.hpp"
+#include "app/quota_component.hpp"
+#include "app/random_seed.hpp"
+#include "app/rollout_component.hpp"
+#include "app/rules_component.hpp"
 #include "config/config.hpp"
 #include "ingress/ingress.hpp"
 #include "ini/ini.hpp"
 #include "log/log.hpp"
-#include "operator/options.hpp"
-#include "operator/overlay.hpp"
+#include "operator_config/options.hpp"
+#include "operator_config/overlay.hpp"
 #include "quota/settings.hpp"
 #include "telemetry/telemetry.hpp"
 
@@ -40,17 +40,17 @@
 constexpr double kLastLinesLeast = 0.03;
 
 // Prints every fault of the operator's file; false when there is one.
-bool load_options(const std::string& path, operating::Options& options) {
+bool load_options(const std::string& path, operator_config::Options& options) {
     if (path.empty()) return true;
-    const auto faults = operating::load(path, options);
+    const auto faults = operator_config::load(path, options);
     for (const std::string& fault : faults) std::fprintf(stderr, "error: %s\n", fault.c_str());
     return faults.empty();
 }
 
 // Every ingress of the fleet by name, this one too; sorted.
-std::vector<std::string> ingresses_of(const operating::Options& options, const std::string& name) {
+std::vector<std::string> ingresses_of(const operator_config::Options& options, const std::string& name) {
     std::vector<std::string> all{name};
-    for (const auto& [other, address] : peers::settings_of(options.peers, name, "", "").known)
+    for (const auto& [other, address] : membership::settings_of(options.peers, name, "", "").known)
         all.push_back(other);
     std::sort(all.begin(), all.end());
     all.erase(std::unique(all.begin(), all.end()), all.end());
@@ -66,13 +66,13 @@
     quota::Settings quotas;
     std::vector<std::string> lines;   // what is promised, for check-config
 
-    Promised(const Files& files, const operating::Options& options, const config::Config& config) {
+    Promised(const Files& files, const operator_config::Options& options, const config::Config& config) {
         std::string fault;
         if (options.peers.on()) {
-            std::vector<peers::Key> keys;
-            const std::string why = peers::load_keys(options.peers, keys);
+            std::vector<membership::Key> keys;
+            const std::string why = membership::load_keys(options.peers, keys);
             if (!why.empty()) throw std::runtime_error(files.options + ": [peers] " + why);
-            for (auto& line : peers::stated(options.peers)) lines.push_back(line);
+            for (auto& line : membership::stated(options.peers)) lines.push_back(line);
         }
         if (options.limits_fleet())
             for (auto& line :
@@ -83,7 +83,7 @@
         if (std::string why = fault_of_rollout(options, config.name); !why.empty())
             throw std::runtime_error(files.options + ": [rollout] " + why);
         for (auto& line : stated_of_rollout(options)) lines.push_back(line);
-        if (options.sums.on()) lines.push_back(sums::stated(options.sums, options.lease.times));
+        if (options.sums.on()) lines.push_back(fleet_counters::stated(options.sums, options.lease.times));
         if (!options.quota.on()) return;
         quotas = quota::settings_of(options.quota, config.settings, fault);
         if (!fault.empty()) throw std::runtime_error(files.options + ": [quota] " + fault);
@@ -112,7 +112,7 @@
     void stop(double most_s, std::function<void()> done) override {
         telemetry_.stop(most_s, std::move(done));
     }
-    std::string take(const operating::Options& fresh) override {
+    std::string take(const operator_config::Options& fresh) override {
         telemetry_.reload(fresh);
         return {};
     }
@@ -128,10 +128,11 @@
     int run();
 
   private:
-    bool load(operating::Options& options);
-    void make(operating::Options& options);
-    void make_rollout(const operating::Options& options, const config::Config& config, lease::Fleet* fleet);
-    std::vector<std::string> read_options(std::string& text, operating::Options& fresh) const;
+    bool load(operator_config::Options& options);
+    void make(operator_config::Options& options);
+    void make_rollout(const operator_config::Options& options, const config::Config& config,
+                      lease::Fleet* fleet);
+    std::vector<std::string> read_options(std::string& text, operator_config::Options& fresh) const;
     std::string check_rollout(const rollout::State& state);
     void take_rollout(const rollout::State& state);
     void stop();
@@ -139,13 +140,13 @@
     void stop_parts();
     void leave_parts();
     void reload();
-    bool reload_options(std::string& text, operating::Options& fresh);
-    void take(const operating::Options& fresh);
+    bool reload_options(std::string& text, operator_config::Options& fresh);
+    void take(const operator_config::Options& fresh);
     void on_signal(int fd);
 
     const Files& files_;
     const sigset_t signals_;
-    const directory::UnixClock clock_;
+    const discovery::UnixClock clock_;
     const net::Loop loop_{g_main_loop_new(nullptr, FALSE)};
     std::unique_ptr<Log> log_;
     net::Timers timers_;   // one for all: each source of the loop costs every wake-up a look
@@ -160,22 +161,22 @@
     std::unique_ptr<rollout::Home> home_;   // until the part has it
     RulesPart* rules_ = nullptr;            // null: no operator's file
     RolloutPart* rollout_ = nullptr;        // null: off
-    operating::Options prepared_;           // with what is rolled out, checked last
+    operator_config::Options prepared_;     // with what is rolled out, checked last
     std::optional<rollout::State> prepared_state_;
 };
 
 // The operator's own file, with what was in force before the start; false when it has a fault, which is
 // printed. What was in force and can't be used any more is left out.
-bool Program::load(operating::Options& options) {
+bool Program::load(operator_config::Options& options) {
     if (files_.options.empty()) return true;
     if (!load_options(files_.options, options)) return false;
     if (!options.rollout.on()) return true;
     if (!ini::load(files_.options, text_)) return false;
     home_ = std::make_unique<rollout::Home>(options.metrics.directory, options.rollout);
     if (home_->version().number == 0) return true;
-    operating::Options rolled;
+    operator_config::Options rolled;
     const auto faults =
-        operating::load_text(kRolledOut, operating::lay_over(text_, home_->state()), rolled);
+        operator_config::load_text(kRolledOut, operator_config::lay_over(text_, home_->state()), rolled);
     if (faults.empty())
         options = rolled;
     else
@@ -183,7 +184,7 @@
     return true;
 }
 
-void Program::make_rollout(const operating::Options& options, const config::Config& config,
+void Program::make_rollout(const operator_config::Options& options, const config::Config& config,
                            lease::Fleet* fleet) {
     if (!left_out_.empty())
         log_->write(
@@ -205,7 +206,8 @@
 // refuse what all get.
 std::string Program::check_rollout(const rollout::State& state) {
     prepared_state_.reset();
-    const auto faults = operating::parse_text(kRolledOut, operating::lay_over(text_, state), prepared_);
+    const auto faults =
+        operator_config::parse_text(kRolledOut, operator_config::lay_over(text_, state), prepared_);
     if (!faults.empty()) return faults.front();
     try {
         rules_->prepare(prepared_);   // compiles them: once is enough, it is all that a version costs
@@ -229,7 +231,7 @@
 }
 
 // Nothing is made, counted or looked at where the operator's file names nothing of it.
-void Program::make(operating::Options& options) {
+void Program::make(operator_config::Options& options) {
     auto config = config::load(files_.config, clock_);
     config::hold_descriptors(config);
     tell_warnings(config, *log_);
@@ -298,7 +300,7 @@
 // is taken then, and what is running stays in force.
 void Program::reload() {
     const double now = net::now();
-    operating::Options fresh;
+    operator_config::Options fresh;
     std::string text;
     try {
         if (!reload_options(text, fresh)) return;
@@ -317,7 +319,7 @@
 }
 
 // False where it has faults. Guards against one that is a pipe by now, whose writer may never come.
-bool Program::reload_options(std::string& text, operating::Options& fresh) {
+bool Program::reload_options(std::string& text, operator_config::Options& fresh) {
     if (files_.options.empty()) return true;
     std::error_code fault;
     if (std::filesystem::is_fifo(files_.options, fault))
@@ -329,13 +331,14 @@
 }
 
 // With what is rolled out laid over it; faults.
-std::vector<std::string> Program::read_options(std::string& text, operating::Options& fresh) const {
-    if (!rollout_) return operating::load(files_.options, fresh);
+std::vector<std::string> Program::read_options(std::string& text, operator_config::Options& fresh) const {
+    if (!rollout_) return operator_config::load(files_.options, fresh);
     if (!ini::load(files_.options, text)) return {files_.options + ": can't be read"};
-    return operating::load_text(files_.options, operating::lay_over(text, rollout_->state()), fresh);
+    return operator_config::load_text(files_.options, operator_config::lay_over(text, rollout_->state()),
+                                      fresh);
 }
 
-void Program::take(const operating::Options& fresh) {
+void Program::take(const operator_config::Options& fresh) {
     if (!telemetry_) {
         log_->configure(fresh.log);
         const bool later = fresh.collects() || fresh.log.requests != 0;
@@ -386,11 +389,11 @@
 }
 
 int Program::run() {
-    operating::Options options;
+    operator_config::Options options;
     if (!load(options)) return kBadUse;
     log_ = std::make_unique<Log>(options.log);
     make(options);
-    const store::File signals(signalfd(-1, &signals_, SFD_CLOEXEC | SFD_NONBLOCK));
+    const storage::File signals(signalfd(-1, &signals_, SFD_CLOEXEC | SFD_NONBLOCK));
     if (!signals) return fail("no descriptor for signals: " + std::string(std::strerror(errno)));
     const net::Watch watch(timers_, signals.get(), [this, fd = signals.get()] { on_signal(fd); });
     std::string why;
@@ -421,10 +424,10 @@
 }
 
 int check(const Files& files) {
-    operating::Options options;
+    operator_config::Options options;
     bool good = load_options(files.options, options);
     try {
-        const auto read = config::load(files.config, directory::UnixClock());
+        const auto read = config::load(files.config, discovery::UnixClock());
         for (const std::string& line : read.warnings) std::printf("warning: %s\n", line.c_str());
         if (good) {
             const Promised promised(files, options, read);
--- a/src/app/quota_part.cpp
+++ b/src/app/quota_component.cpp
@@ -1,20 +1,20 @@
-#include "app/quota_part.hpp"
+#include "app/quota_component.hpp"
 
 #include <algorithm>
 #include <utility>
 
-#include "app/draw.hpp"
+#include "app/random_seed.hpp"
 
 namespace slatejunction::app {
 namespace {
 
-quota::Doors doors_of(const consumer::Invocation& i) {
+quota::Doors doors_of(const client::Invocation& i) {
     return {i.first_door, static_cast<unsigned>(i.doors)};
 }
 
 }   // namespace
 
-QuotaPart::QuotaPart(const operating::Options& options, const quota::Settings& settings,
+QuotaPart::QuotaPart(const operator_config::Options& options, const quota::Settings& settings,
                      const config::Config& config, ingress::Ingress& ingress, lease::Fleet* fleet,
                      telemetry::Telemetry* telemetry, net::Timers& timers, Log& log)
     : plans_(config.settings.plans),
@@ -36,37 +36,37 @@
     };
     ways.say = [fleet](bool all, const std::string& body) {
         if (all)
-            fleet->send_all(peers::Channel::sentinel, body);
+            fleet->send_all(membership::Channel::sentinel, body);
         else if (const std::string to = fleet->conductor(); !to.empty())
-            fleet->send(to, peers::Channel::sentinel, body);
+            fleet->send(to, membership::Channel::sentinel, body);
     };
     driver_.with_fleet(std::move(ways));
-    fleet->listen(peers::Channel::sentinel,
-                  [this](const peers::Heard& heard) { driver_.hear(heard.body); });
+    fleet->listen(membership::Channel::sentinel,
+                  [this](const membership::Heard& heard) { driver_.hear(heard.body); });
     fleet->on_conducts([this](bool on) { driver_.on_conducts(on); });
 }
 
-void QuotaPart::prepare(const operating::Options&, config::Config& config) {
+void QuotaPart::prepare(const operator_config::Options&, config::Config& config) {
     config.settings = quota::without_quotas(config.settings);
 }
 
-std::string QuotaPart::take(const operating::Options& fresh) {
+std::string QuotaPart::take(const operator_config::Options& fresh) {
     return driver_.reload(fresh.quota) ? "" : name();
 }
 
-void QuotaPart::judge(consumer::Invocation& i, slatejunction::Request& request, ingress::Mark&) {
+void QuotaPart::judge(client::Invocation& i, slatejunction::Request& request, ingress::Mark&) {
     const double wait = driver_.look(i.customer, plan_number(i.plan), doors_of(i), i.units);
     request.over_limit_s = std::max(request.over_limit_s, wait);
 }
 
-void QuotaPart::sent(const consumer::Invocation& i, ingress::Mark& mark, bool) {
+void QuotaPart::sent(const client::Invocation& i, ingress::Mark& mark, bool) {
     driver_.take(i.customer, plan_number(i.plan), doors_of(i), i.units);
     mark = this;   // its units are drawn
 }
 
 slatejunction::Reason QuotaPart::refused(ingress::Mark) { return slatejunction::Reason::quota; }
 
-void QuotaPart::ended(const consumer::Invocation& i, ingress::Mark mark) {
+void QuotaPart::ended(const client::Invocation& i, ingress::Mark mark) {
     if (mark) driver_.ended(i.customer);
 }
 
--- a/src/app/quota_part.hpp
+++ b/src/app/quota_component.hpp
@@ -1,9 +1,9 @@
 // Quotas that a shared counter keeps in place of the module.
 #pragma once
 
-#include "app/part.hpp"
+#include "app/component.hpp"
 #include "ingress/ingress.hpp"
-#include "lease/fleet.hpp"
+#include "lease/fleet_context.hpp"
 #include "quota/driver.hpp"
 #include "telemetry/telemetry.hpp"
 
@@ -13,21 +13,21 @@
   public:
     // `settings` as quota::settings_of() made them, without a fault; `config` is told without quotas.
     // `fleet`: null where there are no leases; then each ingress has its own check of the counter only.
-    QuotaPart(const operating::Options& options, const quota::Settings& settings,
+    QuotaPart(const operator_config::Options& options, const quota::Settings& settings,
               const config::Config& config, ingress::Ingress& ingress, lease::Fleet* fleet,
               telemetry::Telemetry* telemetry, net::Timers& timers, Log& log);
 
     const char* name() const override { return "quota"; }
     void start() override { driver_.start(); }
-    void prepare(const operating::Options& fresh, config::Config& config) override;
-    std::string take(const operating::Options& fresh) override;
+    void prepare(const operator_config::Options& fresh, config::Config& config) override;
+    std::string take(const operator_config::Options& fresh) override;
 
   private:
-    void judge(consumer::Invocation& invocation, slatejunction::Request& request,
+    void judge(client::Invocation& invocation, slatejunction::Request& request,
                ingress::Mark& mark) override;
-    void sent(const consumer::Invocation& invocation, ingress::Mark& mark, bool spilled) override;
+    void sent(const client::Invocation& invocation, ingress::Mark& mark, bool spilled) override;
     slatejunction::Reason refused(ingress::Mark mark) override;
-    void ended(const consumer::Invocation& invocation, ingress::Mark mark) override;
+    void ended(const client::Invocation& invocation, ingress::Mark mark) override;
     unsigned plan_number(std::string_view plan) const;   // in the settings; their number: none of them
 
     const std::vector<slatejunction::Plan> plans_;
--- a/src/app/rollout_part.cpp
+++ b/src/app/rollout_component.cpp
@@ -1,4 +1,4 @@
-#include "app/rollout_part.hpp"
+#include "app/rollout_component.hpp"
 
 #include <rapidjson/stringbuffer.h>
 #include <rapidjson/writer.h>
@@ -7,8 +7,8 @@
 #include <stdexcept>
 #include <utility>
 
-#include "app/draw.hpp"
-#include "operator/overlay.hpp"
+#include "app/random_seed.hpp"
+#include "operator_config/overlay.hpp"
 
 namespace slatejunction::app {
 namespace {
@@ -17,15 +17,15 @@
 using rollout::ProposeError;
 using rollout::SourceEvent;
 
-std::vector<peers::Key> keys_of(const operating::Options& options) {
-    std::vector<peers::Key> keys;
+std::vector<membership::Key> keys_of(const operator_config::Options& options) {
+    std::vector<membership::Key> keys;
     const std::string why = rollout::load_keys(options.rollout, options.peers.key_file, keys);
     if (!why.empty()) throw std::runtime_error("[rollout] " + why);
     return keys;
 }
 
 // The control machines: the voters of the lease.
-std::vector<std::string> replicas_of(const operating::Options& options, const std::string& name) {
+std::vector<std::string> replicas_of(const operator_config::Options& options, const std::string& name) {
     if (!options.rollout.control()) return {};
     return lease::settings_of(options.lease, name).voters.names;
 }
@@ -89,9 +89,9 @@
 
 }   // namespace
 
-std::string fault_of_rollout(const operating::Options& options, const std::string& name) {
+std::string fault_of_rollout(const operator_config::Options& options, const std::string& name) {
     if (!options.rollout.on()) return {};
-    std::vector<peers::Key> keys;
+    std::vector<membership::Key> keys;
     if (std::string why = rollout::load_keys(options.rollout, options.peers.key_file, keys); !why.empty())
         return why;
     if (!options.rollout.control()) return {};
@@ -101,13 +101,13 @@
     return {};
 }
 
-std::vector<std::string> stated_of_rollout(const operating::Options& options) {
+std::vector<std::string> stated_of_rollout(const operator_config::Options& options) {
     if (!options.rollout.on()) return {};
     return rollout::stated(options.rollout, options.lease.times, replicas_of(options, "").size(),
                            options.peers.interval_s);
 }
 
-RolloutPart::RolloutPart(const operating::Options& options, const config::Config& config,
+RolloutPart::RolloutPart(const operator_config::Options& options, const config::Config& config,
                          std::unique_ptr<rollout::Home> home, Ways ways, ingress::Ingress& ingress,
                          lease::Fleet* fleet, telemetry::Telemetry* telemetry, net::Timers& timers,
                          Log& log)
@@ -126,7 +126,7 @@
                    take(state);
                },
                [this](const std::string& to, std::string_view body) {
-                   return fleet_ && fleet_->send(to, peers::Channel::rollout, body);
+                   return fleet_ && fleet_->send(to, membership::Channel::rollout, body);
                },
                [this]() -> std::uint64_t {
                    lease::Permit permit;
@@ -138,8 +138,8 @@
     for (const std::string& line : stated_of_rollout(options))
         log.write(Log::Level::info, net::now(), "%s", line.c_str());
     if (!fleet_ || !options_.control()) return;
-    fleet_->listen(peers::Channel::rollout,
-                   [this](const peers::Heard& heard) { driver_.hear(heard.from, heard.body); });
+    fleet_->listen(membership::Channel::rollout,
+                   [this](const membership::Heard& heard) { driver_.hear(heard.from, heard.body); });
     fleet_->on_conducts([this](bool on) { driver_.on_conducts(on); });
 }
 
@@ -148,12 +148,12 @@
     done();
 }
 
-void RolloutPart::prepare(const operating::Options& fresh, config::Config&) {
-    prepared_keys_ = fresh.rollout.on() ? keys_of(fresh) : std::vector<peers::Key>{};
+void RolloutPart::prepare(const operator_config::Options& fresh, config::Config&) {
+    prepared_keys_ = fresh.rollout.on() ? keys_of(fresh) : std::vector<membership::Key>{};
 }
 
 // Keys are taken at once; the rest waits.
-std::string RolloutPart::take(const operating::Options& fresh) {
+std::string RolloutPart::take(const operator_config::Options& fresh) {
     if (!prepared_keys_.empty()) driver_.set_keys(prepared_keys_);
     prepared_keys_.clear();
     auto as_here = fresh.rollout;
@@ -190,7 +190,7 @@
     if (call.id.size() > rollout::kKeyMost || call.body.size() > rollout::kValueMost)
         return reply({413, "a section's header is of 80 bytes at most, its lines of 700 together"});
     if (!erases)
-        if (const std::string fault = operating::fault_of_section(call.id, call.body); !fault.empty())
+        if (const std::string fault = operator_config::fault_of_section(call.id, call.body); !fault.empty())
             return reply({400, fault});
     const auto value = erases ? std::nullopt : std::optional(call.body);
     driver_.propose(call.id, value,
--- a/src/app/rollout_part.hpp
+++ b/src/app/rollout_component.hpp
@@ -7,9 +7,9 @@
 #include <string>
 #include <vector>
 
-#include "app/part.hpp"
+#include "app/component.hpp"
 #include "ingress/ingress.hpp"
-#include "lease/fleet.hpp"
+#include "lease/fleet_context.hpp"
 #include "log/log.hpp"
 #include "net/glib.hpp"
 #include "rollout/driver.hpp"
@@ -29,15 +29,15 @@
     };
     // `fleet`: null for a follower or relay. The options have been checked. Throws std::runtime_error for a
     // key file that can't be used.
-    RolloutPart(const operating::Options& options, const config::Config& config,
+    RolloutPart(const operator_config::Options& options, const config::Config& config,
                 std::unique_ptr<rollout::Home> home, Ways ways, ingress::Ingress& ingress,
                 lease::Fleet* fleet, telemetry::Telemetry* telemetry, net::Timers& timers, Log& log);
 
     const char* name() const override { return "rollout"; }
     void start() override { driver_.start(); }
     void stop(double most_s, std::function<void()> done) override;
-    void prepare(const operating::Options& fresh, config::Config& config) override;
-    std::string take(const operating::Options& fresh) override;
+    void prepare(const operator_config::Options& fresh, config::Config& config) override;
+    std::string take(const operator_config::Options& fresh) override;
 
     // What is in force; laid over a file that is read anew.
     const rollout::State& state() const;
@@ -58,14 +58,14 @@
     lease::Fleet* const fleet_;
     std::string left_out_;
     const double started_ = net::now();
-    std::vector<peers::Key> prepared_keys_;
+    std::vector<membership::Key> prepared_keys_;
     rollout::Driver driver_;
     std::map<std::pair<metrics::Id, std::size_t>, std::uint64_t> counted_;
 };
 
 // What is wrong with [rollout] for a process of this name; empty: nothing.
-std::string fault_of_rollout(const operating::Options& options, const std::string& name);
+std::string fault_of_rollout(const operator_config::Options& options, const std::string& name);
 // What is promised, for check-config.
-std::vector<std::string> stated_of_rollout(const operating::Options& options);
+std::vector<std::string> stated_of_rollout(const operator_config::Options& options);
 
 }   // namespace slatejunction::app
--- a/src/app/rules_part.cpp
+++ b/src/app/rules_component.cpp
@@ -1,4 +1,4 @@
-#include "app/rules_part.hpp"
+#include "app/rules_component.hpp"
 
 #include <algorithm>
 #include <stdexcept>
@@ -12,7 +12,7 @@
 
 }   // namespace
 
-RulesPart::RulesPart(const operating::Options& options, const config::Config& config,
+RulesPart::RulesPart(const operator_config::Options& options, const config::Config& config,
                      ingress::Ingress& ingress, telemetry::Telemetry* telemetry, net::Timers& timers,
                      Log& log)
     : facts_{config.name, config.settings.zone}, ingress_(ingress), log_(log) {
@@ -41,7 +41,7 @@
 }
 
 // Compiled anew beside the ones in force.
-std::unique_ptr<rules::Rules> RulesPart::compile(const operating::Options& options) {
+std::unique_ptr<rules::Rules> RulesPart::compile(const operator_config::Options& options) {
     std::vector<std::string> faults;
     auto made =
         rules::Rules::load(options.rules, facts_, faults,
@@ -50,11 +50,11 @@
     return made;
 }
 
-void RulesPart::prepare(const operating::Options& fresh) {
+void RulesPart::prepare(const operator_config::Options& fresh) {
     prepared_ = fresh.rules.any() ? compile(fresh) : nullptr;
 }
 
-std::string RulesPart::take(const operating::Options& fresh) {
+std::string RulesPart::take(const operator_config::Options& fresh) {
     if (fresh.rules != settings_) set(std::move(prepared_));
     prepared_.reset();
     settings_ = fresh.rules;
@@ -85,7 +85,7 @@
                rule.c_str(), static_cast<int>(why.size()), why.data());
 }
 
-void RulesPart::judge(consumer::Invocation& i, slatejunction::Request& request, ingress::Mark& mark) {
+void RulesPart::judge(client::Invocation& i, slatejunction::Request& request, ingress::Mark& mark) {
     if (!rules_) return;
     rules::RequestFacts facts;
     facts.method = i.method;
@@ -117,7 +117,7 @@
     mark = judged.release();   // until ended()
 }
 
-void RulesPart::sent(const consumer::Invocation&, ingress::Mark& mark, bool spilled) {
+void RulesPart::sent(const client::Invocation&, ingress::Mark& mark, bool spilled) {
     auto* const judged = static_cast<Judged*>(mark);
     if (judged && rules_ && judged->rules == number_) rules_->sent(net::now(), judged->verdict, spilled);
 }
@@ -128,7 +128,7 @@
     return slatejunction::Reason::limit;
 }
 
-void RulesPart::ended(const consumer::Invocation&, ingress::Mark mark) {
+void RulesPart::ended(const client::Invocation&, ingress::Mark mark) {
     std::unique_ptr<Judged> judged(static_cast<Judged*>(mark));
     if (!judged) return;
     rules::Rules::ended(net::now(), judged->verdict);
--- a/src/app/rules_part.hpp
+++ b/src/app/rules_component.hpp
@@ -6,10 +6,10 @@
 #include <optional>
 #include <vector>
 
-#include "app/part.hpp"
+#include "app/component.hpp"
 #include "ingress/ingress.hpp"
 #include "log/log.hpp"
-#include "rules/keeper.hpp"
+#include "rules/bucket_storage.hpp"
 #include "rules/rules.hpp"
 #include "telemetry/telemetry.hpp"
 
@@ -18,8 +18,8 @@
 class RulesPart final : public Part, ingress::Judge, ingress::Overlay {
   public:
     // `telemetry`: null where nobody counts. The options have been checked.
-    RulesPart(const operating::Options& options, const config::Config& config, ingress::Ingress& ingress,
-              telemetry::Telemetry* telemetry, net::Timers& timers, Log& log);
+    RulesPart(const operator_config::Options& options, const config::Config& config,
+              ingress::Ingress& ingress, telemetry::Telemetry* telemetry, net::Timers& timers, Log& log);
     // Where limits over the fleet are kept; before start(). Lives longer than requests do.
     void share(rules::SharedLimits* shared);
     ~RulesPart() override;
@@ -27,26 +27,26 @@
     const char* name() const override { return "rules"; }
     void start() override;
     void stop(double most_s, std::function<void()> done) override;
-    void prepare(const operating::Options& fresh, config::Config&) override { prepare(fresh); }
-    void prepare(const operating::Options& fresh);   // throws as the other
-    std::string take(const operating::Options& fresh) override;
+    void prepare(const operator_config::Options& fresh, config::Config&) override { prepare(fresh); }
+    void prepare(const operator_config::Options& fresh);   // throws as the other
+    std::string take(const operator_config::Options& fresh) override;
 
   private:
     struct Judged {
         rules::Verdict verdict;
         std::uint64_t rules = 0;   // which made it, as they were counted
     };
-    std::unique_ptr<rules::Rules> compile(const operating::Options& options);
+    std::unique_ptr<rules::Rules> compile(const operator_config::Options& options);
     void set(std::unique_ptr<rules::Rules> rules);
     rules::SharedLimits* shared_ = nullptr;   // null: limits are kept here alone
     void on_error(const std::string& rule, std::string_view why);
     void count(metrics::Measures& measures);
 
-    void judge(consumer::Invocation& invocation, slatejunction::Request& request,
+    void judge(client::Invocation& invocation, slatejunction::Request& request,
                ingress::Mark& mark) override;
-    void sent(const consumer::Invocation& invocation, ingress::Mark& mark, bool spilled) override;
+    void sent(const client::Invocation& invocation, ingress::Mark& mark, bool spilled) override;
     slatejunction::Reason refused(ingress::Mark mark) override;
-    void ended(const consumer::Invocation& invocation, ingress::Mark mark) override;
+    void ended(const client::Invocation& invocation, ingress::Mark mark) override;
     bool wants_headers() const override { return rules_ != nullptr; }
     std::span<const std::pair<std::size_t, std::string>> tags(ingress::Mark mark) const override;
     void lay_over(double now, slatejunction::ListUpdate& list) override;
@@ -60,7 +60,7 @@
     std::uint64_t number_ = 0;                     // of the rules in force
     std::vector<std::unique_ptr<Judged>> spare_;   // their memory, for the next requests
     rules::Fleet fleet_;
-    std::optional<store::Directory> state_;   // else telemetry's own
+    std::optional<storage::Directory> state_;   // else telemetry's own
     std::unique_ptr<rules::Keeper> keeper_;
     metrics::Measures::Shape shape_;
     // As far as the rules' own figures have been counted, by where they are counted to.
--- a/src/provider/connection.cpp
+++ b/src/backend/connection.cpp
@@ -1,4 +1,4 @@
-#include "provider/connection.hpp"
+#include "backend/connection.hpp"
 
 #include <algorithm>
 #include <array>
@@ -8,7 +8,7 @@
 #include <limits>
 #include <utility>
 
-namespace slatejunction::provider {
+namespace slatejunction::backend {
 namespace {
 
 // s; from an answer's first byte to its last. Providers write an answer at once, so one that stops half way
@@ -42,7 +42,7 @@
       bytes_(bytes),
       buffer_(&bytes) {}
 
-void Connection::begin(CallTag tag, std::shared_ptr<consumer::Invocation> invocation,
+void Connection::begin(CallTag tag, std::shared_ptr<client::Invocation> invocation,
                        std::string_view probe_path, double until, double dial_until) {
     tag_ = tag;
     invocation_ = std::move(invocation);
@@ -94,7 +94,7 @@
                                                     "\r\n\r\n"};
         sent = transport_->send(parts);
     } else {
-        const consumer::Invocation& i = *invocation_;
+        const client::Invocation& i = *invocation_;
         const bool typed = !i.content_type.empty();
         const bool chunked = i.rest && !i.length;
         const bool sized = !chunked && (!i.body.empty() || i.method != "GET");
@@ -198,7 +198,7 @@
     if (passing_ && sink_.expired()) close();   // nobody wants it
 }
 
-void Connection::pull(std::weak_ptr<consumer::Sink> sink) {
+void Connection::pull(std::weak_ptr<client::Sink> sink) {
     sink_ = std::move(sink);
     go_on();
 }
@@ -399,4 +399,4 @@
     host_.on_closed(*this);
 }
 
-}   // namespace slatejunction::provider
+}   // namespace slatejunction::backend
--- a/src/provider/connection.hpp
+++ b/src/backend/connection.hpp
@@ -5,12 +5,12 @@
 #include <string>
 #include <vector>
 
-#include "consumer/invocation.hpp"
+#include "client/client_request.hpp"
 #include "net/stream.hpp"
 #include "net/timers.hpp"
 #include "slatejunction/gateway.hpp"
 
-namespace slatejunction::provider {
+namespace slatejunction::backend {
 
 // Which call a connection carries. A probe has no invocation.
 struct CallTag {
@@ -31,7 +31,7 @@
     bool broke = false;     // reset at once, before any of an answer
     double written_s = 0;   // how long a request that came in pieces took to be written
     // An answer that is passed on as it comes: `body` is its front. Whoever takes it pulls the rest.
-    std::shared_ptr<consumer::Source> rest;
+    std::shared_ptr<client::Source> rest;
     std::optional<std::size_t> length;   // of all of it; none: it comes in chunks
 };
 
@@ -47,14 +47,14 @@
 
 // Of a large request's rest it is the sink, of a large answer's the source. Such an answer is told as the
 // call's end when it begins: what follows is between this connection and whoever pulls.
-class Connection : public net::Protocol, public consumer::Source, public consumer::Sink {
+class Connection : public net::Protocol, public client::Source, public client::Sink {
   public:
     Connection(ConnectionHost& host, net::Timers& timers, http::Budget& bytes, std::string provider,
                std::string host_port, const std::vector<std::string>& report_fields);
     void attach(net::Transport& transport) { transport_ = &transport; }
 
     // Takes its call along from the start: it is written once the connection is up, unless it ends before.
-    void begin(CallTag tag, std::shared_ptr<consumer::Invocation> invocation, std::string_view probe_path,
+    void begin(CallTag tag, std::shared_ptr<client::Invocation> invocation, std::string_view probe_path,
                double until, double dial_until);
     void write_call();   // on a connection that is up
     // Stops waiting: the connection ends, so that a late answer can't be taken for another call's.
@@ -75,7 +75,7 @@
     void on_sent() override;
     bool put(std::string_view bytes) override;
     void put_end(bool whole) override;
-    void pull(std::weak_ptr<consumer::Sink> sink) override;
+    void pull(std::weak_ptr<client::Sink> sink) override;
     void go_on() override;
     void cancel() override;
     void on_bytes(std::size_t size) override;
@@ -103,7 +103,7 @@
     http::Budget& bytes_;
     http::Buffer buffer_;
     CallTag tag_;
-    std::shared_ptr<consumer::Invocation> invocation_;
+    std::shared_ptr<client::Invocation> invocation_;
     std::string probe_path_;
     double began_ = 0, until_ = 0, dial_until_ = 0, free_since_ = 0;
     double up_ = 0;   // when the call could be written
@@ -114,8 +114,8 @@
     double allow_s_ = 0, whole_at_ = 0;
     // An answer's rest on its way.
     http::BodyReader reader_;
-    std::weak_ptr<consumer::Sink> sink_;
+    std::weak_ptr<client::Sink> sink_;
     bool passing_ = false, held_ = false, reusable_ = false;
 };
 
-}   // namespace slatejunction::provider
+}   // namespace slatejunction::backend
--- a/src/provider/pool.cpp
+++ b/src/backend/connection_pool.cpp
@@ -1,8 +1,8 @@
-#include "provider/pool.hpp"
+#include "backend/connection_pool.hpp"
 
 #include <algorithm>
 
-namespace slatejunction::provider {
+namespace slatejunction::backend {
 
 using slatejunction::ListKind;
 using slatejunction::Outcome;
@@ -29,7 +29,7 @@
       bytes_(bytes),
       report_fields_(std::move(report_fields)) {}
 
-void Pool::update(const directory::Listing& listing) {
+void Pool::update(const discovery::Listing& listing) {
     const bool whole = listing.update.kind != ListKind::changes;
     if (whole)
         for (auto& [id, provider] : providers_) provider.named = false;
@@ -113,7 +113,7 @@
 }
 
 std::shared_ptr<Connection> Pool::start(const std::string& id, CallTag tag,
-                                        std::shared_ptr<consumer::Invocation> invocation,
+                                        std::shared_ptr<client::Invocation> invocation,
                                         std::string_view probe_path, double until, double begin_by,
                                         Outcome& failure) {
     const auto at = providers_.find(id);
@@ -138,7 +138,7 @@
 }
 
 std::shared_ptr<Connection> Pool::call(const std::string& provider, CallTag tag,
-                                       std::shared_ptr<consumer::Invocation> invocation, double until,
+                                       std::shared_ptr<client::Invocation> invocation, double until,
                                        double begin_by) {
     CallEnd end;
     // Of a large request that has begun to go some bytes are gone: it can't be sent again.
@@ -205,4 +205,4 @@
     connections_.erase(&connection);
 }
 
-}   // namespace slatejunction::provider
+}   // namespace slatejunction::backend
--- a/src/provider/pool.hpp
+++ b/src/backend/connection_pool.hpp
@@ -8,11 +8,11 @@
 #include <unordered_map>
 #include <vector>
 
-#include "directory/listing.hpp"
-#include "provider/connection.hpp"
-#include "provider/freshness.hpp"
+#include "backend/connection.hpp"
+#include "backend/idle_lifetime.hpp"
+#include "discovery/endpoint_list.hpp"
 
-namespace slatejunction::provider {
+namespace slatejunction::backend {
 
 class CallHost {
   public:
@@ -34,10 +34,10 @@
     Pool(CallHost& host, net::Timers& timers, PoolLimits limits, http::Budget& bytes,
          std::vector<std::string> report_fields);
 
-    void update(const directory::Listing& listing);
+    void update(const discovery::Listing& listing);
     // Starts an invoker call. Empty when it ended at once: on_call_end has told how.
     std::shared_ptr<Connection> call(const std::string& provider, CallTag tag,
-                                     std::shared_ptr<consumer::Invocation> invocation, double until,
+                                     std::shared_ptr<client::Invocation> invocation, double until,
                                      double begin_by = kNever);
     void probe(const std::string& provider, std::string_view path);
     void set_most(std::size_t connections) { limits_.connections = connections; }
@@ -62,7 +62,7 @@
     };
     struct Linked;
     std::shared_ptr<Connection> start(const std::string& provider, CallTag tag,
-                                      std::shared_ptr<consumer::Invocation> invocation,
+                                      std::shared_ptr<client::Invocation> invocation,
                                       std::string_view probe_path, double until, double begin_by,
                                       slatejunction::Outcome& failure);
     std::shared_ptr<Connection> take_idle(Provider& provider);
@@ -82,4 +82,4 @@
     std::unordered_map<Connection*, std::shared_ptr<Linked>> connections_;
 };
 
-}   // namespace slatejunction::provider
+}   // namespace slatejunction::backend
--- a/src/provider/freshness.cpp
+++ b/src/backend/idle_lifetime.cpp
@@ -1,10 +1,10 @@
-#include "provider/freshness.hpp"
+#include "backend/idle_lifetime.hpp"
 
 #include <algorithm>
 #include <cmath>
 #include <limits>
 
-namespace slatejunction::provider {
+namespace slatejunction::backend {
 namespace {
 
 constexpr double kFirst = 0.025;   // s; up to there is the first step of age
@@ -45,4 +45,4 @@
     return std::numeric_limits<double>::infinity();
 }
 
-}   // namespace slatejunction::provider
+}   // namespace slatejunction::backend
--- a/src/provider/freshness.hpp
+++ b/src/backend/idle_lifetime.hpp
@@ -6,7 +6,7 @@
 #include <array>
 #include <cstddef>
 
-namespace slatejunction::provider {
+namespace slatejunction::backend {
 
 class Freshness {
   public:
@@ -27,4 +27,4 @@
     Count new_;
 };
 
-}   // namespace slatejunction::provider
+}   // namespace slatejunction::backend
--- a/src/consumer/arrival_times.cpp
+++ b/src/client/arrival_times.cpp
@@ -1,8 +1,8 @@
-#include "consumer/arrival_times.hpp"
+#include "client/arrival_times.hpp"
 
 #include <algorithm>
 
-namespace slatejunction::consumer {
+namespace slatejunction::client {
 namespace {
 
 constexpr double kTogether = 0.005;   // s; bytes that come so soon one after another count with the first
@@ -35,4 +35,4 @@
     if (!pieces_.empty()) pieces_.front().size -= over;
 }
 
-}   // namespace slatejunction::consumer
+}   // namespace slatejunction::client
--- a/src/consumer/arrival_times.hpp
+++ b/src/client/arrival_times.hpp
@@ -5,7 +5,7 @@
 #include <cstddef>
 #include <vector>
 
-namespace slatejunction::consumer {
+namespace slatejunction::client {
 
 class ArrivalTimes {
   public:
@@ -26,4 +26,4 @@
     std::size_t size_ = 0;        // of all
 };
 
-}   // namespace slatejunction::consumer
+}   // namespace slatejunction::client
--- a/src/consumer/invocation.cpp
+++ b/src/client/client_request.cpp
@@ -1,10 +1,10 @@
-#include "consumer/invocation.hpp"
+#include "client/client_request.hpp"
 
 #include <algorithm>
 #include <charconv>
 #include <cmath>
 
-namespace slatejunction::consumer {
+namespace slatejunction::client {
 namespace {
 
 template <class T, class... Base>
@@ -120,4 +120,4 @@
     return {};
 }
 
-}   // namespace slatejunction::consumer
+}   // namespace slatejunction::client
--- a/src/consumer/invocation.hpp
+++ b/src/client/client_request.hpp
@@ -10,7 +10,7 @@
 #include "http/message.hpp"
 #include "slatejunction/gateway.hpp"
 
-namespace slatejunction::consumer {
+namespace slatejunction::client {
 
 // Two ends of a body that is passed on as it comes, on two connections. Either may go at any time: the one
 // left is told, once.
@@ -93,4 +93,4 @@
     virtual void on_left(std::uint64_t number) = 0;   // the consumer has gone; nothing is owed
 };
 
-}   // namespace slatejunction::consumer
+}   // namespace slatejunction::client
--- a/src/consumer/server.cpp
+++ b/src/client/server.cpp
@@ -1,11 +1,11 @@
-#include "consumer/server.hpp"
+#include "client/server.hpp"
 
 #include <algorithm>
 #include <vector>
 
-#include "net/spare.hpp"
+#include "net/idle_eviction.hpp"
 
-namespace slatejunction::consumer {
+namespace slatejunction::client {
 namespace {
 
 // s; a session whose time is up but which has bytes waiting: this program may have stood still
@@ -100,4 +100,4 @@
     return census;
 }
 
-}   // namespace slatejunction::consumer
+}   // namespace slatejunction::client
--- a/src/consumer/server.hpp
+++ b/src/client/server.hpp
@@ -3,10 +3,10 @@
 
 #include <unordered_map>
 
-#include "consumer/session.hpp"
+#include "client/session.hpp"
 #include "net/listener.hpp"
 
-namespace slatejunction::consumer {
+namespace slatejunction::client {
 
 class Server {
   public:
@@ -44,4 +44,4 @@
     std::unordered_map<Session*, std::shared_ptr<Linked>> sessions_;
 };
 
-}   // namespace slatejunction::consumer
+}   // namespace slatejunction::client
--- a/src/consumer/session.cpp
+++ b/src/client/session.cpp
@@ -1,4 +1,4 @@
-#include "consumer/session.hpp"
+#include "client/session.hpp"
 
 #include <algorithm>
 #include <array>
@@ -6,7 +6,7 @@
 #include <limits>
 #include <utility>
 
-namespace slatejunction::consumer {
+namespace slatejunction::client {
 namespace {
 
 constexpr std::size_t kAheadMost = 4096;   // bytes read ahead of an answer: then the consumer has to wait
@@ -407,4 +407,4 @@
     host_.on_closed(*this);
 }
 
-}   // namespace slatejunction::consumer
+}   // namespace slatejunction::client
--- a/src/consumer/session.hpp
+++ b/src/client/session.hpp
@@ -4,11 +4,11 @@
 #include <algorithm>
 #include <vector>
 
-#include "consumer/arrival_times.hpp"
-#include "consumer/invocation.hpp"
+#include "client/arrival_times.hpp"
+#include "client/client_request.hpp"
 #include "net/stream.hpp"
 
-namespace slatejunction::consumer {
+namespace slatejunction::client {
 
 class Session;
 
@@ -110,4 +110,4 @@
     bool reading_ = false;   // guards read_next() against itself
 };
 
-}   // namespace slatejunction::consumer
+}   // namespace slatejunction::client
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -172,7 +172,7 @@
                                                    {{"automatic", slatejunction::Discovery::automatic},
                                                     {"subscribe", slatejunction::Discovery::subscribe}},
                                                    slatejunction::Discovery::automatic);
-    s.my_number = directory::whole(node.real("MyNumber"));
+    s.my_number = discovery::whole(node.real("MyNumber"));
     s.balancers = node.needed_real("Balancers");
     s.quantum_s = node.real("QuantumS");
     if (const auto info = node.node("FamilyInfo")) {
@@ -204,10 +204,10 @@
 }
 
 // Only a copy of what the directory tells anew: a fault in it is no reason not to start.
-void read_known(const Node& root, const directory::UnixClock& clock, Config& config) {
+void read_known(const Node& root, const discovery::UnixClock& clock, Config& config) {
     if (const Json* known = root.find("known")) {
         int broken = 0;
-        if (!directory::read_copy(*known, clock, config.known, broken))
+        if (!discovery::read_copy(*known, clock, config.known, broken))
             root.warn("known is not a list of the directory and was left out");
         else if (!config.known.revision)
             root.warn("known.revision is missing: the directory's whole list is asked for");
@@ -220,9 +220,9 @@
 
 }   // namespace
 
-Config read(const std::string& text, const directory::UnixClock& clock) {
+Config read(const std::string& text, const discovery::UnixClock& clock) {
     rapidjson::Document json;
-    directory::parse(text, json);
+    discovery::parse(text, json);
     if (json.HasParseError())
         throw Bad(
             "configuration is not JSON: " + std::string(rapidjson::GetParseError_En(json.GetParseError())) +
@@ -253,7 +253,7 @@
     return config;
 }
 
-Config load(const std::string& path, const directory::UnixClock& clock, Moment moment) {
+Config load(const std::string& path, const discovery::UnixClock& clock, Moment moment) {
     const auto variable = [](const char* name) {
         const char* value = std::getenv(name);
         return std::string(value ? value : "");
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "directory/listing.hpp"
+#include "discovery/endpoint_list.hpp"
 #include "slatejunction/gateway.hpp"
 
 namespace slatejunction::config {
@@ -33,7 +33,7 @@
     double dial_timeout_s = 0.25;
     double keepalive_s = 30;
     slatejunction::Settings settings;
-    directory::Listing known;
+    discovery::Listing known;
     // What was taken otherwise than it stands in the file, one line each that names the field.
     std::vector<std::string> warnings;
 };
@@ -43,10 +43,10 @@
 enum class Moment { start, reload };
 
 // `path` empty: NODE_CONFIG names the file.
-Config load(const std::string& path, const directory::UnixClock& clock, Moment moment = Moment::start);
+Config load(const std::string& path, const discovery::UnixClock& clock, Moment moment = Moment::start);
 // Lowers or raises the process's limit on descriptors to what the configuration states, and the
 // configuration's figure to what the process may really hold.
 void hold_descriptors(Config& config);
-Config read(const std::string& json, const directory::UnixClock& clock);
+Config read(const std::string& json, const discovery::UnixClock& clock);
 
 }   // namespace slatejunction::config
--- a/src/directory/listing.cpp
+++ b/src/discovery/endpoint_list.cpp
@@ -1,4 +1,4 @@
-#include "directory/listing.hpp"
+#include "discovery/endpoint_list.hpp"
 
 #include <algorithm>
 #include <chrono>
@@ -6,7 +6,7 @@
 #include "net/glib.hpp"
 #include "net/stream.hpp"
 
-namespace slatejunction::directory {
+namespace slatejunction::discovery {
 
 using slatejunction::ListKind;
 using slatejunction::ServerState;
@@ -116,4 +116,4 @@
     return true;
 }
 
-}   // namespace slatejunction::directory
+}   // namespace slatejunction::discovery
--- a/src/directory/listing.hpp
+++ b/src/discovery/endpoint_list.hpp
@@ -11,7 +11,7 @@
 
 #include "slatejunction/gateway.hpp"
 
-namespace slatejunction::directory {
+namespace slatejunction::discovery {
 
 struct Listing {
     std::optional<std::int64_t> revision;
@@ -51,4 +51,4 @@
 // own list follows. Without a revision that can be read it has none.
 bool read_copy(const rapidjson::Value& json, const UnixClock& clock, Listing& listing, int& broken);
 
-}   // namespace slatejunction::directory
+}   // namespace slatejunction::discovery
--- a/src/directory/start_times.cpp
+++ b/src/discovery/endpoint_start_times.cpp
@@ -1,9 +1,9 @@
-#include "directory/start_times.hpp"
+#include "discovery/endpoint_start_times.hpp"
 
 #include <algorithm>
 #include <unordered_set>
 
-namespace slatejunction::directory {
+namespace slatejunction::discovery {
 namespace {
 
 // s; a backend that no list names is remembered for so long: it may have been cut off and not restarted.
@@ -93,4 +93,4 @@
     });
 }
 
-}   // namespace slatejunction::directory
+}   // namespace slatejunction::discovery
--- a/src/directory/start_times.hpp
+++ b/src/discovery/endpoint_start_times.hpp
@@ -11,9 +11,9 @@
 #include <string>
 #include <unordered_map>
 
-#include "directory/listing.hpp"
+#include "discovery/endpoint_list.hpp"
 
-namespace slatejunction::directory {
+namespace slatejunction::discovery {
 
 class StartTimes {
   public:
@@ -51,4 +51,4 @@
     double next_sweep_at_ = 0;   // s
 };
 
-}   // namespace slatejunction::directory
+}   // namespace slatejunction::discovery
--- a/src/directory/watch.cpp
+++ b/src/discovery/endpoint_watch.cpp
@@ -1,10 +1,10 @@
-#include "directory/watch.hpp"
+#include "discovery/endpoint_watch.hpp"
 
 #include <algorithm>
 #include <array>
 #include <cstdio>
 
-namespace slatejunction::directory {
+namespace slatejunction::discovery {
 namespace {
 
 // After a call that failed what the directory has to tell counts as told 6 s later, heard or not. So a
@@ -222,4 +222,4 @@
     host_.on_lost(why);
 }
 
-}   // namespace slatejunction::directory
+}   // namespace slatejunction::discovery
--- a/src/directory/watch.hpp
+++ b/src/discovery/endpoint_watch.hpp
@@ -6,12 +6,12 @@
 #include <random>
 #include <string>
 
-#include "directory/listing.hpp"
+#include "discovery/endpoint_list.hpp"
 #include "http/message.hpp"
 #include "net/stream.hpp"
 #include "net/timers.hpp"
 
-namespace slatejunction::directory {
+namespace slatejunction::discovery {
 
 // Bytes of a list, whole or as changes. One of 74,000 backends takes 11 MB, indented twice as much; at most
 // 3,200 are asked for (STANDING, "Beyond this bench").
@@ -85,4 +85,4 @@
     enum class State { waiting, dialling, asking } state_ = State::waiting;
 };
 
-}   // namespace slatejunction::directory
+}   // namespace slatejunction::discovery
--- a/src/sums/collector.cpp
+++ b/src/fleet_counters/aggregator.cpp
@@ -1,11 +1,11 @@
-#include "sums/collector.hpp"
+#include "fleet_counters/aggregator.hpp"
 
 #include <algorithm>
 #include <cmath>
 
-#include "sums.pb.h"
+#include "fleet_counters.pb.h"
 
-namespace slatejunction::sums {
+namespace slatejunction::fleet_counters {
 namespace {
 
 template <class Repeated>
@@ -256,4 +256,4 @@
     }
 }
 
-}   // namespace slatejunction::sums
+}   // namespace slatejunction::fleet_counters
--- a/src/sums/collector.hpp
+++ b/src/fleet_counters/aggregator.hpp
@@ -16,10 +16,10 @@
 #include <utility>
 #include <vector>
 
-#include "lease/notes.hpp"
-#include "sums/teller.hpp"
+#include "fleet_counters/reporter.hpp"
+#include "lease/replicated_register.hpp"
 
-namespace slatejunction::sums {
+namespace slatejunction::fleet_counters {
 
 inline constexpr std::size_t kPages = 10;   // notes of entries, so that 300 processes and their heirs fit
 inline constexpr std::size_t kRowsKept = 14;      // rows in the totals' note: what a receiver may be behind
@@ -119,4 +119,4 @@
     std::uint64_t skipped_ = 0, anew_ = 0, turned_away_ = 0;
 };
 
-}   // namespace slatejunction::sums
+}   // namespace slatejunction::fleet_counters
--- a/src/sums/driver.cpp
+++ b/src/fleet_counters/driver.cpp
@@ -1,13 +1,13 @@
-#include "sums/driver.hpp"
+#include "fleet_counters/driver.hpp"
 
 #include <algorithm>
 #include <chrono>
 #include <cmath>
 
-#include "lease/clock.hpp"
+#include "lease/boot_clock.hpp"
 #include "net/stream.hpp"
 
-namespace slatejunction::sums {
+namespace slatejunction::fleet_counters {
 namespace {
 
 constexpr std::size_t kAnswersAtOnce = 8;
@@ -222,4 +222,4 @@
     }
 }
 
-}   // namespace slatejunction::sums
+}   // namespace slatejunction::fleet_counters
--- a/src/sums/driver.hpp
+++ b/src/fleet_counters/driver.hpp
@@ -9,13 +9,13 @@
 #include <random>
 #include <string>
 
+#include "fleet_counters/reporter.hpp"
+#include "fleet_counters/settings.hpp"
 #include "log/log.hpp"
 #include "net/timers.hpp"
 #include "remotewrite/driver.hpp"
-#include "sums/settings.hpp"
-#include "sums/teller.hpp"
 
-namespace slatejunction::sums {
+namespace slatejunction::fleet_counters {
 
 class Driver {
   public:
@@ -74,4 +74,4 @@
     bool pumping_ = false, stopped_ = false;
 };
 
-}   // namespace slatejunction::sums
+}   // namespace slatejunction::fleet_counters
--- a/src/sums/teller.cpp
+++ b/src/fleet_counters/reporter.cpp
@@ -1,10 +1,10 @@
-#include "sums/teller.hpp"
+#include "fleet_counters/reporter.hpp"
 
 #include <algorithm>
 
-#include "sums.pb.h"
+#include "fleet_counters.pb.h"
 
-namespace slatejunction::sums {
+namespace slatejunction::fleet_counters {
 
 std::string write(const Report& report) {
     wire::Message out;
@@ -70,4 +70,4 @@
     if (cuts_.empty()) told_first_ = 0;
 }
 
-}   // namespace slatejunction::sums
+}   // namespace slatejunction::fleet_counters
--- a/src/sums/teller.hpp
+++ b/src/fleet_counters/reporter.hpp
@@ -13,7 +13,7 @@
 #include <string_view>
 #include <vector>
 
-namespace slatejunction::sums {
+namespace slatejunction::fleet_counters {
 
 // Counters since the process began. Worth is in millionths, so that sums are exact.
 enum Value : std::size_t { served, refused, failed, worth_offered, worth_served, kValues };
@@ -61,4 +61,4 @@
     std::uint64_t left_out_ = 0;
 };
 
-}   // namespace slatejunction::sums
+}   // namespace slatejunction::fleet_counters
--- a/src/sums/settings.cpp
+++ b/src/fleet_counters/settings.cpp
@@ -1,8 +1,8 @@
-#include "sums/settings.hpp"
+#include "fleet_counters/settings.hpp"
 
 #include <cstdio>
 
-namespace slatejunction::sums {
+namespace slatejunction::fleet_counters {
 
 ini::Section Options::section() {
     ini::Section section("fleet_sums",
@@ -31,4 +31,4 @@
     return text;
 }
 
-}   // namespace slatejunction::sums
+}   // namespace slatejunction::fleet_counters
--- a/src/sums/settings.hpp
+++ b/src/fleet_counters/settings.hpp
@@ -4,10 +4,10 @@
 #include <string>
 #include <vector>
 
+#include "fleet_counters/aggregator.hpp"
 #include "ini/ini.hpp"
-#include "sums/collector.hpp"
 
-namespace slatejunction::sums {
+namespace slatejunction::fleet_counters {
 
 struct Options {
     double every_s = 0;   // 0: off
@@ -22,4 +22,4 @@
 // What is promised, for check-config.
 std::string stated(const Options& options, const lease::Times& times);
 
-}   // namespace slatejunction::sums
+}   // namespace slatejunction::fleet_counters
--- a/src/fleetlimit/room.cpp
+++ b/src/fleet_rate_limit/rate_limit_node.cpp
@@ -1,13 +1,13 @@
-#include "fleetlimit/room.hpp"
+#include "fleet_rate_limit/rate_limit_node.hpp"
 
 #include <xxhash.h>
 
 #include <algorithm>
 #include <cmath>
 
-#include "fleetlimit.pb.h"
+#include "fleet_rate_limit.pb.h"
 
-namespace slatejunction::fleetlimit {
+namespace slatejunction::fleet_rate_limit {
 namespace {
 
 constexpr double kRound = 1e-9;        // units
@@ -386,4 +386,4 @@
     table.erase(worst);
 }
 
-}   // namespace slatejunction::fleetlimit
+}   // namespace slatejunction::fleet_rate_limit
--- a/src/fleetlimit/room.hpp
+++ b/src/fleet_rate_limit/rate_limit_node.hpp
@@ -18,9 +18,9 @@
 #include <utility>
 #include <vector>
 
-#include "fleetlimit/bound.hpp"
+#include "fleet_rate_limit/staleness_bound.hpp"
 
-namespace slatejunction::fleetlimit {
+namespace slatejunction::fleet_rate_limit {
 
 namespace wire {
 class Batch;
@@ -144,4 +144,4 @@
     std::uint64_t doubts_ = 0;
 };
 
-}   // namespace slatejunction::fleetlimit
+}   // namespace slatejunction::fleet_rate_limit
--- a/src/fleetlimit/settings.hpp
+++ b/src/fleet_rate_limit/settings.hpp
@@ -3,7 +3,7 @@
 
 #include "ini/ini.hpp"
 
-namespace slatejunction::fleetlimit {
+namespace slatejunction::fleet_rate_limit {
 
 struct Options {
     double credit = 2;
@@ -21,4 +21,4 @@
     }
 };
 
-}   // namespace slatejunction::fleetlimit
+}   // namespace slatejunction::fleet_rate_limit
--- a/src/fleetlimit/bound.hpp
+++ b/src/fleet_rate_limit/staleness_bound.hpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <cstddef>
 
-namespace slatejunction::fleetlimit {
+namespace slatejunction::fleet_rate_limit {
 
 struct Spec {
     double rate = 0;      // units a second, over all ingresses
@@ -37,7 +37,7 @@
 };
 
 // `ingresses`: of the whole fleet; `apart`: of them, those on the smaller sides; `known_s`: until all know
-// who is gone or back (peers::known_within_s).
+// who is gone or back (membership::known_within_s).
 //
 //   healthy: each ingress may hold a credit that its owner has not heard of.
 //
@@ -65,4 +65,4 @@
     return b;
 }
 
-}   // namespace slatejunction::fleetlimit
+}   // namespace slatejunction::fleet_rate_limit
--- a/src/brain.cpp
+++ b/src/gateway/gateway.cpp
@@ -1,5 +1,7 @@
 // All decisions of one gateway. The interface, its events and actions: include/slatejunction/gateway.hpp.
 // Order for a request: pass share draw, ceiling, admitted fraction draw, server (docs/design.md).
+#include "slatejunction/gateway.hpp"
+
 #include <algorithm>
 #include <array>
 #include <bit>
@@ -12,8 +14,6 @@
 #include <utility>
 #include <vector>
 
-#include "slatejunction/gateway.hpp"
-
 namespace slatejunction {
 namespace {
 
--- a/src/handover/handover.cpp
+++ b/src/hot_restart/restart_channel.cpp
@@ -1,4 +1,4 @@
-#include "handover/handover.hpp"
+#include "hot_restart/restart_channel.hpp"
 
 #include <gio/gunixfdmessage.h>
 #include <gio/gunixsocketaddress.h>
@@ -16,7 +16,7 @@
 #include "http/message.hpp"
 #include "net/stream.hpp"
 
-namespace slatejunction::handover {
+namespace slatejunction::hot_restart {
 namespace {
 
 constexpr double kTick = 0.05;     // s; how often each tells what it holds, where that has changed
@@ -479,4 +479,4 @@
     ticker_.arm(now + kTick);
 }
 
-}   // namespace slatejunction::handover
+}   // namespace slatejunction::hot_restart
--- a/src/handover/handover.hpp
+++ b/src/hot_restart/restart_channel.hpp
@@ -7,13 +7,13 @@
 #include <memory>
 #include <string>
 
-#include "handover/message.hpp"
-#include "handover/role.hpp"
+#include "hot_restart/restart_message.hpp"
+#include "hot_restart/restart_role.hpp"
 #include "log/log.hpp"
 #include "net/glib.hpp"
 #include "net/timers.hpp"
 
-namespace slatejunction::handover {
+namespace slatejunction::hot_restart {
 
 class Host {
   public:
@@ -93,4 +93,4 @@
 // $TMPDIR's place for that address; empty when the path would be too long for a Unix socket.
 std::string socket_path(const std::string& directory, const std::string& listen);
 
-}   // namespace slatejunction::handover
+}   // namespace slatejunction::hot_restart
--- a/src/handover/message.cpp
+++ b/src/hot_restart/restart_message.cpp
@@ -1,4 +1,4 @@
-#include "handover/message.hpp"
+#include "hot_restart/restart_message.hpp"
 
 #include <rapidjson/document.h>
 #include <rapidjson/stringbuffer.h>
@@ -6,7 +6,7 @@
 
 #include <array>
 
-namespace slatejunction::handover {
+namespace slatejunction::hot_restart {
 namespace {
 
 constexpr std::array kWords{"hello", "busy", "socket", "state", "taken",
@@ -79,7 +79,7 @@
 
 // In the form of discovery's lists, with the start as the old process counts it: both processes have one
 // monotonic clock.
-void write_list(const directory::Listing& list, Writer& json) {
+void write_list(const discovery::Listing& list, Writer& json) {
     if (list.revision) {
         json.Key("revision");
         json.Int64(*list.revision);
@@ -112,7 +112,7 @@
 }
 
 // False where an entry can't be read: then there is no list.
-bool read_list(const rapidjson::Value& json, directory::Listing& list) {
+bool read_list(const rapidjson::Value& json, discovery::Listing& list) {
     const auto members = json.FindMember("members");
     if (members == json.MemberEnd() || !members->value.IsArray()) return false;
     if (const auto at = json.FindMember("revision"); at != json.MemberEnd() && at->value.IsInt64())
@@ -277,4 +277,4 @@
     return fields.good();
 }
 
-}   // namespace slatejunction::handover
+}   // namespace slatejunction::hot_restart
--- a/src/handover/message.hpp
+++ b/src/hot_restart/restart_message.hpp
@@ -7,9 +7,9 @@
 #include <string_view>
 #include <vector>
 
-#include "directory/listing.hpp"
+#include "discovery/endpoint_list.hpp"
 
-namespace slatejunction::handover {
+namespace slatejunction::hot_restart {
 
 inline constexpr int kVersion = 1;
 inline constexpr std::size_t kLineMost = 1 << 20;   // bytes
@@ -49,7 +49,7 @@
     What what = What::hello;
     std::string name, listen;
     std::vector<std::string> listed, suspended;
-    directory::Listing list;   // empty: it was not said, as by an older process
+    discovery::Listing list;   // empty: it was not said, as by an older process
     bool drained = false;
     Use use;
     Order order;
@@ -61,4 +61,4 @@
 std::string write(const Message& message);   // ends with the line's end
 bool read(std::string_view line, Message& message);
 
-}   // namespace slatejunction::handover
+}   // namespace slatejunction::hot_restart
--- a/src/handover/role.hpp
+++ b/src/hot_restart/restart_role.hpp
@@ -2,7 +2,7 @@
 // who answers the next one that comes. Pure: facts in, and what is to hold afterwards.
 #pragma once
 
-namespace slatejunction::handover {
+namespace slatejunction::hot_restart {
 
 class Role {
   public:
@@ -44,4 +44,4 @@
     bool yields_ = false;
 };
 
-}   // namespace slatejunction::handover
+}   // namespace slatejunction::hot_restart
--- a/src/ingress/part.hpp
+++ b/src/ingress/extensions.hpp
@@ -9,7 +9,7 @@
 #include <utility>
 
 #include "admin/server.hpp"
-#include "consumer/invocation.hpp"
+#include "client/client_request.hpp"
 #include "slatejunction/gateway.hpp"
 
 namespace slatejunction::ingress {
@@ -25,12 +25,12 @@
   public:
     virtual ~Judge() = default;
     // May fill in subset, spill and over_limit_s; a wait is only ever raised.
-    virtual void judge(consumer::Invocation& invocation, slatejunction::Request& request, Mark& mark) = 0;
+    virtual void judge(client::Invocation& invocation, slatejunction::Request& request, Mark& mark) = 0;
     // The first attempt goes out now.
-    virtual void sent(const consumer::Invocation& invocation, Mark& mark, bool spilled) = 0;
+    virtual void sent(const client::Invocation& invocation, Mark& mark, bool spilled) = 0;
     // It was refused for the wait that this judge had asked for. Returns how that refusal is to be counted.
     virtual slatejunction::Reason refused(Mark mark) = 0;
-    virtual void ended(const consumer::Invocation& invocation, Mark mark) = 0;
+    virtual void ended(const client::Invocation& invocation, Mark mark) = 0;
     virtual bool wants_headers() const { return false; }
     virtual std::span<const std::pair<std::size_t, std::string>> tags(Mark) const { return {}; }
 };
--- a/src/ingress/ingress.cpp
+++ b/src/ingress/ingress.cpp
@@ -9,7 +9,7 @@
 
 namespace slatejunction::ingress {
 
-using operations::Shutdown;
+using lifecycle::Shutdown;
 using slatejunction::Outcome;
 
 namespace {
@@ -26,15 +26,15 @@
 constexpr double kPrepare = 0.3;          // s; a new process's wait for a list, if it knows one already
 constexpr double kPrepareAnew = 2.0;      // s; and if it knows none
 constexpr double kNewProcess = 6.0;       // s; until a new process must say yes
-static_assert(handover::Handover::asks_within() + kPrepareAnew < kNewProcess - 0.5);
+static_assert(hot_restart::Handover::asks_within() + kPrepareAnew < kNewProcess - 0.5);
 constexpr double kRestart = 30.0;       // s; until a process that was killed must serve again
 constexpr double kListenPause = 0.25;   // s; before an address is tried again
-static_assert(handover::Handover::asks_within() + Ingress::listens_within() < kRestart - 5);
+static_assert(hot_restart::Handover::asks_within() + Ingress::listens_within() < kRestart - 5);
 constexpr std::size_t kAdminMost = 48, kAdminPart = 12;   // operators' connections; of all descriptors
 constexpr double kMissingRetry = 0.5;   // s; Retry-After of a large request that can't be sent again here
 constexpr double kNearDue = 0.05;       // s; an abort so near to the due time is a time-out
 
-provider::PoolLimits limits_of(const config::Config& config) {
+backend::PoolLimits limits_of(const config::Config& config) {
     return {(config.sockets - kReserve) * 2 / 5, config.dial_timeout_s, config.keepalive_s};
 }
 
@@ -52,8 +52,8 @@
 
 }   // namespace
 
-struct Ingress::WatchLink : directory::Watch {
-    WatchLink(directory::WatchHost& host, net::Timers& timers, const directory::UnixClock& clock,
+struct Ingress::WatchLink : discovery::Watch {
+    WatchLink(discovery::WatchHost& host, net::Timers& timers, const discovery::UnixClock& clock,
               const std::string& authority, std::uint64_t seed)
         : Watch(host, timers, clock, authority, seed), address(net::parse_address(authority)) {
         attach(stream, [this] { return stream.dial(address.get()); });
@@ -64,7 +64,7 @@
     net::Stream stream{*this, G_PRIORITY_HIGH};
 };
 
-Ingress::Ingress(config::Config config, const directory::UnixClock& clock, net::Timers& timers, Log& log,
+Ingress::Ingress(config::Config config, const discovery::UnixClock& clock, net::Timers& timers, Log& log,
                  std::function<void()> done, Observer* observer)
     : clock_(clock),
       log_(log),
@@ -79,10 +79,10 @@
       gateway_(config_.settings, config_.seed),
       pool_(*this, timers_, limits_of(config_), provider_bytes_, config_.settings.report_fields),
       server_(*this, timers_, consumers_of(config_)),
-      shutdown_(operations::longest_deadline_s(config_.settings)),
+      shutdown_(lifecycle::longest_deadline_s(config_.settings)),
       handover_(*this, timers_, log_, config_.temporary, config_.name, config_.listen),
       prepare_timer_(timers_, [this] { handover_.prepared(); }),
-      watch_(std::make_shared<WatchLink>(static_cast<directory::WatchHost&>(*this), timers_, clock,
+      watch_(std::make_shared<WatchLink>(static_cast<discovery::WatchHost&>(*this), timers_, clock,
                                          config_.directory, config_.seed)) {
     if (!config_.admin.empty())
         admin_ =
@@ -126,7 +126,7 @@
 
 bool Ingress::start(std::string& why, const std::function<bool(double)>& pause) {
     tell(slatejunction::Start{});
-    handover::Message state;
+    hot_restart::Message state;
     net::Ref<GSocket> listening;
     bool listed = false;
     const bool heir = handover_.ask(state, listening);
@@ -134,7 +134,7 @@
     if (!listen_in_time(why, pause)) return false;
     if (heir) {
         listed = take_over_list(state.list);
-        directory::Listing change;
+        discovery::Listing change;
         for (const std::string& id : state.listed) operations_.remember(id);
         for (const std::string& id : state.suspended) operations_.impose(id, change);
         if (state.drained && operations_.drain()) drained_at_ = net::now();
@@ -158,7 +158,7 @@
 
 // What the old process was told is in force here before anything is sent on, and the file's copy is older:
 // the two count as one ingress, and discovery may be silent now.
-bool Ingress::take_over_list(directory::Listing& list) {
+bool Ingress::take_over_list(discovery::Listing& list) {
     if (list.update.entries.empty()) return false;
     for (slatejunction::ListEntry& entry : list.update.entries)
         entry.born_s = std::min(entry.born_s, net::now());
@@ -198,7 +198,7 @@
     // missed; the file's own list is not taken, as it may be older.
     config_.directory = fresh.directory;
     const auto newest = watch_->newest();
-    watch_ = std::make_shared<WatchLink>(static_cast<directory::WatchHost&>(*this), timers_, clock_,
+    watch_ = std::make_shared<WatchLink>(static_cast<discovery::WatchHost&>(*this), timers_, clock_,
                                          config_.directory, config_.seed);
     watch_->start(newest, true);
 }
@@ -260,7 +260,7 @@
         const bool sent_on =
             open.ran || std::any_of(open.calls.begin(), open.calls.end(),
                                     [](const auto& call) { return call && call->complete(); });
-        const int status = operations::forced_status(sent_on);
+        const int status = lifecycle::forced_status(sent_on);
         answer(number, {status, sent_on ? 0 : config_.settings.max_retry_after_s, {}, {}},
                Finish::How::failed, "stopped");
         let_go(number);
@@ -270,8 +270,8 @@
 
 // Facts. ----------------------------------------------------------------------------------------------
 
-std::uint64_t Ingress::on_invocation(std::shared_ptr<consumer::Consumer> consumer,
-                                     std::shared_ptr<consumer::Invocation> invocation) {
+std::uint64_t Ingress::on_invocation(std::shared_ptr<client::Consumer> consumer,
+                                     std::shared_ptr<client::Invocation> invocation) {
     last_request_at_ = net::now();
     const bool stopped = shutdown_.turns_away();
     if (stopped || (config_.max_open > 0 && open_.size() >= config_.max_open)) {
@@ -294,7 +294,7 @@
     ids_.insert(open.invocation->request_id);
     open.consumer = std::move(consumer);
     open.invocation->asker = open.consumer;
-    const consumer::Invocation& i = *open.invocation;
+    const client::Invocation& i = *open.invocation;
     slatejunction::Request request;
     request.id = open.id;
     request.service_class = i.service_class;
@@ -340,11 +340,11 @@
     log_.write(Log::Level::warning, net::now(), "accepting failed: %s", why);
 }
 
-void Ingress::on_closed(consumer::Session& session) { server_.forget(session); }
+void Ingress::on_closed(client::Session& session) { server_.forget(session); }
 
 // Each answer may bring the session's next request at once, with all that the module then does: nothing of
 // the list of open requests is held over one. What the event tells is taken first.
-void Ingress::on_call_end(const provider::CallTag& tag, const provider::CallEnd& end) {
+void Ingress::on_call_end(const backend::CallTag& tag, const backend::CallEnd& end) {
     Open* const open = find(tag.invocation);
     if (!open) return;
     open->calls[static_cast<std::size_t>(tag.attempt)].reset();
@@ -388,15 +388,15 @@
     tell(std::move(event));
 }
 
-void Ingress::on_probe_end(const std::string& provider, const provider::CallEnd& end) {
+void Ingress::on_probe_end(const std::string& provider, const backend::CallEnd& end) {
     tell(slatejunction::ProbeEnd{provider, end.outcome, end.took_s, end.report});
 }
 
-void Ingress::on_listing(directory::Listing& listing) {
+void Ingress::on_listing(discovery::Listing& listing) {
     operations_.restore_unread(listing);
     start_times_.settle(listing, net::now());
     operations_.lay_over(listing);
-    const bool first = handover_.role().state() == handover::Role::State::preparing;
+    const bool first = handover_.role().state() == hot_restart::Role::State::preparing;
     // The pool first: it ends dials to providers that are leaving, before the module sends anything more.
     pool_.update(listing);
     lay_over(listing.update);
@@ -406,7 +406,7 @@
 
 // Operators. ------------------------------------------------------------------------------------------
 
-void Ingress::tell_change(directory::Listing& change) {
+void Ingress::tell_change(discovery::Listing& change) {
     if (change.update.entries.empty()) return;
     pool_.update(change);
     lay_over(change.update);
@@ -422,35 +422,35 @@
 void Ingress::call(const admin::Call& call, std::function<void(admin::Reply)> reply) {
     using What = admin::Call::What;
     if (call.what == What::readyz) return reply(ready_call());
-    handover::Order order;
+    hot_restart::Order order;
     order.id = call.id;
     const char* text = "";
     switch (call.what) {
         case What::suspend:
-            order.what = handover::Order::What::suspend;
+            order.what = hot_restart::Order::What::suspend;
             text = "suspended";
             break;
         case What::resume:
-            order.what = handover::Order::What::resume;
+            order.what = hot_restart::Order::What::resume;
             text = "may serve again";
             break;
         case What::drain:
-            order.what = handover::Order::What::drain;
+            order.what = hot_restart::Order::What::drain;
             text = "drained";
             break;
         case What::activate:
-            order.what = handover::Order::What::activate;
+            order.what = hot_restart::Order::What::activate;
             text = "active";
             break;
         default:
             return reply({404, "no such call"});
     }
     switch (carry_out(order, false)) {
-        case operations::Verdict::never_listed:
+        case admin::Verdict::never_listed:
             return reply({404, "no backend of that id was ever listed"});
-        case operations::Verdict::too_many:
+        case admin::Verdict::too_many:
             return reply({503, "too many backends are suspended"});
-        case operations::Verdict::done:
+        case admin::Verdict::done:
             break;
     }
     // The yes counts for both processes during an upgrade.
@@ -468,11 +468,11 @@
 }
 
 // Pool and module are told before the yes is given, so that nothing new follows it.
-operations::Verdict Ingress::carry_out(const handover::Order& order, bool from_other) {
-    using What = handover::Order::What;
+admin::Verdict Ingress::carry_out(const hot_restart::Order& order, bool from_other) {
+    using What = hot_restart::Order::What;
     const double now = net::now();
-    directory::Listing change;
-    operations::Verdict verdict = operations::Verdict::done;
+    discovery::Listing change;
+    admin::Verdict verdict = admin::Verdict::done;
     const char* text = "";
     switch (order.what) {
         case What::suspend:
@@ -495,7 +495,7 @@
             operations_.activate();
             break;
     }
-    if (verdict != operations::Verdict::done) return verdict;
+    if (verdict != admin::Verdict::done) return verdict;
     log_.write(Log::Level::info, now, "operators: %s%s%s%s, %zu suspended in all", order.id.c_str(),
                order.id.empty() ? "" : " ", text, from_other ? " at the other process" : "",
                operations_.suspensions());
@@ -505,9 +505,9 @@
 
 // An upgrade. -----------------------------------------------------------------------------------------
 
-handover::Message Ingress::state() const {
-    handover::Message message;
-    message.what = handover::Message::What::state;
+hot_restart::Message Ingress::state() const {
+    hot_restart::Message message;
+    message.what = hot_restart::Message::What::state;
     message.listed = operations_.ever_listed();
     message.suspended = operations_.suspended();
     message.drained = operations_.drained();
@@ -520,13 +520,13 @@
 
 int Ingress::listening_descriptor() { return server_.descriptor(); }
 
-bool Ingress::on_order(const handover::Order& order) {
+bool Ingress::on_order(const hot_restart::Order& order) {
     const auto verdict = carry_out(order, true);
-    return verdict != operations::Verdict::too_many;   // one never listed here is not suspended here
+    return verdict != admin::Verdict::too_many;   // one never listed here is not suspended here
 }
 
 void Ingress::on_role() {
-    const handover::Role& role = handover_.role();
+    const hot_restart::Role& role = handover_.role();
     if (role.leaves()) {
         const double now = net::now();
         shutdown_.hand_over(now);
@@ -546,22 +546,22 @@
     if (place < inheritors_.size()) inheritors_[place]->on_given(what);
 }
 
-void Ingress::on_use(const handover::Use& theirs) {
+void Ingress::on_use(const hot_restart::Use& theirs) {
     theirs_ = theirs;
     share_out();
 }
 
 // Both processes share one machine's limits until one of them is gone: the old one keeps to a part from the
 // moment that a new one comes, and to what it has once that one accepts; the new one takes what is left.
-handover::Use Ingress::use() const {
-    handover::Use mine;
+hot_restart::Use Ingress::use() const {
+    hot_restart::Use mine;
     mine.consumers = server_.sessions();
     mine.calls = pool_.connections();
     mine.open = open_.size();
     mine.consumer_bytes = consumer_bytes_.used();
     mine.provider_bytes = provider_bytes_.used();
-    if (handover_.role().state() == handover::Role::State::asked ||
-        handover_.role().state() == handover::Role::State::alone) {
+    if (handover_.role().state() == hot_restart::Role::State::asked ||
+        handover_.role().state() == hot_restart::Role::State::alone) {
         const auto part = [](std::size_t all) { return all - all / kHeirPart; };
         mine.consumers = std::max(mine.consumers, part(consumers_of(config_)));
         mine.calls = std::max(mine.calls, part(limits_of(config_).connections));
@@ -570,7 +570,7 @@
 }
 
 void Ingress::share_out() {
-    const handover::Role& role = handover_.role();
+    const hot_restart::Role& role = handover_.role();
     std::size_t consumers = consumers_of(config_), calls = limits_of(config_).connections;
     std::size_t bytes = bytes_of(config_), provider_bytes = bytes;
     const auto rest = [](std::size_t all, std::size_t theirs) {
@@ -655,7 +655,7 @@
 void Ingress::carry_out(const slatejunction::Send& send) {
     Open* open = find(send.id);
     if (!open) return;
-    const provider::CallTag tag{open->number, static_cast<std::int64_t>(open->calls.size())};
+    const backend::CallTag tag{open->number, static_cast<std::int64_t>(open->calls.size())};
     const double now = net::now();
     const double due = open->invocation->due;
     const double until = send.allow_s > 0 ? std::min(due, now + send.allow_s) : due;
@@ -665,7 +665,7 @@
     if (open->judged > 0 && tag.attempt == 0)
         for (std::size_t i = 0; i < open->judged; ++i)
             judges_[i]->sent(*open->invocation, open->marks[i], send.spilled);
-    const double begin_by = send.begin_by_s > 0 ? send.begin_by_s : provider::Pool::kNever;
+    const double begin_by = send.begin_by_s > 0 ? send.begin_by_s : backend::Pool::kNever;
     const auto call = pool_.call(send.server, tag, open->invocation, until, begin_by);
     open = find(tag.invocation);   // the call may have ended, and the request with it
     if (open && call) open->calls[static_cast<std::size_t>(tag.attempt)] = call;
@@ -785,7 +785,7 @@
 
 // Nothing of open_ may be held over it. It is counted before it is given, so that what was answered has
 // been counted even if the program is killed.
-void Ingress::answer(std::uint64_t number, const consumer::Answer& answer, Finish::How how,
+void Ingress::answer(std::uint64_t number, const client::Answer& answer, Finish::How how,
                      std::string_view reason, std::size_t refusal) {
     Open* const open = find(number);
     if (!open || !open->consumer) return;
--- a/src/ingress/ingress.hpp
+++ b/src/ingress/ingress.hpp
@@ -10,30 +10,30 @@
 #include <unordered_set>
 #include <vector>
 
+#include "admin/operator_overrides.hpp"
 #include "admin/server.hpp"
+#include "backend/connection_pool.hpp"
+#include "client/server.hpp"
 #include "config/config.hpp"
-#include "consumer/server.hpp"
-#include "directory/start_times.hpp"
-#include "directory/watch.hpp"
-#include "handover/handover.hpp"
+#include "discovery/endpoint_start_times.hpp"
+#include "discovery/endpoint_watch.hpp"
+#include "hot_restart/restart_channel.hpp"
+#include "ingress/extensions.hpp"
 #include "ingress/observer.hpp"
-#include "ingress/part.hpp"
+#include "lifecycle/graceful_shutdown.hpp"
 #include "log/log.hpp"
-#include "operations/operations.hpp"
-#include "operations/shutdown.hpp"
-#include "provider/pool.hpp"
 #include "slatejunction/gateway.hpp"
 
 namespace slatejunction::ingress {
 
-class Ingress final : consumer::SessionHost,
-                      provider::CallHost,
-                      directory::WatchHost,
+class Ingress final : client::SessionHost,
+                      backend::CallHost,
+                      discovery::WatchHost,
                       admin::Host,
-                      handover::Host {
+                      hot_restart::Host {
   public:
     // `observer`: empty where nobody counts; else it lives longer.
-    Ingress(config::Config config, const directory::UnixClock& clock, net::Timers& timers, Log& log,
+    Ingress(config::Config config, const discovery::UnixClock& clock, net::Timers& timers, Log& log,
             std::function<void()> done, Observer* observer = nullptr);
     ~Ingress();
     // s; for so long an address that can't be listened on is tried again, then the start has failed. A
@@ -43,7 +43,7 @@
     // `pause` waits so many seconds and tells whether to go on; false: the program was told to end. False
     // of the start: `why` it failed, empty where it was told to end.
     bool start(std::string& why, const std::function<bool(double)>& pause);
-    void stop();   // finishes what was taken, then calls `done`, see operations::Shutdown
+    void stop();   // finishes what was taken, then calls `done`, see lifecycle::Shutdown
     // When the process has to be gone (s, net::now()); infinite as long as it is not to end.
     double ends_by() const { return shutdown_.ends_by(); }
     // Takes a new configuration: moves the watch to where it says that the directory is. What it changes
@@ -65,9 +65,9 @@
     struct Open {
         std::uint64_t number = 0;
         std::string id;   // the module's name for it: short, and unlike the consumer's never repeated
-        std::shared_ptr<consumer::Invocation> invocation;
-        std::shared_ptr<consumer::Consumer> consumer;               // empty once it is answered
-        std::vector<std::shared_ptr<provider::Connection>> calls;   // by attempt; empty once ended
+        std::shared_ptr<client::Invocation> invocation;
+        std::shared_ptr<client::Consumer> consumer;                // empty once it is answered
+        std::vector<std::shared_ptr<backend::Connection>> calls;   // by attempt; empty once ended
         int out = 0;
         std::string provider;                    // the last one called, where somebody records it
         std::array<Mark, kJudgesMost> marks{};   // of the judges, in their order
@@ -82,8 +82,8 @@
     };
     struct WatchLink;
 
-    std::uint64_t on_invocation(std::shared_ptr<consumer::Consumer> consumer,
-                                std::shared_ptr<consumer::Invocation> invocation) override;
+    std::uint64_t on_invocation(std::shared_ptr<client::Consumer> consumer,
+                                std::shared_ptr<client::Invocation> invocation) override;
     void on_left(std::uint64_t number) override;
     // A process that has handed over answers for the new one: the two are one ingress.
     bool ready() const override {
@@ -98,29 +98,29 @@
     http::Budget& budget() override { return consumer_bytes_; }
     void on_bad_request(int status, std::string_view why) override;
     void on_accept_failed(const char* why) override;
-    void on_closed(consumer::Session& session) override;
-    void on_call_end(const provider::CallTag& tag, const provider::CallEnd& end) override;
-    void on_probe_end(const std::string& provider, const provider::CallEnd& end) override;
-    void on_listing(directory::Listing& listing) override;
+    void on_closed(client::Session& session) override;
+    void on_call_end(const backend::CallTag& tag, const backend::CallEnd& end) override;
+    void on_probe_end(const std::string& provider, const backend::CallEnd& end) override;
+    void on_listing(discovery::Listing& listing) override;
     void on_lost(const char* why) override;
     void on_call(const admin::Call& call, std::function<void(admin::Reply)> reply) override;
     void on_admin_trouble(const char* why) override;
 
-    handover::Message state() const override;
+    hot_restart::Message state() const override;
     int listening_descriptor() override;
-    handover::Use use() const override;
+    hot_restart::Use use() const override;
     void on_role() override;
-    void on_use(const handover::Use& theirs) override;
-    bool on_order(const handover::Order& order) override;
+    void on_use(const hot_restart::Use& theirs) override;
+    bool on_order(const hot_restart::Order& order) override;
     void on_part(std::size_t place, std::string_view what) override;
 
     bool listen(std::string& why);   // at the addresses where it does not listen yet
     bool listen_in_time(std::string& why, const std::function<bool(double)>& pause);
     admin::Reply ready_call() const;
-    operations::Verdict carry_out(const handover::Order& order, bool from_other);
-    bool take_over_list(directory::Listing& list);   // false: there is none
+    admin::Verdict carry_out(const hot_restart::Order& order, bool from_other);
+    bool take_over_list(discovery::Listing& list);   // false: there is none
     void share_out();                                // of the limits, with the other process
-    void tell_change(directory::Listing& change);    // of the list, as operators have it
+    void tell_change(discovery::Listing& change);    // of the list, as operators have it
 
     void tell(slatejunction::Event event);   // to the module, after what is being carried out
     void carry_out(const slatejunction::Action& action);
@@ -136,7 +136,7 @@
     Open* find(std::uint64_t number);
     void carry_out(const slatejunction::Admitted& admitted);
     // Gives the final answer, if one is owed still.
-    void answer(std::uint64_t number, const consumer::Answer& answer, Finish::How how,
+    void answer(std::uint64_t number, const client::Answer& answer, Finish::How how,
                 std::string_view reason, std::size_t refusal = 0);
     void observe(const Open& open, Finish::How how, std::string_view reason, std::size_t refusal = 0);
     void forget_if_over(std::uint64_t number);
@@ -148,7 +148,7 @@
     bool wind_down(double now);   // true: it has ended
     void answer_owed();
 
-    const directory::UnixClock& clock_;
+    const discovery::UnixClock& clock_;
     Log& log_;
     std::function<void()> done_;
     Observer* const observer_;
@@ -164,18 +164,18 @@
     std::unordered_map<std::uint64_t, Open> open_;
     std::unordered_set<std::string_view> ids_;   // the consumers' names of those open, in their bytes
     std::uint64_t numbers_ = 0;
-    provider::Pool pool_;
-    consumer::Server server_;
+    backend::Pool pool_;
+    client::Server server_;
     std::unique_ptr<admin::Server> admin_;   // null: operators have no address
-    operations::Operations operations_;
+    admin::OperatorOverrides operations_;
     double drained_at_ = 0;
-    operations::Shutdown shutdown_;
+    lifecycle::Shutdown shutdown_;
     double last_request_at_ = 0;
-    handover::Handover handover_;
+    hot_restart::Handover handover_;
     net::Timer prepare_timer_;   // while taking over
-    handover::Use theirs_;       // what the other process holds
+    hot_restart::Use theirs_;    // what the other process holds
     std::shared_ptr<WatchLink> watch_;
-    directory::StartTimes start_times_;
+    discovery::StartTimes start_times_;
     std::string lost_why_;   // the trouble with discovery that was logged last, and when (s)
     double lost_told_at_ = 0;
     std::vector<Judge*> judges_;
--- a/src/ingress/observer.hpp
+++ b/src/ingress/observer.hpp
@@ -7,7 +7,7 @@
 #include <string_view>
 #include <utility>
 
-#include "consumer/invocation.hpp"
+#include "client/client_request.hpp"
 #include "slatejunction/gateway.hpp"
 
 namespace slatejunction::ingress {
@@ -15,7 +15,7 @@
 // The one final answer of an invocation, or that its consumer has left.
 struct Finish {
     enum class How { served, refused, failed };
-    const consumer::Invocation& invocation;
+    const client::Invocation& invocation;
     How how = How::served;
     std::string_view reason;     // of a refusal: as metrics::kReasons names it; else what failed
     std::size_t refusal = 0;     // its number there
--- a/src/lease/voter.cpp
+++ b/src/lease/acceptor.cpp
@@ -1,4 +1,4 @@
-#include "lease/voter.hpp"
+#include "lease/acceptor.hpp"
 
 #include "lease.pb.h"
 
--- a/src/lease/voter.hpp
+++ b/src/lease/acceptor.hpp
@@ -14,7 +14,7 @@
 #include <string>
 #include <vector>
 
-#include "lease/bound.hpp"
+#include "lease/lease_bounds.hpp"
 
 namespace slatejunction::lease {
 
--- a/src/lease/home.cpp
+++ b/src/lease/acceptor_storage.cpp
@@ -1,7 +1,7 @@
-#include "lease/home.hpp"
+#include "lease/acceptor_storage.hpp"
 
 #include "lease.pb.h"
-#include "store/store.hpp"
+#include "storage/state_directory.hpp"
 
 namespace slatejunction::lease {
 namespace {
@@ -13,11 +13,11 @@
 template <class Wire>
 std::optional<Wire> take(const std::string& directory, const char* file, const char* magic,
                          std::string& broken) {
-    const auto body = store::take_whole(directory, file, magic, broken);
+    const auto body = storage::take_whole(directory, file, magic, broken);
     Wire all;
     if (!body) return {};
     if (all.ParseFromString(*body)) return all;
-    broken = store::set_aside(directory + "/" + file);
+    broken = storage::set_aside(directory + "/" + file);
     return {};
 }
 
@@ -70,7 +70,7 @@
 bool FileHome::keep(std::uint32_t step, const std::map<std::string, Grant>& grants) {
     wire::Memory all;
     write({step, grants}, all);
-    return store::put_whole(directory_, kFile, kMagic, all.SerializeAsString(), why_);
+    return storage::put_whole(directory_, kFile, kMagic, all.SerializeAsString(), why_);
 }
 
 NotesHome::NotesHome(const std::string& directory) : directory_(directory) {
@@ -81,7 +81,7 @@
 bool NotesHome::keep(const NoteKeeper::All& kept) {
     wire::Notes all;
     write(kept, all);
-    return store::put_whole(directory_, kNotesFile, kNotesMagic, all.SerializeAsString(), why_);
+    return storage::put_whole(directory_, kNotesFile, kNotesMagic, all.SerializeAsString(), why_);
 }
 
 }   // namespace slatejunction::lease
--- a/src/lease/home.hpp
+++ b/src/lease/acceptor_storage.hpp
@@ -6,14 +6,14 @@
 #include <optional>
 #include <string>
 
-#include "lease/notes.hpp"
-#include "lease/room.hpp"
+#include "lease/lease_node.hpp"
+#include "lease/replicated_register.hpp"
 
 namespace slatejunction::lease {
 
 class FileHome final : public Home {
   public:
-    // Throws store::Error when the file is there and can't be read. A broken one is put aside, see
+    // Throws storage::Error when the file is there and can't be read. A broken one is put aside, see
     // broken().
     explicit FileHome(const std::string& directory);
     bool keep(std::uint32_t step, const std::map<std::string, Grant>& grants) override;
--- a/src/lease/seeker.cpp
+++ b/src/lease/candidate.cpp
@@ -1,4 +1,4 @@
-#include "lease/seeker.hpp"
+#include "lease/candidate.hpp"
 
 #include <algorithm>
 #include <utility>
--- a/src/lease/seeker.hpp
+++ b/src/lease/candidate.hpp
@@ -13,7 +13,7 @@
 #include <utility>
 #include <vector>
 
-#include "lease/voter.hpp"
+#include "lease/acceptor.hpp"
 
 namespace slatejunction::lease {
 
--- a/src/lease/fleet.hpp
+++ b/src/lease/fleet_context.hpp
@@ -9,8 +9,8 @@
 #include <string_view>
 #include <vector>
 
-#include "lease/room.hpp"
-#include "peers/driver.hpp"
+#include "lease/lease_node.hpp"
+#include "membership/gossip_transport.hpp"
 
 namespace slatejunction::lease {
 
@@ -25,9 +25,9 @@
     // Who is there, this one too, by name and sorted: at once, and with each change.
     virtual void on_members(std::function<void(const std::vector<std::string>&)> call) = 0;
     // Datagrams: lost, doubled or late ones are the caller's to bear. False: it was not sent.
-    virtual bool send(const std::string& to, peers::Channel channel, std::string_view body) = 0;
-    virtual void send_all(peers::Channel channel, std::string_view body) = 0;
-    virtual void listen(peers::Channel channel, peers::Driver::Listener listener) = 0;
+    virtual bool send(const std::string& to, membership::Channel channel, std::string_view body) = 0;
+    virtual void send_all(membership::Channel channel, std::string_view body) = 0;
+    virtual void listen(membership::Channel channel, membership::Driver::Listener listener) = 0;
 };
 
 }   // namespace slatejunction::lease
--- a/src/lease/announce.cpp
+++ b/src/lease/holder_webhook.cpp
@@ -1,4 +1,4 @@
-#include "lease/announce.hpp"
+#include "lease/holder_webhook.hpp"
 
 #include <array>
 #include <cstdio>
--- a/src/lease/announce.hpp
+++ b/src/lease/holder_webhook.hpp
@@ -7,7 +7,7 @@
 #include <string>
 
 #include "http/message.hpp"
-#include "lease/room.hpp"
+#include "lease/lease_node.hpp"
 #include "log/log.hpp"
 #include "net/stream.hpp"
 #include "net/timers.hpp"
--- a/src/lease/room.cpp
+++ b/src/lease/lease_node.cpp
@@ -1,4 +1,4 @@
-#include "lease/room.hpp"
+#include "lease/lease_node.hpp"
 
 #include <algorithm>
 #include <utility>
--- a/src/lease/room.hpp
+++ b/src/lease/lease_node.hpp
@@ -10,8 +10,8 @@
 #include <utility>
 #include <vector>
 
-#include "lease/seeker.hpp"
-#include "lease/voter.hpp"
+#include "lease/acceptor.hpp"
+#include "lease/candidate.hpp"
 
 namespace slatejunction::lease {
 
--- a/src/lease/notes.cpp
+++ b/src/lease/replicated_register.cpp
@@ -1,4 +1,4 @@
-#include "lease/notes.hpp"
+#include "lease/replicated_register.hpp"
 
 #include <algorithm>
 
--- a/src/lease/notes.hpp
+++ b/src/lease/replicated_register.hpp
@@ -20,7 +20,7 @@
 #include <utility>
 #include <vector>
 
-#include "lease/seeker.hpp"
+#include "lease/candidate.hpp"
 
 namespace slatejunction::lease {
 
--- a/src/lease/settings.hpp
+++ b/src/lease/settings.hpp
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "ini/ini.hpp"
-#include "lease/room.hpp"
+#include "lease/lease_node.hpp"
 
 namespace slatejunction::lease {
 
--- a/src/operations/shutdown.cpp
+++ b/src/lifecycle/graceful_shutdown.cpp
@@ -1,10 +1,10 @@
-#include "operations/shutdown.hpp"
+#include "lifecycle/graceful_shutdown.hpp"
 
 #include <algorithm>
 #include <cmath>
 #include <limits>
 
-namespace slatejunction::operations {
+namespace slatejunction::lifecycle {
 
 static_assert(kKillAfterS - kMarginS - kPartsS - kAnswersS >= kArrivalsS - 1e-9,
               "a request that comes last must have its whole time");
@@ -126,4 +126,4 @@
     return due > now ? std::min(due, look) : look;
 }
 
-}   // namespace slatejunction::operations
+}   // namespace slatejunction::lifecycle
--- a/src/operations/shutdown.hpp
+++ b/src/lifecycle/graceful_shutdown.hpp
@@ -16,7 +16,7 @@
 
 #include "slatejunction/gateway.hpp"
 
-namespace slatejunction::operations {
+namespace slatejunction::lifecycle {
 
 // The platform's part (PROTOCOL, "Figures"): SIGKILL comes no earlier than the longest deadline, taken as
 // kLongestCountedS where it is longer or not known, plus kKillAfterS after SIGTERM, and new connections
@@ -128,4 +128,4 @@
     State state_ = State::serving;
 };
 
-}   // namespace slatejunction::operations
+}   // namespace slatejunction::lifecycle
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -9,9 +9,9 @@
 #include "app/program.hpp"
 #include "app/rollout_command.hpp"
 #include "metrics/measures.hpp"
-#include "operator/options.hpp"
+#include "operator_config/options.hpp"
 #include "rules/command.hpp"
-#include "store/cells.hpp"
+#include "storage/persistent_counters.hpp"
 
 namespace {
 
@@ -19,7 +19,7 @@
 
 // Reads the counters that a state directory holds, beside a program that may be running there.
 int counters(const std::string& directory) {
-    for (const auto& [name, value] : sj::store::Cells::read(directory + "/counters")) {
+    for (const auto& [name, value] : sj::storage::Cells::read(directory + "/counters")) {
         std::string line = name;
         bool label = true;   // NAME \n LABEL \n VALUE ...
         for (char& c : line)
@@ -123,7 +123,7 @@
             return 0;
         }
         if (*metrics) return std::fputs(sj::metrics::markdown().c_str(), stdout) < 0;
-        if (*sample) return std::fputs(sj::operating::sample().c_str(), stdout) < 0;
+        if (*sample) return std::fputs(sj::operator_config::sample().c_str(), stdout) < 0;
         if (*counting) return counters(directory);
         if (*fleeting) return sj::app::run(fleet);
         if (*rolling) return sj::app::run(rollout);
--- a/src/peers/seal.cpp
+++ b/src/membership/datagram_auth.cpp
@@ -1,12 +1,12 @@
-#include "peers/seal.hpp"
+#include "membership/datagram_auth.hpp"
 
 #include <sodium.h>
 
 #include <stdexcept>
 
-#include "peers/bound.hpp"
+#include "membership/detection_bounds.hpp"
 
-namespace slatejunction::peers {
+namespace slatejunction::membership {
 namespace {
 
 constexpr unsigned char kVersion = 1;
@@ -144,4 +144,4 @@
     return true;
 }
 
-}   // namespace slatejunction::peers
+}   // namespace slatejunction::membership
--- a/src/peers/seal.hpp
+++ b/src/membership/datagram_auth.hpp
@@ -17,7 +17,7 @@
 #include <unordered_map>
 #include <vector>
 
-namespace slatejunction::peers {
+namespace slatejunction::membership {
 
 inline constexpr std::size_t kSealBytes = 28 + 16;
 inline constexpr std::size_t kKeyBytes = 32;
@@ -65,4 +65,4 @@
     std::array<std::uint64_t, 6> counts_{};
 };
 
-}   // namespace slatejunction::peers
+}   // namespace slatejunction::membership
--- a/src/peers/bound.hpp
+++ b/src/membership/detection_bounds.hpp
@@ -7,7 +7,7 @@
 #include <cmath>
 #include <cstddef>
 
-namespace slatejunction::peers {
+namespace slatejunction::membership {
 
 // bench/scale builds this core with a higher cap, to measure what lies beyond it; nothing else does.
 #ifndef SLATEJUNCTION_MEMBERS_MOST
@@ -55,4 +55,4 @@
     return (9 + rounds * kSpreadPart) * interval_s + suspicion_s(members, 0, interval_s) + interval_s;
 }
 
-}   // namespace slatejunction::peers
+}   // namespace slatejunction::membership
--- a/src/peers/driver.cpp
+++ b/src/membership/gossip_transport.cpp
@@ -1,8 +1,8 @@
-#include "peers/driver.hpp"
+#include "membership/gossip_transport.hpp"
 
 #include <utility>
 
-namespace slatejunction::peers {
+namespace slatejunction::membership {
 namespace {
 
 constexpr double kBindAgain = 0.1;             // s
@@ -115,4 +115,4 @@
         timer_.disarm();
 }
 
-}   // namespace slatejunction::peers
+}   // namespace slatejunction::membership
--- a/src/peers/driver.hpp
+++ b/src/membership/gossip_transport.hpp
@@ -9,13 +9,13 @@
 #include <vector>
 
 #include "log/log.hpp"
+#include "membership/settings.hpp"
+#include "membership/swim.hpp"
 #include "net/datagrams.hpp"
 #include "net/stream.hpp"
 #include "net/timers.hpp"
-#include "peers/members.hpp"
-#include "peers/settings.hpp"
 
-namespace slatejunction::peers {
+namespace slatejunction::membership {
 
 // One for each room above; a number is never used for anything else.
 enum class Channel : std::uint32_t {
@@ -71,4 +71,4 @@
     bool told_held_ = false, pumping_ = false, left_ = false;
 };
 
-}   // namespace slatejunction::peers
+}   // namespace slatejunction::membership
--- a/src/peers/settings.cpp
+++ b/src/membership/settings.cpp
@@ -1,4 +1,4 @@
-#include "peers/settings.hpp"
+#include "membership/settings.hpp"
 
 #include <cstdio>
 #include <fstream>
@@ -7,7 +7,7 @@
 
 #include "net/stream.hpp"
 
-namespace slatejunction::peers {
+namespace slatejunction::membership {
 namespace {
 
 constexpr std::size_t kKeyFileMost = 4096;   // bytes
@@ -115,4 +115,4 @@
     return all;
 }
 
-}   // namespace slatejunction::peers
+}   // namespace slatejunction::membership
--- a/src/peers/settings.hpp
+++ b/src/membership/settings.hpp
@@ -5,10 +5,10 @@
 #include <vector>
 
 #include "ini/ini.hpp"
-#include "peers/members.hpp"
-#include "peers/seal.hpp"
+#include "membership/datagram_auth.hpp"
+#include "membership/swim.hpp"
 
-namespace slatejunction::peers {
+namespace slatejunction::membership {
 
 struct Options {
     std::string listen;    // ADDRESS:PORT, UDP; empty: off
@@ -32,4 +32,4 @@
 // What is promised, for check-config.
 std::vector<std::string> stated(const Options& options);
 
-}   // namespace slatejunction::peers
+}   // namespace slatejunction::membership
--- a/src/peers/members.cpp
+++ b/src/membership/swim.cpp
@@ -1,12 +1,12 @@
-#include "peers/members.hpp"
+#include "membership/swim.hpp"
 
 #include <algorithm>
 #include <utility>
 
-#include "peers.pb.h"
-#include "peers/seal.hpp"
+#include "membership.pb.h"
+#include "membership/datagram_auth.hpp"
 
-namespace slatejunction::peers {
+namespace slatejunction::membership {
 namespace {
 
 constexpr std::size_t kPayloadMost = kDatagramMost - kSealBytes;
@@ -611,4 +611,4 @@
     return at == members_.end() ? nullptr : &at->second.member;
 }
 
-}   // namespace slatejunction::peers
+}   // namespace slatejunction::membership
--- a/src/peers/members.hpp
+++ b/src/membership/swim.hpp
@@ -15,9 +15,9 @@
 #include <string_view>
 #include <vector>
 
-#include "peers/bound.hpp"
+#include "membership/detection_bounds.hpp"
 
-namespace slatejunction::peers {
+namespace slatejunction::membership {
 
 namespace wire {
 class Member;
@@ -180,4 +180,4 @@
     Tally tally_;
 };
 
-}   // namespace slatejunction::peers
+}   // namespace slatejunction::membership
--- a/src/metrics/measures.cpp
+++ b/src/metrics/measures.cpp
@@ -195,8 +195,8 @@
       sources_(std::move(layout.sources)),
       plans_(std::max<std::size_t>(1, shape_.plans.size())),
       last_sample_(layout.names.size() - 1),
-      cells_(path.empty() ? store::Cells(layout.names.size(), now_ms)
-                          : store::Cells(path, layout.names, now_ms)),
+      cells_(path.empty() ? storage::Cells(layout.names.size(), now_ms)
+                          : storage::Cells(path, layout.names, now_ms)),
       gauges_(layout.gauges) {
     set(Id::counters_created, static_cast<double>(cells_.created_ms()) / 1e3);
 }
@@ -214,7 +214,7 @@
     const auto bound = static_cast<std::size_t>(
         std::lower_bound(bounds_.begin(), bounds_.end(), r.seconds) - bounds_.begin());
     const std::size_t histogram = (r.service_class * kEndings.size() + ending) * (bounds_.size() + 2);
-    std::array<store::Cells::Change, 7> changes;
+    std::array<storage::Cells::Change, 7> changes;
     std::size_t count = 0;
     const auto change = [&](Id id, std::size_t label, double by) {
         if (by != 0) changes[count++] = {static_cast<std::uint32_t>(at(id, label)), by};
@@ -231,7 +231,7 @@
 }
 
 void Measures::add(Id id, std::size_t label, double by) {
-    const store::Cells::Change change{static_cast<std::uint32_t>(at(id, label)), by};
+    const storage::Cells::Change change{static_cast<std::uint32_t>(at(id, label)), by};
     cells_.apply({&change, 1});
 }
 
--- a/src/metrics/measures.hpp
+++ b/src/metrics/measures.hpp
@@ -1,5 +1,5 @@
 // The program's figures: fixed when made, updated by index without allocation, lock or look-up of names.
-// Counters and histograms lie in store::Cells, so that they may outlive the process; gauges do not.
+// Counters and histograms lie in storage::Cells, so that they may outlive the process; gauges do not.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 #include "metrics/reasons.hpp"
 #include "metrics/table.hpp"
 #include "slatejunction/gateway.hpp"
-#include "store/cells.hpp"
+#include "storage/persistent_counters.hpp"
 
 namespace slatejunction::metrics {
 
@@ -63,7 +63,7 @@
         std::vector<std::string> rules = {}, routes = {}, limits = {}, subsets = {};
         std::vector<std::pair<std::string, std::vector<std::string>>> tags = {};
     };
-    // Figures in memory, or in the file at `path`; see store::Cells for what that throws.
+    // Figures in memory, or in the file at `path`; see storage::Cells for what that throws.
     Measures(Shape shape, std::int64_t now_ms, const std::string& path = {});
 
     // All figures of one finished request, as one update. Returns the worth earned.
@@ -77,7 +77,7 @@
     const std::vector<Series>& series() const { return series_; }
     // One figure for each of series(), in that order; buckets are cumulative.
     void sample(std::vector<double>& values) const;
-    const store::Cells& cells() const { return cells_; }
+    const storage::Cells& cells() const { return cells_; }
     // The time of the newest sample ever taken, Unix ms: kept with the counters, so that times don't run
     // back over a restart either.
     std::int64_t last_sample_ms() const;
@@ -105,7 +105,7 @@
     std::vector<std::uint32_t> sources_;   // of each series: its cell, or its gauge
     std::size_t plans_ = 1;
     std::size_t last_sample_ = 0;   // the cell
-    store::Cells cells_;
+    storage::Cells cells_;
     std::vector<double> gauges_;
 };
 
--- a/src/net/guard.cpp
+++ b/src/net/callback_boundary.cpp
@@ -1,4 +1,4 @@
-#include "net/guard.hpp"
+#include "net/callback_boundary.hpp"
 
 #include <poll.h>
 #include <unistd.h>
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -6,7 +6,7 @@
 #include <cerrno>
 #include <iterator>
 
-#include "net/guard.hpp"
+#include "net/callback_boundary.hpp"
 #include "net/stream.hpp"
 
 namespace slatejunction::net {
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -12,7 +12,7 @@
 #include <charconv>
 #include <cstddef>
 
-#include "net/guard.hpp"
+#include "net/callback_boundary.hpp"
 
 namespace slatejunction::net {
 
--- a/src/net/timers.cpp
+++ b/src/net/timers.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
-#include "net/guard.hpp"
+#include "net/callback_boundary.hpp"
 
 namespace slatejunction::net {
 namespace {
--- a/src/operator/options.cpp
+++ b/src/operator_config/options.cpp
@@ -1,10 +1,10 @@
-#include "operator/options.hpp"
+#include "operator_config/options.hpp"
 
 #include <utility>
 
 #include "rules/rules.hpp"
 
-namespace slatejunction::operating {
+namespace slatejunction::operator_config {
 namespace {
 
 std::vector<ini::Section*> pointers(std::vector<ini::Section>& sections) {
@@ -104,4 +104,4 @@
            ini::sample(pointers(sections), standard.rules.families());
 }
 
-}   // namespace slatejunction::operating
+}   // namespace slatejunction::operator_config
--- a/src/operator/options.hpp
+++ b/src/operator_config/options.hpp
@@ -5,18 +5,18 @@
 #include <string>
 #include <vector>
 
-#include "fleetlimit/settings.hpp"
+#include "fleet_counters/settings.hpp"
+#include "fleet_rate_limit/settings.hpp"
 #include "lease/settings.hpp"
 #include "log/settings.hpp"
+#include "membership/settings.hpp"
 #include "metrics/settings.hpp"
-#include "peers/settings.hpp"
 #include "quota/settings.hpp"
 #include "remotewrite/settings.hpp"
 #include "rollout/settings.hpp"
 #include "rules/settings.hpp"
-#include "sums/settings.hpp"
 
-namespace slatejunction::operating {
+namespace slatejunction::operator_config {
 
 struct Options {
     logging::Settings log;
@@ -24,10 +24,10 @@
     remotewrite::Settings remote_write;
     rules::Settings rules;
     quota::Options quota;
-    peers::Options peers;
+    membership::Options peers;
     lease::Options lease;
-    sums::Options sums;
-    fleetlimit::Options fleet_limits;
+    fleet_counters::Options sums;
+    fleet_rate_limit::Options fleet_limits;
     rollout::Options rollout;
 
     bool limits_fleet() const {
@@ -48,4 +48,4 @@
 // The file with every key, its unit and its default.
 std::string sample();
 
-}   // namespace slatejunction::operating
+}   // namespace slatejunction::operator_config
--- a/src/operator/overlay.cpp
+++ b/src/operator_config/overlay.cpp
@@ -1,4 +1,4 @@
-#include "operator/overlay.hpp"
+#include "operator_config/overlay.hpp"
 
 #include <algorithm>
 #include <sstream>
@@ -7,7 +7,7 @@
 #include "ini/ini.hpp"
 #include "rules/settings.hpp"
 
-namespace slatejunction::operating {
+namespace slatejunction::operator_config {
 namespace {
 
 constexpr char kWhere[] = "rolled out";   // in place of a file's name
@@ -65,4 +65,4 @@
     return made;
 }
 
-}   // namespace slatejunction::operating
+}   // namespace slatejunction::operator_config
--- a/src/operator/overlay.hpp
+++ b/src/operator_config/overlay.hpp
@@ -4,7 +4,7 @@
 #include <map>
 #include <string>
 
-namespace slatejunction::operating {
+namespace slatejunction::operator_config {
 
 // By header without brackets ("limit NAME"): the section's lines.
 using Sections = std::map<std::string, std::string>;
@@ -17,4 +17,4 @@
 // The text with these sections in place of its own of the same headers, the others behind it.
 std::string lay_over(const std::string& text, const Sections& sections);
 
-}   // namespace slatejunction::operating
+}   // namespace slatejunction::operator_config
--- a/src/quota/admission.cpp
+++ b/src/quota/admission.cpp
@@ -2,7 +2,7 @@
 #include <algorithm>
 #include <cmath>
 
-#include "quota/bank.hpp"
+#include "quota/shared_quota.hpp"
 
 namespace slatejunction::quota {
 namespace {
--- a/src/quota/stores.cpp
+++ b/src/quota/bucket_layout.cpp
@@ -1,4 +1,4 @@
-#include "quota/stores.hpp"
+#include "quota/bucket_layout.hpp"
 
 #include <algorithm>
 
--- a/src/quota/sentinel.cpp
+++ b/src/quota/counter_incarnation.cpp
@@ -1,11 +1,11 @@
-#include "quota/sentinel.hpp"
+#include "quota/counter_incarnation.hpp"
 
 #include <algorithm>
 #include <cmath>
 #include <cstdio>
 #include <cstring>
 
-#include "quota/bank.hpp"
+#include "quota/shared_quota.hpp"
 
 namespace slatejunction::quota {
 namespace {
--- a/src/quota/wire.cpp
+++ b/src/quota/counter_protocol.cpp
@@ -1,4 +1,4 @@
-#include "quota/wire.hpp"
+#include "quota/counter_protocol.hpp"
 
 #include <algorithm>
 #include <array>
--- a/src/quota/wire.hpp
+++ b/src/quota/counter_protocol.hpp
@@ -14,7 +14,7 @@
 #include <vector>
 
 #include "http/message.hpp"
-#include "quota/bank.hpp"
+#include "quota/shared_quota.hpp"
 
 namespace slatejunction::quota {
 
--- a/src/quota/counter_state.cpp
+++ b/src/quota/counter_state.cpp
@@ -4,8 +4,8 @@
 #include <cmath>
 #include <utility>
 
-#include "quota/bank.hpp"
 #include "quota/counter_names.hpp"
+#include "quota/shared_quota.hpp"
 
 namespace slatejunction::quota {
 namespace {
--- a/src/quota/driver.hpp
+++ b/src/quota/driver.hpp
@@ -11,10 +11,10 @@
 #include "log/log.hpp"
 #include "net/stream.hpp"
 #include "net/timers.hpp"
-#include "quota/bank.hpp"
-#include "quota/sentinel.hpp"
+#include "quota/counter_incarnation.hpp"
+#include "quota/counter_protocol.hpp"
 #include "quota/settings.hpp"
-#include "quota/wire.hpp"
+#include "quota/shared_quota.hpp"
 
 namespace slatejunction::quota {
 
--- a/src/quota/reports.cpp
+++ b/src/quota/reports.cpp
@@ -3,8 +3,8 @@
 #include <cmath>
 #include <utility>
 
-#include "quota/bank.hpp"
 #include "quota/counter_names.hpp"
+#include "quota/shared_quota.hpp"
 
 namespace slatejunction::quota {
 namespace {
--- a/src/quota/settings.hpp
+++ b/src/quota/settings.hpp
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "ini/ini.hpp"
-#include "quota/bank.hpp"
+#include "quota/shared_quota.hpp"
 #include "slatejunction/gateway.hpp"
 
 namespace slatejunction::quota {
--- a/src/quota/bank.cpp
+++ b/src/quota/shared_quota.cpp
@@ -1,4 +1,4 @@
-#include "quota/bank.hpp"
+#include "quota/shared_quota.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/quota/bank.hpp
+++ b/src/quota/shared_quota.hpp
@@ -18,8 +18,8 @@
 #include <vector>
 
 #include "quota/account.hpp"
+#include "quota/bucket_layout.hpp"
 #include "quota/plan.hpp"
-#include "quota/stores.hpp"
 
 namespace slatejunction::quota {
 
--- a/src/remotewrite/backlog.cpp
+++ b/src/remotewrite/backlog.cpp
@@ -112,7 +112,7 @@
 
 }   // namespace
 
-Backlog::Backlog(const std::string& path, Sender& sender, store::Journal::Writer writer)
+Backlog::Backlog(const std::string& path, Sender& sender, storage::Journal::Writer writer)
     : directory_(path), sender_(sender) {
     std::map<std::uint64_t, Frame> left;                                         // by number
     std::map<std::string, std::shared_ptr<const Layout>, std::less<>> layouts;   // equal ones once
@@ -133,7 +133,7 @@
         }
     };
     journal_ =
-        std::make_unique<store::Journal>(path, "backlog", kSegment, visit, found_, std::move(writer));
+        std::make_unique<storage::Journal>(path, "backlog", kSegment, visit, found_, std::move(writer));
     std::vector<std::uint64_t> old;
     for (const auto& [number, size] : journal_->segments()) old.push_back(number);
     for (auto& [number, frame] : left) {
@@ -219,7 +219,7 @@
         if (part < best_part) best = number, best_part = part;
     }
     if (best == 0) return true;
-    std::vector<store::Record> records;
+    std::vector<storage::Record> records;
     std::shared_ptr<const Layout> layout;
     const Segment held = frames_of_[best];
     for (auto at = waiting.lower_bound(held.first); at != waiting.end() && at->first <= held.last; ++at) {
