--- a/src/remotewrite/backlog.hpp
+++ b/src/remotewrite/backlog.hpp
@@ -8,8 +8,8 @@
 #include <unordered_map>
 
 #include "remotewrite/sender.hpp"
-#include "store/journal.hpp"
-#include "store/store.hpp"
+#include "storage/segmented_log.hpp"
+#include "storage/state_directory.hpp"
 
 namespace slatejunction::remotewrite {
 
@@ -22,8 +22,8 @@
     static constexpr std::size_t kRoom = 2;
 
     // Opens the folder, gives the sender what an earlier process left and begins a segment with it. Throws
-    // store::Error for a folder that can't be used or is another process's.
-    Backlog(const std::string& path, Sender& sender, store::Journal::Writer writer = {});
+    // storage::Error for a folder that can't be used or is another process's.
+    Backlog(const std::string& path, Sender& sender, storage::Journal::Writer writer = {});
 
     // One slice of bringing the folder after the sender. True: it holds all that waits.
     bool follow();
@@ -32,7 +32,7 @@
     const std::string& why() const { return journal_->why(); }
     std::size_t bytes() const { return journal_->bytes(); }
     std::size_t restored() const { return restored_; }
-    const store::Journal::Found& found() const { return found_; }
+    const storage::Journal::Found& found() const { return found_; }
 
   private:
     enum Type : std::uint32_t { kLayout = 1, kFrame = 2, kDone = 3 };
@@ -43,10 +43,10 @@
     bool compact();
     bool failed();
 
-    store::Directory directory_;
+    storage::Directory directory_;
     Sender& sender_;
-    store::Journal::Found found_;
-    std::unique_ptr<store::Journal> journal_;
+    storage::Journal::Found found_;
+    std::unique_ptr<storage::Journal> journal_;
     std::unordered_map<std::uint64_t, Segment> frames_of_;
     std::shared_ptr<const Layout> layout_;   // the one that the newest segment knows
     std::uint64_t written_ = 0, done_ = 0;   // frames below written_ lie in the folder
--- a/src/remotewrite/driver.hpp
+++ b/src/remotewrite/driver.hpp
@@ -16,7 +16,7 @@
 class Driver {
   public:
     // `version` is the program's, for the User-Agent field. Throws std::runtime_error for settings that
-    // can't be used, which their checks have found before, and store::Error for a backlog's folder.
+    // can't be used, which their checks have found before, and storage::Error for a backlog's folder.
     Driver(const Settings& settings, std::uint64_t seed, std::string version, net::Timers& timers,
            Log& log);
     ~Driver();
--- a/src/rollout/driver.cpp
+++ b/src/rollout/driver.cpp
@@ -22,7 +22,7 @@
 std::string folder_of(const std::string& directory) {
     const std::string path = directory + "/rollout";
     if (::mkdir(path.c_str(), 0700) != 0 && errno != EEXIST)
-        throw store::Error(path + " can't be made: " + std::strerror(errno));
+        throw storage::Error(path + " can't be made: " + std::strerror(errno));
     return path;
 }
 
@@ -59,7 +59,7 @@
 // Driver. ---------------------------------------------------------------------------------------------
 
 Driver::Driver(const Options& options, const std::string& name, std::vector<std::string> replicas,
-               std::uint64_t process, std::uint64_t seed, const std::vector<peers::Key>& keys,
+               std::uint64_t process, std::uint64_t seed, const std::vector<membership::Key>& keys,
                std::unique_ptr<Home> home, Ways ways, net::Timers& timers, Logger& log)
     : options_(options),
       name_(name),
--- a/src/rollout/driver.hpp
+++ b/src/rollout/driver.hpp
@@ -15,14 +15,14 @@
 
 #include "log/log.hpp"
 #include "net/timers.hpp"
-#include "rollout/endpoint.hpp"
-#include "rollout/feeder.hpp"
-#include "rollout/files.hpp"
+#include "rollout/file_storage.hpp"
 #include "rollout/follower.hpp"
+#include "rollout/leader.hpp"
+#include "rollout/publisher.hpp"
 #include "rollout/replica.hpp"
 #include "rollout/settings.hpp"
-#include "rollout/source.hpp"
-#include "store/store.hpp"
+#include "rollout/transport.hpp"
+#include "storage/state_directory.hpp"
 
 namespace slatejunction::rollout {
 
@@ -30,7 +30,7 @@
 // was in force is in force again before the process serves.
 class Home {
   public:
-    // In the existing folder `directory`. Throws store::Error when it can't be used.
+    // In the existing folder `directory`. Throws storage::Error when it can't be used.
     Home(const std::string& directory, const Options& options);
 
     const State& state() const { return state_; }   // of the version that was in force; a follower's
@@ -40,7 +40,7 @@
   private:
     friend class Driver;
     const std::string path_;
-    store::Directory lock_;
+    storage::Directory lock_;
     std::unique_ptr<FollowerFiles> follower_;   // one of the two
     std::unique_ptr<ReplicaFiles> replica_;
     FollowerStored stored_;
@@ -69,12 +69,12 @@
 
     // `replicas`: the control machines by name, this one too; none where this is none.
     Driver(const Options& options, const std::string& name, std::vector<std::string> replicas,
-           std::uint64_t process, std::uint64_t seed, const std::vector<peers::Key>& keys,
+           std::uint64_t process, std::uint64_t seed, const std::vector<membership::Key>& keys,
            std::unique_ptr<Home> home, Ways ways, net::Timers& timers, Logger& log);
 
     void start();
     void stop();
-    void set_keys(const std::vector<peers::Key>& keys) { endpoint_.set_keys(keys); }
+    void set_keys(const std::vector<membership::Key>& keys) { endpoint_.set_keys(keys); }
     void hear(const std::string& from, std::string_view body);   // from another control machine
     void on_conducts(bool on);
     void recheck();   // what the consumer's check rests on has changed
--- a/src/rollout/files.cpp
+++ b/src/rollout/file_storage.cpp
@@ -1,4 +1,4 @@
-#include "rollout/files.hpp"
+#include "rollout/file_storage.hpp"
 
 #include <fcntl.h>
 #include <unistd.h>
@@ -6,7 +6,7 @@
 #include <cerrno>
 #include <utility>
 
-#include "driver.pb.h"
+#include "transport.pb.h"
 
 namespace slatejunction::rollout {
 namespace {
@@ -56,11 +56,11 @@
 
 // The log's file. -------------------------------------------------------------------------------------
 
-LogFile::LogFile(std::string directory, std::string name, store::Journal::Writer writer)
+LogFile::LogFile(std::string directory, std::string name, storage::Journal::Writer writer)
     : directory_(std::move(directory)), name_(std::move(name)) {
     load();
-    store::Journal::Found found;
-    journal_ = std::make_unique<store::Journal>(
+    storage::Journal::Found found;
+    journal_ = std::make_unique<storage::Journal>(
         directory_, name_, kSegmentBytes,
         [this](std::uint64_t segment, std::uint32_t type, std::string_view payload) {
             if (segment < first_segment_ || stopped_) return;
@@ -77,7 +77,7 @@
 
 void LogFile::load() {
     std::string broken;
-    const auto body = store::take_whole(directory_, name_ + ".log", kLogMagic, broken);
+    const auto body = storage::take_whole(directory_, name_ + ".log", kLogMagic, broken);
     if (!broken.empty()) set_aside_.push_back(broken);
     if (!body) return;
     kept::Snapshot snapshot;
@@ -94,7 +94,7 @@
             return;
         }
     }
-    set_aside_.push_back(store::set_aside(directory_ + "/" + name_ + ".log"));
+    set_aside_.push_back(storage::set_aside(directory_ + "/" + name_ + ".log"));
 }
 
 bool LogFile::visit(std::uint32_t type, std::string_view payload) {
@@ -110,7 +110,7 @@
 
 bool LogFile::ready() {
     if (journal_->open()) return true;
-    const store::File folder(::open(directory_.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
+    const storage::File folder(::open(directory_.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
     if (journal_->begin() && folder && ::fsync(folder.get()) == 0) return true;
     why_ = journal_->why();
     return false;
@@ -156,7 +156,7 @@
         write(log.record(number), *snapshot.add_record());
     snapshot.set_committed(committed);
     snapshot.set_segment(journal_->newest());
-    if (!store::put_whole(directory_, name_ + ".log", kLogMagic, snapshot.SerializeAsString(), why_))
+    if (!storage::put_whole(directory_, name_ + ".log", kLogMagic, snapshot.SerializeAsString(), why_))
         return false;
     founded_ = true;
     while (journal_->segments().begin()->first < journal_->newest())
@@ -166,7 +166,7 @@
 
 // Homes. ----------------------------------------------------------------------------------------------
 
-FollowerFiles::FollowerFiles(const std::string& directory, store::Journal::Writer writer)
+FollowerFiles::FollowerFiles(const std::string& directory, storage::Journal::Writer writer)
     : file_(directory, "follower", std::move(writer)) {
     file_.mend();   // where that fails, so does what is kept next
 }
@@ -175,10 +175,10 @@
 
 bool FollowerFiles::replace(const Log& log) { return file_.replace(log, 0); }
 
-ReplicaFiles::ReplicaFiles(const std::string& directory, store::Journal::Writer writer)
+ReplicaFiles::ReplicaFiles(const std::string& directory, storage::Journal::Writer writer)
     : directory_(directory), file_(directory, "replica", writer ? std::move(writer) : write_through) {
     std::string broken;
-    const auto body = store::take_whole(directory_, kPromiseFile, kPromiseMagic, broken);
+    const auto body = storage::take_whole(directory_, kPromiseFile, kPromiseMagic, broken);
     kept::Promise promise;
     if (body && promise.ParseFromString(*body)) {
         promised_ = promise.term();
@@ -198,7 +198,7 @@
     kept::Promise promise;
     promise.set_term(term);
     promise.set_remembers(remembers);
-    return store::put_whole(directory_, kPromiseFile, kPromiseMagic, promise.SerializeAsString(), why_);
+    return storage::put_whole(directory_, kPromiseFile, kPromiseMagic, promise.SerializeAsString(), why_);
 }
 
 }   // namespace slatejunction::rollout
--- a/src/rollout/files.hpp
+++ b/src/rollout/file_storage.hpp
@@ -1,5 +1,5 @@
-// The homes of a rollout in files of the state directory: the log as a snapshot (store::put_whole) with a
-// journal of what came after it (store::Journal). What is cut or wrong is set aside, and the log ends at
+// The homes of a rollout in files of the state directory: the log as a snapshot (storage::put_whole) with a
+// journal of what came after it (storage::Journal). What is cut or wrong is set aside, and the log ends at
 // the last record before it.
 //
 // A killed process finds all that it was told to be kept. Where a machine loses power a follower may lose
@@ -12,18 +12,18 @@
 #include <string>
 #include <vector>
 
-#include "rollout/home.hpp"
-#include "store/journal.hpp"
-#include "store/store.hpp"
+#include "rollout/storage.hpp"
+#include "storage/segmented_log.hpp"
+#include "storage/state_directory.hpp"
 
 namespace slatejunction::rollout {
 
 // A log under `name` in a directory: NAME.log, and the journal's segments NAME-NUMBER.
 class LogFile {
   public:
-    // Throws store::Error for a directory or file that can't be read, or of another version. `writer`: as
-    // store::Journal's.
-    LogFile(std::string directory, std::string name, store::Journal::Writer writer = {});
+    // Throws storage::Error for a directory or file that can't be read, or of another version. `writer`: as
+    // storage::Journal's.
+    LogFile(std::string directory, std::string name, storage::Journal::Writer writer = {});
 
     Log take_log() { return std::move(log_); }   // as it was found, once
     std::uint64_t committed() const { return committed_; }
@@ -53,14 +53,14 @@
     std::uint64_t committed_ = 0, first_segment_ = 0;
     bool damaged_ = false, stopped_ = false, founded_ = false;
     std::vector<std::string> set_aside_;
-    std::unique_ptr<store::Journal> journal_;
+    std::unique_ptr<storage::Journal> journal_;
     std::string why_;
 };
 
 // What a follower has in force.
 class FollowerFiles final : public FollowerHome {
   public:
-    explicit FollowerFiles(const std::string& directory, store::Journal::Writer writer = {});
+    explicit FollowerFiles(const std::string& directory, storage::Journal::Writer writer = {});
     FollowerStored take_stored() { return {file_.take_log()}; }
     bool append(const std::vector<Record>& records) override;
     bool replace(const Log& log) override;
@@ -73,7 +73,7 @@
 // What a replica has promised and taken.
 class ReplicaFiles final : public ReplicaHome {
   public:
-    explicit ReplicaFiles(const std::string& directory, store::Journal::Writer writer = {});
+    explicit ReplicaFiles(const std::string& directory, storage::Journal::Writer writer = {});
     ReplicaStored take_stored();
     bool keep_promise(std::uint64_t term, bool remembers) override;
     bool append(const std::vector<Record>& records) override { return file_.append(records); }
--- a/src/rollout/source.cpp
+++ b/src/rollout/leader.cpp
@@ -1,4 +1,4 @@
-#include "rollout/source.hpp"
+#include "rollout/leader.hpp"
 
 #include <algorithm>
 #include <limits>
--- a/src/rollout/message.hpp
+++ b/src/rollout/message.hpp
@@ -1,7 +1,7 @@
 // What nodes of a rollout say to one another, as typed messages, and their bytes. Pure.
 //
-// Every message is carried sealed for one process (peers::Seal): what was sent to an earlier process of a
-// name never reaches a later one. Replica and Source rest on that.
+// Every message is carried sealed for one process (membership::Seal): what was sent to an earlier process
+// of a name never reaches a later one. Replica and Source rest on that.
 #pragma once
 
 #include <memory>
--- a/src/rollout/bound.hpp
+++ b/src/rollout/propagation_bounds.hpp
@@ -4,7 +4,7 @@
 
 #include <algorithm>
 
-#include "lease/bound.hpp"
+#include "lease/lease_bounds.hpp"
 
 namespace slatejunction::rollout {
 
--- a/src/rollout/feeder.cpp
+++ b/src/rollout/publisher.cpp
@@ -1,4 +1,4 @@
-#include "rollout/feeder.hpp"
+#include "rollout/publisher.hpp"
 
 #include <algorithm>
 #include <tuple>
--- a/src/rollout/replica.hpp
+++ b/src/rollout/replica.hpp
@@ -13,9 +13,9 @@
 #include <utility>
 #include <vector>
 
-#include "rollout/home.hpp"
 #include "rollout/message.hpp"
 #include "rollout/snapshot.hpp"
+#include "rollout/storage.hpp"
 
 namespace slatejunction::rollout {
 
--- a/src/rollout/settings.cpp
+++ b/src/rollout/settings.cpp
@@ -5,9 +5,9 @@
 #include <set>
 #include <sstream>
 
+#include "membership/detection_bounds.hpp"
+#include "membership/settings.hpp"
 #include "net/stream.hpp"
-#include "peers/bound.hpp"
-#include "peers/settings.hpp"
 #include "rollout/replica.hpp"
 
 namespace slatejunction::rollout {
@@ -128,14 +128,15 @@
     return times;
 }
 
-std::string load_keys(const Options& options, const std::string& otherwise, std::vector<peers::Key>& keys) {
-    peers::Options file;
+std::string load_keys(const Options& options, const std::string& otherwise,
+                      std::vector<membership::Key>& keys) {
+    membership::Options file;
     file.key_file = options.key_file.empty() ? otherwise : options.key_file;
-    return peers::load_keys(file, keys);
+    return membership::load_keys(file, keys);
 }
 
 double changes_per_s(std::size_t replicas, double interval_s) {
-    const double datagrams = peers::kDatagramsPerInterval / interval_s;
+    const double datagrams = membership::kDatagramsPerInterval / interval_s;
     return datagrams / (2 * static_cast<double>(std::max<std::size_t>(replicas, 2) - 1));
 }
 
--- a/src/rollout/settings.hpp
+++ b/src/rollout/settings.hpp
@@ -11,12 +11,12 @@
 #include <vector>
 
 #include "ini/ini.hpp"
-#include "lease/bound.hpp"
-#include "peers/seal.hpp"
-#include "rollout/bound.hpp"
-#include "rollout/feeder.hpp"
+#include "lease/lease_bounds.hpp"
+#include "membership/datagram_auth.hpp"
 #include "rollout/follower.hpp"
-#include "rollout/source.hpp"
+#include "rollout/leader.hpp"
+#include "rollout/propagation_bounds.hpp"
+#include "rollout/publisher.hpp"
 
 namespace slatejunction::rollout {
 
@@ -51,7 +51,8 @@
 // The times of the bound under these options.
 BoundTimes times_of(const Options& options);
 // The keys of key_file, or of `otherwise` where it is empty; "key_file: why" when there are none to be had.
-std::string load_keys(const Options& options, const std::string& otherwise, std::vector<peers::Key>& keys);
+std::string load_keys(const Options& options, const std::string& otherwise,
+                      std::vector<membership::Key>& keys);
 
 // Changes a second that the control machines can carry among themselves: `interval_s` of [peers], which
 // bounds their datagrams; each change is an append and a commit for each of the other replicas.
--- a/src/rollout/endpoint.cpp
+++ b/src/rollout/transport.cpp
@@ -1,9 +1,9 @@
-#include "rollout/endpoint.hpp"
+#include "rollout/transport.hpp"
 
 #include <algorithm>
 #include <utility>
 
-#include "driver.pb.h"
+#include "transport.pb.h"
 
 namespace slatejunction::rollout {
 namespace {
@@ -25,8 +25,8 @@
 
 }   // namespace
 
-Endpoint::Endpoint(const Settings& settings, std::uint64_t process, const std::vector<peers::Key>& keys,
-                   Heard heard, net::Timers& timers, Logger& log)
+Endpoint::Endpoint(const Settings& settings, std::uint64_t process,
+                   const std::vector<membership::Key>& keys, Heard heard, net::Timers& timers, Logger& log)
     : settings_(settings),
       seal_(keys, process),
       heard_(std::move(heard)),
@@ -104,13 +104,13 @@
 void Endpoint::taken(std::string_view bytes, const net::Sender& from) {
     std::uint64_t process = 0;
     std::string_view payload;
-    const peers::Opened opened = seal_.open(bytes, process, payload);
-    if (opened == peers::Opened::stranger) {
+    const membership::Opened opened = seal_.open(bytes, process, payload);
+    if (opened == membership::Opened::stranger) {
         // For nobody or for an earlier process, perhaps old: it only learns who is here.
         const std::string answer = seal_.close(process, datagram(here_is, {}));
         return count(socket_.send(from, answer), answer.size());
     }
-    if (opened != peers::Opened::fresh) return;
+    if (opened != membership::Opened::fresh) return;
     kept::Datagram said;
     if (!said.ParseFromArray(payload.data(), static_cast<int>(payload.size())) || !plain(said.name())) {
         ++tally_.unreadable;
--- a/src/rollout/endpoint.hpp
+++ b/src/rollout/transport.hpp
@@ -14,10 +14,10 @@
 #include <vector>
 
 #include "log/log.hpp"
+#include "membership/datagram_auth.hpp"
 #include "net/datagrams.hpp"
 #include "net/stream.hpp"
 #include "net/timers.hpp"
-#include "peers/seal.hpp"
 #include "rollout/message.hpp"
 
 namespace slatejunction::rollout {
@@ -41,17 +41,17 @@
     // `heard`: from whom, its process, the message's bytes.
     using Heard = std::function<void(const std::string&, std::uint64_t, std::string_view)>;
 
-    Endpoint(const Settings& settings, std::uint64_t process, const std::vector<peers::Key>& keys,
+    Endpoint(const Settings& settings, std::uint64_t process, const std::vector<membership::Key>& keys,
              Heard heard, net::Timers& timers, Logger& log);
     // Binds; while the address is held by another process it is tried again.
     void start();
     void stop();
     void send(const std::string& to, const Body& body);
-    void set_keys(const std::vector<peers::Key>& keys) { seal_.set_keys(keys); }
+    void set_keys(const std::vector<membership::Key>& keys) { seal_.set_keys(keys); }
 
     bool parent(const std::string& name) const { return parents_.contains(name); }
     const Tally& tally() const { return tally_; }
-    const peers::Seal& seal() const { return seal_; }
+    const membership::Seal& seal() const { return seal_; }
 
   private:
     struct Parent {
@@ -75,7 +75,7 @@
     void count(bool sent, std::size_t bytes);
 
     const Settings settings_;
-    peers::Seal seal_;
+    membership::Seal seal_;
     const Heard heard_;
     Logger& log_;
     std::map<std::string, Parent> parents_;
--- a/src/rules/keeper.cpp
+++ b/src/rules/bucket_storage.cpp
@@ -1,4 +1,4 @@
-#include "rules/keeper.hpp"
+#include "rules/bucket_storage.hpp"
 
 #include <algorithm>
 #include <chrono>
@@ -6,7 +6,7 @@
 #include <fstream>
 #include <map>
 
-#include "lease/clock.hpp"
+#include "lease/boot_clock.hpp"
 #include "net/stream.hpp"
 
 namespace slatejunction::rules {
@@ -35,7 +35,7 @@
     std::ifstream in("/proc/sys/kernel/random/boot_id");
     std::string text;
     std::getline(in, text);
-    return text.empty() ? 0 : store::check_of(text.data(), text.size());
+    return text.empty() ? 0 : storage::check_of(text.data(), text.size());
 }
 
 // A record: the bytes of the definition's size, the definition, Unix ms, of kKeysOfBoot the boot and its
@@ -66,8 +66,8 @@
     const auto visit = [&](std::uint64_t, std::uint32_t type, std::string_view payload) {
         read_record(type, payload, found);
     };
-    store::Journal::Found state;
-    journal_ = std::make_unique<store::Journal>(directory, "limits", kSegment, visit, state);
+    storage::Journal::Found state;
+    journal_ = std::make_unique<storage::Journal>(directory, "limits", kSegment, visit, state);
     const double now = net::now();
     for (const std::string& path : state.broken)
         log_.write(Log::Level::error, now, "limits: a broken file was put aside as %s", path.c_str());
--- a/src/rules/keeper.hpp
+++ b/src/rules/bucket_storage.hpp
@@ -12,7 +12,7 @@
 #include "log/log.hpp"
 #include "net/timers.hpp"
 #include "rules/rules.hpp"
-#include "store/journal.hpp"
+#include "storage/segmented_log.hpp"
 
 namespace slatejunction::rules {
 
@@ -22,7 +22,7 @@
     static constexpr double kTick = 0.1;   // s
 
     // `rules`: those in force, or null. Takes what an earlier process left for limits of the same
-    // definition. Throws store::Error when the directory can't be read.
+    // definition. Throws storage::Error when the directory can't be read.
     Keeper(const std::string& directory, std::function<Rules*()> rules, net::Timers& timers, Log& log);
     void start();
     // Writes all that is left of this round and a whole one; the program ends.
@@ -51,7 +51,7 @@
     const std::function<Rules*()> rules_;
     Log& log_;
     net::Timer timer_;
-    std::unique_ptr<store::Journal> journal_;
+    std::unique_ptr<storage::Journal> journal_;
     std::vector<std::uint64_t> older_;   // segments of rounds before this one
     std::size_t limit_ = 0, slot_ = 0;   // what is written next
     double round_began_ = -1e18;
--- a/src/rules/matcher.cpp
+++ b/src/rules/condition_index.cpp
@@ -1,4 +1,4 @@
-#include "rules/matcher.hpp"
+#include "rules/condition_index.hpp"
 
 #include <algorithm>
 
--- a/src/rules/shortcut.cpp
+++ b/src/rules/fast_conditions.cpp
@@ -1,4 +1,4 @@
-#include "rules/shortcut.hpp"
+#include "rules/fast_conditions.hpp"
 
 #include <xxhash.h>
 
--- a/src/rules/rules.hpp
+++ b/src/rules/rules.hpp
@@ -14,16 +14,17 @@
 #include <utility>
 #include <vector>
 
+#include "rules/condition_index.hpp"
+#include "rules/fast_conditions.hpp"
 #include "rules/limiter.hpp"
-#include "rules/matcher.hpp"
 #include "rules/settings.hpp"
-#include "rules/shortcut.hpp"
 #include "rules/variables.hpp"
 #include "slatejunction/gateway.hpp"
 
 namespace slatejunction::rules {
 
-// Limits that are kept for the whole fleet, elsewhere (src/fleetlimit). Numbers are of their definitions.
+// Limits that are kept for the whole fleet, elsewhere (src/fleet_rate_limit). Numbers are of their
+// definitions.
 class SharedLimits {
   public:
     virtual ~SharedLimits() = default;
--- a/src/wirehost.cpp
+++ b/src/simulator_adapter.cpp
@@ -14,7 +14,7 @@
 
 #include "slatejunction/gateway.hpp"
 
-namespace mp = slatejunction;
+namespace sj = slatejunction;
 
 namespace {
 
@@ -83,10 +83,10 @@
             for (const std::string_view one : split(value, ',')) values.push_back(number(one, what));
         return values;
     }
-    mp::Outcome outcome() {
+    sj::Outcome outcome() {
         const int code = integer<int>("Result");
         if (code < 0 || code > 7) throw BadLine("Result is not a known outcome");
-        return static_cast<mp::Outcome>(code);
+        return static_cast<sj::Outcome>(code);
     }
 
   private:
@@ -130,25 +130,25 @@
     std::map<std::string, std::string> values_;
 };
 
-mp::Effect effect_of(const std::string& name) {
-    if (name == "pure") return mp::Effect::pure;
-    if (name == "token") return mp::Effect::token;
-    if (name == "side_effect") return mp::Effect::side_effect;
+sj::Effect effect_of(const std::string& name) {
+    if (name == "pure") return sj::Effect::pure;
+    if (name == "token") return sj::Effect::token;
+    if (name == "side_effect") return sj::Effect::side_effect;
     throw BadLine("an unknown Effect: '" + name + "'");
 }
 
-mp::Group group_of(const std::string& name) {
-    if (name == "zone") return mp::Group::zone;
-    if (name == "cell") return mp::Group::cell;
-    return mp::Group::all;
+sj::Group group_of(const std::string& name) {
+    if (name == "zone") return sj::Group::zone;
+    if (name == "cell") return sj::Group::cell;
+    return sj::Group::all;
 }
 
-mp::Settings settings_of(const Config& config) {
-    mp::Settings s;
+sj::Settings settings_of(const Config& config) {
+    sj::Settings s;
     const auto classes = static_cast<int>(config.needed("Services.count"));
     for (int i = 0; i < classes; ++i) {
         const std::string at = "Services." + std::to_string(i) + ".";
-        mp::ServiceClass c;
+        sj::ServiceClass c;
         c.name = config.text(at + "Name");
         if (c.name.empty()) throw BadLine("setting " + at + "Name is missing");
         c.aim_s = config.needed(at + "AimS");
@@ -164,7 +164,7 @@
     const auto plans = static_cast<int>(config.real("Contracts.count"));
     for (int i = 0; i < plans; ++i) {
         const std::string at = "Contracts." + std::to_string(i) + ".";
-        mp::Plan p;
+        sj::Plan p;
         p.name = config.text(at + "Name");
         p.rate = config.real(at + "UnitsPerS");
         p.burst = config.real(at + "Depth");
@@ -184,7 +184,7 @@
     s.reports_on_probe_only = how == "on_probe";
     s.zone = config.text("Zone");
     s.discovery =
-        config.text("Discovery") == "subscribe" ? mp::Discovery::subscribe : mp::Discovery::automatic;
+        config.text("Discovery") == "subscribe" ? sj::Discovery::subscribe : sj::Discovery::automatic;
     s.my_number = static_cast<std::int64_t>(config.real("MyNumber"));
     s.balancers = config.needed("Balancers");
     s.meter_period_s = config.real("FamilyInfo.MeterPeriodS");
@@ -204,19 +204,19 @@
     return s;
 }
 
-mp::ListEntry entry_of(Fields f) {
-    mp::ListEntry e;
+sj::ListEntry entry_of(Fields f) {
+    sj::ListEntry e;
     const std::string state = f.word("StageState");
     if (state == "IN")
-        e.state = mp::ServerState::in;
+        e.state = sj::ServerState::in;
     else if (state == "LAME")
-        e.state = mp::ServerState::lame;
+        e.state = sj::ServerState::lame;
     else if (state == "OUT")
-        e.state = mp::ServerState::out;
+        e.state = sj::ServerState::out;
     else
         throw BadLine("an unknown StageState: '" + state + "'");
     e.server = f.word("Server");
-    if (e.state == mp::ServerState::out) return e;
+    if (e.state == sj::ServerState::out) return e;
     e.kind = f.word("GenerationHw");
     e.zone = f.word("Az");
     e.capacity_hint = f.real_or_0("CapacityHint");
@@ -225,11 +225,11 @@
     return e;
 }
 
-mp::ListKind list_kind(const std::string& form) {
-    if (form == "incr") return mp::ListKind::changes;
-    if (form == "total") return mp::ListKind::total;
-    if (form == "warm_copy") return mp::ListKind::warm_copy;
-    if (form == "lost") return mp::ListKind::lost;
+sj::ListKind list_kind(const std::string& form) {
+    if (form == "incr") return sj::ListKind::changes;
+    if (form == "total") return sj::ListKind::total;
+    if (form == "warm_copy") return sj::ListKind::warm_copy;
+    if (form == "lost") return sj::ListKind::lost;
     throw BadLine("an unknown Form: '" + form + "'");
 }
 
@@ -276,8 +276,8 @@
         if (name == "BEGIN") {
             const auto seed = f.integer<std::uint64_t>("Prng");
             gateways_.erase(who);
-            const auto made = gateways_.emplace(who, mp::Gateway(settings_of(Config(parts, 3)), seed));
-            give(who, made.first->second, mp::Start{});
+            const auto made = gateways_.emplace(who, sj::Gateway(settings_of(Config(parts, 3)), seed));
+            give(who, made.first->second, sj::Start{});
             return;
         }
         const auto at = gateways_.find(who);
@@ -299,9 +299,9 @@
             return;
         }
         if (at == gateways_.end()) throw BadLine("an unknown instance");
-        mp::Gateway& gateway = at->second;
+        sj::Gateway& gateway = at->second;
         if (name == "CALL") {
-            mp::Request r;
+            sj::Request r;
             r.id = f.word("Job");
             r.service_class = f.word("Class");
             r.plan = f.word("Contract");
@@ -314,7 +314,7 @@
             r.doors = f.real_or_0("Doors");
             give(who, gateway, r);
         } else if (name == "ATTEMPT_END") {
-            mp::AttemptEnd e;
+            sj::AttemptEnd e;
             e.id = f.word("Job");
             e.attempt = f.integer<std::int64_t>("SeqNo");
             f.text("Server");
@@ -326,22 +326,22 @@
             e.report = f.row("Telemetry");
             give(who, gateway, e);
         } else if (name == "FIRST") {
-            mp::StreamBegun b;
+            sj::StreamBegun b;
             b.id = f.word("Job");
             f.text("Server");
             b.attempt = f.integer<std::int64_t>("SeqNo");
             give(who, gateway, b);
         } else if (name == "CHECK_RESULT") {
-            mp::ProbeEnd p;
+            sj::ProbeEnd p;
             p.server = f.word("Server");
             p.outcome = f.outcome();
             p.took_s = f.real("TookS");
             p.report = f.row("Telemetry");
             give(who, gateway, p);
         } else if (name == "TICK_DUE") {
-            give(who, gateway, mp::TimerDue{f.integer<std::uint64_t>("Tag")});
+            give(who, gateway, sj::TimerDue{f.integer<std::uint64_t>("Tag")});
         } else if (name == "CLIENT_GONE") {
-            give(who, gateway, mp::ClientGone{f.word("Job")});
+            give(who, gateway, sj::ClientGone{f.word("Job")});
         }
     }
 
@@ -371,16 +371,16 @@
         List list = std::move(*list_);
         list_.reset();
         if (list.left > 0) complain(fault);
-        const bool whole_list = list.update.kind == mp::ListKind::total;
-        if ((list.left > 0 || list.broken) && whole_list) list.update.kind = mp::ListKind::changes;
+        const bool whole_list = list.update.kind == sj::ListKind::total;
+        if ((list.left > 0 || list.broken) && whole_list) list.update.kind = sj::ListKind::changes;
         const auto at = gateways_.find(list.who);
         if (at != gateways_.end()) give(list.who, at->second, list.update);
     }
 
-    void give(std::int64_t who, mp::Gateway& gateway, const mp::Event& event) {
+    void give(std::int64_t who, sj::Gateway& gateway, const sj::Event& event) {
         actions_.clear();
         gateway.handle(clock_, event, actions_);
-        for (const mp::Action& action : actions_) write(who, action);
+        for (const sj::Action& action : actions_) write(who, action);
     }
 
     void put(double value) {
@@ -395,33 +395,33 @@
         reply_.append(name).append(1, '\t').append(std::to_string(who)).append(1, '\t').append(first);
     }
 
-    void write(std::int64_t who, const mp::Action& action) {
-        if (std::holds_alternative<mp::Admitted>(action)) return;   // the wire has no word for it
+    void write(std::int64_t who, const sj::Action& action) {
+        if (std::holds_alternative<sj::Admitted>(action)) return;   // the wire has no word for it
         std::visit(
             [&](const auto& a) {
                 using T = std::decay_t<decltype(a)>;
-                if constexpr (std::is_same_v<T, mp::Send>) {
+                if constexpr (std::is_same_v<T, sj::Send>) {
                     head("DISPATCH", who, a.id);
                     reply_.append(1, '\t').append(a.server).append(1, '\t');
                     put(a.allow_s);
-                } else if constexpr (std::is_same_v<T, mp::CallOff>) {
+                } else if constexpr (std::is_same_v<T, sj::CallOff>) {
                     head("CALL_OFF", who, a.id);
                     reply_.append(1, '\t').append(std::to_string(a.attempt));
-                } else if constexpr (std::is_same_v<T, mp::Refuse>) {
+                } else if constexpr (std::is_same_v<T, sj::Refuse>) {
                     head("REFUSE", who, a.id);
                     reply_.append(1, '\t');
                     put(a.retry_after_s);
-                } else if constexpr (std::is_same_v<T, mp::Abort>) {
+                } else if constexpr (std::is_same_v<T, sj::Abort>) {
                     head("ABORT", who, a.id);
-                } else if constexpr (std::is_same_v<T, mp::SetTimer>) {
+                } else if constexpr (std::is_same_v<T, sj::SetTimer>) {
                     head("SET_TIMER", who, "");
                     put_time(a.due_s);
                     reply_.append(1, '\t').append(std::to_string(a.tag));
-                } else if constexpr (std::is_same_v<T, mp::Probe>) {
+                } else if constexpr (std::is_same_v<T, sj::Probe>) {
                     head("SAMPLE", who, a.server);
-                } else if constexpr (std::is_same_v<T, mp::Listen>) {
+                } else if constexpr (std::is_same_v<T, sj::Listen>) {
                     head("LISTEN", who, a.on ? "1" : "0");
-                } else if constexpr (std::is_same_v<T, mp::Note>) {
+                } else if constexpr (std::is_same_v<T, sj::Note>) {
                     head("DEBUG", who, a.text);
                 }
             },
@@ -439,12 +439,12 @@
         std::int64_t who = 0;
         std::int64_t left = 0;
         bool broken = false;
-        mp::ListUpdate update;
+        sj::ListUpdate update;
     };
 
-    std::map<std::int64_t, mp::Gateway> gateways_;
+    std::map<std::int64_t, sj::Gateway> gateways_;
     std::optional<List> list_;
-    std::vector<mp::Action> actions_;
+    std::vector<sj::Action> actions_;
     std::string reply_;
     double clock_ = 0;
     std::uint64_t line_number_ = 0;
--- a/src/store/cells.cpp
+++ b/src/storage/persistent_counters.cpp
@@ -1,4 +1,4 @@
-#include "store/cells.hpp"
+#include "storage/persistent_counters.hpp"
 
 #include <fcntl.h>
 #include <sys/mman.h>
@@ -18,7 +18,7 @@
 #include <unordered_map>
 #include <utility>
 
-namespace slatejunction::store {
+namespace slatejunction::storage {
 namespace {
 
 constexpr std::uint64_t kMagic = 0x534c4c45434a4c53ULL;   // "SLJCELLS"
@@ -233,4 +233,4 @@
     apply({&change, 1});
 }
 
-}   // namespace slatejunction::store
+}   // namespace slatejunction::storage
--- a/src/store/cells.hpp
+++ b/src/storage/persistent_counters.hpp
@@ -14,9 +14,9 @@
 #include <utility>
 #include <vector>
 
-#include "store/store.hpp"
+#include "storage/state_directory.hpp"
 
-namespace slatejunction::store {
+namespace slatejunction::storage {
 
 class Cells {
   public:
@@ -74,4 +74,4 @@
     std::size_t dropped_ = 0;
 };
 
-}   // namespace slatejunction::store
+}   // namespace slatejunction::storage
--- a/src/store/journal.cpp
+++ b/src/storage/segmented_log.cpp
@@ -1,4 +1,4 @@
-#include "store/journal.hpp"
+#include "storage/segmented_log.hpp"
 
 #include <dirent.h>
 #include <fcntl.h>
@@ -12,7 +12,7 @@
 #include <memory>
 #include <sstream>
 
-namespace slatejunction::store {
+namespace slatejunction::storage {
 namespace {
 
 constexpr std::uint64_t kMagic = 0x4c4e524a4c4a4c53ULL;   // "SLJLJRNL"
@@ -175,4 +175,4 @@
     return all;
 }
 
-}   // namespace slatejunction::store
+}   // namespace slatejunction::storage
--- a/src/store/journal.hpp
+++ b/src/storage/segmented_log.hpp
@@ -13,9 +13,9 @@
 #include <utility>
 #include <vector>
 
-#include "store/store.hpp"
+#include "storage/state_directory.hpp"
 
-namespace slatejunction::store {
+namespace slatejunction::storage {
 
 struct Record {
     std::uint32_t type = 0;
@@ -68,4 +68,4 @@
     std::string why_;
 };
 
-}   // namespace slatejunction::store
+}   // namespace slatejunction::storage
--- a/src/store/store.cpp
+++ b/src/storage/state_directory.cpp
@@ -1,4 +1,4 @@
-#include "store/store.hpp"
+#include "storage/state_directory.hpp"
 
 #include <fcntl.h>
 #include <sys/file.h>
@@ -12,7 +12,7 @@
 #include <iterator>
 #include <utility>
 
-namespace slatejunction::store {
+namespace slatejunction::storage {
 
 File::File(File&& other) noexcept : fd_(std::exchange(other.fd_, -1)) {}
 File& File::operator=(File&& other) noexcept {
@@ -86,4 +86,4 @@
     return XXH64(data, size, seed);
 }
 
-}   // namespace slatejunction::store
+}   // namespace slatejunction::storage
--- a/src/store/store.hpp
+++ b/src/storage/state_directory.hpp
@@ -7,7 +7,7 @@
 #include <stdexcept>
 #include <string>
 
-namespace slatejunction::store {
+namespace slatejunction::storage {
 
 // The operator has to act: the text names the path. Nothing was changed.
 struct Error : std::runtime_error {
@@ -57,4 +57,4 @@
 // XXH64 of the bytes.
 std::uint64_t check_of(const void* data, std::size_t size, std::uint64_t seed = 0);
 
-}   // namespace slatejunction::store
+}   // namespace slatejunction::storage
--- a/src/telemetry/telemetry.cpp
+++ b/src/telemetry/telemetry.cpp
@@ -48,8 +48,8 @@
 
 }   // namespace
 
-Telemetry::Telemetry(const operating::Options& options, const config::Config& config, std::string version,
-                     net::Timers& timers, Log& log)
+Telemetry::Telemetry(const operator_config::Options& options, const config::Config& config,
+                     std::string version, net::Timers& timers, Log& log)
     : options_(options),
       name_(config.name),
       version_(std::move(version)),
@@ -195,7 +195,7 @@
     driver_->add(std::move(frame));
 }
 
-void Telemetry::reload(const operating::Options& options) {
+void Telemetry::reload(const operator_config::Options& options) {
     std::string later;
     const auto waits = [&](bool changed, const char* field) {
         if (changed) later += std::string(later.empty() ? "" : ", ") + field;
@@ -235,7 +235,7 @@
 }
 
 void Telemetry::on_finish(const ingress::Finish& f) {
-    const consumer::Invocation& i = f.invocation;
+    const client::Invocation& i = f.invocation;
     metrics::Finished finished;
     finished.service_class = measures_->find_class(i.service_class);
     finished.plan = measures_->find_plan(i.plan);
--- a/src/telemetry/telemetry.hpp
+++ b/src/telemetry/telemetry.hpp
@@ -12,16 +12,16 @@
 #include "log/log.hpp"
 #include "metrics/measures.hpp"
 #include "net/timers.hpp"
-#include "operator/options.hpp"
+#include "operator_config/options.hpp"
 #include "remotewrite/driver.hpp"
-#include "store/store.hpp"
+#include "storage/state_directory.hpp"
 
 namespace slatejunction::telemetry {
 
 class Telemetry final : public ingress::Observer {
   public:
-    // Throws store::Error when the state directory can't be used.
-    Telemetry(const operating::Options& options, const config::Config& config, std::string version,
+    // Throws storage::Error when the state directory can't be used.
+    Telemetry(const operator_config::Options& options, const config::Config& config, std::string version,
               net::Timers& timers, Log& log);
     ~Telemetry() override;
 
@@ -30,7 +30,7 @@
     // A part that counts for itself brings its figures with each sample.
     void join(std::function<void(metrics::Measures&)> counts) { counts_.push_back(std::move(counts)); }
     // Takes new options. What waits for the next start is named in the log.
-    void reload(const operating::Options& options);
+    void reload(const operator_config::Options& options);
     // Rules that are in force from now on, whose tags are counted.
     void set_rules(const rules::Settings& rules) { options_.rules = rules; }
     // The last samples: calls `done` once they have been taken, after `most_s` or kStopMost at the latest.
@@ -53,11 +53,11 @@
     void count_tag(std::size_t number, std::string_view value);
     void lay_out();
 
-    operating::Options options_;
+    operator_config::Options options_;
     const std::string name_, version_;
     const std::uint64_t seed_;
     Log& log_;
-    std::optional<store::Directory> directory_;
+    std::optional<storage::Directory> directory_;
     std::optional<metrics::Measures> measures_;
     net::Timers& timers_;
     net::Timer timer_;
--- a/tests/operations/operations_test.cpp
+++ b/tests/admin/operator_overrides_test.cpp
@@ -1,6 +1,6 @@
 // Suspension laid over the directory's list, by seeded schedules against a checker that knows nothing of
 // how it is done: it only follows which ids are suspended and what the module was told last of each.
-#include "operations/operations.hpp"
+#include "admin/operator_overrides.hpp"
 
 #include <catch2/catch.hpp>
 #include <map>
@@ -10,14 +10,14 @@
 namespace sj = slatejunction;
 using sj::ListKind;
 using sj::ServerState;
-using sj::operations::Operations;
-using sj::operations::Verdict;
+using sj::admin::OperatorOverrides;
+using sj::admin::Verdict;
 
 namespace {
 
-sj::directory::Listing listing(ListKind kind,
+sj::discovery::Listing listing(ListKind kind,
                                std::initializer_list<std::pair<const char*, ServerState>> entries) {
-    sj::directory::Listing list;
+    sj::discovery::Listing list;
     list.update.kind = kind;
     for (const auto& [id, state] : entries) {
         sj::ListEntry entry;
@@ -34,12 +34,12 @@
     std::map<std::string, ServerState> told, listed;
     std::set<std::string> suspended, ever;
 
-    void see(const sj::directory::Listing& as_told, const sj::directory::Listing& as_listed) {
+    void see(const sj::discovery::Listing& as_told, const sj::discovery::Listing& as_listed) {
         apply(told, as_told);
         apply(listed, as_listed);
         for (const auto& entry : as_listed.update.entries) ever.insert(entry.server);
     }
-    static void apply(std::map<std::string, ServerState>& states, const sj::directory::Listing& list) {
+    static void apply(std::map<std::string, ServerState>& states, const sj::discovery::Listing& list) {
         if (list.update.kind != ListKind::changes) states.clear();
         for (const auto& entry : list.update.entries) states[entry.server] = entry.state;
     }
@@ -59,16 +59,16 @@
 std::string run(unsigned seed, int spoil) {
     std::mt19937 random(seed);
     const auto pick = [&](int n) { return static_cast<int>(random() % static_cast<unsigned>(n)); };
-    Operations one, other;   // other: takes over in the middle
-    Operations* now = &one;
+    OperatorOverrides one, other;   // other: takes over in the middle
+    OperatorOverrides* now = &one;
     Checker checker;
     for (int step = 0; step < 60; ++step) {
         const std::string id = "s-" + std::to_string(pick(6));
-        sj::directory::Listing change;
+        sj::discovery::Listing change;
         switch (pick(6)) {
             case 0:
             case 1: {
-                sj::directory::Listing list;
+                sj::discovery::Listing list;
                 const int kind = pick(3);
                 list.update.kind = kind == 0   ? ListKind::total
                                    : kind == 1 ? ListKind::changes
@@ -83,8 +83,8 @@
                     list.update.entries.push_back(entry);
                     list.addresses.push_back("127.0.0.1:" + std::to_string(1 + pick(3)));
                 }
-                const sj::directory::Listing as_listed = list;
-                sj::directory::Listing spoilt = list;
+                const sj::discovery::Listing as_listed = list;
+                sj::discovery::Listing spoilt = list;
                 now->lay_over(list);
                 checker.see(spoil == 1 && kind == 0 ? spoilt : list, as_listed);
                 break;
@@ -111,7 +111,7 @@
                 if (now == &other || pick(4) > 0) break;
                 // Another process takes over: it has the last whole list and what it is handed.
                 {
-                    sj::directory::Listing whole;
+                    sj::discovery::Listing whole;
                     whole.update.kind = ListKind::total;
                     for (const auto& [at, state] : checker.listed) {
                         if (state == ServerState::out) continue;
@@ -121,7 +121,7 @@
                         whole.update.entries.push_back(entry);
                         whole.addresses.push_back("127.0.0.1:1");
                     }
-                    const sj::directory::Listing as_listed = whole;
+                    const sj::discovery::Listing as_listed = whole;
                     for (const std::string& at : one.ever_listed()) other.remember(at);
                     if (spoil != 3)
                         for (const std::string& at : one.suspended()) other.impose(at, change);
@@ -158,10 +158,10 @@
 }
 
 TEST_CASE("a resumed provider comes back as it is listed now: restarted, and at its new address") {
-    Operations operations;
+    OperatorOverrides operations;
     auto first = listing(ListKind::warm_copy, {{"a", ServerState::in}});
     operations.lay_over(first);
-    sj::directory::Listing change;
+    sj::discovery::Listing change;
     REQUIRE(operations.suspend("a", change) == Verdict::done);
     REQUIRE(change.update.entries.at(0).state == ServerState::lame);
     auto moved = listing(ListKind::changes, {{"a", ServerState::in}});
@@ -179,17 +179,17 @@
 }
 
 TEST_CASE("ids that are gone are forgotten beyond a bound, suspended ones never") {
-    Operations operations;
+    OperatorOverrides operations;
     auto first = listing(ListKind::total, {{"kept", ServerState::in}});
     operations.lay_over(first);
-    sj::directory::Listing change;
+    sj::discovery::Listing change;
     REQUIRE(operations.suspend("kept", change) == Verdict::done);
-    for (std::size_t i = 0; i < sj::operations::kGoneMost + 500; ++i) {
+    for (std::size_t i = 0; i < sj::admin::kGoneMost + 500; ++i) {
         const std::string id = "x" + std::to_string(i);
         auto comes = listing(ListKind::total, {{id.c_str(), ServerState::in}});
         operations.lay_over(comes);
     }
-    REQUIRE(operations.ever_listed().size() <= sj::operations::kGoneMost + 3);
+    REQUIRE(operations.ever_listed().size() <= sj::admin::kGoneMost + 3);
     REQUIRE(operations.suspend("x0", change) == Verdict::never_listed);
     auto back = listing(ListKind::total, {{"kept", ServerState::in}});
     operations.lay_over(back);
@@ -198,20 +198,19 @@
 }
 
 TEST_CASE("as many may be suspended as are remembered, and a no is given to more") {
-    Operations operations;
-    sj::directory::Listing all, change;
+    OperatorOverrides operations;
+    sj::discovery::Listing all, change;
     all.update.kind = ListKind::total;
-    for (std::size_t i = 0; i <= sj::operations::kSuspendedMost; ++i) {
+    for (std::size_t i = 0; i <= sj::admin::kSuspendedMost; ++i) {
         sj::ListEntry entry;
         entry.server = std::to_string(i);
         all.update.entries.push_back(entry);
         all.addresses.push_back("127.0.0.1:1");
     }
     operations.lay_over(all);
-    for (std::size_t i = 0; i < sj::operations::kSuspendedMost; ++i)
+    for (std::size_t i = 0; i < sj::admin::kSuspendedMost; ++i)
         REQUIRE(operations.suspend(std::to_string(i), change) == Verdict::done);
-    REQUIRE(operations.suspend(std::to_string(sj::operations::kSuspendedMost), change) ==
-            Verdict::too_many);
+    REQUIRE(operations.suspend(std::to_string(sj::admin::kSuspendedMost), change) == Verdict::too_many);
     REQUIRE(operations.resume("0", change) == Verdict::done);
-    REQUIRE(operations.suspend(std::to_string(sj::operations::kSuspendedMost), change) == Verdict::done);
+    REQUIRE(operations.suspend(std::to_string(sj::admin::kSuspendedMost), change) == Verdict::done);
 }
--- a/tests/session/arrival_times_test.cpp
+++ b/tests/client/arrival_times_test.cpp
@@ -1,9 +1,9 @@
 // When the bytes of a buffer arrived.
-#include "consumer/arrival_times.hpp"
+#include "client/arrival_times.hpp"
 
 #include <catch2/catch.hpp>
 
-using slatejunction::consumer::ArrivalTimes;
+using slatejunction::client::ArrivalTimes;
 
 TEST_CASE("each byte has the time of its piece", "[session][arrival]") {
     ArrivalTimes times;
--- a/tests/config/config_test.cpp
+++ b/tests/config/config_test.cpp
@@ -23,7 +23,7 @@
            more_settings + "}" + more + "}";
 }
 
-Config taken(const std::string& json) { return sj::config::read(json, sj::directory::UnixClock()); }
+Config taken(const std::string& json) { return sj::config::read(json, sj::discovery::UnixClock()); }
 
 std::string fault(const std::string& json) {
     try {
--- a/tests/directory/start_times_test.cpp
+++ b/tests/discovery/endpoint_start_times_test.cpp
@@ -1,11 +1,11 @@
 // How long backends have been up, whatever the wall clocks say.
-#include "directory/start_times.hpp"
+#include "discovery/endpoint_start_times.hpp"
 
 #include <catch2/catch.hpp>
 
 using slatejunction::ListKind;
-using slatejunction::directory::Listing;
-using slatejunction::directory::StartTimes;
+using slatejunction::discovery::Listing;
+using slatejunction::discovery::StartTimes;
 
 namespace {
 
--- a/tests/fleet/sentinel_test.cpp
+++ b/tests/fleet/counter_incarnation_test.cpp
@@ -1,5 +1,5 @@
 // A shared counter that comes back empty, over started processes: one ingress finds it for all.
-#include "quota/sentinel.hpp"
+#include "quota/counter_incarnation.hpp"
 
 #include <catch2/catch.hpp>
 #include <cmath>
@@ -7,7 +7,7 @@
 
 #include "fleet/records.hpp"
 #include "fleet/rig.hpp"
-#include "quota/bank.hpp"
+#include "quota/shared_quota.hpp"
 
 namespace {
 
--- a/tests/fleet/sums_test.cpp
+++ b/tests/fleet/fleet_counters_test.cpp
@@ -36,7 +36,7 @@
     const auto recording = fleet.end_receiver();
     std::size_t series = 0;
     for (const auto& [key, points] : recording) {
-        const std::string text = standin::to_text(key);
+        const std::string text = fakes::to_text(key);
         if (text.find("instance=\"fleet\"") == std::string::npos) continue;
         ++series;
         INFO(text);
--- a/tests/fleet/measure_test.cpp
+++ b/tests/fleet/measure_test.cpp
@@ -11,7 +11,7 @@
 
 #include "fleet/records.hpp"
 #include "fleet/rig.hpp"
-#include "lease/bound.hpp"
+#include "lease/lease_bounds.hpp"
 
 namespace {
 
--- a/tests/fleet/rig.hpp
+++ b/tests/fleet/rig.hpp
@@ -73,15 +73,15 @@
             feeds_.push_back(plan.control > 0 ? fleet_port() : 0);
         }
         start_backends();
-        ledger_ = Process({STANDIN, "ledger", "--listen", address_of(ledger_port), "--control",
+        ledger_ = Process({FAKES, "ledger", "--listen", address_of(ledger_port), "--control",
                            address_of(ledger_control), "--out", folder.file("ledger"), "--seconds", "600"},
                           "", "");
         if (plan.sums_s > 0)
-            receiver_ = Process({STANDIN, "remote-write", "--seconds", "600", "--listen",
+            receiver_ = Process({FAKES, "remote-write", "--seconds", "600", "--listen",
                                  address_of(receiver_port), "--out", folder.file("samples")},
                                 folder.file("receiver"), "");
         if (plan.counter) {
-            std::vector<std::string> words{STANDIN,     "counter", "--control", address_of(counter_control),
+            std::vector<std::string> words{FAKES,       "counter", "--control", address_of(counter_control),
                                            "--seconds", "600"};
             for (std::size_t i = 0; i < plan.ingresses; ++i) {
                 counters_.push_back(fleet_port());
@@ -259,11 +259,11 @@
         return at == std::string::npos ? 0 : std::stoul(text.substr(at + 7));
     }
     // Ends the ingresses and the receiver; what the latter has stored.
-    standin::Recording end_receiver() {
+    fakes::Recording end_receiver() {
         for (Process& one : ingresses_)
             if (one.id() > 0) one.signal(SIGCONT), one.end(SIGTERM);
         receiver_.end(SIGTERM);
-        return standin::read_recording(folder.file("samples"));
+        return fakes::read_recording(folder.file("samples"));
     }
     std::string records_file(std::size_t i) const { return folder.file("records" + std::to_string(i)); }
     std::string log(std::size_t i) const { return folder.read("records" + std::to_string(i)); }
@@ -392,15 +392,15 @@
     }
     void start_backends() {
         if (plan.providers == 0) return;
-        std::vector<std::string> words{STANDIN, "directory", "--seconds",
-                                       "600",   "--listen",  address_of(directory_port)};
+        std::vector<std::string> words{FAKES, "discovery", "--seconds",
+                                       "600", "--listen",  address_of(directory_port)};
         for (std::size_t s = 0; s < plan.sites; ++s)
             for (std::size_t p = 0; p < plan.providers; ++p) {
                 const std::string id = std::string(1, static_cast<char>('a' + s)) + "-" + std::to_string(p);
                 const std::string at = address_of(fleet_port());
                 backends_.push_back(
-                    Process({STANDIN, "provider", "--id", id, "--listen", at, "--read-ms", "3",
-                             "--write-ms", "6", "--used", "10", "--queue", "50", "--seconds", "600"},
+                    Process({FAKES, "backend", "--id", id, "--listen", at, "--read-ms", "3", "--write-ms",
+                             "6", "--used", "10", "--queue", "50", "--seconds", "600"},
                             "", ""));
                 words.insert(words.end(), {"--member", id + "=" + at});
             }
@@ -409,7 +409,7 @@
     void start_links() {
         if (!plan.links) return;
         std::vector<std::string> words{
-            STANDIN,     "link", "--control", address_of(link_control), "--seed", std::to_string(plan.seed),
+            FAKES,       "link", "--control", address_of(link_control), "--seed", std::to_string(plan.seed),
             "--seconds", "600"};
         for (std::size_t i = 0; i < plan.ingresses; ++i)
             for (std::size_t j = 0; j < plan.ingresses; ++j) {
--- a/tests/fleet/rollout_test.cpp
+++ b/tests/fleet/rollout_test.cpp
@@ -11,7 +11,7 @@
 
 #include "fleet/rig.hpp"
 #include "fleet/rollout_records.hpp"
-#include "rollout/bound.hpp"
+#include "rollout/propagation_bounds.hpp"
 
 namespace {
 
--- a/tests/sums/sums_test.cpp
+++ b/tests/fleet_counters/fleet_counters_test.cpp
@@ -2,12 +2,12 @@
 #include <catch2/catch.hpp>
 
 #include "files.hpp"
-#include "lease/home.hpp"
-#include "operator/options.hpp"
-#include "sums/world.hpp"
+#include "fleet_counters/world.hpp"
+#include "lease/acceptor_storage.hpp"
+#include "operator_config/options.hpp"
 
 using namespace slatejunction;
-using namespace slatejunction::sums;
+using namespace slatejunction::fleet_counters;
 using lease::NoteKeeper;
 using lease::NoteMessage;
 using NoteKind = lease::NoteMessage::Kind;
@@ -161,9 +161,9 @@
 
 TEST_CASE("[fleet_sums] wants leases and a receiver", "[sums]") {
     Folder folder;
-    operating::Options options;
+    operator_config::Options options;
     const auto fault = [&](const std::string& text) {
-        const auto all = operating::load(folder.write("options", text), options);
+        const auto all = operator_config::load(folder.write("options", text), options);
         return all.empty() ? "" : all.front().substr(folder.path().size());
     };
     CHECK(fault("[fleet_sums]\nevery_s = 15\n") ==
--- a/tests/sums/world.hpp
+++ b/tests/fleet_counters/world.hpp
@@ -14,7 +14,7 @@
 #include <vector>
 
 #include "events.hpp"
-#include "sums/collector.hpp"
+#include "fleet_counters/aggregator.hpp"
 
 namespace sums_world {
 
@@ -92,13 +92,13 @@
 
     struct Node {
         std::uint64_t process = 0;
-        std::unique_ptr<sums::Teller> teller;
-        std::unique_ptr<sums::Collector> collector;
+        std::unique_ptr<fleet_counters::Teller> teller;
+        std::unique_ptr<fleet_counters::Collector> collector;
         std::unique_ptr<lease::NoteKeeper> keeper;
         double votes_from = 0, stopped_until = 0;
-        sums::Values values{};
+        fleet_counters::Values values{};
         std::uint64_t period = 0;
-        std::deque<sums::Row> waiting;   // handed to a receiver that is behind
+        std::deque<fleet_counters::Row> waiting;   // handed to a receiver that is behind
     };
     static std::string name(std::size_t i) { return "n" + std::to_string(i); }
     static std::size_t number_of(const std::string& name) { return std::stoul(name.substr(1)); }
@@ -120,10 +120,10 @@
         Node& node = nodes_[i];
         const bool first = node.process == 0;
         node.process = ++processes_;
-        node.teller = std::make_unique<sums::Teller>(node.process);
+        node.teller = std::make_unique<fleet_counters::Teller>(node.process);
         node.values = {};
-        node.collector =
-            std::make_unique<sums::Collector>(sums::Settings{kEvery, 0.15}, times_, voters_, random_());
+        node.collector = std::make_unique<fleet_counters::Collector>(fleet_counters::Settings{kEvery, 0.15},
+                                                                     times_, voters_, random_());
         node.waiting.clear();
         if (i >= plan_.voters) return;
         const bool knows = first || plan_.remembers;
@@ -221,24 +221,25 @@
             send(i, number_of(answer.to), [report = answer.report](Node& to) {
                 to.teller->counted(report.process, report.counted);
             });
-        for (const sums::Row& row : node.collector->take_rows()) write_row(i, row);
+        for (const fleet_counters::Row& row : node.collector->take_rows()) write_row(i, row);
     }
     // Handed over while the lease permits it; the receiver has it now or a little later, if its writer
     // lives.
-    void write_row(std::size_t i, const sums::Row& row) {
+    void write_row(std::size_t i, const fleet_counters::Row& row) {
         if (i != holder_) return;
         nodes_[i].waiting.push_back(row);
         events_.at(events_.now() + draw(0.01, calm_ ? 0.05 : plan_.behind_most),
                    [this, i, process = nodes_[i].process, number = number_] {
                        Node& node = nodes_[i];
                        if (node.process != process || i != holder_ || number != number_) return;
-                       const sums::Row first = node.waiting.front();   // a sender keeps their order
+                       const fleet_counters::Row first =
+                           node.waiting.front();   // a sender keeps their order
                        node.waiting.pop_front();
                        take(first);
                        node.collector->on_sent(first.period);
                    });
     }
-    void take(const sums::Row& row) {
+    void take(const fleet_counters::Row& row) {
         const auto [at, made] = values_.emplace(row.period, row.values);
         result_.again += !made;
         if (!made && at->second != row.values && result_.breach.empty())
@@ -260,19 +261,19 @@
             result_.breach = std::to_string(missing) + " periods are missing";
         // Sums never fall but where they began anew, and hold all that lives once, and of the dead no more
         // than they had.
-        sums::Values least{}, most{};
+        fleet_counters::Values least{}, most{};
         for (const Node& node : nodes_)
-            for (std::size_t k = 0; k < sums::kValues; ++k) least[k] += node.values[k];
+            for (std::size_t k = 0; k < fleet_counters::kValues; ++k) least[k] += node.values[k];
         most = least;
-        for (const sums::Values& one : gone_)
-            for (std::size_t k = 0; k < sums::kValues; ++k) most[k] += one[k];
-        const sums::Values* before = nullptr;
+        for (const fleet_counters::Values& one : gone_)
+            for (std::size_t k = 0; k < fleet_counters::kValues; ++k) most[k] += one[k];
+        const fleet_counters::Values* before = nullptr;
         for (const auto& [period, values] : values_) {
-            for (std::size_t k = 0; before && k < sums::kValues; ++k)
+            for (std::size_t k = 0; before && k < fleet_counters::kValues; ++k)
                 if (values[k] < (*before)[k] && plan_.remembers) result_.breach = "a sum fell";
             before = &values;
         }
-        for (std::size_t k = 0; k < sums::kValues; ++k) {
+        for (std::size_t k = 0; k < fleet_counters::kValues; ++k) {
             if ((*before)[k] > most[k]) result_.breach = "something is counted twice";
             if (plan_.remembers && left_out_ == 0 && (*before)[k] < least[k])
                 result_.breach = "something is not counted: " + std::to_string(least[k] - (*before)[k]);
@@ -284,8 +285,8 @@
     lease::Voters voters_;
     std::vector<Node> nodes_;
     Events events_;
-    std::map<std::uint64_t, sums::Values> values_;   // what the receiver has, by period
-    std::vector<sums::Values> gone_;                 // of processes that were killed
+    std::map<std::uint64_t, fleet_counters::Values> values_;   // what the receiver has, by period
+    std::vector<fleet_counters::Values> gone_;                 // of processes that were killed
     std::size_t holder_ = nodes_.size(), cut_ = nodes_.size();
     std::uint64_t processes_ = 0, number_ = 0, left_out_ = 0;
     bool calm_ = false;
--- a/tests/fleetlimit/decision_digest_test.cpp
+++ b/tests/fleet_rate_limit/decision_digest_test.cpp
@@ -5,7 +5,7 @@
 #include <catch2/catch.hpp>
 
 #include "digest.hpp"
-#include "fleetlimit/world.hpp"
+#include "fleet_rate_limit/world.hpp"
 
 namespace {
 
--- a/tests/fleetlimit/room_test.cpp
+++ b/tests/fleet_rate_limit/rate_limit_node_test.cpp
@@ -1,7 +1,7 @@
 // Limits over the fleet: rooms beside exact stores, and the plain cases.
 #include <catch2/catch.hpp>
 
-#include "fleetlimit/world.hpp"
+#include "fleet_rate_limit/world.hpp"
 
 using namespace limit_world;
 
--- a/tests/fleetlimit/world.hpp
+++ b/tests/fleet_rate_limit/world.hpp
@@ -12,11 +12,11 @@
 
 #include "digest.hpp"
 #include "events.hpp"
-#include "fleetlimit/room.hpp"
+#include "fleet_rate_limit/rate_limit_node.hpp"
 
 namespace limit_world {
 
-using namespace slatejunction::fleetlimit;
+using namespace slatejunction::fleet_rate_limit;
 
 struct Plan {
     std::size_t ingresses = 3, keys = 4;
--- a/tests/cold_fleet_test.cpp
+++ b/tests/gateway/cold_fleet_test.cpp
@@ -6,8 +6,8 @@
 #include <memory>
 #include <random>
 
-#include "bench.hpp"
 #include "events.hpp"
+#include "gateway/gateway_harness.hpp"
 
 namespace {
 
@@ -30,7 +30,7 @@
         double speed = 1, born = -1e9, free_at = 0;
         std::vector<double> sent;   // since its start
     };
-    World(mp::Settings s, const Case& c, std::uint64_t seed) : settings(std::move(s)), is(c), random(seed) {
+    World(sj::Settings s, const Case& c, std::uint64_t seed) : settings(std::move(s)), is(c), random(seed) {
         settings.balancers = static_cast<double>(is.gateways);
         events.run_until(100);
         for (std::size_t i = 0; i < is.servers; ++i) {
@@ -57,9 +57,9 @@
     void begin(std::size_t i) {
         settings.my_number = static_cast<std::int64_t>(i);
         gateways[i] = std::make_unique<Driver>(settings, random(), now());
-        mp::ListUpdate list{mp::ListKind::total, {}};
+        sj::ListUpdate list{sj::ListKind::total, {}};
         for (const Server& s : servers)
-            list.entries.push_back(Driver::entry(s.id, mp::ServerState::in, std::max(0.0, s.born)));
+            list.entries.push_back(Driver::entry(s.id, sj::ServerState::in, std::max(0.0, s.born)));
         gateways[i]->give(list);
         tick(i, gateways[i].get());
     }
@@ -75,7 +75,7 @@
         Driver& d = *gateways[i];
         d.run_to(now());
         const std::size_t before = d.refused.size();
-        d.give(mp::Request{"q" + std::to_string(ids++), "read", "plan", 1, ids, now() + 5, 1, again});
+        d.give(sj::Request{"q" + std::to_string(ids++), "read", "plan", 1, ids, now() + 5, 1, again});
         take(i);
         if (d.refused.size() > before && chance() < is.again)
             events.at(now() + 0.1 + 0.3 * chance(), [this] { ask(pick(), true); });
@@ -91,19 +91,19 @@
             s.sent.push_back(now());
             const double work = -std::log(1 - chance()) / (is.rate * s.speed * warmth(s, now()));
             const double wait = std::max(0.0, s.free_at - now());
-            const mp::Outcome outcome = wait > 1 ? mp::Outcome::full : mp::Outcome::ok;
+            const sj::Outcome outcome = wait > 1 ? sj::Outcome::full : sj::Outcome::ok;
             double took = 0.002;
-            if (outcome == mp::Outcome::ok) s.free_at = now() + wait + work, took += wait + work;
+            if (outcome == sj::Outcome::ok) s.free_at = now() + wait + work, took += wait + work;
             Driver* alive = &d;
             events.at(now() + took, [this, i, alive, out, outcome] {
                 if (gateways[i].get() != alive) return;
                 alive->run_to(now());
-                mp::AttemptEnd e;
+                sj::AttemptEnd e;
                 e.id = out.id;
                 e.attempt = out.attempt;
                 e.outcome = outcome;
                 e.took_s = now() - out.at;
-                e.ended = outcome == mp::Outcome::ok;
+                e.ended = outcome == sj::Outcome::ok;
                 alive->give(e);
                 take(i);
             });
@@ -118,23 +118,23 @@
         events.at(now() + std::exponential_distribution<double>(is.load * total)(random),
                   [this] { come(); });
     }
-    void tell(const std::vector<mp::ListEntry>& entries) {
+    void tell(const std::vector<sj::ListEntry>& entries) {
         for (std::size_t i = 0; i < gateways.size(); ++i) {
             events.at(now() + is.late * chance(), [this, i, entries] {
                 gateways[i]->run_to(now());
-                gateways[i]->give(mp::ListUpdate{mp::ListKind::changes, entries});
+                gateways[i]->give(sj::ListUpdate{sj::ListKind::changes, entries});
                 take(i);
             });
         }
     }
     void release() {
         const auto all = static_cast<std::size_t>(is.part * static_cast<double>(is.servers));
-        std::vector<mp::ListEntry> in;
+        std::vector<sj::ListEntry> in;
         for (std::size_t i = 0; i < all; ++i) {
             Server& s = servers[i];
             s.born = s.free_at = now();
             s.sent.clear();
-            in.push_back(Driver::entry(s.id, mp::ServerState::in, now()));
+            in.push_back(Driver::entry(s.id, sj::ServerState::in, now()));
         }
         tell(in);
         events.run_until(now() + 1);
@@ -163,7 +163,7 @@
         return result;
     }
 
-    mp::Settings settings;
+    sj::Settings settings;
     Case is;
     std::mt19937_64 random;
     std::vector<Server> servers;
@@ -182,7 +182,7 @@
     for (const double multiple : {2.0, 4.0}) {
         double got = 0;
         for (std::uint64_t seed = 1; seed <= 6; ++seed) {
-            mp::Settings s = plain_settings();
+            sj::Settings s = plain_settings();
             s.fall_multiple = multiple;
             s.cold_from = 0.15;
             s.parallel_tries = true;
--- a/tests/fleet_test.cpp
+++ b/tests/gateway/fleet_test.cpp
@@ -6,13 +6,13 @@
 #include <functional>
 #include <memory>
 
-#include "bench.hpp"
+#include "gateway/gateway_harness.hpp"
 
 namespace {
 
 // Gateways that know nothing of each other; requests go to each in turn and are answered after 0.1 s.
 struct Fleet {
-    Fleet(mp::Settings s, std::size_t count, int servers) : settings(std::move(s)) {
+    Fleet(sj::Settings s, std::size_t count, int servers) : settings(std::move(s)) {
         settings.balancers = static_cast<double>(count);
         for (int i = 0; i < servers; ++i) names.push_back("s" + std::to_string(100 + i) + ":1");
         for (std::size_t i = 0; i < count; ++i) gateways.push_back(start(i));
@@ -44,10 +44,10 @@
         }
     }
     void answer(Driver& d) const {
-        while (!d.pending.empty() && now - d.pending[0].at >= 0.1) d.end(0, mp::Outcome::ok, told);
+        while (!d.pending.empty() && now - d.pending[0].at >= 0.1) d.end(0, sj::Outcome::ok, told);
     }
 
-    mp::Settings settings;
+    sj::Settings settings;
     std::vector<std::string> names;
     std::vector<std::unique_ptr<Driver>> gateways;
     std::uint64_t seed = 0;
@@ -68,7 +68,7 @@
     const double born = f.now;
     for (auto& d : f.gateways)
         for (int i = 0; i < cold; ++i)
-            d->change(Driver::entry(f.names[static_cast<std::size_t>(i)], mp::ServerState::in, born));
+            d->change(Driver::entry(f.names[static_cast<std::size_t>(i)], sj::ServerState::in, born));
     f.run(6, rate, ask);
     std::size_t total = 0;
     for (int i = 0; i < cold; ++i) {
@@ -99,7 +99,7 @@
 
 TEST(CeilingFleet, HoldsInSumThroughARestartOfHalfTheGateways) {
     for (const std::size_t count : {1u, 3u, 40u}) {
-        mp::Settings s = plain_settings();
+        sj::Settings s = plain_settings();
         s.plans = {{"plan", 1000, 1000, 40, 80, 8}};
         Fleet f(s, count, 5);
         std::size_t sent = 0;
@@ -121,7 +121,7 @@
 
 // A customer of 10 units a second behind `count` gateways; the meter sums what all send and is 1 s late.
 double spread(std::size_t count, double asked, double seconds, double tail) {
-    mp::Settings s = plain_settings();
+    sj::Settings s = plain_settings();
     s.plans = {{"plan", 10, 30}};
     s.meter_period_s = 0.5;
     Fleet f(s, count, 5);
@@ -155,7 +155,7 @@
     for (const std::size_t count : {1u, 3u, 200u}) EXPECT_GT(spread(count, 5, 40, 40), 0.93 * 5) << count;
 }
 TEST(SharesFleet, ABurstInsideTheStorePasses) {
-    mp::Settings s = plain_settings();
+    sj::Settings s = plain_settings();
     s.plans = {{"plan", 10, 30}};
     s.meter_period_s = 0.5;
     Fleet f(s, 200, 5);
@@ -171,7 +171,7 @@
     double reads = 0, writes = 0;
 };
 Passed strangers(std::size_t doors, double dear) {
-    mp::Settings s = plain_settings();
+    sj::Settings s = plain_settings();
     s.plans = {{"plan", 0.8, 4}};
     s.plans[0].over_cost = 0.8;
     s.classes[0].worth = 2, s.classes[2].worth = 2 * dear;
@@ -186,7 +186,7 @@
             d.ask("q" + std::to_string(i), write ? "write" : "read", 5, 1, i, static_cast<double>(doors));
             if (d.sends.size() > before)
                 (write ? passed.writes : passed.reads) += 1.0 / (write ? 1000 : 3000);
-            while (!d.pending.empty()) d.end(0, mp::Outcome::ok);
+            while (!d.pending.empty()) d.end(0, sj::Outcome::ok);
         }
     }
     return passed;
@@ -210,12 +210,12 @@
 
 TEST(SharesFleet, RepeatsThroughManyDoorsPassLess) {
     const auto passed = [](bool repeat) {
-        mp::Settings s = plain_settings();
+        sj::Settings s = plain_settings();
         s.plans = {{"plan", 2, 6}};
         s.meter_period_s = 0.5;
         Fleet f(s, 60, 5);
         f.run(20, 30, [&](Driver& d, const std::string& id) {
-            d.give(mp::Request{id, "read", "plan", 1, 9, d.now + 5, 60, repeat});
+            d.give(sj::Request{id, "read", "plan", 1, 9, d.now + 5, 60, repeat});
         });
         std::size_t sent = 0;
         for (const auto& d : f.gateways) sent += d->sends.size();
@@ -229,8 +229,8 @@
         for (int i = 0; i < 20; ++i) names.push_back("s" + std::to_string(100 + i) + ":1");
         d.list(names);
     }
-    static mp::Settings settings() {
-        mp::Settings s = plain_settings();
+    static sj::Settings settings() {
+        sj::Settings s = plain_settings();
         s.balancers = 400;
         s.plans = {{"plan"}, {"other"}};
         return s;
@@ -238,7 +238,7 @@
     // Answers after 0.15 s as `outcome` says; a server of which it says `timeout` stays silent.
     void play(
         double seconds, double every,
-        const std::function<mp::Outcome(const std::string& server, const std::string& id)>& outcome,
+        const std::function<sj::Outcome(const std::string& server, const std::string& id)>& outcome,
         const std::function<const char*(int)>& plan = [](int) { return "plan"; }) {
         const double until = d.now + seconds;
         while (d.now < until) {
@@ -248,12 +248,12 @@
                 d.run_to(d.now + std::min(0.05, left));
                 for (std::size_t i = 0; i < d.pending.size();) {
                     const auto& p = d.pending[i];
-                    const mp::Outcome o = outcome(p.server, p.id);
+                    const sj::Outcome o = outcome(p.server, p.id);
                     const bool off = std::find(d.called_off.begin(), d.called_off.end(),
                                                std::pair{p.id, p.attempt}) != d.called_off.end();
                     if (off)
-                        d.end(i, mp::Outcome::cancelled);
-                    else if (d.now - p.at >= (o == mp::Outcome::timeout ? 5 : 0.15))
+                        d.end(i, sj::Outcome::cancelled);
+                    else if (d.now - p.at >= (o == sj::Outcome::timeout ? 5 : 0.15))
                         d.end(i, o);
                     else
                         ++i;
@@ -265,7 +265,7 @@
     std::vector<std::string> names;
     int ids = 0;
 };
-const auto kAllGood = [](const std::string&, const std::string&) { return mp::Outcome::ok; };
+const auto kAllGood = [](const std::string&, const std::string&) { return sj::Outcome::ok; };
 
 TEST_F(Sparse, StaysOpenWhileTheBackEndIsWell) {
     play(120, 1, kAllGood);
@@ -279,7 +279,7 @@
         static int ids = 0;
         for (; d.now < until; d.run_to(d.now + 0.05)) {
             for (std::size_t i = 0; i < d.pending.size();)
-                d.now - d.pending[i].at >= latency ? d.end(i, mp::Outcome::ok) : void(++i);
+                d.now - d.pending[i].at >= latency ? d.end(i, sj::Outcome::ok) : void(++i);
             if (std::fmod(d.now + 0.025, 0.5) >= 0.05) continue;
             const std::size_t before = d.sends.size();
             d.ask("q" + std::to_string(ids++));
@@ -302,10 +302,10 @@
     play(20, 0.5, kAllGood);
     const auto dead = [&](const std::string& s) { return s < names[6]; };   // 6 of 20
     play(20, 0.5,
-         [&](const auto& s, const auto&) { return dead(s) ? mp::Outcome::timeout : mp::Outcome::ok; });
+         [&](const auto& s, const auto&) { return dead(s) ? sj::Outcome::timeout : sj::Outcome::ok; });
     const std::size_t from = d.sends.size();
     play(60, 0.5,
-         [&](const auto& s, const auto&) { return dead(s) ? mp::Outcome::timeout : mp::Outcome::ok; });
+         [&](const auto& s, const auto&) { return dead(s) ? sj::Outcome::timeout : sj::Outcome::ok; });
     std::size_t lost = 0;
     for (std::size_t i = from; i < d.sends.size(); ++i) lost += dead(d.sends[i].server);
     EXPECT_LT(static_cast<double>(lost), 0.2 * static_cast<double>(d.sends.size() - from))
@@ -323,9 +323,9 @@
         d.timers.erase(d.timers.begin());
     }
     d.now += 2;
-    for (const std::uint64_t tag : due) d.give(mp::TimerDue{tag});
+    for (const std::uint64_t tag : due) d.give(sj::TimerDue{tag});
     EXPECT_TRUE(d.called_off.empty()) << "their answers wait behind the timers";
-    while (!d.pending.empty()) d.end(0, mp::Outcome::ok);
+    while (!d.pending.empty()) d.end(0, sj::Outcome::ok);
     const std::size_t refused = d.refused.size();
     play(10, 0.25, kAllGood);
     EXPECT_LE(d.refused.size() - refused, 4u) << "of 40";
@@ -333,7 +333,7 @@
 
 TEST_F(Sparse, AServerThatTurnsOnePlanAwayKeepsServingTheRest) {
     const auto one = [&](const std::string& s, const std::string& id) {
-        return s < names[10] && id.starts_with("plan") ? mp::Outcome::full : mp::Outcome::ok;
+        return s < names[10] && id.starts_with("plan") ? sj::Outcome::full : sj::Outcome::ok;
     };
     play(120, 0.1, one, [](int i) { return i % 2 ? "plan" : "other"; });
     std::size_t full = 0, plan = 0, here = 0, other = 0;
@@ -348,16 +348,16 @@
 
 TEST_F(Sparse, SilenceEverywhereIsAQueueAndIsNotCalledOff) {
     play(20, 0.2, kAllGood);
-    play(20, 0.2, [](const auto&, const auto&) { return mp::Outcome::timeout; });
+    play(20, 0.2, [](const auto&, const auto&) { return sj::Outcome::timeout; });
     const std::size_t off = d.called_off.size(), refused = d.refused.size();
-    play(20, 0.2, [](const auto&, const auto&) { return mp::Outcome::timeout; });
+    play(20, 0.2, [](const auto&, const auto&) { return sj::Outcome::timeout; });
     EXPECT_LE(d.called_off.size() - off, 8u);
     EXPECT_GT(d.refused.size() - refused, 50u) << "of 100";
 }
 
 TEST(BadSettings, AbsurdSizesAndReportsDoNoHarm) {
     for (const double balancers : {0.0, 1.0, -3.0, 1e12, std::nan("")}) {
-        mp::Settings s = plain_settings();
+        sj::Settings s = plain_settings();
         s.plans = {{"plan", 10, 20, 20, 40, 4}, {"free"}, {"still", 0, 5}};
         s.balancers = balancers;
         s.my_number = 1 << 30;
@@ -376,7 +376,7 @@
             while (!d.pending.empty()) {
                 const auto p = d.pending[0];
                 d.pending.erase(d.pending.begin());
-                mp::AttemptEnd e{p.id, p.attempt, mp::Outcome::ok, -1, true, 1e9, 0, {}};
+                sj::AttemptEnd e{p.id, p.attempt, sj::Outcome::ok, -1, true, 1e9, 0, {}};
                 e.report = {std::nan(""), -5, 1e300};
                 d.give(e);
                 ++served;
--- a/tests/load_test.cpp
+++ b/tests/gateway/load_test.cpp
@@ -4,7 +4,7 @@
 #include <cmath>
 #include <functional>
 
-#include "bench.hpp"
+#include "gateway/gateway_harness.hpp"
 
 namespace {
 
@@ -30,7 +30,7 @@
         const double after = latency(lately);
         for (std::size_t i = 0; i < d.pending.size();)
             if (d.now - d.pending[i].at >= after)
-                d.end(i, mp::Outcome::ok);
+                d.end(i, sj::Outcome::ok);
             else
                 ++i;
     }
@@ -55,7 +55,7 @@
 
 // One in five is worth three times the others: they pass first, and no more pass in all for it.
 TEST(LoadWorth, UnderLoadWhatIsWorthMorePassesFirst) {
-    mp::Settings s = plain_settings();
+    sj::Settings s = plain_settings();
     s.classes[0].worth = 2, s.classes[2].worth = 6;
     Driver d(s);
     d.list({"a:1", "b:1", "c:1", "d:1"});
@@ -73,7 +73,7 @@
 
 TEST(LoadWorth, APriceThatIsNotFiniteCountsAsNone) {
     for (const double price : {-1.0, std::nan(""), HUGE_VAL}) {
-        mp::Settings s = plain_settings();
+        sj::Settings s = plain_settings();
         s.classes[0].worth = 2;
         s.plans[0].price = price;
         Driver d(s);
@@ -101,12 +101,12 @@
     EXPECT_GE(d.fraction, 0.05);
     EXPECT_LT(d.fraction, 0.15);
     ASSERT_EQ(d.reasons.size(), d.refused.size());
-    const auto of = [&](mp::Reason reason) {
+    const auto of = [&](sj::Reason reason) {
         return std::count(d.reasons.begin(), d.reasons.end(), reason);
     };
-    EXPECT_GT(of(mp::Reason::fraction), 0);
-    EXPECT_GT(of(mp::Reason::open_work), 0);   // the first sign, before the fraction has moved
-    EXPECT_EQ(of(mp::Reason::fraction) + of(mp::Reason::open_work) + of(mp::Reason::attempts),
+    EXPECT_GT(of(sj::Reason::fraction), 0);
+    EXPECT_GT(of(sj::Reason::open_work), 0);   // the first sign, before the fraction has moved
+    EXPECT_EQ(of(sj::Reason::fraction) + of(sj::Reason::open_work) + of(sj::Reason::attempts),
               static_cast<std::ptrdiff_t>(d.reasons.size()));
     admitted(d, 60, [](double) { return 0.1; });
     EXPECT_EQ(d.fraction, 1);
@@ -115,11 +115,11 @@
 TEST_F(Load, ARefusalForWantOfAServerAClassOrAttemptsSaysSo) {
     d.ask("unknown", "no such class");
     d.ask("errors");
-    while (!d.pending.empty()) d.end(0, mp::Outcome::error);
+    while (!d.pending.empty()) d.end(0, sj::Outcome::error);
     d.list({});
     d.ask("nowhere");
-    EXPECT_EQ(d.reasons, (std::vector<mp::Reason>{mp::Reason::malformed, mp::Reason::attempts,
-                                                  mp::Reason::no_provider}));
+    EXPECT_EQ(d.reasons, (std::vector<sj::Reason>{sj::Reason::malformed, sj::Reason::attempts,
+                                                  sj::Reason::no_provider}));
 }
 
 TEST_F(Load, AFewSlowAnswersAreNoQueue) {   // one of 25 takes 3 s, the rest 0.1 s
@@ -128,7 +128,7 @@
         d.ask("s" + std::to_string(id++));
         for (std::size_t i = 0; i < d.pending.size();) {
             const bool slow = std::stoi(d.pending[i].id.substr(1)) % 25 == 0;
-            d.now - d.pending[i].at >= (slow ? 3.0 : 0.1) ? d.end(i, mp::Outcome::ok) : void(++i);
+            d.now - d.pending[i].at >= (slow ? 3.0 : 0.1) ? d.end(i, sj::Outcome::ok) : void(++i);
         }
     }
     EXPECT_LT(static_cast<double>(d.refused.size()), 0.05 * id);
--- a/tests/random_test.cpp
+++ b/tests/gateway/random_test.cpp
@@ -6,7 +6,7 @@
 #include <random>
 #include <set>
 
-#include "bench.hpp"
+#include "gateway/gateway_harness.hpp"
 
 namespace {
 
@@ -23,14 +23,14 @@
     SCOPED_TRACE("seed " + std::to_string(seed));
     std::mt19937 rng(seed);
     const auto pick = [&](int n) { return static_cast<int>(rng() % static_cast<std::uint32_t>(n)); };
-    mp::Settings s = plain_settings();
+    sj::Settings s = plain_settings();
     s.balancers = 1 + pick(4);
     s.attempts_cap = 1 + pick(6);
     s.parallel_tries = pick(2);
     s.cancel = pick(2);
     s.meter_period_s = pick(3) * 0.5;
     s.report_fields = {"rif", "busy"};
-    s.classes[1].group = static_cast<mp::Group>(pick(3));
+    s.classes[1].group = static_cast<sj::Group>(pick(3));
     s.plans = {{"plan", 20, 40, 30, 60, 6, static_cast<double>(pick(2) * 4)}, {"zero"}};
     if (pick(4) == 0) {
         s.plans[1].rate = std::numeric_limits<double>::quiet_NaN();
@@ -38,20 +38,20 @@
         s.largest_units = -5;
     }
     const double doors = s.balancers;
-    mp::Gateway gateway(s, seed);
+    sj::Gateway gateway(s, seed);
     double now = 50;
     const double start = now;
     std::map<std::string, Track> jobs;
-    std::map<std::string, mp::ListEntry> listed, known;
+    std::map<std::string, sj::ListEntry> listed, known;
     std::multimap<double, std::uint64_t> timers;
     std::map<std::uint64_t, double> drawn;
     int ids = 0;
 
-    const auto give = [&](const mp::Event& event) {
-        std::vector<mp::Action> actions;
+    const auto give = [&](const sj::Event& event) {
+        std::vector<sj::Action> actions;
         gateway.handle(now, event, actions);
-        for (const mp::Action& a : actions) {
-            if (const auto* send = std::get_if<mp::Send>(&a)) {
+        for (const sj::Action& a : actions) {
+            if (const auto* send = std::get_if<sj::Send>(&a)) {
                 ASSERT_TRUE(jobs.count(send->id));
                 Track& t = jobs[send->id];
                 ASSERT_LT(t.retired, 0) << "sent after its end";
@@ -64,17 +64,17 @@
                         const auto& [server, at] = t.ran.empty() ? t.out.begin()->second : t.ran.front();
                         ASSERT_LE(now, at + s.classes[1].window_s);
                         const auto first = known.find(server);
-                        const mp::ListEntry& to = listed[send->server];
-                        if (s.classes[1].group == mp::Group::zone) {
+                        const sj::ListEntry& to = listed[send->server];
+                        if (s.classes[1].group == sj::Group::zone) {
                             ASSERT_EQ(to.zone, first->second.zone);
                         }
-                        if (s.classes[1].group == mp::Group::cell) {
+                        if (s.classes[1].group == sj::Group::cell) {
                             ASSERT_EQ(to.cell, first->second.cell);
                         }
                     }
                 }
                 t.out[t.attempts++] = {send->server, now};
-            } else if (const auto* refuse = std::get_if<mp::Refuse>(&a)) {
+            } else if (const auto* refuse = std::get_if<sj::Refuse>(&a)) {
                 if (!jobs.count(refuse->id)) continue;
                 Track& t = jobs[refuse->id];
                 ASSERT_LT(t.retired, 0) << "answered twice";
@@ -82,32 +82,32 @@
                 if (!t.ran.empty() || !t.out.empty()) {
                     ASSERT_NE(t.cls, "write") << "refused though it may have run";
                     if (t.cls == "key") {
-                        ASSERT_EQ(s.classes[1].group, mp::Group::all);
+                        ASSERT_EQ(s.classes[1].group, sj::Group::all);
                     }
                 }
                 t.retired = now;
-            } else if (const auto* abort = std::get_if<mp::Abort>(&a)) {
+            } else if (const auto* abort = std::get_if<sj::Abort>(&a)) {
                 Track& t = jobs[abort->id];
                 ASSERT_LT(t.retired, 0) << "answered twice";
                 ASSERT_LE(now, t.due + 0.008);
                 t.retired = now;
-            } else if (const auto* timer = std::get_if<mp::SetTimer>(&a)) {
+            } else if (const auto* timer = std::get_if<sj::SetTimer>(&a)) {
                 timers.emplace(timer->due_s, timer->tag);
-            } else if (const auto* off = std::get_if<mp::CallOff>(&a)) {
+            } else if (const auto* off = std::get_if<sj::CallOff>(&a)) {
                 ASSERT_TRUE(s.cancel);
                 ASSERT_LT(off->attempt, jobs[off->id].attempts);
             }
         }
     };
-    const auto finish = [&](const std::string& id, std::int64_t attempt, mp::Outcome outcome) {
+    const auto finish = [&](const std::string& id, std::int64_t attempt, sj::Outcome outcome) {
         Track& t = jobs[id];
         const auto [server, at] = t.out[attempt];
         t.out.erase(attempt);
-        const bool never = outcome == mp::Outcome::full || outcome == mp::Outcome::connect_failed;
+        const bool never = outcome == sj::Outcome::full || outcome == sj::Outcome::connect_failed;
         if (!never) t.ran.emplace_back(server, at);
         std::sort(t.ran.begin(), t.ran.end(), [](auto& a, auto& b) { return a.second < b.second; });
-        if (outcome == mp::Outcome::ok && t.retired < 0) t.retired = now;
-        mp::AttemptEnd e{id,
+        if (outcome == sj::Outcome::ok && t.retired < 0) t.retired = now;
+        sj::AttemptEnd e{id,
                          attempt,
                          outcome,
                          now - at,
@@ -119,20 +119,20 @@
         if (pick(20) == 0) give(e);   // a repeated outcome
     };
 
-    give(mp::Start{});
+    give(sj::Start{});
     for (int step = 0; step < 3000 && !testing::Test::HasFatalFailure(); ++step) {
         const double next = now + 0.001 * pick(30);
         while (!timers.empty() && timers.begin()->first <= next) {
             const auto [due, tag] = *timers.begin();
             timers.erase(timers.begin());
             now = std::max(now, due);
-            give(mp::TimerDue{tag});
+            give(sj::TimerDue{tag});
         }
         now = next;
         const std::string some = "s" + std::to_string(pick(6));
         switch (pick(12)) {
             case 0: {
-                mp::ListEntry e{static_cast<mp::ServerState>(pick(3)),
+                sj::ListEntry e{static_cast<sj::ServerState>(pick(3)),
                                 some,
                                 "k",
                                 pick(2) ? "z" : "y",
@@ -140,30 +140,30 @@
                                 1,
                                 pick(3) ? 0 : now};
                 e.zone = known.emplace(some, e).first->second.zone;   // a server keeps its place
-                if (e.state == mp::ServerState::in)
+                if (e.state == sj::ServerState::in)
                     listed[some] = e;
                 else
                     listed.erase(some);
-                give(mp::ListUpdate{mp::ListKind::changes, {e}});
+                give(sj::ListUpdate{sj::ListKind::changes, {e}});
                 break;
             }
             case 1:
                 if (pick(40) == 0) {
                     listed.clear();
-                    give(mp::ListUpdate{mp::ListKind::total, {}});
+                    give(sj::ListUpdate{sj::ListKind::total, {}});
                 }
                 break;
             case 2:
-                give(mp::ClientGone{"nobody"});
-                give(mp::TimerDue{static_cast<std::uint64_t>(pick(100000))});
-                give(mp::AttemptEnd{"nobody", pick(3), mp::Outcome::ok, 0, true, 0, 0, {}});
-                give(mp::ProbeEnd{some, mp::Outcome::ok, 0.01, {1}});
+                give(sj::ClientGone{"nobody"});
+                give(sj::TimerDue{static_cast<std::uint64_t>(pick(100000))});
+                give(sj::AttemptEnd{"nobody", pick(3), sj::Outcome::ok, 0, true, 0, 0, {}});
+                give(sj::ProbeEnd{some, sj::Outcome::ok, 0.01, {1}});
                 break;
             case 3:
                 for (auto& [id, t] : jobs)
                     if (t.retired < 0 && pick(30) == 0) {
                         t.retired = now;
-                        give(mp::ClientGone{id});
+                        give(sj::ClientGone{id});
                         break;
                     }
                 break;
@@ -179,7 +179,7 @@
                 const double units = pick(50) ? 1 + pick(3) : std::numeric_limits<double>::quiet_NaN();
                 const auto customer = static_cast<std::uint64_t>(pick(4));
                 const char* plan = customer < 3 ? "plan" : (pick(2) ? "zero" : "none");
-                give(mp::Request{id, t.cls, plan, units, customer, t.due, pick(9) ? doors : 0});
+                give(sj::Request{id, t.cls, plan, units, customer, t.due, pick(9) ? doors : 0});
                 if (jobs[id].attempts > 0 && std::isfinite(units)) {
                     drawn[customer] += units;
                     if (customer < 3) {
@@ -192,9 +192,9 @@
             default:
                 for (auto& [id, t] : jobs)
                     if (!t.out.empty() && pick(3) == 0) {
-                        static const mp::Outcome kinds[] = {
-                            mp::Outcome::ok,   mp::Outcome::ok,    mp::Outcome::error,
-                            mp::Outcome::full, mp::Outcome::reset, mp::Outcome::connect_failed};
+                        static const sj::Outcome kinds[] = {
+                            sj::Outcome::ok,   sj::Outcome::ok,    sj::Outcome::error,
+                            sj::Outcome::full, sj::Outcome::reset, sj::Outcome::connect_failed};
                         finish(id, t.out.begin()->first, kinds[pick(6)]);
                         break;
                     }
@@ -204,7 +204,7 @@
     }
     for (int round = 0; round < 10; ++round)
         for (auto& [id, t] : jobs)
-            while (!t.out.empty()) finish(id, t.out.begin()->first, mp::Outcome::ok);
+            while (!t.out.empty()) finish(id, t.out.begin()->first, sj::Outcome::ok);
     EXPECT_EQ(gateway.open(), 0u);
 }
 
--- a/tests/rules_test.cpp
+++ b/tests/gateway/rules_test.cpp
@@ -1,7 +1,7 @@
 // The five rules, each through the public interface.
 #include <gtest/gtest.h>
 
-#include "bench.hpp"
+#include "gateway/gateway_harness.hpp"
 
 namespace {
 
@@ -19,7 +19,7 @@
 }
 
 TEST(Answer, NothingIsSentAfterIt) {
-    mp::Settings s = plain_settings();
+    sj::Settings s = plain_settings();
     s.parallel_tries = true;
     Driver d(s);
     d.list({"a:1", "b:1", "c:1"});
@@ -27,7 +27,7 @@
     d.run_to(102.5);
     ASSERT_EQ(d.ended_at.count("r"), 1u);
     const std::size_t sent = d.sends.size();
-    while (!d.pending.empty()) d.end(0, mp::Outcome::connect_failed);
+    while (!d.pending.empty()) d.end(0, sj::Outcome::connect_failed);
     d.run_to(110);
     EXPECT_EQ(d.sends.size(), sent);
     EXPECT_EQ(d.refused.size() + d.aborted.size(), 1u);
@@ -36,8 +36,8 @@
 
 // A request given up on is answered in the same call, and a refusal says when to come back.
 TEST(Answer, ComesAtOnceWhenFurtherAttemptsAreUsedUp) {
-    for (const auto outcome : {mp::Outcome::error, mp::Outcome::full, mp::Outcome::connect_failed,
-                               mp::Outcome::reset, mp::Outcome::timeout}) {
+    for (const auto outcome : {sj::Outcome::error, sj::Outcome::full, sj::Outcome::connect_failed,
+                               sj::Outcome::reset, sj::Outcome::timeout}) {
         for (const char* cls : {"read", "key", "write"}) {
             Driver d(plain_settings());
             d.list({"a:1", "b:1", "c:1", "d:1"});
@@ -64,13 +64,13 @@
     d.run_to(d.now + 2);
     ASSERT_EQ(d.called_off.size(), 1u);
     d.list({});
-    d.end(0, mp::Outcome::cancelled);
+    d.end(0, sj::Outcome::cancelled);
     ASSERT_EQ(d.refused.size(), 1u) << "given up, yet no answer";
     EXPECT_GT(d.retry_after, 0);
 }
 
 TEST(Answer, AnAttemptThatCannotBeReplacedIsNotCalledOff) {
-    mp::Settings s = plain_settings();
+    sj::Settings s = plain_settings();
     s.attempts_cap = 1;
     Driver d(s);
     d.list({"a:1", "b:1"});
@@ -93,16 +93,16 @@
     Driver d(plain_settings());
     d.list({"a:1"});
     d.ask("r");
-    d.give(mp::ClientGone{"r"});
+    d.give(sj::ClientGone{"r"});
     EXPECT_EQ(d.called_off.size(), 1u);
     d.ended_at["r"] = d.now;
-    d.end(0, mp::Outcome::cancelled);
+    d.end(0, sj::Outcome::cancelled);
     EXPECT_EQ(d.gateway.open(), 0u);
     EXPECT_TRUE(d.refused.empty() && d.aborted.empty());
 }
 
 TEST(Effect, AnUnsafeRequestThatMayHaveRunIsAbortedNotResent) {
-    for (const auto outcome : {mp::Outcome::error, mp::Outcome::reset, mp::Outcome::timeout}) {
+    for (const auto outcome : {sj::Outcome::error, sj::Outcome::reset, sj::Outcome::timeout}) {
         Driver d(plain_settings());
         d.list({"a:1", "b:1"});
         d.ask("r", "write");
@@ -114,7 +114,7 @@
 }
 
 TEST(Effect, AnUnsafeRequestThatNeverRanIsResentElsewhere) {
-    for (const auto outcome : {mp::Outcome::full, mp::Outcome::connect_failed}) {
+    for (const auto outcome : {sj::Outcome::full, sj::Outcome::connect_failed}) {
         Driver d(plain_settings());
         d.list({"a:1", "b:1"});
         d.ask("r", "write");
@@ -126,18 +126,18 @@
 
 TEST(Effect, AKeyedRequestStaysInItsGroupAndWindow) {
     Driver d(plain_settings());
-    mp::ListEntry far = Driver::entry("b:1");
+    sj::ListEntry far = Driver::entry("b:1");
     far.zone = "y";
     d.list({"a:1"});
     d.change(far);
     d.ask("r", "key");
-    d.end(0, mp::Outcome::error);
+    d.end(0, sj::Outcome::error);
     for (const auto& send : d.sends) EXPECT_EQ(send.server, d.sends[0].server);
     EXPECT_TRUE(d.refused.empty());
 
     double begin_by = -1;   // of the further attempt: by the first's time, its window of 3 s and a margin
-    for (const mp::Action& a : d.log)
-        if (const auto* send = std::get_if<mp::Send>(&a)) begin_by = send->begin_by_s;
+    for (const sj::Action& a : d.log)
+        if (const auto* send = std::get_if<sj::Send>(&a)) begin_by = send->begin_by_s;
     ASSERT_EQ(d.sends.size(), 2u);
     EXPECT_GT(begin_by, d.sends[0].at + 2.9);
     EXPECT_LT(begin_by, d.sends[0].at + 3);
@@ -147,7 +147,7 @@
     late.ask("r", "key", 5.0);
     late.run_to(103.5);
     ASSERT_EQ(late.sends.size(), 1u);
-    late.end(0, mp::Outcome::error);
+    late.end(0, sj::Outcome::error);
     EXPECT_EQ(late.sends.size(), 1u) << "the window has passed";
     EXPECT_EQ(late.aborted.size(), 1u);
 }
@@ -158,7 +158,7 @@
     d.ask("r");
     for (int i = 0; i < 8 && !d.pending.empty(); ++i) {
         EXPECT_EQ(d.pending.size(), 1u);
-        d.end(0, mp::Outcome::error);
+        d.end(0, sj::Outcome::error);
     }
     EXPECT_EQ(d.sends.size(), 3u);
     EXPECT_EQ(d.refused.size() + d.aborted.size(), 1u);
@@ -167,8 +167,8 @@
 TEST(Drain, NothingNewGoesToAServerThatDrainsOrIsGone) {
     Driver d(plain_settings());
     d.list({"a:1", "b:1", "c:1"});
-    d.change(Driver::entry("a:1", mp::ServerState::lame));
-    d.list({"b:1", "a:1"}, mp::ListKind::lost);   // a failed call says nothing
+    d.change(Driver::entry("a:1", sj::ServerState::lame));
+    d.list({"b:1", "a:1"}, sj::ListKind::lost);   // a failed call says nothing
     for (int i = 0; i < 30; ++i) d.ask("x" + std::to_string(i));
     EXPECT_EQ(d.sent_to("a:1"), 0u);
     EXPECT_GT(d.sent_to("c:1"), 0u);
@@ -185,7 +185,7 @@
 }
 
 TEST(Cold, AFreshServerTakesOnlyItsPartOfTheBudget) {
-    mp::Settings s = plain_settings();
+    sj::Settings s = plain_settings();
     s.balancers = 3;
     Driver d(s);
     d.list({"a:1", "b:1", "c:1"});
@@ -195,11 +195,11 @@
         while (d.now < until) {
             d.ask("r" + std::to_string(id++));
             d.run_to(d.now + 1.0 / 30);
-            while (!d.pending.empty() && d.now - d.pending[0].at > 0.1) d.end(0, mp::Outcome::ok);
+            while (!d.pending.empty() && d.now - d.pending[0].at > 0.1) d.end(0, sj::Outcome::ok);
         }
     };
     for (int i = 0; i < 10; ++i) second();
-    d.change(Driver::entry("n:1", mp::ServerState::in, d.now));
+    d.change(Driver::entry("n:1", sj::ServerState::in, d.now));
     for (int i = 0; i < 2; ++i) second();
     // a warm server takes about 20 in that span; the new one starts at 0.2 of that, times 3 at most
     EXPECT_LE(d.sent_to("n:1"), 12u);
@@ -208,21 +208,21 @@
 }
 
 TEST(Ceiling, NoMoreThanThisGatewaysPartIsSentOn) {
-    mp::Settings s = plain_settings();
+    sj::Settings s = plain_settings();
     s.plans = {{"plan", 100, 1000, 20, 40, 4}};
     Driver d(s);
     d.list({"a:1", "b:1"});
     for (int i = 0; i < 4000; ++i) {   // 10 s at 400 a second through one of two doors
         d.ask("r" + std::to_string(i), "read", 5, 1, 9, 2);
         d.run_to(d.now + 0.0025);
-        while (!d.pending.empty()) d.end(0, mp::Outcome::ok);
+        while (!d.pending.empty()) d.end(0, sj::Outcome::ok);
     }
     EXPECT_LE(d.sends.size(), 10 * 20 / 2 + 40 / 2);
     EXPECT_GE(d.sends.size(), 50u);
 }
 
 TEST(Ceiling, ARestartDoesNotRefillIt) {
-    mp::Settings s = plain_settings();
+    sj::Settings s = plain_settings();
     s.plans = {{"plan", 100, 1000, 20, 40, 4}};
     std::size_t sent = 0;
     double clock = 100;
@@ -232,7 +232,7 @@
         for (int i = 0; i < 100; ++i) {
             d.ask("r" + std::to_string(i), "read", 5, 1, 9, 2);
             d.run_to(d.now + 0.01);
-            while (!d.pending.empty()) d.end(0, mp::Outcome::ok);
+            while (!d.pending.empty()) d.end(0, sj::Outcome::ok);
         }
         sent += d.sends.size();
         clock = d.now;
--- a/tests/handover/role_test.cpp
+++ b/tests/hot_restart/restart_role_test.cpp
@@ -1,6 +1,6 @@
 // Who accepts while processes of one ingress come and go: random schedules of two and three processes, with
 // messages that arrive late and deaths at any step, against what must hold whenever all messages are in.
-#include "handover/role.hpp"
+#include "hot_restart/restart_role.hpp"
 
 #include <catch2/catch.hpp>
 #include <deque>
@@ -8,13 +8,13 @@
 #include <string>
 #include <vector>
 
-#include "handover/message.hpp"
+#include "hot_restart/restart_message.hpp"
 
-using slatejunction::handover::Message;
-using slatejunction::handover::Order;
-using slatejunction::handover::read;
-using slatejunction::handover::Role;
-using slatejunction::handover::write;
+using slatejunction::hot_restart::Message;
+using slatejunction::hot_restart::Order;
+using slatejunction::hot_restart::read;
+using slatejunction::hot_restart::Role;
+using slatejunction::hot_restart::write;
 
 namespace {
 
@@ -212,7 +212,7 @@
     for (int i = 0; i < 60000; ++i) message.listed.push_back("provider-number-" + std::to_string(i));
     for (int i = 0; i < 4096; ++i) message.suspended.push_back("provider-number-" + std::to_string(i));
     const std::string line = write(message);
-    REQUIRE(line.size() <= slatejunction::handover::kLineMost);
+    REQUIRE(line.size() <= slatejunction::hot_restart::kLineMost);
     REQUIRE(read(line, got));
     REQUIRE(got.suspended == message.suspended);
     REQUIRE(got.listed.size() < message.listed.size());
--- a/tests/handover/upgrade_test.cpp
+++ b/tests/hot_restart/upgrade_test.cpp
@@ -28,7 +28,7 @@
         port = free_port();
         config.replace(config.find("$PROVIDER"), 9, address_of(provider_port));
         std::ofstream(folder + "/config.json") << config;
-        provider = Process({STANDIN, "provider", "--listen", address_of(provider_port)}, "",
+        provider = Process({FAKES, "backend", "--listen", address_of(provider_port)}, "",
                            folder + "/provider.err");
     }
     ~Site() {
--- a/tests/ingress/parts_test.cpp
+++ b/tests/ingress/extensions_test.cpp
@@ -10,17 +10,17 @@
 #include <fstream>
 #include <map>
 
-#include "bench.hpp"
+#include "backend/connection_pool.hpp"
+#include "backend/idle_lifetime.hpp"
+#include "client/session.hpp"
 #include "config/config.hpp"
-#include "consumer/session.hpp"
+#include "gateway/gateway_harness.hpp"
 #include "net/glib.hpp"
-#include "provider/freshness.hpp"
-#include "provider/pool.hpp"
 
 using namespace slatejunction;
 
 TEST_CASE("a refusal names a time whatever the site says of its clients") {
-    mp::Settings settings = plain_settings();
+    sj::Settings settings = plain_settings();
     settings.retry_after = false;
     Driver d(settings);   // no server is known: nothing can be sent
     d.ask("one");
@@ -31,7 +31,7 @@
 }
 
 TEST_CASE("bad configuration names its field") {
-    const directory::UnixClock clock;
+    const discovery::UnixClock clock;
     const auto fault = [&](const std::string& json) {
         try {
             config::read(json, clock);
@@ -64,7 +64,7 @@
         ::setenv("NODE_DISCOVERY", "127.0.0.1:2", 1);
         std::string got;
         try {
-            got = config::load(path, directory::UnixClock(), moment).directory;
+            got = config::load(path, discovery::UnixClock(), moment).directory;
         } catch (const config::Bad& bad) {
             got = bad.what();
         }
@@ -89,7 +89,7 @@
         if (in_environment) ::setenv("NODE_ADMIN_ADDR", in_environment, 1);
         std::string got;
         try {
-            got = config::load(path, directory::UnixClock()).admin;
+            got = config::load(path, discovery::UnixClock()).admin;
         } catch (const config::Bad& bad) {
             got = bad.what();
         }
@@ -105,7 +105,7 @@
 }
 
 TEST_CASE("a provider's start reads the same each time, and long ago stays long ago") {
-    const directory::UnixClock clock;
+    const discovery::UnixClock clock;
     CHECK(clock.monotonic(0) == 0);
     const double unix_ms = 1000.0 * static_cast<double>(std::time(nullptr));
     CHECK(clock.monotonic(unix_ms) == clock.monotonic(unix_ms));
@@ -114,7 +114,7 @@
 
 // Guards against draws that come in runs: those go over the store while others are refused with room in it.
 TEST_CASE("what passes of a long surplus is spread evenly") {
-    mp::Settings settings = plain_settings();
+    sj::Settings settings = plain_settings();
     settings.meter_period_s = 2;
     settings.plans = {{"plan", 1, 2}};
     settings.plans[0].over_cost = 1;
@@ -127,7 +127,7 @@
             d.run_to(d.now + 0.1);
             d.ask(std::to_string(i));
             if (d.pending.empty()) continue;
-            d.end(0, mp::Outcome::ok, 101);
+            d.end(0, sj::Outcome::ok, 101);
             if (i > 100) CHECK(i - last > 1);
             last = i;
             ++passed;
@@ -139,20 +139,20 @@
 namespace {
 
 // A session without a socket: what it is told and does is all there is to see.
-struct Bench : consumer::SessionHost, net::Transport {
-    std::uint64_t on_invocation(std::shared_ptr<consumer::Consumer>,
-                                std::shared_ptr<consumer::Invocation>) override {
+struct Bench : client::SessionHost, net::Transport {
+    std::uint64_t on_invocation(std::shared_ptr<client::Consumer>,
+                                std::shared_ptr<client::Invocation>) override {
         return ++taken;
     }
     void on_left(std::uint64_t) override {}
     bool ready() const override { return true; }
     bool stopping() const override { return false; }
-    const mp::Settings& settings() const override { return known; }
+    const sj::Settings& settings() const override { return known; }
     bool is_open(std::string_view) const override { return false; }
     http::Budget& budget() override { return bytes; }
     void on_bad_request(int, std::string_view) override {}
     void on_accept_failed(const char*) override {}
-    void on_closed(consumer::Session&) override { ended = true; }
+    void on_closed(client::Session&) override { ended = true; }
     bool send(std::span<const std::string_view> parts) override {
         sent.clear();
         for (const std::string_view part : parts) sent += part;
@@ -163,7 +163,7 @@
     void finish() override {}
     void drop(std::size_t most) override { dropping = most; }
     void close() override {}
-    mp::Settings known;
+    sj::Settings known;
     http::Budget bytes{32 << 20};
     std::string sent;           // last
     std::size_t dropping = 0;   // at most so much
@@ -171,7 +171,7 @@
     bool ended = false;
 };
 
-void feed(consumer::Session& session, std::string_view bytes) {
+void feed(client::Session& session, std::string_view bytes) {
     const auto room = session.space();
     REQUIRE(room.size() >= bytes.size());
     bytes.copy(room.data(), bytes.size());
@@ -183,7 +183,7 @@
 // Guards against a connection that is ended as stuck because it was idle for long before its request began.
 TEST_CASE("a request that comes in pieces on a long idle connection is not stuck") {
     Bench bench;
-    const auto session = std::make_shared<consumer::Session>(bench);
+    const auto session = std::make_shared<client::Session>(bench);
     session->attach(bench);
     CHECK(session->expires_at() < session->since() + 3);   // silent from the start
     feed(*session, "GET /health/ready HTTP/1.1\r\n\r\n");
@@ -207,7 +207,7 @@
 // Guards against requests that the deployment can't mean: a provider that turns them away looks broken, and
 // the decisions on the customer that they name would move.
 TEST_CASE("values outside the protocol's form are named, and those at its edge pass") {
-    mp::Settings known = plain_settings();
+    sj::Settings known = plain_settings();
     known.plans = {{"plus", 1, 2}};
     known.balancers = 4;
     known.largest_units = 2;
@@ -222,8 +222,8 @@
         buffer.commit(text.size());
         http::Parser parser(http::Parser::Kind::request);
         REQUIRE(parser.feed(buffer) == http::Step::done);
-        consumer::Invocation invocation;
-        return std::string(consumer::read_invocation(parser.head(), known, 0, invocation));
+        client::Invocation invocation;
+        return std::string(client::read_invocation(parser.head(), known, 0, invocation));
     };
     CHECK(fault("a1", "a1") == "");
     CHECK(fault("GET", "POST") == "method");
@@ -274,13 +274,13 @@
 
 namespace {
 
-struct Calls : provider::ConnectionHost {
-    void on_call_end(provider::Connection&, provider::CallTag, const provider::CallEnd& end) override {
+struct Calls : backend::ConnectionHost {
+    void on_call_end(backend::Connection&, backend::CallTag, const backend::CallEnd& end) override {
         last = end;
     }
-    void on_free(provider::Connection&) override {}
-    void on_closed(provider::Connection&) override {}
-    provider::CallEnd last;
+    void on_free(backend::Connection&) override {}
+    void on_closed(backend::Connection&) override {}
+    backend::CallEnd last;
 };
 
 }   // namespace
@@ -293,14 +293,14 @@
         net::Timers timers;
         const std::vector<std::string> names{"q", "lat_ms"};
         const auto connection =
-            std::make_shared<provider::Connection>(calls, timers, transport.bytes, "s-1", "x:1", names);
+            std::make_shared<backend::Connection>(calls, timers, transport.bytes, "s-1", "x:1", names);
         connection->attach(transport);
-        connection->begin({}, std::make_shared<consumer::Invocation>(), {}, net::now() + 9, 0);
+        connection->begin({}, std::make_shared<client::Invocation>(), {}, net::now() + 9, 0);
         connection->write_call();
         const std::string text = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n" + fields + "\r\n\r\n";
         text.copy(connection->space().data(), text.size());
         connection->on_bytes(text.size());
-        CHECK(calls.last.outcome == mp::Outcome::ok);
+        CHECK(calls.last.outcome == sj::Outcome::ok);
         return calls.last;
     };
     CHECK(told("X-RateLimit-Used: 12.5").quota_use == 13.5);
@@ -335,18 +335,18 @@
 
 // Guards against memory that grows with every provider that has been: a long day replaces them all.
 TEST_CASE("a provider that is gone is forgotten, and one that moves takes no call to its old address") {
-    struct Host : provider::CallHost {
-        void on_call_end(const provider::CallTag&, const provider::CallEnd& end) override {
+    struct Host : backend::CallHost {
+        void on_call_end(const backend::CallTag&, const backend::CallEnd& end) override {
             last = end.outcome;
         }
-        void on_probe_end(const std::string&, const provider::CallEnd&) override {}
-        mp::Outcome last = mp::Outcome::ok;
+        void on_probe_end(const std::string&, const backend::CallEnd&) override {}
+        sj::Outcome last = sj::Outcome::ok;
     } host;
     net::Timers timers;
     http::Budget bytes(1 << 20);
-    provider::Pool pool(host, timers, {8, 9, 30}, bytes, {});
-    const auto list = [&](const char* id, mp::ServerState state, const char* address) {
-        directory::Listing listing;
+    backend::Pool pool(host, timers, {8, 9, 30}, bytes, {});
+    const auto list = [&](const char* id, sj::ServerState state, const char* address) {
+        discovery::Listing listing;
         listing.update.entries.resize(1);
         listing.update.entries[0].server = id;
         listing.update.entries[0].state = state;
@@ -354,23 +354,23 @@
         pool.update(listing);
     };
     for (int i = 0; i < 100; ++i) {
-        list(std::to_string(i).c_str(), mp::ServerState::in, "127.0.0.1:1");
-        list(std::to_string(i).c_str(), mp::ServerState::out, "");
+        list(std::to_string(i).c_str(), sj::ServerState::in, "127.0.0.1:1");
+        list(std::to_string(i).c_str(), sj::ServerState::out, "");
     }
     CHECK(pool.providers() == 0);
     // No loop runs here to tell what becomes of the dial, so it is still out when the provider moves.
-    list("a", mp::ServerState::in, "127.0.0.1:1");
-    const auto call = pool.call("a", {}, std::make_shared<consumer::Invocation>(), net::now() + 9);
+    list("a", sj::ServerState::in, "127.0.0.1:1");
+    const auto call = pool.call("a", {}, std::make_shared<client::Invocation>(), net::now() + 9);
     REQUIRE(call);
     CHECK(pool.connections() == 1);
-    list("a", mp::ServerState::in, "127.0.0.1:2");
-    CHECK(host.last == mp::Outcome::connect_failed);
+    list("a", sj::ServerState::in, "127.0.0.1:2");
+    CHECK(host.last == sj::Outcome::connect_failed);
     CHECK(pool.connections() == 0);
 }
 
 // Guards against calls that are lost on connections which their provider has ended unseen.
 TEST_CASE("connections idle for longer than providers keep them are not used, and tried again later") {
-    provider::Freshness freshness;
+    backend::Freshness freshness;
     CHECK(freshness.limit(0) > 1e6);
     for (int i = 0; i < 100; ++i) {   // 4 in 100 break at any age: no reason to dial
         freshness.used(-1, i % 25 == 0, 1);
@@ -390,9 +390,9 @@
             Driver d(plain_settings(), seed);
             d.list({"one"});
             d.ask("a", "write");
-            mp::AttemptEnd end;
+            sj::AttemptEnd end;
             end.id = "a";
-            end.outcome = mp::Outcome::reset;
+            end.outcome = sj::Outcome::reset;
             end.stale = stale;
             d.pending.clear();
             d.give(end);
@@ -409,7 +409,7 @@
 // Guards against a quota spent on cheap tries while dear ones, which take as much of it, are refused.
 TEST_CASE("of a customer's surplus the dear class passes first, and no more in all") {
     const auto passed = [](double dear_worth) {
-        mp::Settings settings = plain_settings();
+        sj::Settings settings = plain_settings();
         settings.meter_period_s = 2;
         settings.plans = {{"plan", 1, 2}};
         settings.plans[0].over_cost = 1;
@@ -424,7 +424,7 @@
                 const std::string cls = i % 2 ? "read" : "write";
                 d.ask(std::to_string(i), cls);
                 if (d.pending.empty()) continue;
-                d.end(0, mp::Outcome::ok, 101);
+                d.end(0, sj::Outcome::ok, 101);
                 ++counts[cls];
             }
         }
@@ -439,7 +439,7 @@
 // its part, and against doors that hold back what the meter has long told of.
 TEST_CASE("what one of four doors passes of a sudden flood leaves the others their part of the store") {
     const auto passed = [](double doors, double gap) {
-        mp::Settings settings = plain_settings();
+        sj::Settings settings = plain_settings();
         settings.meter_period_s = 2;
         settings.plans = {{"plan", 2, 10}};
         settings.plans[0].over_cost = 1;
@@ -451,7 +451,7 @@
                 d.run_to(d.now + gap);
                 d.ask(std::to_string(i), "read", 5, 1, 1, doors);
                 if (d.pending.empty()) continue;
-                d.end(0, mp::Outcome::ok);
+                d.end(0, sj::Outcome::ok);
                 ++passed;
             }
         }
--- a/tests/ingress/reentry_test.cpp
+++ b/tests/ingress/reentry_test.cpp
@@ -13,11 +13,11 @@
 #include <utility>
 #include <vector>
 
-#include "consumer/session.hpp"
-#include "directory/listing.hpp"
-#include "directory/watch.hpp"
+#include "backend/connection_pool.hpp"
+#include "client/session.hpp"
+#include "discovery/endpoint_list.hpp"
+#include "discovery/endpoint_watch.hpp"
 #include "net/timers.hpp"
-#include "provider/pool.hpp"
 
 using namespace slatejunction;
 
@@ -40,9 +40,9 @@
     bool broken = false, slow = false, full = false, closed = false;
 };
 
-struct Door : consumer::SessionHost {
-    std::uint64_t on_invocation(std::shared_ptr<consumer::Consumer>,
-                                std::shared_ptr<consumer::Invocation> invocation) override {
+struct Door : client::SessionHost {
+    std::uint64_t on_invocation(std::shared_ptr<client::Consumer>,
+                                std::shared_ptr<client::Invocation> invocation) override {
         taken.push_back(std::move(invocation));
         if (on_taken) on_taken();
         return taken.size();
@@ -55,7 +55,7 @@
     http::Budget& budget() override { return bytes; }
     void on_bad_request(int, std::string_view) override {}
     void on_accept_failed(const char*) override {}
-    void on_closed(consumer::Session&) override {
+    void on_closed(client::Session&) override {
         if (on_end) on_end();
     }
 
@@ -66,12 +66,12 @@
     }
     slatejunction::Settings known;
     http::Budget bytes{32 << 20};
-    std::vector<std::shared_ptr<consumer::Invocation>> taken;
+    std::vector<std::shared_ptr<client::Invocation>> taken;
     std::vector<std::uint64_t> left;
     std::function<void()> on_taken, on_end;
 };
 
-struct Taker : consumer::Sink {
+struct Taker : client::Sink {
     bool put(std::string_view bytes) override {
         got += bytes;
         return on_put ? on_put() : true;
@@ -112,7 +112,7 @@
 TEST_CASE("an answer that comes while a piece of its request is passed on") {
     Door door;
     Wire wire;
-    const auto session = std::make_shared<consumer::Session>(door);
+    const auto session = std::make_shared<client::Session>(door);
     session->attach(wire);
     feed(*session, kChunked + "15f90\r\n");
     REQUIRE(door.taken.size() == 1);
@@ -131,7 +131,7 @@
 TEST_CASE("an answer that comes while one of several pieces is passed on") {
     Door door;
     Wire wire;
-    const auto session = std::make_shared<consumer::Session>(door);
+    const auto session = std::make_shared<client::Session>(door);
     session->attach(wire);
     feed(*session, kChunked + "15f90\r\n");
     const auto taker = std::make_shared<Taker>();
@@ -155,17 +155,17 @@
 TEST_CASE("a session that ends as it goes on to pass its request on") {
     Door door;
     Wire wire;
-    auto session = std::make_shared<consumer::Session>(door);
+    auto session = std::make_shared<client::Session>(door);
     session->attach(wire);
     feed(*session, kChunked + "15f90\r\n");
     const auto taker = std::make_shared<Taker>();
-    consumer::Source* const source = door.taken.at(0)->rest.get();
+    client::Source* const source = door.taken.at(0)->rest.get();
     source->pull(taker);
     feed(*session, std::string(90000, 'x') + "\r\n");
     taker->on_put = [] { return false; };
     feed(*session, "5\r\nhello\r\n5\r\nworld\r\n");   // the second one waits until the first is written
     REQUIRE(taker->got.size() == 90005);
-    const std::weak_ptr<consumer::Session> there = session;
+    const std::weak_ptr<client::Session> there = session;
     door.on_end = [&] { session.reset(); };
     taker->on_put = [&] {
         wire.broken = true;
@@ -182,7 +182,7 @@
 TEST_CASE("a bad body that has come already counts once the request is taken") {
     Door door;
     Wire wire;
-    const auto session = std::make_shared<consumer::Session>(door);
+    const auto session = std::make_shared<client::Session>(door);
     session->attach(wire);
     const auto taker = std::make_shared<Taker>();
     door.on_taken = [&] { door.taken.back()->rest->pull(taker); };   // a connection stood idle
@@ -199,7 +199,7 @@
 TEST_CASE("no further request is taken while an answer waits to be read") {
     Door door;
     Wire wire;
-    const auto session = std::make_shared<consumer::Session>(door);
+    const auto session = std::make_shared<client::Session>(door);
     session->attach(wire);
     const std::string ask = "GET /health/ready HTTP/1.1\r\n\r\n";
     wire.slow = true;
@@ -214,16 +214,16 @@
 
 namespace {
 
-struct Calls : provider::ConnectionHost {
-    void on_call_end(provider::Connection&, provider::CallTag, const provider::CallEnd& end) override {
+struct Calls : backend::ConnectionHost {
+    void on_call_end(backend::Connection&, backend::CallTag, const backend::CallEnd& end) override {
         last = end.outcome;
         if (end.rest) rest = end.rest;
         if (on_end) on_end();
     }
-    void on_free(provider::Connection&) override { ++freed; }
-    void on_closed(provider::Connection&) override { ++closed; }
+    void on_free(backend::Connection&) override { ++freed; }
+    void on_closed(backend::Connection&) override { ++closed; }
     slatejunction::Outcome last = slatejunction::Outcome::ok;
-    std::shared_ptr<consumer::Source> rest;
+    std::shared_ptr<client::Source> rest;
     std::function<void()> on_end;
     int freed = 0, closed = 0;
 };
@@ -236,9 +236,9 @@
     net::Timers timers;
     http::Budget bytes{32 << 20};
     const std::vector<std::string> fields;
-    auto connection = std::make_shared<provider::Connection>(calls, timers, bytes, "s-1", "x:1", fields);
+    auto connection = std::make_shared<backend::Connection>(calls, timers, bytes, "s-1", "x:1", fields);
     connection->attach(wire);
-    connection->begin({}, std::make_shared<consumer::Invocation>(), {}, net::now() + 9, 0);
+    connection->begin({}, std::make_shared<client::Invocation>(), {}, net::now() + 9, 0);
     connection->write_call();
     const auto taker = std::make_shared<Taker>();
     calls.on_end = [&] { calls.rest->pull(taker); };
@@ -265,9 +265,9 @@
     http::Budget bytes{32 << 20};
     const std::vector<std::string> fields;
     const auto connection =
-        std::make_shared<provider::Connection>(calls, timers, bytes, "s-1", "x:1", fields);
+        std::make_shared<backend::Connection>(calls, timers, bytes, "s-1", "x:1", fields);
     connection->attach(wire);
-    connection->begin({}, std::make_shared<consumer::Invocation>(), {}, net::now() + wait_s, 0);
+    connection->begin({}, std::make_shared<client::Invocation>(), {}, net::now() + wait_s, 0);
     connection->write_call();
     const std::size_t from = wire.sent.find("X-Deadline: ") + 12;
     return wire.sent.substr(from, wire.sent.find('\r', from) - from);
@@ -290,7 +290,7 @@
     for (const double wait : {1e80, 1e300, std::numeric_limits<double>::infinity()}) {
         Door door;
         Wire wire;
-        const auto session = std::make_shared<consumer::Session>(door);
+        const auto session = std::make_shared<client::Session>(door);
         session->attach(wire);
         session->answer({503, wait, {}, {}});
         CHECK(wire.sent.starts_with(
@@ -303,27 +303,27 @@
 
 // A closed connection among the idle ones would be handed out, and clearing them would never end.
 TEST_CASE("a connection that has been closed is never kept as idle") {
-    struct Host : provider::CallHost {
-        void on_call_end(const provider::CallTag&, const provider::CallEnd&) override {}
-        void on_probe_end(const std::string&, const provider::CallEnd&) override {}
+    struct Host : backend::CallHost {
+        void on_call_end(const backend::CallTag&, const backend::CallEnd&) override {}
+        void on_probe_end(const std::string&, const backend::CallEnd&) override {}
     } host;
     net::Timers timers;
     http::Budget bytes(1 << 20);
-    provider::Pool pool(host, timers, {8, 9, 30}, bytes, {});
-    directory::Listing listing;
+    backend::Pool pool(host, timers, {8, 9, 30}, bytes, {});
+    discovery::Listing listing;
     listing.update.entries.resize(1);
     listing.update.entries[0].server = "a";
     listing.update.entries[0].state = slatejunction::ServerState::in;
     listing.addresses = {"127.0.0.1:1"};
     pool.update(listing);
-    const auto call = pool.call("a", {}, std::make_shared<consumer::Invocation>(), net::now() + 9);
+    const auto call = pool.call("a", {}, std::make_shared<client::Invocation>(), net::now() + 9);
     REQUIRE(call);
     call->abandon(slatejunction::Outcome::cancelled);
     REQUIRE(pool.connections() == 0);
     CHECK_NOTHROW(pool.on_free(*call));
     CHECK(pool.connections() == 0);
     pool.sweep(net::now() + 100);
-    CHECK(pool.call("a", {}, std::make_shared<consumer::Invocation>(), net::now() + 9) != call);
+    CHECK(pool.call("a", {}, std::make_shared<client::Invocation>(), net::now() + 9) != call);
 }
 
 TEST_CASE("a timer armed for no time at all stops no other one") {
@@ -363,9 +363,9 @@
         rapidjson::Document json;
         json.Parse(text.data(), text.size());
         REQUIRE(!json.HasParseError());
-        directory::Listing listing;
+        discovery::Listing listing;
         int broken = 0;
-        REQUIRE(directory::read_listing(json, directory::UnixClock(), listing, broken));
+        REQUIRE(discovery::read_listing(json, discovery::UnixClock(), listing, broken));
         REQUIRE(listing.update.entries.size() == 1);
         CHECK(listing.update.entries[0].cell == 0);
     }
@@ -373,15 +373,15 @@
 
 // 64 KiB of brackets: a parser that calls itself for each would run out of stack.
 TEST_CASE("a list of nothing but brackets is one that can't be read") {
-    struct Host : directory::WatchHost {
-        void on_listing(directory::Listing&) override {}
+    struct Host : discovery::WatchHost {
+        void on_listing(discovery::Listing&) override {}
         void on_lost(const char* why) override { lost = why; }
         std::string lost;
     } host;
     net::Timers timers;
-    const directory::UnixClock clock;
+    const discovery::UnixClock clock;
     Wire wire;
-    const auto watch = std::make_shared<directory::Watch>(host, timers, clock, "x:1", 1);
+    const auto watch = std::make_shared<discovery::Watch>(host, timers, clock, "x:1", 1);
     watch->attach(wire, [] { return true; });
     watch->start({});
     watch->on_open();
--- a/tests/ini/ini_test.cpp
+++ b/tests/ini/ini_test.cpp
@@ -4,14 +4,14 @@
 #include <vector>
 
 #include "files.hpp"
-#include "operator/options.hpp"
+#include "operator_config/options.hpp"
 
-using slatejunction::operating::Options;
+using slatejunction::operator_config::Options;
 
 namespace {
 
 std::vector<std::string> load(const Folder& folder, const std::string& text, Options& options) {
-    auto faults = slatejunction::operating::load(folder.write("o.ini", text), options);
+    auto faults = slatejunction::operator_config::load(folder.write("o.ini", text), options);
     for (std::string& fault : faults)
         if (const std::string prefix = folder.file("o.ini") + ": "; fault.starts_with(prefix))
             fault.erase(0, prefix.size());
@@ -24,7 +24,7 @@
     const Folder folder;
     std::ifstream in(SOURCE "/deploy/operator.ini");
     const std::string shipped((std::istreambuf_iterator<char>(in)), std::istreambuf_iterator<char>());
-    CHECK(shipped == slatejunction::operating::sample());
+    CHECK(shipped == slatejunction::operator_config::sample());
     // With the comment signs before the keys gone, each default must be a value that is taken.
     std::string all;
     std::istringstream lines(shipped);
@@ -70,7 +70,7 @@
     CHECK(load(folder, "[log]\nformat = json\n level = info\n", options) ==
           Faults{"[log] format: does not go over several lines"});
     CHECK(load(folder, "# " + std::string(200, 'x') + "\n", options) == Faults{"line 1: over 190 bytes"});
-    CHECK(slatejunction::operating::load(folder.file("absent"), options).size() == 1);
+    CHECK(slatejunction::operator_config::load(folder.file("absent"), options).size() == 1);
     CHECK(options.log.format == 0);
 }
 
--- a/tests/consumer/consumer.cpp
+++ b/tests/installed_package/consumer.cpp
@@ -3,29 +3,29 @@
 #include <slatejunction/gateway.hpp>
 #include <variant>
 
-namespace mp = slatejunction;
+namespace sj = slatejunction;
 
 int main() {
-    mp::Settings settings;
+    sj::Settings settings;
     settings.balancers = 1;
     settings.attempts_cap = 1;
     settings.classes.push_back({"read", 1.0, 2.0});
-    mp::Gateway gateway(settings, 7);
-    std::vector<mp::Action> actions;
+    sj::Gateway gateway(settings, 7);
+    std::vector<sj::Action> actions;
 
-    gateway.handle(0.0, mp::Start{}, actions);
-    const auto* timer = actions.empty() ? nullptr : std::get_if<mp::SetTimer>(&actions[0]);
+    gateway.handle(0.0, sj::Start{}, actions);
+    const auto* timer = actions.empty() ? nullptr : std::get_if<sj::SetTimer>(&actions[0]);
     if (!timer) return std::puts("no timer was set"), 1;
-    gateway.handle(0.0, mp::ListUpdate{mp::ListKind::total, {{mp::ServerState::in, "a:1", "", "", 1}}},
+    gateway.handle(0.0, sj::ListUpdate{sj::ListKind::total, {{sj::ServerState::in, "a:1", "", "", 1}}},
                    actions);
 
     actions.clear();
-    gateway.handle(0.01, mp::Request{"r1", "read", "", 1, 5, 2.0, 1}, actions);
-    const auto* send = actions.empty() ? nullptr : std::get_if<mp::Send>(&actions[0]);
+    gateway.handle(0.01, sj::Request{"r1", "read", "", 1, 5, 2.0, 1}, actions);
+    const auto* send = actions.empty() ? nullptr : std::get_if<sj::Send>(&actions[0]);
     if (!send || send->server != "a:1") return std::puts("the request was not sent"), 1;
 
-    gateway.handle(timer->due_s, mp::TimerDue{timer->tag}, actions);
-    mp::AttemptEnd end;
+    gateway.handle(timer->due_s, sj::TimerDue{timer->tag}, actions);
+    sj::AttemptEnd end;
     end.id = "r1";
     end.took_s = 0.1;
     end.ended = true;
--- a/tests/lease/explore.hpp
+++ b/tests/lease/explore.hpp
@@ -19,9 +19,9 @@
 #include <utility>
 #include <vector>
 
-#include "lease/seeker.hpp"
-#include "lease/voter.hpp"
-#include "store/store.hpp"
+#include "lease/acceptor.hpp"
+#include "lease/candidate.hpp"
+#include "storage/state_directory.hpp"
 
 namespace explore {
 
@@ -148,7 +148,7 @@
     void go(const State& s, int depth) {
         if (depth <= 0) return;
         const std::string text = key(s);
-        const std::uint64_t hash = slatejunction::store::check_of(text.data(), text.size());
+        const std::uint64_t hash = slatejunction::storage::check_of(text.data(), text.size());
         int& left = seen_[hash];
         if (left >= depth) return;
         if (left == 0) ++found_.states;
--- a/tests/lease/lease_test.cpp
+++ b/tests/lease/lease_test.cpp
@@ -3,8 +3,8 @@
 
 #include "files.hpp"
 #include "ini/ini.hpp"
+#include "lease/acceptor_storage.hpp"
 #include "lease/explore.hpp"
-#include "lease/home.hpp"
 #include "lease/settings.hpp"
 #include "lease/world.hpp"
 
--- a/tests/lease/world.hpp
+++ b/tests/lease/world.hpp
@@ -16,7 +16,7 @@
 #include <vector>
 
 #include "digest.hpp"
-#include "lease/room.hpp"
+#include "lease/lease_node.hpp"
 
 namespace world {
 
--- a/tests/operations/shutdown_test.cpp
+++ b/tests/lifecycle/graceful_shutdown_test.cpp
@@ -1,6 +1,6 @@
 // How a process ends: the bound, the order of its acts, and that health checks and silence do not prolong
 // it. Schedules are drawn by seed; the checker looks at the acts and the facts alone.
-#include "operations/shutdown.hpp"
+#include "lifecycle/graceful_shutdown.hpp"
 
 #include <algorithm>
 #include <catch2/catch.hpp>
@@ -10,7 +10,7 @@
 #include <random>
 #include <vector>
 
-namespace op = slatejunction::operations;
+namespace op = slatejunction::lifecycle;
 using op::Shutdown;
 using Act = Shutdown::Act;
 
--- a/tests/operations/stop_test.cpp
+++ b/tests/lifecycle/stop_test.cpp
@@ -11,10 +11,10 @@
 #include <memory>
 
 #include "files.hpp"
-#include "operations/shutdown.hpp"
+#include "lifecycle/graceful_shutdown.hpp"
 #include "process.hpp"
 
-namespace op = slatejunction::operations;
+namespace op = slatejunction::lifecycle;
 
 namespace {
 
@@ -220,7 +220,7 @@
     const bool drained = GENERATE(false, true);
     Folder folder;
     const int provider_port = free_port();
-    Process provider({STANDIN, "provider", "--listen", address_of(provider_port), "--read-ms", "2"}, "",
+    Process provider({FAKES, "backend", "--listen", address_of(provider_port), "--read-ms", "2"}, "",
                      folder.file("provider.err"));
     Program program(provider_port);
     if (drained) REQUIRE(ask(program.admin_port, "POST", "/v1/ingress/drain").starts_with("HTTP/1.1 200"));
@@ -253,7 +253,7 @@
           "[operations][stop]") {
     Folder folder;
     const int provider_port = free_port();
-    Process provider({STANDIN, "provider", "--listen", address_of(provider_port), "--read-ms", "5"}, "",
+    Process provider({FAKES, "backend", "--listen", address_of(provider_port), "--read-ms", "5"}, "",
                      folder.file("provider.err"));
     Program program(provider_port, {}, "3");
     std::vector<std::unique_ptr<Client>> clients;
--- a/tests/peers/decision_digest_test.cpp
+++ b/tests/membership/decision_digest_test.cpp
@@ -4,7 +4,7 @@
 #include <array>
 #include <catch2/catch.hpp>
 
-#include "peers/net.hpp"
+#include "membership/network_model.hpp"
 
 namespace {
 
--- a/tests/peers/net.hpp
+++ b/tests/membership/network_model.hpp
@@ -14,12 +14,12 @@
 #include "digest.hpp"
 #include "events.hpp"
 #include "links.hpp"
-#include "peers/members.hpp"
-#include "peers/seal.hpp"
+#include "membership/datagram_auth.hpp"
+#include "membership/swim.hpp"
 
 namespace net_model {
 
-using namespace slatejunction::peers;
+using namespace slatejunction::membership;
 
 struct Plan {
     std::size_t members = 5, sites = 3;
--- a/tests/peers/peers_test.cpp
+++ b/tests/membership/swim_test.cpp
@@ -3,11 +3,11 @@
 
 #include "files.hpp"
 #include "ini/ini.hpp"
-#include "peers/net.hpp"
-#include "peers/settings.hpp"
+#include "membership/network_model.hpp"
+#include "membership/settings.hpp"
 
 using namespace slatejunction;
-using namespace slatejunction::peers;
+using namespace slatejunction::membership;
 using net_model::Net;
 
 namespace {
@@ -172,7 +172,7 @@
     CHECK(keys.size() == 1);
     const auto fault = [](const std::string& text) {
         Folder folder;
-        peers::Options options;
+        membership::Options options;
         auto section = options.section();
         const auto faults = ini::read(folder.write("f", text), {&section});
         return faults.empty() ? std::string() : faults.front().substr(faults.front().find('['));
--- a/tests/quota/sentinel_test.cpp
+++ b/tests/quota/counter_incarnation_test.cpp
@@ -1,5 +1,5 @@
 // The fleet's own name on the counter: one ingress's loss counts at all, a wrong one's at nobody.
-#include "quota/sentinel.hpp"
+#include "quota/counter_incarnation.hpp"
 
 #include <catch2/catch.hpp>
 #include <cmath>
@@ -7,7 +7,7 @@
 #include <random>
 #include <vector>
 
-#include "quota/bank.hpp"
+#include "quota/shared_quota.hpp"
 
 using namespace slatejunction::quota;
 
--- a/tests/quota/wire_test.cpp
+++ b/tests/quota/counter_protocol_test.cpp
@@ -1,5 +1,5 @@
 // The counter's two protocols, byte by byte; and drivers beside a counter that fails.
-#include "quota/wire.hpp"
+#include "quota/counter_protocol.hpp"
 
 #include <catch2/catch.hpp>
 #include <cmath>
@@ -58,10 +58,10 @@
 // A counter and three drivers, each at an address of its own.
 struct Hall {
     explicit Hall(int protocol) {
-        standin::CounterSettings counting;
+        fakes::CounterSettings counting;
         for (int i = 0; i < 3; ++i) counting.listen.push_back(address_of(free_port()));
         counting.call_ms = 0.2;
-        counter = std::make_unique<standin::Counter>(loop.timers, counting);
+        counter = std::make_unique<fakes::Counter>(loop.timers, counting);
         std::string why;
         REQUIRE(counter->start(why));
         for (unsigned i = 0; i < 3; ++i) {
@@ -105,7 +105,7 @@
 
     Loop loop;
     Log log{logging::Settings()};
-    std::unique_ptr<standin::Counter> counter;
+    std::unique_ptr<fakes::Counter> counter;
     std::vector<std::unique_ptr<quota::Driver>> all;
     quota::StatedError error;
     int passed = 0;
@@ -183,9 +183,9 @@
 TEST_CASE("a reload moves to another counter under load and loses no ingress") {
     Hall hall(0);
     hall.press(1.5);
-    standin::CounterSettings counting;
+    fakes::CounterSettings counting;
     counting.listen = {address_of(free_port())};
-    standin::Counter other(hall.loop.timers, counting);
+    fakes::Counter other(hall.loop.timers, counting);
     std::string why;
     REQUIRE(other.start(why));
     for (auto& one : hall.all) {
--- a/tests/quota/model.hpp
+++ b/tests/quota/model.hpp
@@ -17,7 +17,7 @@
 #include <vector>
 
 #include "digest.hpp"
-#include "quota/bank.hpp"
+#include "quota/shared_quota.hpp"
 
 namespace model {
 
--- a/tests/remotewrite/backlog_test.cpp
+++ b/tests/remotewrite/backlog_test.cpp
@@ -156,5 +156,5 @@
     const Folder folder;
     Sender a(small(), 1), b(small(), 1);
     Backlog backlog(folder.path(), a);
-    CHECK_THROWS_AS(Backlog(folder.path(), b), slatejunction::store::Error);
+    CHECK_THROWS_AS(Backlog(folder.path(), b), slatejunction::storage::Error);
 }
--- a/tests/remotewrite/sender_test.cpp
+++ b/tests/remotewrite/sender_test.cpp
@@ -11,13 +11,13 @@
 #include "receiver.hpp"
 
 using namespace slatejunction::remotewrite;
-using standin::Receiver;
+using fakes::Receiver;
 
 namespace {
 
-standin::Request request_of(const Batch& batch) {
+fakes::Request request_of(const Batch& batch) {
     const bool v2 = batch.protocol == Protocol::v2;
-    standin::Request request{"POST", "/", batch.body, {}};
+    fakes::Request request{"POST", "/", batch.body, {}};
     request.fields = {{"host", "h"},
                       {"user-agent", "test"},
                       {"content-encoding", "snappy"},
@@ -74,7 +74,7 @@
         CHECK(receiver.breaches() == std::vector<std::string>{});
         REQUIRE(receiver.series().size() == 3);
         const auto& [key, series] = *receiver.series().begin();
-        CHECK(standin::to_text(key) == "figure_total{job=\"test\",number=\"0\",zone=\"a\"}");
+        CHECK(fakes::to_text(key) == "figure_total{job=\"test\",number=\"0\",zone=\"a\"}");
         REQUIRE(series.points.size() == 2);
         CHECK(series.points[1].at_ms == 2000);
         CHECK(series.points[1].value == 6);
--- a/tests/rollout/files_test.cpp
+++ b/tests/rollout/file_storage_test.cpp
@@ -1,5 +1,5 @@
 // The homes' files: whole after a kill, cut at every length, flipped at every byte, a disk that is full.
-#include "rollout/files.hpp"
+#include "rollout/file_storage.hpp"
 
 #include <catch2/catch.hpp>
 #include <cerrno>
@@ -26,7 +26,7 @@
 // A disk that takes so many bytes and no more.
 struct Disk {
     std::int64_t room = 1 << 20;
-    slatejunction::store::Journal::Writer writer() {
+    slatejunction::storage::Journal::Writer writer() {
         return [this](int fd, const void* data, std::size_t size) -> std::int64_t {
             if (room == 0) return errno = ENOSPC, -1;
             const auto some = std::min<std::size_t>(size, static_cast<std::size_t>(room));
--- a/tests/rollout/settings_test.cpp
+++ b/tests/rollout/settings_test.cpp
@@ -7,11 +7,11 @@
 
 #include "admin/call.hpp"
 #include "files.hpp"
-#include "operator/options.hpp"
-#include "operator/overlay.hpp"
+#include "operator_config/options.hpp"
+#include "operator_config/overlay.hpp"
 
-using slatejunction::operating::Options;
-namespace operating = slatejunction::operating;
+using slatejunction::operator_config::Options;
+namespace operator_config = slatejunction::operator_config;
 namespace rollout = slatejunction::rollout;
 
 namespace {
@@ -19,7 +19,7 @@
 using Faults = std::vector<std::string>;
 
 Faults faults_of(const std::string& text, Options& options) {
-    Faults faults = operating::load_text("FILE", text, options);
+    Faults faults = operator_config::load_text("FILE", text, options);
     for (std::string& fault : faults)
         if (fault.starts_with("FILE: ")) fault.erase(0, 6);
     return faults;
@@ -78,7 +78,7 @@
 }
 
 TEST_CASE("a section that is rolled out is judged by itself", "[rollout]") {
-    using operating::fault_of_section;
+    using operator_config::fault_of_section;
     CHECK(fault_of_section("limit a", "key = request.customer\nrate = 5\n") == "");
     CHECK(fault_of_section("route a", "when = request.method == \"GET\"\n  && true\nsubset = s") == "");
     CHECK(fault_of_section("limit a", "key = request.customer\nrate = fast\n") ==
@@ -102,8 +102,8 @@
     const std::string own =
         "[log]\nformat = json\n[limit a]\nkey = request.customer\nrate = 1\n# of a\n[tag t]\nvalue = "
         "\"x\"\n";
-    CHECK(operating::lay_over(own, {}) == own);
-    const std::string laid = operating::lay_over(
+    CHECK(operator_config::lay_over(own, {}) == own);
+    const std::string laid = operator_config::lay_over(
         own, {{"limit a", "key = request.customer\nrate = 7"}, {"limit b", "key = true\nrate = 2\n"}});
     CHECK(laid ==
           "[log]\nformat = json\n[tag t]\nvalue = \"x\"\n[limit a]\nkey = request.customer\nrate = "
@@ -113,11 +113,11 @@
     REQUIRE(options.rules.limits.size() == 2);
     CHECK(options.rules.limits[0].rate == 7);
     // A file without an end of its last line.
-    CHECK(operating::lay_over("[log]\nformat = json", {{"limit b", "rate = 2"}}) ==
+    CHECK(operator_config::lay_over("[log]\nformat = json", {{"limit b", "rate = 2"}}) ==
           "[log]\nformat = json\n[limit b]\nrate = 2\n");
     // The whole has to fit: a route to a subset that nobody has.
-    REQUIRE(faults_of(operating::lay_over(own, {{"route r", "when = true\nsubset = s"}}), options).size() ==
-            1);
+    REQUIRE(faults_of(operator_config::lay_over(own, {{"route r", "when = true\nsubset = s"}}), options)
+                .size() == 1);
 }
 
 TEST_CASE("operators' calls of a rollout are read", "[rollout]") {
--- a/tests/rollout/world.hpp
+++ b/tests/rollout/world.hpp
@@ -16,12 +16,12 @@
 
 #include "digest.hpp"
 #include "events.hpp"
-#include "rollout/bound.hpp"
-#include "rollout/feeder.hpp"
 #include "rollout/follower.hpp"
 #include "rollout/history.hpp"
+#include "rollout/leader.hpp"
+#include "rollout/propagation_bounds.hpp"
+#include "rollout/publisher.hpp"
 #include "rollout/replica.hpp"
-#include "rollout/source.hpp"
 
 namespace rollout_world {
 
--- a/tests/rules/shortcut_test.cpp
+++ b/tests/rules/fast_conditions_test.cpp
@@ -1,6 +1,6 @@
 // Shortcuts against the evaluator: whatever a shortcut is sure of, the evaluator says too, over random
 // conditions, keys and requests, with headers that are missing, come twice or are not UTF-8.
-#include "rules/shortcut.hpp"
+#include "rules/fast_conditions.hpp"
 
 #include <catch2/catch.hpp>
 #include <random>
--- a/tests/rules/routes_test.cpp
+++ b/tests/rules/routes_test.cpp
@@ -5,7 +5,7 @@
 #include <random>
 
 #include "files.hpp"
-#include "operator/options.hpp"
+#include "operator_config/options.hpp"
 #include "rules/rules.hpp"
 #include "slatejunction/gateway.hpp"
 
@@ -16,8 +16,8 @@
 
 rules::Settings settings(const std::string& text) {
     const Folder folder;
-    operating::Options options;
-    const auto faults = operating::load(folder.write("o.ini", text), options);
+    operator_config::Options options;
+    const auto faults = operator_config::load(folder.write("o.ini", text), options);
     INFO((faults.empty() ? "" : faults[0]));
     REQUIRE(faults.empty());
     return options.rules;
@@ -32,8 +32,8 @@
 
 std::vector<std::string> faults_of(const std::string& text) {
     const Folder folder;
-    operating::Options options;
-    auto faults = operating::load(folder.write("o.ini", text), options);
+    operator_config::Options options;
+    auto faults = operator_config::load(folder.write("o.ini", text), options);
     for (std::string& one : faults) one.erase(0, folder.file("o.ini").size() + 2);
     return faults;
 }
--- a/tests/rules/rules_test.cpp
+++ b/tests/rules/rules_test.cpp
@@ -8,9 +8,9 @@
 
 #include "files.hpp"
 
-using standin::Point;
-using standin::Query;
-using standin::Recording;
+using fakes::Point;
+using fakes::Query;
+using fakes::Recording;
 
 namespace {
 
@@ -22,8 +22,8 @@
     return points;
 }
 
-standin::SeriesKey key(const std::string& name,
-                       std::vector<std::pair<std::string, std::string>> labels = {}) {
+fakes::SeriesKey key(const std::string& name,
+                     std::vector<std::pair<std::string, std::string>> labels = {}) {
     labels.insert(labels.begin(), {"__name__", name});
     return labels;
 }
@@ -125,7 +125,7 @@
     Recording r;
     r[key("g", {{"a", "x"}})] = every15({1, 9, 1, 9, 9, 9, 9, 1, 1});
     r[key("g", {{"a", "y"}})] = every15({1, 1, 1, 1, 1, 1, 9, 9, 9});
-    const auto firings = standin::evaluate(standin::read_rules(path), r);
+    const auto firings = fakes::evaluate(fakes::read_rules(path), r);
     REQUIRE(firings.size() == 2);
     CHECK(firings[0].labels.at("a") == "x");
     CHECK(firings[0].from_s == 75);
@@ -139,8 +139,8 @@
     Recording r;
     r[key("g", {{"a", "quoted \" and \\"}, {"b", "x"}})] = every15({1, 1, 1, 0.1, kStale});
     r[key("h")] = {{15000, 2}, {30000, 3}};
-    standin::write_recording(r, folder.file("r"));
-    const Recording again = standin::read_recording(folder.file("r"));
+    fakes::write_recording(r, folder.file("r"));
+    const Recording again = fakes::read_recording(folder.file("r"));
     REQUIRE(again.size() == 2);
     for (const auto& [series, points] : r) {
         REQUIRE(again.contains(series));
@@ -151,11 +151,11 @@
             CHECK(std::memcmp(&other[i].value, &points[i].value, sizeof(double)) == 0);
         }
     }
-    CHECK_THROWS(standin::read_recording(folder.write("bad", "times 1 2\ng{}\t 1*3\n")));
+    CHECK_THROWS(fakes::read_recording(folder.write("bad", "times 1 2\ng{}\t 1*3\n")));
 }
 
 TEST_CASE("the shipped rules are read, and each names a heading of the on-call page") {
-    const auto rules = standin::read_rules(SOURCE "/deploy/alerts.yml");
+    const auto rules = fakes::read_rules(SOURCE "/deploy/alerts.yml");
     CHECK(rules.size() >= 14);
     std::ifstream in(SOURCE "/docs/on-call.md");
     std::string page((std::istreambuf_iterator<char>(in)), std::istreambuf_iterator<char>());
@@ -182,16 +182,15 @@
 
 // Recordings of real runs (bench/alert-runs), made sixty times as fast as the rules' own durations.
 TEST_CASE("in the recorded calm run no alert fires, and each fires and resolves in another") {
-    const auto rules = standin::read_rules(SOURCE "/deploy/alerts.yml", 60);
-    CHECK(standin::evaluate(rules, standin::read_recording(SOURCE "/tests/rules/recordings/calm.txt"))
-              .empty());
+    const auto rules = fakes::read_rules(SOURCE "/deploy/alerts.yml", 60);
+    CHECK(fakes::evaluate(rules, fakes::read_recording(SOURCE "/tests/rules/recordings/calm.txt")).empty());
     std::set<std::string> fired, resolved;
     for (const char* run : {"flood", "slow", "inputs", "directory_stops", "restarts", "limits",
                             "descriptors", "sender", "rules", "fleet", "rollout"}) {
         INFO(run);
         const auto recording =
-            standin::read_recording(std::string(SOURCE "/tests/rules/recordings/") + run + ".txt");
-        for (const auto& firing : standin::evaluate(rules, recording)) {
+            fakes::read_recording(std::string(SOURCE "/tests/rules/recordings/") + run + ".txt");
+        for (const auto& firing : fakes::evaluate(rules, recording)) {
             fired.insert(firing.alert);
             if (firing.to_s > firing.from_s) resolved.insert(firing.alert);
         }
--- a/tests/rules/site_test.cpp
+++ b/tests/rules/site_test.cpp
@@ -11,22 +11,40 @@
 class Fleet {
   public:
     Fleet() {
-        std::vector<std::string> words{STANDIN,     "directory",
+        std::vector<std::string> words{FAKES,       "discovery",
                                        "--seconds", "120",
                                        "--listen",  address_of(directory_port),
                                        "--control", address_of(directory_control)};
         for (int i = 0; i < 5; ++i) {
             const std::string at = address_of(free_port());
             controls[i] = free_port();
-            providers_.push_back(
-                Process({STANDIN,           "provider", "--id",      ids[i],
-                         "--listen",        at,         "--control", address_of(controls[i]),
-                         "--cores",         "2",        "--read-ms", "10",
-                         "--write-ms",      "10",       "--used",    "40",
-                         "--cold-from",     "0.16",     "--warm-s",  "13",
-                         "--fall-multiple", "2",        "--fall-s",  "2",
-                         "--seconds",       "120"},
-                        "", ""));
+            providers_.push_back(Process({FAKES,
+                                          "backend",
+                                          "--id",
+                                          ids[i],
+                                          "--listen",
+                                          at,
+                                          "--control",
+                                          address_of(controls[i]),
+                                          "--cores",
+                                          "2",
+                                          "--read-ms",
+                                          "10",
+                                          "--write-ms",
+                                          "10",
+                                          "--used",
+                                          "40",
+                                          "--cold-from",
+                                          "0.16",
+                                          "--warm-s",
+                                          "13",
+                                          "--fall-multiple",
+                                          "2",
+                                          "--fall-s",
+                                          "2",
+                                          "--seconds",
+                                          "120"},
+                                         "", ""));
             words.insert(words.end(), {"--member", ids[i] + "=" + at + (i < 3 ? ",large" : ",small")});
         }
         directory_ = Process(words, "", "");
@@ -59,7 +77,7 @@
         REQUIRE(wait_for([&] { return probe(), any() > 0; }));
     }
     Process load(double rate, double seconds, const std::string& prefix) const {
-        return Process({STANDIN,        "load",
+        return Process({FAKES,          "load",
                         "--target",     address_of(port),
                         "--config",     folder.file("config.json"),
                         "--rate",       std::to_string(rate),
--- a/tests/wire_test.cpp
+++ b/tests/simulator_adapter_test.cpp
@@ -28,7 +28,7 @@
     const std::string at = folder;
     std::ofstream(at + "/in") << input;
     const std::string command =
-        std::string(WIREHOST_PATH) + " <" + at + "/in >" + at + "/out 2>" + at + "/err";
+        std::string(SIMULATOR_ADAPTER_PATH) + " <" + at + "/in >" + at + "/out 2>" + at + "/err";
     Transcript r;
     r.status = WEXITSTATUS(std::system(command.c_str()));
     r.out = slurp(at + "/out");
--- a/tests/state/generate_state.cpp
+++ b/tests/state/generate_state.cpp
@@ -1,6 +1,6 @@
 // Writes tests/state/data by the program's own classes. A hidden case, run by hand:
 //
-//     slatejunction_room_tests "[.generate]"
+//     slatejunction_unit_tests "[.generate]"
 //
 // It never overwrites: a folder that is there is the state of an earlier version, which old_state_test.cpp
 // holds later versions to. A kind of state that is new gets a folder of its own.
@@ -13,12 +13,12 @@
 #include <limits>
 
 #include "files.hpp"
-#include "lease/home.hpp"
+#include "lease/acceptor_storage.hpp"
 #include "log/log.hpp"
 #include "metrics/measures.hpp"
 #include "remotewrite/backlog.hpp"
-#include "rollout/files.hpp"
-#include "rules/keeper.hpp"
+#include "rollout/file_storage.hpp"
+#include "rules/bucket_storage.hpp"
 #include "state/state.hpp"
 
 using namespace slatejunction;
@@ -70,11 +70,11 @@
     const std::string path = make("cells") + "/cells";
     std::string before, after;
     {
-        store::Cells cells(path, {"a", "b", "c"}, 1'700'000'000'000);
+        storage::Cells cells(path, {"a", "b", "c"}, 1'700'000'000'000);
         cells.set(0, 1.5);
         cells.set(1, -2);
         before = bytes_of(path);
-        const std::array<store::Cells::Change, 2> changes{{{0, 10}, {2, 0.25}}};
+        const std::array<storage::Cells::Change, 2> changes{{{0, 10}, {2, 0.25}}};
         cells.apply(changes);
         after = bytes_of(path);
     }
@@ -85,8 +85,8 @@
 
 TEST_CASE("generate the journal", "[.generate]") {
     const std::string folder = make("journal");
-    store::Journal::Found found;
-    store::Journal journal(
+    storage::Journal::Found found;
+    storage::Journal journal(
         folder, "records", 100, [](auto&&...) {}, found);
     REQUIRE(journal.begin());
     REQUIRE(journal.append(1, "first"));
--- a/tests/state/old_state_test.cpp
+++ b/tests/state/old_state_test.cpp
@@ -14,12 +14,12 @@
 #include <map>
 
 #include "files.hpp"
-#include "lease/home.hpp"
+#include "lease/acceptor_storage.hpp"
 #include "log/log.hpp"
 #include "metrics/measures.hpp"
 #include "remotewrite/backlog.hpp"
-#include "rollout/files.hpp"
-#include "rules/keeper.hpp"
+#include "rollout/file_storage.hpp"
+#include "rules/bucket_storage.hpp"
 #include "state/state.hpp"
 
 using namespace slatejunction;
@@ -119,7 +119,7 @@
 TEST_CASE("old state: every counter goes on from its value", "[old]") {
     const Copy folder("counters");
     const std::string path = folder.file("counters");
-    const auto stored = store::Cells::read(path);
+    const auto stored = storage::Cells::read(path);
     CHECK(stored.size() == 124);
     CHECK(std::count_if(stored.begin(), stored.end(), [](const auto& one) { return one.second != 0; }) ==
           25);
@@ -139,8 +139,8 @@
     const Copy folder("cells");
     const std::string path = folder.file("cells");
     using Values = std::vector<std::pair<std::string, double>>;
-    CHECK(store::Cells::read(path) == Values{{"a", 11.5}, {"b", -2}, {"c", 0.25}});
-    const store::Cells cells(path, {"c", "b", "a"}, 1);
+    CHECK(storage::Cells::read(path) == Values{{"a", 11.5}, {"b", -2}, {"c", 0.25}});
+    const storage::Cells cells(path, {"c", "b", "a"}, 1);
     CHECK(cells.get(0) == 0.25);
     CHECK(cells.get(1) == -2);
     CHECK(cells.get(2) == 11.5);
@@ -159,8 +159,8 @@
         bool operator==(const One&) const = default;
     };
     std::vector<One> all;
-    store::Journal::Found found;
-    store::Journal journal(
+    storage::Journal::Found found;
+    storage::Journal journal(
         folder.path(), "records", 100,
         [&](std::uint64_t segment, std::uint32_t type, std::string_view payload) {
             all.push_back({segment, type, std::string(payload)});
@@ -211,8 +211,8 @@
 // The records as the format says, without the class that reads them.
 std::vector<StoredLimit> limits_of(const std::string& folder) {
     std::vector<StoredLimit> all;
-    store::Journal::Found found;
-    const store::Journal journal(
+    storage::Journal::Found found;
+    const storage::Journal journal(
         folder, "limits", 1 << 20,
         [&](std::uint64_t, std::uint32_t type, std::string_view payload) {
             REQUIRE(type == 2);
@@ -245,8 +245,8 @@
 // 1 is the form before there was a boot in it.
 void write_aged(const std::string& folder, const std::vector<StoredLimit>& limits, std::uint32_t type,
                 double age_s) {
-    store::Journal::Found found;
-    store::Journal journal(
+    storage::Journal::Found found;
+    storage::Journal journal(
         folder, "limits", 1 << 20, [](auto&&...) {}, found);
     REQUIRE(journal.begin());
     for (const StoredLimit& one : limits) {
--- a/tests/store/cells_test.cpp
+++ b/tests/storage/persistent_counters_test.cpp
@@ -1,5 +1,5 @@
 // Figures in a file: killed processes, cut and flipped files, other versions, two owners.
-#include "store/cells.hpp"
+#include "storage/persistent_counters.hpp"
 
 #include <sys/wait.h>
 #include <unistd.h>
@@ -13,9 +13,9 @@
 
 #include "files.hpp"
 
-using slatejunction::store::Cells;
-using slatejunction::store::Directory;
-using slatejunction::store::Error;
+using slatejunction::storage::Cells;
+using slatejunction::storage::Directory;
+using slatejunction::storage::Error;
 
 namespace {
 
@@ -136,7 +136,7 @@
     { Cells cells(path, names(3), 1); }
     std::string bytes = folder.read("cells");
     bytes[8] = 2;
-    const std::uint64_t check = slatejunction::store::check_of(bytes.data(), 16);
+    const std::uint64_t check = slatejunction::storage::check_of(bytes.data(), 16);
     bytes.replace(16, 8, reinterpret_cast<const char*>(&check), 8);
     folder.write("cells", bytes);
     CHECK_THROWS_WITH(Cells(path, names(3), 1), path + " has version 2; this program knows 1");
--- a/tests/store/journal_test.cpp
+++ b/tests/storage/segmented_log_test.cpp
@@ -1,5 +1,5 @@
 // Records in segments: cut at every length, flipped at every byte, a disk that is full, other versions.
-#include "store/journal.hpp"
+#include "storage/segmented_log.hpp"
 
 #include <catch2/catch.hpp>
 #include <cerrno>
@@ -8,7 +8,7 @@
 
 #include "files.hpp"
 
-using slatejunction::store::Journal;
+using slatejunction::storage::Journal;
 
 namespace {
 
--- a/tests/telemetry/site.hpp
+++ b/tests/telemetry/site.hpp
@@ -5,26 +5,26 @@
 #include <vector>
 
 #include "files.hpp"
+#include "fleet_counters.hpp"
 #include "process.hpp"
 #include "recording.hpp"
-#include "sums.hpp"
 
 class Site {
   public:
     explicit Site(const std::string& more = "", bool v1_only = false) {
         write_options(more);
-        std::vector<std::string> words{STANDIN, "directory", "--seconds",
-                                       "300",   "--listen",  address_of(directory_port)};
+        std::vector<std::string> words{FAKES, "discovery", "--seconds",
+                                       "300", "--listen",  address_of(directory_port)};
         for (int i = 0; i < 2; ++i) {
             const std::string id = "s-" + std::to_string(i), at = address_of(free_port());
             providers_.push_back(
-                Process({STANDIN, "provider", "--id", id, "--listen", at, "--read-ms", "3", "--write-ms",
-                         "6", "--used", "40", "--queue", "20", "--seconds", "300"},
+                Process({FAKES, "backend", "--id", id, "--listen", at, "--read-ms", "3", "--write-ms", "6",
+                         "--used", "40", "--queue", "20", "--seconds", "300"},
                         "", ""));
             words.insert(words.end(), {"--member", id + "=" + at});
         }
         directory_ = Process(words, "", "");
-        std::vector<std::string> receiver{STANDIN,     "remote-write",
+        std::vector<std::string> receiver{FAKES,       "remote-write",
                                           "--seconds", "300",
                                           "--listen",  address_of(receiver_port),
                                           "--control", address_of(control_port),
@@ -65,11 +65,10 @@
     }
     // Starts a load that ends by itself.
     Process load(double rate, double seconds, const std::string& prefix) const {
-        return Process(
-            {STANDIN, "load", "--target", address_of(port), "--config", folder.file("config.json"),
-             "--rate", std::to_string(rate), "--duration", std::to_string(seconds), "--progress", "0",
-             "--prefix", prefix, "--seed", "7", "--customers", "20"},
-            folder.file("load"), "");
+        return Process({FAKES, "load", "--target", address_of(port), "--config", folder.file("config.json"),
+                        "--rate", std::to_string(rate), "--duration", std::to_string(seconds), "--progress",
+                        "0", "--prefix", prefix, "--seed", "7", "--customers", "20"},
+                       folder.file("load"), "");
     }
     void fault(const std::string& path) const {
         REQUIRE(ask(control_port, "POST", "/fault/" + path).starts_with("HTTP/1.1 200"));
@@ -79,11 +78,11 @@
         const std::size_t at = text.find("\"" + name + "\":");
         return at == std::string::npos ? 0 : std::stoul(text.substr(at + name.size() + 3));
     }
-    standin::Recording samples() const {
+    fakes::Recording samples() const {
         REQUIRE(ask(control_port, "POST", "/write").starts_with("HTTP/1.1 200"));
-        return standin::read_recording(folder.file("samples"));
+        return fakes::read_recording(folder.file("samples"));
     }
-    standin::Sums logged() const { return standin::logged(folder.file("log")); }
+    fakes::Sums logged() const { return fakes::logged(folder.file("log")); }
     void no_breaches() {
         const std::string text = ask(control_port, "GET", "/stats");
         INFO(text);
--- a/tests/telemetry/telemetry_test.cpp
+++ b/tests/telemetry/telemetry_test.cpp
@@ -5,7 +5,7 @@
 #include <random>
 
 #include "site.hpp"
-#include "store/cells.hpp"
+#include "storage/persistent_counters.hpp"
 
 namespace {
 
@@ -35,10 +35,10 @@
     REQUIRE(site.ingress.end(SIGTERM) == 0);
     const auto logged = site.logged();
     CHECK(served(logged) > 300);
-    CHECK(standin::counted(site.samples()) == logged);
+    CHECK(fakes::counted(site.samples()) == logged);
     site.no_breaches();
     // Without a state directory all series end with the stop.
-    for (const auto& [key, points] : site.samples()) REQUIRE(standin::is_stale(points.back().value));
+    for (const auto& [key, points] : site.samples()) REQUIRE(fakes::is_stale(points.back().value));
 }
 
 TEST_CASE("counters go on over kills and planned restarts, neither reset nor doubled") {
@@ -68,7 +68,7 @@
     REQUIRE(site.ingress.end(SIGTERM) == 0);
     const auto logged = site.logged();
     const auto samples = site.samples();
-    auto counted = standin::counted(samples);
+    auto counted = fakes::counted(samples);
     // The figure moves before the log's line is written: a kill between the two leaves it one ahead.
     double ahead = 0;
     for (const auto& [key, count] : counted) {
@@ -88,8 +88,8 @@
         if (name != "slatejunction_requests_total" && name != "slatejunction_starts_total") continue;
         bool ended = false;   // the first process, which had no directory
         double value = 0;
-        for (const standin::Point& point : points) {
-            if (standin::is_stale(point.value)) {
+        for (const fakes::Point& point : points) {
+            if (fakes::is_stale(point.value)) {
                 REQUIRE_FALSE(ended);
                 ended = true;
                 value = 0;
@@ -122,8 +122,8 @@
     sleep_s(0.5);
     // Another receiver.
     const int port = free_port(), control = free_port();
-    Process receiver({STANDIN, "remote-write", "--seconds", "300", "--listen", address_of(port),
-                      "--control", address_of(control)},
+    Process receiver({FAKES, "remote-write", "--seconds", "300", "--listen", address_of(port), "--control",
+                      address_of(control)},
                      "", "");
     REQUIRE(wait_for([&] { return !ask(control, "GET", "/stats").empty(); }));
     site.folder.write("operator.ini",
@@ -143,7 +143,7 @@
     for (const auto& [key, points] : site.samples()) {
         const std::map<std::string, std::string> labels(key.begin(), key.end());
         if (labels.at("instance") == "other") fresh = true;
-        if (labels.at("instance") == "n0") old_ended = old_ended && standin::is_stale(points.back().value);
+        if (labels.at("instance") == "n0") old_ended = old_ended && fakes::is_stale(points.back().value);
     }
     CHECK(old_ended);
     CHECK(fresh);
@@ -154,7 +154,7 @@
     Site site;
     const int port = free_port(), control = free_port();
     const auto receiver = [&](const std::string& wants) {
-        return Process({STANDIN, "remote-write", "--seconds", "300", "--listen", address_of(port),
+        return Process({FAKES, "remote-write", "--seconds", "300", "--listen", address_of(port),
                         "--control", address_of(control), "--authorization", wants},
                        "", "");
     };
@@ -227,7 +227,7 @@
                                    std::chrono::system_clock::now().time_since_epoch())
                                    .count() +
                                3600 * 1000;
-    slatejunction::store::Cells(site.folder.file("state/counters"), {"last sample ms"}, 1)
+    slatejunction::storage::Cells(site.folder.file("state/counters"), {"last sample ms"}, 1)
         .set(0, static_cast<double>(ahead));
     site.write_options("[state]\ndirectory = " + site.folder.file("state") + "\n");
     site.start();
--- a/tests/terms/soak_test.cpp
+++ b/tests/terms/soak_test.cpp
@@ -146,7 +146,7 @@
             case 3:
                 return one.behave([](const auto& client, const auto&) { client->reset(); });
             case 4:   // an answer without a length, which the end of the connection ends
-                return one.behave([](const auto& client, const standin::Request& request) {
+                return one.behave([](const auto& client, const fakes::Request& request) {
                     client->send("HTTP/1.1 200 OK\r\n\r\nran " + request.field("x-request-id"));
                     client->finish();
                 });
@@ -156,7 +156,7 @@
                     client->later(0.03, [client] { client->reset(); });
                 });
             case 6:   // slow
-                return one.behave([service_s](const auto& client, const standin::Request& request) {
+                return one.behave([service_s](const auto& client, const fakes::Request& request) {
                     client->later(10 * service_s, [client, body = "ran " + request.field("x-request-id")] {
                         client->answer(200, body);
                     });
@@ -183,7 +183,7 @@
     // Discovery, signals, operators. ------------------------------------------------------------------
 
     void trouble_discovery() {
-        standin::Directory::Manner manner;
+        fakes::Directory::Manner manner;
         const std::size_t kind = pick(5);
         if (kind == 0) manner.silent = true;
         if (kind == 1) manner.holds = true;
--- a/tests/terms/world.cpp
+++ b/tests/terms/world.cpp
@@ -43,7 +43,7 @@
 
 Backend::Backend(World& world, std::size_t index)
     : server(world.timers,
-             [this](const auto& client, standin::Request& request) { on_request(client, request); }),
+             [this](const auto& client, fakes::Request& request) { on_request(client, request); }),
       world_(world),
       index_(index) {
     std::string why;
@@ -51,7 +51,7 @@
     REQUIRE(server.start(index == 0 ? "0.0.0.0:" + std::to_string(port) : address_of(port), why));
 }
 
-void Backend::on_request(const std::shared_ptr<standin::Client>& client, const standin::Request& request) {
+void Backend::on_request(const std::shared_ptr<fakes::Client>& client, const fakes::Request& request) {
     Attempt one;
     one.at = world_.earliest();
     one.recorded_at = net::now();
@@ -72,7 +72,7 @@
     serve(client, request);
 }
 
-void Backend::serve(const std::shared_ptr<standin::Client>& client, const standin::Request& request) const {
+void Backend::serve(const std::shared_ptr<fakes::Client>& client, const fakes::Request& request) const {
     client->later(world_.options.service_s,
                   [client, body = "ran " + request.field("x-request-id")] { client->answer(200, body); });
 }
@@ -174,8 +174,7 @@
     for (std::size_t i = 0; i < options.backends; ++i)
         backends.push_back(std::make_unique<Backend>(*this, i));
     for (int i = 0; i < 2; ++i) {
-        discovery[i] =
-            std::make_unique<standin::Directory>(timers, address_of(discovery_port[i]), members());
+        discovery[i] = std::make_unique<fakes::Directory>(timers, address_of(discovery_port[i]), members());
         std::string why;
         REQUIRE(discovery[i]->start(why));
     }
@@ -188,8 +187,8 @@
     for (const auto& client : clients) client->leave();
 }
 
-std::vector<standin::Directory::Member> World::members() const {
-    std::vector<standin::Directory::Member> all;
+std::vector<fakes::Directory::Member> World::members() const {
+    std::vector<fakes::Directory::Member> all;
     for (const auto& one : backends) all.push_back({one->id(), address_of(one->port)});
     const std::string shared = backends.empty() ? "" : std::to_string(backends[0]->port);
     for (std::size_t i = 0; i < options.more_ready; ++i)
--- a/tests/terms/world.hpp
+++ b/tests/terms/world.hpp
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "directory.hpp"
+#include "discovery.hpp"
 #include "files.hpp"
 #include "http/message.hpp"
 #include "net/stream.hpp"
@@ -73,12 +73,12 @@
 // A backend of the world: answers 200 after the service time, unless it is to behave otherwise.
 class Backend {
   public:
-    using Handler = std::function<void(const std::shared_ptr<standin::Client>&, const standin::Request&)>;
+    using Handler = std::function<void(const std::shared_ptr<fakes::Client>&, const fakes::Request&)>;
     Backend(World& world, std::size_t index);
     std::string id() const { return "s-" + std::to_string(index_); }
-    void serve(const std::shared_ptr<standin::Client>& client, const standin::Request& request) const;
-    static void hang(const std::shared_ptr<standin::Client>&, const standin::Request&) {}
-    static void turn_away(const std::shared_ptr<standin::Client>& client, const standin::Request&) {
+    void serve(const std::shared_ptr<fakes::Client>& client, const fakes::Request& request) const;
+    static void hang(const std::shared_ptr<fakes::Client>&, const fakes::Request&) {}
+    static void turn_away(const std::shared_ptr<fakes::Client>& client, const fakes::Request&) {
         client->answer(503, "", "X-Not-Run: 1\r\n");
     }
 
@@ -90,10 +90,10 @@
 
     const int port = rig::fleet_port();
     double told_leaving_at = 0, told_start_at = 0;   // s; 0: never
-    standin::Server server;
+    fakes::Server server;
 
   private:
-    void on_request(const std::shared_ptr<standin::Client>& client, const standin::Request& request);
+    void on_request(const std::shared_ptr<fakes::Client>& client, const fakes::Request& request);
     World& world_;
     const std::size_t index_;
     Handler manner_;
@@ -187,7 +187,7 @@
     std::vector<std::unique_ptr<Backend>> backends;
     std::deque<Request> requests;
     std::vector<std::shared_ptr<Client>> clients;
-    std::unique_ptr<standin::Directory> discovery[2];
+    std::unique_ptr<fakes::Directory> discovery[2];
     int discovery_port[2] = {rig::fleet_port(), rig::fleet_port()};
     Process process, heir;
     const double began_at = slatejunction::net::now();
@@ -201,7 +201,7 @@
     friend class Backend;
     friend class Client;
     std::vector<std::string> command(int admin) const;
-    std::vector<standin::Directory::Member> members() const;
+    std::vector<fakes::Directory::Member> members() const;
     void look_after_process();
     slatejunction::net::Timer tick_;
     std::vector<std::unique_ptr<slatejunction::net::Timer>> repeating_;
