--- a/bench/peers-model.cpp
+++ b/bench/peers-model.cpp
@@ -44,13 +44,14 @@
             double first = 0;
             const bool known = net.run_until(200, [&] {
                 for (std::size_t i = 0; i < members && first == 0; ++i)
-                    if (net.up(i) && net.has(i, who, slatejunction::membership::State::gone))
+                    if (net.up(i) && net.has(i, who, slatejunction::membership::MemberState::gone))
                         first = net.now() - at;
-                return net.all_have(who, slatejunction::membership::State::gone);
+                return net.all_have(who, slatejunction::membership::MemberState::gone);
             });
             row.first.push_back(first);
             row.all.push_back(known ? net.now() - at : 200);
-            if (row.all.back() > slatejunction::membership::known_within_s(members, 1)) row.within = false;
+            if (row.all.back() > slatejunction::membership::detection_bound_s(members, 1))
+                row.within = false;
             net.start(who);
         }
     }
@@ -84,7 +85,7 @@
                 loss < 0 ? "one starved" : (std::to_string(static_cast<int>(loss * 100)) + "%").c_str(),
                 row.first.empty() ? 0 : row.first[row.first.size() / 2],
                 row.all.empty() ? 0 : row.all[row.all.size() / 2], row.all.empty() ? 0 : row.all.back(),
-                slatejunction::membership::known_within_s(members, 1), row.within ? "" : " MISSED",
+                slatejunction::membership::detection_bound_s(members, 1), row.within ? "" : " MISSED",
                 row.false_an_hour, row.datagrams, row.bytes, beats, beats * (60 + 44), wrong);
             std::fflush(stdout);
         }
--- a/bench/rule-times.cpp
+++ b/bench/rule-times.cpp
@@ -224,7 +224,7 @@
     double least = 1e18;
     for (int batch = 0; batch < 50; ++batch) {
         const auto began = Clock::now();
-        for (int i = 0; i < 200; ++i) made->judge(0, facts);
+        for (int i = 0; i < 200; ++i) made->evaluate(0, facts);
         least = std::min(least, ns_since(began) / 200);
     }
     std::printf("| %zu | %s | %.0f ns |\n", count,
@@ -253,7 +253,7 @@
     double least = 1e18;
     for (int batch = 0; batch < 50; ++batch) {
         const auto began = Clock::now();
-        for (int i = 0; i < 2000; ++i) made->judge(0.001 * i, facts);
+        for (int i = 0; i < 2000; ++i) made->evaluate(0.001 * i, facts);
         least = std::min(least, ns_since(began) / 2000);
     }
     std::printf("%s: %.0f ns a request\n", path.c_str(), least);
--- a/bench/scale/backends.cpp
+++ b/bench/scale/backends.cpp
@@ -20,9 +20,9 @@
 
 constexpr std::size_t kChanged = 10;   // entries of a list of changes
 
-struct Nobody final : backend::CallHost {
-    void on_call_end(const backend::CallTag&, const backend::CallEnd&) override {}
-    void on_probe_end(const std::string&, const backend::CallEnd&) override {}
+struct Nobody final : backend::CallCallbacks {
+    void on_call_end(const backend::AttemptTag&, const backend::CallResult&) override {}
+    void on_health_check_end(const std::string&, const backend::CallResult&) override {}
 };
 
 // What the directory answers, over HTTP; false: the ingress turns it down.
@@ -55,13 +55,13 @@
 
 double kb(std::size_t from) { return (static_cast<double>(allocated()) - static_cast<double>(from)) / 1e3; }
 
-discovery::Listing parse(const std::string& text, double& json_ms, double& entries_ms) {
-    const discovery::UnixClock clock;
+discovery::EndpointList parse(const std::string& text, double& json_ms, double& entries_ms) {
+    const discovery::UnixTimeConverter clock;
     rapidjson::Document document;
     json_ms = ms([&] { document.Parse(text.data(), text.size()); });
-    discovery::Listing listing;
+    discovery::EndpointList listing;
     int broken = 0;
-    entries_ms = ms([&] { discovery::read_listing(document, clock, listing, broken); });
+    entries_ms = ms([&] { discovery::read_endpoint_list(document, clock, listing, broken); });
     return listing;
 }
 
@@ -78,21 +78,21 @@
         const bool fits = taken(text);
         const std::size_t began = allocated();
         double json_ms = 0, entries_ms = 0;
-        const discovery::Listing listing = parse(text, json_ms, entries_ms);
+        const discovery::EndpointList listing = parse(text, json_ms, entries_ms);
         const double listing_kb = kb(began);
 
         std::size_t from = allocated();
         admin::OperatorOverrides operations;
-        discovery::Listing laid = listing;
+        discovery::EndpointList laid = listing;
         const double copy_kb = kb(from);
-        const double operations_ms = ms([&] { operations.lay_over(laid); });
+        const double operations_ms = ms([&] { operations.apply_to(laid); });
         const double operations_kb = kb(from) - copy_kb;
 
         Nobody nobody;
         net::Timers timers;
-        http::Budget budget(1 << 20);
+        http::ByteBudget budget(1 << 20);
         from = allocated();
-        backend::Pool pool(nobody, timers, {}, budget, {});
+        backend::ConnectionPool pool(nobody, timers, {}, budget, {});
         const double pool_first_ms = ms([&] { pool.update(listing); });
         const double pool_kb = kb(from);
         const double pool_again_ms = ms([&] { pool.update(listing); });
@@ -109,9 +109,9 @@
 
         const std::string few = list_text(n, 0, std::min(n, kChanged), false);
         double few_json = 0, few_entries = 0;
-        discovery::Listing change = parse(few, few_json, few_entries);
+        discovery::EndpointList change = parse(few, few_json, few_entries);
         const double change_ms = few_json + few_entries + ms([&] {
-                                     operations.lay_over(change);
+                                     operations.apply_to(change);
                                      pool.update(change);
                                      gateway.handle(102, change.update, actions);
                                  });
@@ -128,7 +128,7 @@
         (taken(list_text(middle, 0, middle, true)) ? least : most) = middle;
     }
     Table largest{"backends_largest_list", {"body_most", "backends"}, {}};
-    largest.add({static_cast<double>(http::kBodyMost), static_cast<double>(least)});
+    largest.add({static_cast<double>(http::kMaxBufferedBodyBytes), static_cast<double>(least)});
     write(run.directory, largest);
 }
 
--- a/bench/scale/configuration.cpp
+++ b/bench/scale/configuration.cpp
@@ -73,7 +73,7 @@
     Table table{"configuration_services", {"services", "file_kb", "read_ms", "kb"}, {}};
     for (const std::size_t n : run.sizes({4, 40, 100, 400, 1000, 4000, 20'000}, 400)) {
         const std::string text = platform_text(n);
-        const discovery::UnixClock clock;
+        const discovery::UnixTimeConverter clock;
         const std::size_t before = allocated();
         const double from = cpu_s();
         const config::Config made = config::read(text, clock);
@@ -101,9 +101,9 @@
         const std::size_t before = allocated();
         quota::Settings settings;
         settings.plans = {{"basis", 12, 24, 0}};
-        settings.ingresses = quota::kIngressesMost;
+        settings.ingress_count = quota::kIngressesMost;
         settings.customers_most = 150'000;
-        quota::Bank bank(settings, 1);
+        quota::SharedQuota bank(settings, 1);
         std::unordered_map<std::string, double> counter;
         std::mt19937_64 random(4);
         Meter meter;
@@ -114,22 +114,22 @@
         for (std::size_t k = 0; k < requests; ++k) {
             now += std::exponential_distribution<double>(257)(random);
             const std::uint64_t customer = k < n ? k : random() % n;
-            std::vector<quota::Call> out;
+            std::vector<quota::CounterCall> out;
             {
                 const Booked booked(meter, &account);
-                if (bank.due() <= now) bank.wake(now);
-                if (bank.look(now, customer, 0, {0, quota::kIngressesMost}, 1) <= 0) {
-                    bank.take(now, customer, 0, {0, quota::kIngressesMost}, 1);
-                    bank.ended(customer);
+                if (bank.next_deadline() <= now) bank.on_timer(now);
+                if (bank.retry_after_s(now, customer, 0, {0, quota::kIngressesMost}, 1) <= 0) {
+                    bank.consume(now, customer, 0, {0, quota::kIngressesMost}, 1);
+                    bank.release(customer);
                     passed += 1;
                 }
                 out = bank.take_calls();
             }
-            for (const quota::Call& call : out) {
+            for (const quota::CounterCall& call : out) {
                 calls += 1;
                 const double total = counter[call.name] += call.by;
                 const Booked booked(meter, &account);
-                bank.answered(now, call.id, total);
+                bank.on_reply(now, call.id, total);
             }
         }
         counter = {};
--- a/bench/scale/crowd.cpp
+++ b/bench/scale/crowd.cpp
@@ -105,7 +105,7 @@
             }
             if (said.kind() == kSync && said.wants_sync()) events_.at(now() + 0.02, [this] { teach(); });
         }
-        const double due = member_.due();
+        const double due = member_.next_deadline();
         if (due > 1e17 || (due >= armed_ - 1e-9 && armed_ >= now())) return;
         armed_ = std::max(due, now());
         events_.at(armed_, [this, at = armed_] {
@@ -113,7 +113,7 @@
             armed_ = 1e18;
             {
                 const Booked booked(meter_, &cpu_);
-                if (member_.due() <= now()) member_.wake(now());
+                if (member_.next_deadline() <= now()) member_.on_timer(now());
             }
             pump();
         });
@@ -146,7 +146,7 @@
     std::mt19937_64 random_{3};
     Events events_;
     Meter meter_;
-    membership::Members member_;
+    membership::SwimMembership member_;
     std::uint64_t numbers_ = 0;
     double cpu_ = 0, heard_ = 0, armed_ = 1e18;
     double last_bytes_ = 0, last_cpu_ = 0, most_bytes_ = 0, most_cpu_ = 0;
@@ -195,15 +195,15 @@
     constexpr std::uint64_t kReceiver = 1'000'000;   // its process
     const std::string payload(200, 'x');
     for (const std::size_t n : run.sizes({30, 100, 300, 1000, 3000, 7000}, 300)) {
-        std::vector<membership::Seal> senders;
-        for (std::size_t i = 0; i < n; ++i) senders.emplace_back(std::vector<membership::Key>{{}}, i + 1);
+        std::vector<membership::DatagramAuth> senders;
+        for (std::size_t i = 0; i < n; ++i)
+            senders.emplace_back(std::vector<membership::AuthKey>{{}}, i + 1);
         std::vector<std::string> sealed;
         const double from = cpu_s();
-        for (std::size_t i = 0; i < kRounds; ++i)
-            sealed.push_back(senders[i % n].close(kReceiver, payload));
+        for (std::size_t i = 0; i < kRounds; ++i) sealed.push_back(senders[i % n].seal(kReceiver, payload));
         const double between = cpu_s();
         const std::size_t before = allocated();
-        membership::Seal receiver({membership::Key{}}, kReceiver);
+        membership::DatagramAuth receiver({membership::AuthKey{}}, kReceiver);
         std::uint64_t who = 0;
         std::string_view text;
         for (const std::string& one : sealed) receiver.open(one, who, text);
--- a/bench/scale/fleet.cpp
+++ b/bench/scale/fleet.cpp
@@ -16,7 +16,7 @@
 constexpr double kNever = 1e17;
 constexpr std::uint32_t kLimit = 1;
 
-std::vector<membership::Key> keys() { return {membership::Key{}}; }
+std::vector<membership::AuthKey> keys() { return {membership::AuthKey{}}; }
 
 std::uint32_t channel_of(Duty duty) { return static_cast<std::uint32_t>(duty); }
 
@@ -82,7 +82,7 @@
     node.process = ++processes_;
     node.armed.fill(1e18);
     if (plan_.sealed && plan_.membership)
-        node.seal = std::make_unique<membership::Seal>(keys(), node.process);
+        node.seal = std::make_unique<membership::DatagramAuth>(keys(), node.process);
     if (plan_.membership) {
         membership::Settings settings;
         settings.name = ingress_name(i);
@@ -92,7 +92,7 @@
         settings.interval_s = plan_.interval_s;
         for (std::size_t s = 0; s < 5 && s < plan_.ingresses; ++s)
             settings.seeds.push_back(ingress_address(s, zone(s)));
-        node.members = std::make_unique<membership::Members>(settings, node.process, random_());
+        node.members = std::make_unique<membership::SwimMembership>(settings, node.process, random_());
     }
     if (plan_.voters > 0) make_leases(i, first);
     if (plan_.period_s > 0) make_sums(i);
@@ -111,31 +111,32 @@
 void Fleet::make_leases(std::size_t i, bool first) {
     Node& node = *nodes_[i];
     const bool votes = i < plan_.voters;
-    static const lease::Memory nothing{1, {}};
-    node.leases = std::make_unique<lease::Room>(
-        lease::RoomSettings{ingress_name(i), times_, voters_}, node.process, random_(), now(),
+    static const lease::AcceptorState nothing{1, {}};
+    node.leases = std::make_unique<lease::LeaseNode>(
+        lease::LeaseNodeSettings{ingress_name(i), times_, voters_}, node.process, random_(), now(),
         static_cast<std::uint64_t>(unix_s() * 1e3), first && votes ? &nothing : nullptr);
-    node.leases->seek(now(), kConductor);
-    if (votes) node.notes = std::make_unique<lease::NoteKeeper>(first, lease::NoteKeeper::All{});
+    node.leases->campaign(now(), kConductor);
+    if (votes)
+        node.notes = std::make_unique<lease::RegisterAcceptor>(first, lease::RegisterAcceptor::Registers{});
     pump_leases(i);
 }
 
 void Fleet::make_sums(std::size_t i) {
     Node& node = *nodes_[i];
-    node.teller = std::make_unique<fleet_counters::Teller>(node.process);
-    node.collector = std::make_unique<fleet_counters::Collector>(
+    node.teller = std::make_unique<fleet_counters::Reporter>(node.process);
+    node.collector = std::make_unique<fleet_counters::Aggregator>(
         fleet_counters::Settings{plan_.period_s, kGrace}, times_, voters_, random_());
     node.period = static_cast<std::uint64_t>(unix_s() / plan_.period_s);
-    node.teller->cut(node.period, node.values);
+    node.teller->record_period(node.period, node.values);
     cut(i);
 }
 
 void Fleet::make_limits(std::size_t i) {
     Node& node = *nodes_[i];
-    node.limits = std::make_unique<fleet_rate_limit::Room>(
+    node.limits = std::make_unique<fleet_rate_limit::RateLimitNode>(
         fleet_rate_limit::Settings{ingress_name(i), names_}, random_());
     node.limits->define(kLimit, plan_.limit);
-    if (!plan_.membership) node.limits->set_there(now(), names_);
+    if (!plan_.membership) node.limits->set_alive_members(now(), names_);
     ask_later(i, node.process);
 }
 
@@ -147,7 +148,7 @@
     std::string bytes;
     if (node.seal) {
         const Booked booked(meter_, account(from, Duty::membership));
-        bytes = node.seal->close(to_process, payload);
+        bytes = node.seal->seal(to_process, payload);
     } else {
         bytes = std::move(payload);
     }
@@ -169,9 +170,10 @@
         std::uint64_t who = process;
         bool fresh = true;
         if (node.seal) {
-            const membership::Opened opened = node.seal->open(bytes, who, payload);
-            if (opened != membership::Opened::fresh && opened != membership::Opened::stranger) return;
-            fresh = opened == membership::Opened::fresh;
+            const membership::OpenResult opened = node.seal->open(bytes, who, payload);
+            if (opened != membership::OpenResult::fresh && opened != membership::OpenResult::unknown_sender)
+                return;
+            fresh = opened == membership::OpenResult::fresh;
         }
         node.members->receive(now(), who, fresh, payload);
     }
@@ -183,8 +185,8 @@
     Node& node = *nodes_[i];
     Spent& spent = spent_[i];
     std::vector<membership::Datagram> datagrams;
-    std::vector<membership::Heard> heard;
-    std::vector<membership::Change> changes;
+    std::vector<membership::ReceivedMessage> heard;
+    std::vector<membership::MemberChange> changes;
     {
         const Booked booked(meter_, account(i, Duty::membership));
         datagrams = node.members->take_datagrams();
@@ -199,30 +201,31 @@
     }
     spent.held_back = node.members->tally().held_back;
     const std::uint64_t process = node.process;
-    for (const membership::Heard& one : heard) {
+    for (const membership::ReceivedMessage& one : heard) {
         spent.heard[0] -= arrived;
         spent.heard[one.channel] += arrived;
         hear(i, by_name_.at(one.from), one.process, static_cast<Duty>(one.channel), one.body);
         if (!nodes_[i] || nodes_[i]->process != process) return;
     }
-    for (const membership::Change& one : changes) {
-        if (one.what != membership::Change::What::state || one.member.state != membership::State::gone)
+    for (const membership::MemberChange& one : changes) {
+        if (one.what != membership::MemberChange::What::state ||
+            one.member.state != membership::MemberState::gone)
             continue;
         const auto& other = nodes_[by_name_.at(one.member.name)];
         false_deaths_ += other && other->process == one.member.process;
     }
     if (!changes.empty() && node.limits) changed_members(i);
-    arm(i, Duty::membership, node.members->due());
+    arm(i, Duty::membership, node.members->next_deadline());
 }
 
 void Fleet::changed_members(std::size_t i) {
     const Booked booked(meter_, account(i, Duty::limits));
     std::vector<std::string> there;
     for (const membership::Member& one : nodes_[i]->members->list())
-        if (one.state == membership::State::alive || one.state == membership::State::suspected)
+        if (one.state == membership::MemberState::alive || one.state == membership::MemberState::suspected)
             there.push_back(one.name);
     std::sort(there.begin(), there.end());
-    nodes_[i]->limits->set_there(now(), std::move(there));
+    nodes_[i]->limits->set_alive_members(now(), std::move(there));
 }
 
 // What a core says, by membership's datagrams; each is booked to its duty, with the news that it carries.
@@ -285,7 +288,7 @@
                 fleet_counters::Report report;
                 if (!fleet_counters::read(body, report)) return;
                 if (report.cuts.empty())
-                    node.teller->counted(report.process, report.counted);
+                    node.teller->acknowledge(report.process, report.counted);
                 else
                     more = node.collector->on_report(now(), unix_s(), ingress_name(from), report);
             }
@@ -310,41 +313,42 @@
 
 void Fleet::pump_leases(std::size_t i) {
     Node& node = *nodes_[i];
-    std::vector<lease::Room::Post> posts;
-    std::vector<lease::Change> changes;
+    std::vector<lease::LeaseNode::OutgoingMessage> posts;
+    std::vector<lease::LeaseEvent> changes;
     {
         const Booked booked(meter_, account(i, Duty::leases));
-        posts = node.leases->take_posts();
-        changes = node.leases->take_changes();
+        posts = node.leases->take_outgoing();
+        changes = node.leases->take_events();
     }
     for (const auto& post : posts) say(i, Duty::leases, post.to, post.body);
-    for (const lease::Change& change : changes) {
+    for (const lease::LeaseEvent& change : changes) {
         if (!node.collector) continue;
         {
             const Booked booked(meter_, account(i, Duty::sums));
-            if (change.what == lease::Change::What::lost)
+            if (change.kind == lease::LeaseEvent::Kind::lost)
                 node.collector->lose(), node.answers.clear();
             else
-                node.collector->hold(now(), unix_s(), change.number);
+                node.collector->hold(now(), unix_s(), change.fencing_token);
         }
         pump_sums(i);
     }
     if (plan_.membership) pump_members(i);
-    arm(i, Duty::leases, node.leases->due());
+    arm(i, Duty::leases, node.leases->next_deadline());
 }
 
-bool Fleet::keep_note(std::size_t i, const lease::NoteMessage& message, lease::NoteMessage& answer) {
+bool Fleet::keep_note(std::size_t i, const lease::RegisterMessage& message,
+                      lease::RegisterMessage& answer) {
     Node& node = *nodes_[i];
-    const lease::Voter* const voter = node.leases ? node.leases->voter() : nullptr;
-    if (!node.notes || !voter || !voter->takes_part(now()) || message.step < voter->step()) return false;
+    const lease::Acceptor* const voter = node.leases ? node.leases->acceptor() : nullptr;
+    if (!node.notes || !voter || !voter->may_vote(now()) || message.epoch < voter->step()) return false;
     if (!node.notes->receive(message, answer)) return false;
-    answer.step = voter->step();
+    answer.epoch = voter->step();
     return true;
 }
 
 void Fleet::hear_note(std::size_t i, std::size_t from, const std::string& body) {
-    using Kind = lease::NoteMessage::Kind;
-    lease::NoteMessage message, answer;
+    using Kind = lease::RegisterMessage::Kind;
+    lease::RegisterMessage message, answer;
     bool answers = false;
     {
         const Booked booked(meter_, account(i, Duty::notes));
@@ -373,8 +377,8 @@
 }
 
 std::string Fleet::conductor(std::size_t i) const {
-    for (const lease::View& one : nodes_[i]->leases->views())
-        return one.state == lease::Seeker::State::held ? ingress_name(i) : one.other;
+    for (const lease::LeaseStatus& one : nodes_[i]->leases->statuses())
+        return one.state == lease::Candidate::State::held ? ingress_name(i) : one.other_holder;
     return {};
 }
 
@@ -393,7 +397,7 @@
         for (std::uint64_t& value : node.values) value += 1000 + random_() % 5000;
         {
             const Booked booked(meter_, account(i, Duty::sums));
-            node.teller->cut(period, node.values);
+            node.teller->record_period(period, node.values);
         }
         events_.at(now() + draw(0, kGrace / 4), [this, i, process = node.process] { tell(i, process); });
     }
@@ -432,7 +436,7 @@
     Node& node = *nodes_[i];
     for (bool more = true; more;) {
         more = false;
-        std::vector<lease::NoteBook::Post> posts;
+        std::vector<lease::RegisterClient::OutgoingMessage> posts;
         std::vector<fleet_counters::Row> rows;
         {
             const Booked booked(meter_, account(i, Duty::sums));
@@ -445,7 +449,7 @@
                 say(i, Duty::notes, post.to, lease::write(post.message));
                 continue;
             }
-            lease::NoteMessage answer;
+            lease::RegisterMessage answer;
             const Booked booked(meter_, account(i, Duty::notes));
             if (!keep_note(i, post.message, answer)) continue;
             node.collector->on_note(now(), unix_s(), ingress_name(i), answer);
@@ -462,7 +466,7 @@
         const auto answer = std::move(node.answers.front());
         node.answers.pop_front();
         if (answer.to == ingress_name(i))
-            node.teller->counted(answer.report.process, answer.report.counted);
+            node.teller->acknowledge(answer.report.process, answer.report.counted);
         else
             say(i, Duty::sums, answer.to, fleet_counters::write(answer.report));
     }
@@ -494,8 +498,8 @@
                    ++asked_;
                    {
                        const Booked booked(meter_, account(i, Duty::limits));
-                       if (node.limits->look(now(), kLimit, key, 1) <= 0) {
-                           node.limits->take(now(), kLimit, key, 1);
+                       if (node.limits->retry_after_s(now(), kLimit, key, 1) <= 0) {
+                           node.limits->consume(now(), kLimit, key, 1);
                            ++passed_;
                        }
                    }
@@ -506,12 +510,12 @@
 
 void Fleet::pump_limits(std::size_t i) {
     Node& node = *nodes_[i];
-    std::vector<fleet_rate_limit::Room::Post> posts;
+    std::vector<fleet_rate_limit::RateLimitNode::OutgoingDatagram> posts;
     double due = 0;
     {
         const Booked booked(meter_, account(i, Duty::limits));
-        posts = node.limits->take_posts();
-        due = node.limits->due();
+        posts = node.limits->take_outgoing();
+        due = node.limits->next_deadline();
     }
     for (const auto& post : posts) say(i, Duty::limits, post.to, post.body);
     if (plan_.membership && !posts.empty()) pump_members(i);
@@ -537,10 +541,11 @@
     Node& node = *nodes_[i];
     {
         const Booked booked(meter_, account(i, duty));
-        if (duty == Duty::membership && node.members->due() <= now()) node.members->wake(now());
-        if (duty == Duty::leases && node.leases->due() <= now()) node.leases->wake(now());
+        if (duty == Duty::membership && node.members->next_deadline() <= now())
+            node.members->on_timer(now());
+        if (duty == Duty::leases && node.leases->next_deadline() <= now()) node.leases->on_timer(now());
         if (duty == Duty::sums) node.collector->wake(now(), unix_s());
-        if (duty == Duty::limits) node.limits->wake(now());
+        if (duty == Duty::limits) node.limits->on_timer(now());
     }
     if (duty == Duty::membership) pump_members(i);
     if (duty == Duty::leases) pump_leases(i);
@@ -626,7 +631,7 @@
     return true;
 }
 
-bool Fleet::all_have(std::size_t i, membership::State state) const {
+bool Fleet::all_have(std::size_t i, membership::MemberState state) const {
     const std::string who = ingress_name(i);
     for (std::size_t k = 0; k < nodes_.size(); ++k) {
         if (k == i || !nodes_[k]) continue;
--- a/bench/scale/fleet.hpp
+++ b/bench/scale/fleet.hpp
@@ -45,7 +45,7 @@
     double period_s = 0;       // of the fleet's sums; 0: none; wants voters
     double requests_s = 0;     // at each ingress, that a fleet limit counts; 0: none
     std::size_t keys = 1000;   // that they are of, evenly
-    fleet_rate_limit::Spec limit{100, 100, 1};
+    fleet_rate_limit::LimitSpec limit{100, 100, 1};
     std::size_t started = ~std::size_t{0};   // so many are started at first, over `start_s`
     double start_s = 1;
 };
@@ -98,7 +98,7 @@
     bool all_agree() const;
     // The same while region 0, of `inside` ingresses, is apart from the others: on each side.
     bool all_agree(std::size_t inside) const;
-    bool all_have(std::size_t i, membership::State state) const;
+    bool all_have(std::size_t i, membership::MemberState state) const;
     std::uint64_t false_deaths() const { return false_deaths_; }
 
     const Spent& spent(std::size_t i) const { return spent_[i]; }
@@ -121,19 +121,19 @@
     std::uint64_t turned_away() const;
     std::uint64_t passed() const { return passed_; }   // requests, by fleet limits
     std::uint64_t asked() const { return asked_; }
-    fleet_rate_limit::Room* limits(std::size_t i) { return nodes_[i]->limits.get(); }
+    fleet_rate_limit::RateLimitNode* limits(std::size_t i) { return nodes_[i]->limits.get(); }
 
   private:
     struct Node {
         std::uint64_t process = 0;
-        std::unique_ptr<membership::Seal> seal;
-        std::unique_ptr<membership::Members> members;
-        std::unique_ptr<lease::Room> leases;
-        std::unique_ptr<lease::NoteKeeper> notes;
-        std::unique_ptr<fleet_counters::Teller> teller;
-        std::unique_ptr<fleet_counters::Collector> collector;
-        std::deque<fleet_counters::Collector::Answer> answers;
-        std::unique_ptr<fleet_rate_limit::Room> limits;
+        std::unique_ptr<membership::DatagramAuth> seal;
+        std::unique_ptr<membership::SwimMembership> members;
+        std::unique_ptr<lease::LeaseNode> leases;
+        std::unique_ptr<lease::RegisterAcceptor> notes;
+        std::unique_ptr<fleet_counters::Reporter> teller;
+        std::unique_ptr<fleet_counters::Aggregator> collector;
+        std::deque<fleet_counters::Aggregator::Answer> answers;
+        std::unique_ptr<fleet_rate_limit::RateLimitNode> limits;
         fleet_counters::Values values{};
         std::uint64_t period = 0, told_holds = 0;
         std::array<double, kDuties> armed{};
@@ -158,7 +158,7 @@
 
     void pump_leases(std::size_t i);
     void hear_note(std::size_t i, std::size_t from, const std::string& body);
-    bool keep_note(std::size_t i, const lease::NoteMessage& message, lease::NoteMessage& answer);
+    bool keep_note(std::size_t i, const lease::RegisterMessage& message, lease::RegisterMessage& answer);
     std::string conductor(std::size_t i) const;
     void cut(std::size_t i);
     void tell(std::size_t i, std::uint64_t process);
@@ -181,8 +181,8 @@
     std::vector<double> worst_cpu_;
     std::vector<std::string> names_;
     std::unordered_map<std::string, std::size_t> by_name_, by_address_;
-    lease::Voters voters_;
-    const lease::Times times_;
+    lease::AcceptorSet voters_;
+    const lease::LeaseTimes times_;
     std::vector<Second> seconds_;
     std::uint64_t processes_ = 0, false_deaths_ = 0, rows_ = 0, passed_ = 0, asked_ = 0;
     std::uint64_t row_processes_ = 0;
--- a/bench/scale/leases.cpp
+++ b/bench/scale/leases.cpp
@@ -90,7 +90,8 @@
         }
         table.add({static_cast<double>(n), voter.bytes / s, voter.datagrams / s, voter.cpu_s / s * 1e6,
                    ingress.bytes / others, ingress.datagrams / others, ingress.cpu_s / others * 1e6,
-                   wrong / hints, first_s, next_s, lease::gap_s({}, kRoundTrip, static_cast<int>(n)),
+                   wrong / hints, first_s, next_s,
+                   lease::max_vacancy_s({}, kRoundTrip, static_cast<int>(n)),
                    static_cast<double>(fleet.lost())});
         write(run.directory, table);
     }
--- a/bench/scale/limits.cpp
+++ b/bench/scale/limits.cpp
@@ -13,9 +13,9 @@
 namespace slatejunction::scale {
 namespace {
 
-constexpr double kRequests = 257;                    // a second, at each ingress at the peak
-constexpr double kTenants = 150'000.0 / 7000;        // for each ingress
-constexpr fleet_rate_limit::Spec kSpec{20, 40, 1};   // a tenant asks 12 times a second
+constexpr double kRequests = 257;                         // a second, at each ingress at the peak
+constexpr double kTenants = 150'000.0 / 7000;             // for each ingress
+constexpr fleet_rate_limit::LimitSpec kSpec{20, 40, 1};   // a tenant asks 12 times a second
 constexpr std::uint32_t kLimit = 1;
 constexpr double kRoundTrip = 0.07;   // s; about the mean between regions
 
@@ -65,7 +65,7 @@
   public:
     explicit One(std::size_t n) : n_(n), keys_(keys_of(n)), names_(names(n)), room_(settings(), 5) {
         room_.define(kLimit, kSpec);
-        there_cpu_ = booked(there_s_, [&] { room_.set_there(0, names_); });
+        there_cpu_ = booked(there_s_, [&] { room_.set_alive_members(0, names_); });
     }
     void run(double seconds) {
         const double end = now_ + seconds;
@@ -82,10 +82,10 @@
         std::vector<std::string> fewer = names_;
         fewer.erase(fewer.begin() + static_cast<std::ptrdiff_t>(n_ / 2));
         const double from = cpu_s();
-        room_.set_there(now_, fewer);
+        room_.set_alive_members(now_, fewer);
         const double to = cpu_s();
-        room_.set_there(now_, names_);
-        room_.take_posts();
+        room_.set_alive_members(now_, names_);
+        room_.take_outgoing();
         return (to - from) * 1e3;
     }
     void forget() { ask_s_ = own_s_ = wake_s_ = 0, asks_ = reports_ = posts_ = 0, bytes_ = 0; }
@@ -113,7 +113,7 @@
     void ask() {
         const std::uint64_t key = random_() % keys_;
         booked(ask_s_, [&] {
-            if (room_.look(now_, kLimit, key, 1) <= 0) room_.take(now_, kLimit, key, 1);
+            if (room_.retry_after_s(now_, kLimit, key, 1) <= 0) room_.consume(now_, kLimit, key, 1);
         });
         asks_ += 1;
         deliver();
@@ -135,7 +135,7 @@
     }
     void wake() {
         booked(wake_s_, [&] {
-            if (room_.due() <= now_) room_.wake(now_);
+            if (room_.next_deadline() <= now_) room_.on_timer(now_);
         });
         deliver();
     }
@@ -150,7 +150,7 @@
     }
     // What it reports is answered after kRoundTrip; what it answers is heard.
     void deliver() {
-        for (const auto& post : room_.take_posts()) {
+        for (const auto& post : room_.take_outgoing()) {
             posts_ += 1;
             bytes_ += static_cast<double>(post.body.size() + kEnvelope);
             fleet_rate_limit::wire::Batch said;
@@ -169,7 +169,7 @@
     const std::vector<std::string> names_;
     std::mt19937_64 random_{11};
     Meter meter_;
-    fleet_rate_limit::Room room_;
+    fleet_rate_limit::RateLimitNode room_;
     struct Answer {
         double at;
         std::string from, body;
--- a/bench/scale/membership.cpp
+++ b/bench/scale/membership.cpp
@@ -113,12 +113,12 @@
         const std::size_t who = fleet_.plan().ingresses - 1;
         const Look from = Look::of(fleet_);
         fleet_.kill(who);
-        if (!fleet_.run_until(300, [&] { return fleet_.all_have(who, membership::State::gone); }))
+        if (!fleet_.run_until(300, [&] { return fleet_.all_have(who, membership::MemberState::gone); }))
             return false;
         const double took = fleet_.now() - from.at;
         const Second worst = fleet_.worst(from.at);
-        tables_.death.add({n_, took, membership::known_within_s(fleet_.plan().ingresses, 1), kb_each(from),
-                           cpu_ms_each(from), worst.most_bytes / 1e3, worst.most_cpu * 1e3});
+        tables_.death.add({n_, took, membership::detection_bound_s(fleet_.plan().ingresses, 1),
+                           kb_each(from), cpu_ms_each(from), worst.most_bytes / 1e3, worst.most_cpu * 1e3});
         fleet_.start(who);
         return fleet_.run_until(300, [&] { return fleet_.all_agree(); }) && settle(1);
     }
--- a/bench/scale/requests.cpp
+++ b/bench/scale/requests.cpp
@@ -70,28 +70,28 @@
         for (const Action& action : actions_) carry_out(action);
     }
     void carry_out(const Action& action) {
-        if (const auto* const send = std::get_if<Send>(&action)) {
-            const std::size_t backend = std::stoul(send->server.substr(8));
+        if (const auto* const send = std::get_if<StartAttempt>(&action)) {
+            const std::size_t backend = std::stoul(send->backend.substr(8));
             if (heard_.size() <= backend) heard_.resize(backend + 1);
             heard_[backend] = true;
             const bool fails = backend < broken_;
             failed_ += fails;
             events_.at(events_.now() + kAnswer,
                        [this, id = send->id, fails, attempt = attempts_[send->id]++] {
-                           AttemptEnd end;
+                           AttemptEnded end;
                            end.id = id;
                            end.attempt = attempt;
-                           end.outcome = fails ? Outcome::connect_failed : Outcome::ok;
-                           end.took_s = kAnswer;
-                           end.ended = !fails;
+                           end.result = fails ? AttemptResult::connect_failed : AttemptResult::ok;
+                           end.duration_s = kAnswer;
+                           end.request_ended = !fails;
                            served_ += !fails;
                            if (!fails) attempts_.erase(id);
                            give(end, end_s_);
                        });
         } else if (const auto* const timer = std::get_if<SetTimer>(&action)) {
-            events_.at(std::max(timer->due_s - 100, events_.now()), [this, tag = timer->tag] {
+            events_.at(std::max(timer->fire_at_s - 100, events_.now()), [this, tag = timer->tag] {
                 const double before = timer_s_;
-                give(TimerDue{tag}, timer_s_);
+                give(TimerFired{tag}, timer_s_);
                 worst_timer_ = std::max(worst_timer_, timer_s_ - before);
             });
         }
@@ -104,8 +104,8 @@
             request.customer = random_() % sizes_.customers;
             request.plan = plan_name(request.customer % sizes_.plans);
             request.units = 1;
-            request.due_s = 100 + events_.now() + 5;
-            request.doors = 1;
+            request.deadline_at_s = 100 + events_.now() + 5;
+            request.ingress_count = 1;
             const double before = request_s_;
             give(request, request_s_);
             times_.push_back(request_s_ - before);
--- a/bench/scale/rollout_faults.cpp
+++ b/bench/scale/rollout_faults.cpp
@@ -120,7 +120,8 @@
         all.push_back({seekers == 1 ? "source_killed" : "source_killed_late", 60,
                        [seekers](Trial& t) {
                            t.fleet.kill(0);
-                           const double gap = lease::gap_s(lease::Times{}, kRoundTrip, seekers);
+                           const double gap =
+                               lease::max_vacancy_s(lease::LeaseTimes{}, kRoundTrip, seekers);
                            t.fleet.at(t.fleet.now() + gap, [&t] { t.fleet.hold(1); });
                        },
                        [](Trial& t) { t.fleet.start(0); }});
--- a/bench/scale/rollout_fleet.cpp
+++ b/bench/scale/rollout_fleet.cpp
@@ -47,7 +47,7 @@
 
 // Homes: what would be on the disk. --------------------------------------------------------------------
 
-struct RolloutFleet::ReplicaDisk : rollout::ReplicaHome {
+struct RolloutFleet::ReplicaDisk : rollout::ReplicaStorage {
     bool keep_promise(std::uint64_t term, bool to_remember) override {
         promised = term;
         remembers = to_remember;
@@ -75,7 +75,7 @@
 };
 
 // The number alone: the fleet has the committed sequence once, for all of them.
-struct RolloutFleet::FollowerDisk : rollout::FollowerHome {
+struct RolloutFleet::FollowerDisk : rollout::FollowerStorage {
     bool append(const std::vector<rollout::Record>& records) override {
         number = records.back().number;
         return true;
@@ -160,8 +160,8 @@
     it.started_at = now();
     it.changes = it.urgent = 0;
     if (plan_.sealed)
-        it.seal =
-            std::make_unique<membership::Seal>(std::vector<membership::Key>{membership::Key{}}, it.process);
+        it.seal = std::make_unique<membership::DatagramAuth>(
+            std::vector<membership::AuthKey>{membership::AuthKey{}}, it.process);
     is_control(node) ? start_control(node) : start_follower(node);
     if (it.feeder) tell_every_second(node, it.life);
     pump(node);
@@ -175,11 +175,11 @@
     it.replica = std::make_unique<rollout::Replica>(
         replica, it.process,
         rollout::ReplicaStored{disk.remembers, disk.promised, disk.committed, disk.log}, *it.replica_disk);
-    it.feeder = std::make_unique<rollout::Feeder>(rollout::FeederSettings{}, it.replica->log());
+    it.feeder = std::make_unique<rollout::Publisher>(rollout::PublisherSettings{}, it.replica->log());
     it.feeder->advance(now(), it.replica->committed(), it.replica->staging());
-    rollout::SourceSettings source;
+    rollout::LeaderSettings source;
     source.replicas = control_names_;
-    it.source = std::make_unique<rollout::Source>(source, random_());
+    it.source = std::make_unique<rollout::Leader>(source, random_());
 }
 
 void RolloutFleet::start_follower(std::size_t node) {
@@ -203,7 +203,7 @@
         settings, rollout::FollowerStored{stored(it.follower_disk->number)}, *it.follower_disk,
         [](const rollout::State&, const rollout::Changes&) { return std::string(); }, random_());
     if (is_relay(node))
-        it.feeder = std::make_unique<rollout::Feeder>(rollout::FeederSettings{}, it.follower->log());
+        it.feeder = std::make_unique<rollout::Publisher>(rollout::PublisherSettings{}, it.follower->log());
     it.follower->start(now());
 }
 
@@ -236,15 +236,15 @@
     Node& it = nodes_[control];
     {
         const Booked booked(meter_, account(control));
-        it.source->hold(now(), ++fencing_, it.replica->log());
+        it.source->begin_term(now(), ++fencing_, it.replica->log());
     }
     pump(control);
 }
 
 // The network. ----------------------------------------------------------------------------------------
 
-void RolloutFleet::post(std::size_t from, const std::vector<rollout::Post>& posts) {
-    for (const rollout::Post& one : posts) send(from, by_name_.at(one.to), one.body);
+void RolloutFleet::post(std::size_t from, const std::vector<rollout::OutgoingMessage>& posts) {
+    for (const rollout::OutgoingMessage& one : posts) send(from, by_name_.at(one.to), one.body);
 }
 
 void RolloutFleet::send(std::size_t from, std::size_t to, const rollout::Body& body) {
@@ -259,7 +259,7 @@
     rollout::Body bytes = body;
     if (it.seal) {
         const Booked booked(meter_, account(from));
-        bytes = std::make_shared<const std::string>(it.seal->close(process, *body));
+        bytes = std::make_shared<const std::string>(it.seal->seal(process, *body));
     }
     const std::size_t around =
         (it.seal ? 0 : membership::kSealBytes) + (is_control(from) && is_control(to) ? kEnvelope : 0);
@@ -282,8 +282,9 @@
     if (plan_.sealed) {
         const Booked booked(meter_, account(to));
         std::uint64_t who = sender;
-        const membership::Opened opened = nodes_[to].seal->open(bytes, who, payload);
-        if (opened != membership::Opened::fresh && opened != membership::Opened::stranger) return;
+        const membership::OpenResult opened = nodes_[to].seal->open(bytes, who, payload);
+        if (opened != membership::OpenResult::fresh && opened != membership::OpenResult::unknown_sender)
+            return;
     }
     hear(from, to, sender, payload);
 }
@@ -295,7 +296,7 @@
         const auto message = rollout::decode(body);
         if (!message) return;
         if (is_control(from) && it.replica) {
-            const bool reads = it.source->stage() == rollout::Source::Stage::fetching;
+            const bool reads = it.source->stage() == rollout::Leader::Stage::fetching;
             const bool part = std::holds_alternative<rollout::SnapshotPart>(*message);
             if (!part || !reads) it.replica->receive(now(), names_[from], *message);
             if (!part || reads) it.source->receive(now(), names_[from], *message);
@@ -324,21 +325,21 @@
     if (it.source) pump_source(node);
     if (it.follower) pump_follower(node);
     if (it.feeder) pump_feeder(node);
-    if (it.follower) post(node, it.follower->take_posts());
+    if (it.follower) post(node, it.follower->take_outgoing());
     arm(node);
 }
 
 void RolloutFleet::pump_source(std::size_t node) {
     Node& it = nodes_[node];
-    for (const rollout::SourceEvent& event : it.source->take_events()) {
-        if (event.what == rollout::SourceEvent::What::fenced) it.source->lose();
-        if (event.what != rollout::SourceEvent::What::committed) continue;
+    for (const rollout::LeaderEvent& event : it.source->take_events()) {
+        if (event.kind == rollout::LeaderEvent::Kind::fenced) it.source->end_term();
+        if (event.kind != rollout::LeaderEvent::Kind::committed) continue;
         for (std::uint64_t k = base_ + records_.size() + 1; k <= event.number; ++k) {
             records_.push_back(it.source->log().record(k));
             versions_.push_back(it.source->log().version(k));
         }
     }
-    post(node, it.source->take_posts());
+    post(node, it.source->take_outgoing());
     post(node, it.replica->take_posts());
     if (it.replica->changes() == it.changes) return;
     it.changes = it.replica->changes();
@@ -380,7 +381,7 @@
 
 void RolloutFleet::pump_feeder(std::size_t node) {
     Node& it = nodes_[node];
-    post(node, it.feeder->take_posts());
+    post(node, it.feeder->take_outgoing());
     if (it.feeder->urgent() == it.urgent) return;
     it.urgent = it.feeder->urgent();
     tell(node);
@@ -391,12 +392,12 @@
     Node& it = nodes_[node];
     const Booked booked(meter_, account(node));
     if (it.follower) return it.follower->set_subtree(it.feeder->report(now()));
-    if (it.replica->source().empty()) return;
+    if (it.replica->leader().empty()) return;
     // As in the driver, for those behind once nothing new is cleared.
     it.feeder->advance(now(), it.replica->committed(), it.replica->staging());
     rollout::Report report = it.feeder->report(now());
     fit(report, rollout::kReportBytes);
-    post(node, {{it.replica->source(), rollout::body_of(rollout::Told{report})}});
+    post(node, {{it.replica->leader(), rollout::body_of(rollout::FollowerReport{report})}});
 }
 
 void RolloutFleet::tell_every_second(std::size_t node, std::uint64_t life) {
@@ -413,9 +414,9 @@
 void RolloutFleet::arm(std::size_t node) {
     Node& it = nodes_[node];
     double due = 1e18;
-    if (it.replica) due = std::min({due, it.replica->due(), it.source->due()});
-    if (it.feeder) due = std::min(due, it.feeder->due());
-    if (it.follower) due = std::min(due, it.follower->due());
+    if (it.replica) due = std::min({due, it.replica->due(), it.source->next_deadline()});
+    if (it.feeder) due = std::min(due, it.feeder->next_deadline());
+    if (it.follower) due = std::min(due, it.follower->next_deadline());
     if (due > kNever || (it.armed >= now() && it.armed <= due + 1e-9)) return;
     it.armed = std::max(due, now());
     events_.at(it.armed, [this, node, life = it.life, at = it.armed] {
@@ -430,9 +431,9 @@
     {
         const Booked booked(meter_, account(node));
         if (it.replica) it.replica->wake(now());
-        if (it.source) it.source->wake(now());
-        if (it.feeder) it.feeder->wake(now());
-        if (it.follower) it.follower->wake(now());
+        if (it.source) it.source->on_timer(now());
+        if (it.feeder) it.feeder->on_timer(now());
+        if (it.follower) it.follower->on_timer(now());
     }
     pump(node);
 }
--- a/bench/scale/rollout_fleet.hpp
+++ b/bench/scale/rollout_fleet.hpp
@@ -123,7 +123,7 @@
     std::uint64_t in_force(std::size_t node) const;
     bool everywhere(std::uint64_t number) const;   // at all ingresses that are up
     rollout::Report report() const { return nodes_[source_].source->fleet(now()); }
-    const rollout::FollowerTally& tally(std::size_t node) const { return nodes_[node].follower->tally(); }
+    const rollout::FollowerCounts& tally(std::size_t node) const { return nodes_[node].follower->tally(); }
     const RolloutSpent& spent(std::size_t node) const { return spent_[node]; }
     std::uint64_t proposed() const { return proposed_; }
     std::uint64_t refused() const { return refused_; }   // proposals that no source took
@@ -139,12 +139,12 @@
         bool up = false;
         std::uint64_t life = 0, process = 0;
         double armed = 1e18, started_at = 0;   // s
-        std::unique_ptr<membership::Seal> seal;
+        std::unique_ptr<membership::DatagramAuth> seal;
         std::unique_ptr<ReplicaDisk> replica_disk;
         std::unique_ptr<FollowerDisk> follower_disk;
         std::unique_ptr<rollout::Replica> replica;
-        std::unique_ptr<rollout::Source> source;
-        std::unique_ptr<rollout::Feeder> feeder;
+        std::unique_ptr<rollout::Leader> source;
+        std::unique_ptr<rollout::Publisher> feeder;
         std::unique_ptr<rollout::Follower> follower;
         std::uint64_t changes = 0, urgent = 0;
     };
@@ -161,7 +161,7 @@
     double* account(std::size_t node) { return &spent_[node].cpu_s; }
     void start_control(std::size_t node);
     void start_follower(std::size_t node);
-    void post(std::size_t from, const std::vector<rollout::Post>& posts);
+    void post(std::size_t from, const std::vector<rollout::OutgoingMessage>& posts);
     void send(std::size_t from, std::size_t to, const rollout::Body& body);
     void arrive(std::size_t from, std::size_t to, std::uint64_t process, std::uint64_t sender,
                 const std::string& bytes);
--- a/bench/scale/rules.cpp
+++ b/bench/scale/rules.cpp
@@ -35,7 +35,7 @@
 }
 
 // CPU us of judging a request for route i.
-double judge_us(rules::Rules& rules, rules::Verdict& verdict, std::size_t i, std::size_t classes,
+double judge_us(rules::Rules& rules, rules::RequestVerdict& verdict, std::size_t i, std::size_t classes,
                 double now) {
     const std::string service_class = class_name(i % classes), path = route_path(i) + "/x/1";
     rules::RequestFacts facts;
@@ -45,9 +45,9 @@
     facts.plan = "basis";
     facts.id = "1";
     const double from = cpu_s();
-    rules.judge(now, facts, verdict);
+    rules.evaluate(now, facts, verdict);
     const double us = (cpu_s() - from) * 1e6;
-    rules::Rules::ended(now, verdict);
+    rules::Rules::on_request_end(now, verdict);
     return us;
 }
 
@@ -61,7 +61,7 @@
     const double load_ms = (cpu_s() - from) * 1e3;
     if (!rules) return {static_cast<double>(size), kNone, kNone, kNone, kNone, kNone, kNone, kNone};
     const double kb = static_cast<double>(allocated() - before) / 1e3 - settings_kb;
-    rules::Verdict verdict;
+    rules::RequestVerdict verdict;
     double first_us = 0, worst_us = 0;
     const std::size_t firsts = std::min<std::size_t>(classes, 4000);
     for (std::size_t i = 0; i < firsts; ++i) {
--- a/bench/scale/sample.cpp
+++ b/bench/scale/sample.cpp
@@ -32,17 +32,17 @@
     return text + "]}";
 }
 
-ListUpdate list_of(std::size_t backends) {
-    ListUpdate list;
-    list.kind = ListKind::total;
+EndpointUpdate list_of(std::size_t backends) {
+    EndpointUpdate list;
+    list.kind = EndpointUpdateKind::snapshot;
     for (std::size_t i = 0; i < backends; ++i) {
-        ListEntry entry;
-        entry.server = id_of(i);
-        entry.kind = "m" + std::to_string(i % kKinds);
+        Endpoint entry;
+        entry.backend = id_of(i);
+        entry.flavor = "m" + std::to_string(i % kKinds);
         entry.zone = "zone-" + std::to_string(i % kZones);
         entry.capacity_hint = 1.0 + static_cast<double>(i % 3);
         entry.cell = static_cast<std::int64_t>(i % 100);
-        list.entries.push_back(entry);
+        list.endpoints.push_back(entry);
     }
     return list;
 }
@@ -55,9 +55,9 @@
     for (std::size_t i = 0; i < classes; ++i) {
         ServiceClass one;
         one.name = class_name(i);
-        one.aim_s = 1;
+        one.latency_objective_s = 1;
         one.deadline_s = 5;
-        one.worth = 1 + static_cast<double>(i % 3);
+        one.priority_weight = 1 + static_cast<double>(i % 3);
         settings.classes.push_back(one);
     }
     for (std::size_t i = 0; i < plans; ++i) {
@@ -65,17 +65,17 @@
         one.name = plan_name(i);
         one.rate = 1000;
         one.burst = 1000;
-        one.over_cost = 1;
+        one.over_quota_penalty = 1;
         settings.plans.push_back(one);
     }
     settings.zone = "zone-1";
-    settings.balancers = 7000;
+    settings.ingress_count = 7000;
     settings.meter_period_s = 1;
-    settings.attempts_cap = 3;
-    settings.cancel = true;
+    settings.max_attempts = 3;
+    settings.cancellation_allowed = true;
     settings.retry_after = true;
     settings.max_retry_after_s = 1;
-    settings.quantum_s = 0.002;
+    settings.tick_interval_s = 0.002;
     return settings;
 }
 
--- a/bench/scale/sample.hpp
+++ b/bench/scale/sample.hpp
@@ -12,7 +12,7 @@
 std::string list_text(std::size_t backends, std::size_t from, std::size_t to, bool complete);
 
 // The same as the module hears it.
-ListUpdate list_of(std::size_t backends);
+EndpointUpdate list_of(std::size_t backends);
 
 // So many classes (services) and plans, each with a quota.
 Settings settings_of(std::size_t classes, std::size_t plans);
--- a/fakes/counter.cpp
+++ b/fakes/counter.cpp
@@ -56,7 +56,7 @@
 struct Counter::Caller final : net::Protocol {
     Caller(Counter& counter, std::size_t address) : counter_(counter), address(address) {}
 
-    std::span<char> space() override { return room_; }
+    std::span<char> receive_buffer() override { return room_; }
     void on_bytes(std::size_t size) override {
         in_.append(room_, size);
         if (in_.size() > kBytesMost) return end();
--- a/fakes/link.cpp
+++ b/fakes/link.cpp
@@ -25,7 +25,7 @@
 struct Link::Half final : net::Protocol {
     Half(Pair& pair, bool there) : pair_(pair), there_(there) {}
     void on_open() override;
-    std::span<char> space() override { return room_; }
+    std::span<char> receive_buffer() override { return room_; }
     void on_bytes(std::size_t size) override;
     void on_end(bool clean) override;
     Pair& pair_;
--- a/fakes/load.cpp
+++ b/fakes/load.cpp
@@ -36,7 +36,7 @@
         up_ = true;
         write();
     }
-    std::span<char> space() override { return parser_.room(buffer_); }
+    std::span<char> receive_buffer() override { return parser_.room(buffer_); }
     void on_bytes(std::size_t size) override {
         const auto keep = shared_from_this();
         buffer_.commit(size);
@@ -140,12 +140,12 @@
     const bool write = std::uniform_real_distribution<double>(0, 1)(random_) < settings_.write_part;
     const slatejunction::ServiceClass* service = &platform_.classes.front();
     for (const auto& one : platform_.classes)
-        if ((one.effect != slatejunction::Effect::pure) == write) service = &one;
+        if ((one.idempotency != slatejunction::Idempotency::idempotent) == write) service = &one;
     job.service_class = service->name;
-    const bool pure = service->effect == slatejunction::Effect::pure;
-    const auto gateways = static_cast<unsigned>(std::max(1.0, platform_.balancers));
+    const bool pure = service->idempotency == slatejunction::Idempotency::idempotent;
+    const auto gateways = static_cast<unsigned>(std::max(1.0, platform_.ingress_count));
     const int first = settings_.spread > 1 ? static_cast<int>(customer % gateways)
-                                           : static_cast<int>(platform_.my_number);
+                                           : static_cast<int>(platform_.ingress_index);
     char head[512];
     std::snprintf(head, sizeof head,
                   "%s /%s?customer=%016llx HTTP/1.1\r\nHost: service.internal\r\nX-Request-Id: %s\r\n"
--- a/fakes/main.cpp
+++ b/fakes/main.cpp
@@ -227,7 +227,7 @@
 int check_quotas(const std::vector<std::string>& logs, const std::string& config,
                  const std::vector<std::string>& errors) {
     const auto settings =
-        slatejunction::config::load(config, slatejunction::discovery::UnixClock()).settings;
+        slatejunction::config::load(config, slatejunction::discovery::UnixTimeConverter()).settings;
     std::map<std::string, double> stated;
     for (const std::string& one : errors) {
         const std::size_t mark = one.find('=');
@@ -270,7 +270,7 @@
 }
 
 int run_load(const Common& common, const fakes::LoadSettings& settings, const std::string& config) {
-    const slatejunction::discovery::UnixClock clock;
+    const slatejunction::discovery::UnixTimeConverter clock;
     std::ifstream in(config, std::ios::binary);
     const std::string text((std::istreambuf_iterator<char>(in)), std::istreambuf_iterator<char>());
     const auto platform = slatejunction::config::read(text, clock);
--- a/fakes/server.cpp
+++ b/fakes/server.cpp
@@ -38,7 +38,7 @@
     timer_.arm(net::now() + s);
 }
 
-std::span<char> Client::space() { return room_; }
+std::span<char> Client::receive_buffer() { return room_; }
 
 void Client::on_bytes(std::size_t size) {
     in_.append(room_, size);
--- a/fakes/server.hpp
+++ b/fakes/server.hpp
@@ -39,7 +39,7 @@
     // Calls later, unless the connection has ended by then.
     void later(double s, std::function<void()> call);
 
-    std::span<char> space() override;
+    std::span<char> receive_buffer() override;
     void on_bytes(std::size_t size) override;
     void on_sent() override;
     void on_end(bool clean) override;
--- a/include/slatejunction/gateway.hpp
+++ b/include/slatejunction/gateway.hpp
@@ -24,44 +24,44 @@
 
 namespace slatejunction {
 
-enum class Effect { pure, token, side_effect };
-enum class Group { all, zone, cell };
-enum class Discovery { automatic, subscribe };
-enum class Outcome {
+enum class Idempotency { idempotent, idempotency_key, not_idempotent };
+enum class IdempotencyScope { all, zone, cell };
+enum class DiscoveryMode { automatic, subscribe };
+enum class AttemptResult {
     ok = 0,
     error = 1,
-    full = 2,
+    rejected = 2,
     timeout = 3,
     connect_failed = 4,
     reset = 5,
     cancelled = 6,
-    moot = 7
+    not_started = 7
 };
 
 struct ServiceClass {
     std::string name;
-    double aim_s = 0;
+    double latency_objective_s = 0;
     double deadline_s = 0;
-    Effect effect = Effect::pure;
-    Group group = Group::all;
-    double window_s = 0;
-    bool stream = false;
-    double worth = 0;
-    double late_worth = 0;
+    Idempotency idempotency = Idempotency::idempotent;
+    IdempotencyScope idempotency_scope = IdempotencyScope::all;
+    double idempotency_window_s = 0;
+    bool streaming = false;
+    double priority_weight = 0;
+    double late_priority_weight = 0;
     bool operator==(const ServiceClass&) const = default;
 };
 
 struct Plan {
     std::string name;
-    double rate = 0;            // units per second; 0: no such quota
-    double burst = 0;           // units the store holds
-    double ceiling_rate = 0;    // units per second; 0: no ceiling
-    double ceiling_burst = 0;   // units
-    double ceiling_slack = 0;   // units
-    double max_out = 0;         // attempts out at once over all gateways; 0: no such quota
-    double price = 0;           // worth factor
-    double over_worth = 0;      // share of worth earned beyond the quota
-    double over_cost = 0;       // share of worth lost when forwarded beyond the quota
+    double rate = 0;                 // units per second; 0: no such quota
+    double burst = 0;                // units the store holds
+    double hard_limit_rate = 0;      // units per second; 0: no ceiling
+    double hard_limit_burst = 0;     // units
+    double hard_limit_slack = 0;     // units
+    double max_in_flight = 0;        // attempts out at once over all gateways; 0: no such quota
+    double plan_weight = 0;          // worth factor
+    double over_quota_weight = 0;    // share of worth earned beyond the quota
+    double over_quota_penalty = 0;   // share of worth lost when forwarded beyond the quota
     bool operator==(const Plan&) const = default;
 };
 
@@ -71,40 +71,40 @@
     std::vector<Plan> plans;
     std::vector<std::string> report_fields;
     std::string zone;
-    Discovery discovery = Discovery::automatic;
-    std::int64_t my_number = 0;
-    double balancers = 0;
+    DiscoveryMode discovery = DiscoveryMode::automatic;
+    std::int64_t ingress_index = 0;
+    double ingress_count = 0;
     double meter_period_s = 0;
-    double largest_units = 0;
-    double attempts_cap = 0;
-    bool parallel_tries = false;
-    bool cancel = false;
-    bool probes = false;
-    bool reports_on_probe_only = false;
+    double max_request_units = 0;
+    double max_attempts = 0;
+    bool hedging_allowed = false;
+    bool cancellation_allowed = false;
+    bool health_checks_allowed = false;
+    bool reports_on_health_check_only = false;
     bool retry_after = false;
     double max_retry_after_s = 0;
-    double quantum_s = 0;
-    double ask_within_s = 0;
-    double cold_from = 0;
-    double warm_within_s = 0;
-    double fall_multiple = 0;
-    double fall_s = 0;
+    double tick_interval_s = 0;
+    double watch_retry_within_s = 0;
+    double slow_start_min_capacity = 0;
+    double slow_start_window_s = 0;
+    double overload_multiple = 0;
+    double overload_window_s = 0;
     bool operator==(const Settings&) const = default;
 };
 
-enum class ServerState { in, lame, out };
-enum class ListKind { changes, total, warm_copy, lost };
+enum class EndpointState { serving, draining, removed };
+enum class EndpointUpdateKind { delta, snapshot, cached_snapshot, watch_lost };
 
-struct ListEntry {
-    ServerState state = ServerState::in;
-    std::string server;
-    std::string kind;
+struct Endpoint {
+    EndpointState state = EndpointState::serving;
+    std::string backend;
+    std::string flavor;
     std::string zone;
     double capacity_hint = 0;
     std::int64_t cell = 0;
-    double born_s = 0;           // 0: long ago
+    double started_at_s = 0;     // 0: long ago
     std::uint64_t subsets = 0;   // the named parts of the fleet that it belongs to, as bits
-    bool operator==(const ListEntry&) const = default;
+    bool operator==(const Endpoint&) const = default;
 };
 
 // Events. -------------------------------------------------------------------------------------------
@@ -113,16 +113,16 @@
 struct Start {};
 
 // The list of servers, or changes to it. A server absent from a complete list is gone.
-struct ListUpdate {
-    ListKind kind = ListKind::changes;
-    std::vector<ListEntry> entries;
-    bool operator==(const ListUpdate&) const = default;
+struct EndpointUpdate {
+    EndpointUpdateKind kind = EndpointUpdateKind::delta;
+    std::vector<Endpoint> endpoints;
+    bool operator==(const EndpointUpdate&) const = default;
 };
 
 // When a request that is for a named part of the fleet may go to the whole of it instead: never; when that
 // part has no server; or also when it is pressed: by its load, by what is open there, or as no server of it
 // can take the request.
-enum class Spill { never = 0, empty = 1, pressed = 2 };
+enum class SubsetFallback { never = 0, when_empty = 1, when_overloaded = 2 };
 
 // A client's request. Exactly one final answer is owed for it before `due_s`: an attempt's `ok`, or a
 // Refuse or Abort action. `id` must not be used again while it is open.
@@ -132,112 +132,114 @@
     std::string plan;
     double units = 0;
     std::uint64_t customer = 0;
-    double due_s = 0;
-    double doors = 0;           // how many gateways this customer's requests may arrive through
-    bool repeat = false;        // the client says that it asked for this before
-    std::uint64_t subset = 0;   // the one part of the fleet it is for, as in ListEntry; 0: the whole
-    Spill spill = Spill::never;
-    double over_limit_s =
+    double deadline_at_s = 0;
+    double ingress_count = 0;       // how many gateways this customer's requests may arrive through
+    bool is_client_retry = false;   // the client says that it asked for this before
+    std::uint64_t subset = 0;       // the one part of the fleet it is for, as in ListEntry; 0: the whole
+    SubsetFallback subset_fallback = SubsetFallback::never;
+    double rate_limit_retry_after_s =
         0;   // over a limit of this gateway's own, which has room again so much later; 0: not
 };
 
 // How an attempt ended: exactly one for each Send. `ended` tells that nothing more is owed.
-struct AttemptEnd {
+struct AttemptEnded {
     std::string id;
     std::int64_t attempt = 0;
-    Outcome outcome = Outcome::ok;
-    double took_s = 0;
-    bool ended = false;
+    AttemptResult result = AttemptResult::ok;
+    double duration_s = 0;
+    bool request_ended = false;
     double quota_use = 0;         // 1 + percent of the rate used in the last metered period; 0: none
-    double charged = 0;           // true units where they are settled afterwards; 0: none
+    double charged_units = 0;     // true units where they are settled afterwards; 0: none
     std::vector<double> report;   // by Settings::report_fields, NaN where absent; carried, not judged by
-    double written_s =
+    double write_duration_s =
         0;   // of its time, that the request itself took to be written; no latency of the server
-    bool stale = false;   // broken at once on a connection kept from earlier: that may have ended meanwhile
+    bool stale_connection =
+        false;   // broken at once on a connection kept from earlier: that may have ended meanwhile
 };
 
 // A streamed answer has begun: neither the attempt's time-out nor the deadline runs any more.
-struct StreamBegun {
+struct StreamStarted {
     std::string id;
     std::int64_t attempt = 0;
 };
 
-struct ProbeEnd {
-    std::string server;
-    Outcome outcome = Outcome::ok;
-    double took_s = 0;
+struct HealthCheckEnded {
+    std::string backend;
+    AttemptResult result = AttemptResult::ok;
+    double duration_s = 0;
     std::vector<double> report;
 };
 
-struct TimerDue {
+struct TimerFired {
     std::uint64_t tag = 0;
 };
 
 // The client left, or its answer is overdue. Nothing is owed any more.
-struct ClientGone {
+struct ClientDisconnected {
     std::string id;
 };
 
-using Event =
-    std::variant<Start, ListUpdate, Request, AttemptEnd, StreamBegun, ProbeEnd, TimerDue, ClientGone>;
+using Event = std::variant<Start, EndpointUpdate, Request, AttemptEnded, StreamStarted, HealthCheckEnded,
+                           TimerFired, ClientDisconnected>;
 
 // Actions. ------------------------------------------------------------------------------------------
 
 // Attempts of a request are numbered 0, 1, 2 ... in the order of their Send. allow_s 0: until due.
-struct Send {
+struct StartAttempt {
     std::string id;
-    std::string server;
-    double allow_s = 0;
-    bool spilled = false;    // to the whole fleet, though the request is for a part of it
-    double begin_by_s = 0;   // clock time after which nothing of it may be written any more; 0: none
+    std::string backend;
+    double timeout_s = 0;
+    bool used_fallback = false;   // to the whole fleet, though the request is for a part of it
+    double start_by_s = 0;        // clock time after which nothing of it may be written any more; 0: none
 };
-struct CallOff {
+struct CancelAttempt {
     std::string id;
     std::int64_t attempt = 0;
 };
 // Why a request was refused. The numbers are stable: they are kept in files and shown to operators.
-enum class Reason {
-    quota = 0,         // the pass share draw: its customer asks beyond the quota
-    ceiling = 1,       // a plan's hard ceiling, or its cap on attempts out
-    fraction = 2,      // the admitted fraction draw: the fleet is slow
-    open_work = 3,     // too much is open for the rate of answers
-    no_provider = 4,   // no server could take it
-    attempts = 5,      // its attempts came back without an answer, and none may follow
-    malformed = 6,     // of an unknown class, or due before it came
-    limit = 8          // Request::over_limit_s; 7 is the door's own
+enum class RejectReason {
+    quota = 0,                // the pass share draw: its customer asks beyond the quota
+    hard_limit = 1,           // a plan's hard ceiling, or its cap on attempts out
+    admitted_fraction = 2,    // the admitted fraction draw: the fleet is slow
+    concurrency_limit = 3,    // too much is open for the rate of answers
+    no_backend = 4,           // no server could take it
+    attempts_exhausted = 5,   // its attempts came back without an answer, and none may follow
+    malformed = 6,            // of an unknown class, or due before it came
+    rate_limit = 8            // Request::over_limit_s; 7 is the door's own
 };
 
 // Final: certain that the request had no effect, or that its class may be repeated.
-struct Refuse {
+struct RejectRequest {
     std::string id;
     double retry_after_s = 0;   // 0: no advice
-    Reason reason = Reason::malformed;
+    RejectReason reason = RejectReason::malformed;
 };
 // Final: failed, with no word about its effect.
-struct Abort {
+struct FailRequest {
     std::string id;
 };
 struct SetTimer {
-    double due_s = 0;
+    double fire_at_s = 0;
     std::uint64_t tag = 0;
 };
-struct Probe {
-    std::string server;
+struct StartHealthCheck {
+    std::string backend;
 };
-struct Listen {
-    bool on = false;
+struct WatchEndpoints {
+    bool enabled = false;
 };
-struct Note {
+struct LogMessage {
     std::string text;
 };
 // The admitted fraction, 0.05 to 1, whenever it has changed; 1 until this is first said. Each part of the
 // fleet that requests are for has its own. Nothing to do.
-struct Admitted {
+struct AdmittedFraction {
     double fraction = 1;
     std::uint64_t subset = 0;   // as in Request; 0: the whole fleet
 };
 
-using Action = std::variant<Send, CallOff, Refuse, Abort, SetTimer, Probe, Listen, Note, Admitted>;
+using Action = std::variant<StartAttempt, CancelAttempt, RejectRequest, FailRequest, SetTimer,
+                            StartHealthCheck, WatchEndpoints, LogMessage, AdmittedFraction>;
 
 class Gateway {
   public:
@@ -251,7 +253,7 @@
     void handle(double now, const Event& event, std::vector<Action>& actions);
 
     // Requests and attempts still tracked; 0 once everything has ended.
-    std::size_t open() const;
+    std::size_t open_requests() const;
 
   private:
     class Impl;
--- a/src/admin/call.cpp
+++ b/src/admin/call.cpp
@@ -33,8 +33,8 @@
 namespace {
 
 // /v1/rollout/KEY: the key is a section's header.
-Call read_change(std::string_view method, std::string_view key) {
-    Call call;
+AdminCall read_change(std::string_view method, std::string_view key) {
+    AdminCall call;
     if (key.empty() || key.find('/') != std::string_view::npos) {
         call.fault = 404;
     } else if (method != "POST" && method != "DELETE") {
@@ -43,43 +43,44 @@
     } else if (key.size() > kIdMost || !decode(key, call.id)) {
         call.fault = 400;
     }
-    if (call.fault != 404) call.what = method == "DELETE" ? Call::What::erase : Call::What::propose;
+    if (call.fault != 404)
+        call.kind = method == "DELETE" ? AdminCall::Kind::erase : AdminCall::Kind::propose;
     return call;
 }
 
 }   // namespace
 
-Call read_call(std::string_view method, std::string_view target) {
-    Call call;
+AdminCall read_call(std::string_view method, std::string_view target) {
+    AdminCall call;
     const std::string_view path = target.substr(0, target.find('?'));
     constexpr std::string_view kBackends = "/v1/backends/", kRollout = "/v1/rollout/";
     std::string_view wanted = "POST";
     if (path.starts_with(kRollout)) return read_change(method, path.substr(kRollout.size()));
     if (path == "/v1/readyz") {
-        call.what = Call::What::readyz;
+        call.kind = AdminCall::Kind::readyz;
         wanted = "GET";
     } else if (path == "/v1/fleet" || path == "/v1/fleet/quorum") {
-        call.what = path == "/v1/fleet" ? Call::What::fleet : Call::What::quorum;
+        call.kind = path == "/v1/fleet" ? AdminCall::Kind::fleet : AdminCall::Kind::quorum;
         wanted = "GET";
     } else if (path == "/v1/rollout") {
-        call.what = Call::What::rollout;
+        call.kind = AdminCall::Kind::rollout;
         wanted = "GET";
     } else if (path == "/v1/ingress/drain") {
-        call.what = Call::What::drain;
+        call.kind = AdminCall::Kind::drain;
     } else if (path == "/v1/ingress/activate") {
-        call.what = Call::What::activate;
+        call.kind = AdminCall::Kind::activate;
     } else if (path.starts_with(kBackends)) {
         std::string_view id = path.substr(kBackends.size());
         const std::size_t slash = id.rfind('/');
         const std::string_view verb = slash == std::string_view::npos ? "" : id.substr(slash + 1);
         id = id.substr(0, slash);
-        if (verb == "suspend") call.what = Call::What::suspend;
-        if (verb == "resume") call.what = Call::What::resume;
-        if (id.empty() || id.find('/') != std::string_view::npos) call.what = Call::What::none;
-        if (call.what != Call::What::none && (id.size() > kIdMost || !decode(id, call.id)))
+        if (verb == "suspend") call.kind = AdminCall::Kind::suspend;
+        if (verb == "resume") call.kind = AdminCall::Kind::resume;
+        if (id.empty() || id.find('/') != std::string_view::npos) call.kind = AdminCall::Kind::none;
+        if (call.kind != AdminCall::Kind::none && (id.size() > kIdMost || !decode(id, call.id)))
             call.fault = 400;
     }
-    if (call.what == Call::What::none) {
+    if (call.kind == AdminCall::Kind::none) {
         call.fault = 404;
     } else if (wanted == "GET" && method == "HEAD") {
         call.head_alone = true;
--- a/src/admin/call.hpp
+++ b/src/admin/call.hpp
@@ -6,8 +6,8 @@
 
 namespace slatejunction::admin {
 
-struct Call {
-    enum class What {
+struct AdminCall {
+    enum class Kind {
         none,
         readyz,
         suspend,
@@ -20,7 +20,7 @@
         propose,
         erase
     };
-    What what = What::none;
+    Kind kind = Kind::none;
     std::string id;            // of a backend, or the key that is proposed or erased; percent-decoded
     std::string body;          // of what is proposed; filled in by the server
     int fault = 0;             // HTTP status, when it is no call
@@ -29,7 +29,7 @@
 };
 
 // `target` as the request line has it; a query is ignored.
-Call read_call(std::string_view method, std::string_view target);
+AdminCall read_call(std::string_view method, std::string_view target);
 
 // Percent-decoded (RFC 3986, section 2.1); false when it is not well formed.
 bool decode(std::string_view text, std::string& out);
--- a/src/admin/operator_overrides.cpp
+++ b/src/admin/operator_overrides.cpp
@@ -5,14 +5,14 @@
 
 namespace slatejunction::admin {
 
-using slatejunction::ListKind;
-using slatejunction::ServerState;
+using slatejunction::EndpointState;
+using slatejunction::EndpointUpdateKind;
 
 OperatorOverrides::Known& OperatorOverrides::known(const std::string& id) {
     const auto [at, fresh] = known_.try_emplace(id);
     if (fresh) {
-        at->second.entry.server = id;
-        at->second.entry.state = ServerState::out;
+        at->second.entry.backend = id;
+        at->second.entry.state = EndpointState::removed;
         list(id, at->second, false);
     }
     return at->second;
@@ -40,55 +40,55 @@
     }
 }
 
-void OperatorOverrides::restore_unread(discovery::Listing& listing) const {
-    for (const std::string& id : listing.unread) {
+void OperatorOverrides::restore_unread(discovery::EndpointList& listing) const {
+    for (const std::string& id : listing.unparsed_ids) {
         const auto at = known_.find(id);
         if (at == known_.end() || at->second.gone != 0) continue;
-        listing.update.entries.push_back(at->second.entry);
+        listing.update.endpoints.push_back(at->second.entry);
         listing.addresses.push_back(at->second.address);
     }
 }
 
-void OperatorOverrides::lay_over(discovery::Listing& listing) {
+void OperatorOverrides::apply_to(discovery::EndpointList& listing) {
     std::unordered_set<std::string_view> named;
-    const bool whole = listing.update.kind != ListKind::changes;
-    for (std::size_t i = 0; i < listing.update.entries.size(); ++i) {
-        slatejunction::ListEntry& entry = listing.update.entries[i];
-        Known& one = known(entry.server);
+    const bool whole = listing.update.kind != EndpointUpdateKind::delta;
+    for (std::size_t i = 0; i < listing.update.endpoints.size(); ++i) {
+        slatejunction::Endpoint& entry = listing.update.endpoints[i];
+        Known& one = known(entry.backend);
         one.entry = entry;
         one.address = listing.addresses[i];
-        list(entry.server, one, entry.state != ServerState::out);
-        if (whole) named.insert(entry.server);
-        if (one.suspended && entry.state == ServerState::in) entry.state = ServerState::lame;
+        list(entry.backend, one, entry.state != EndpointState::removed);
+        if (whole) named.insert(entry.backend);
+        if (one.suspended && entry.state == EndpointState::serving) entry.state = EndpointState::draining;
     }
     if (whole)   // what it does not name is gone
         for (auto& [id, one] : known_)
             if (one.gone == 0 && !named.contains(id)) {
-                one.entry.state = ServerState::out;
+                one.entry.state = EndpointState::removed;
                 list(id, one, false);
             }
     forget_some();
 }
 
-Verdict OperatorOverrides::suspend(Known& one, discovery::Listing& change) {
-    if (one.suspended) return Verdict::done;
-    if (suspensions_ >= kSuspendedMost) return Verdict::too_many;
+OverrideResult OperatorOverrides::suspend(Known& one, discovery::EndpointList& change) {
+    if (one.suspended) return OverrideResult::done;
+    if (suspensions_ >= kSuspendedMost) return OverrideResult::too_many;
     one.suspended = true;
     ++suspensions_;
-    if (one.entry.state == ServerState::in) {
-        change.update.entries.push_back(one.entry);
-        change.update.entries.back().state = ServerState::lame;
+    if (one.entry.state == EndpointState::serving) {
+        change.update.endpoints.push_back(one.entry);
+        change.update.endpoints.back().state = EndpointState::draining;
         change.addresses.push_back(one.address);
     }
-    return Verdict::done;
+    return OverrideResult::done;
 }
 
-Verdict OperatorOverrides::suspend(std::string_view id, discovery::Listing& change) {
+OverrideResult OperatorOverrides::suspend(std::string_view id, discovery::EndpointList& change) {
     const auto at = known_.find(std::string(id));
-    return at == known_.end() ? Verdict::never_listed : suspend(at->second, change);
+    return at == known_.end() ? OverrideResult::never_listed : suspend(at->second, change);
 }
 
-Verdict OperatorOverrides::impose(std::string_view id, discovery::Listing& change) {
+OverrideResult OperatorOverrides::adopt_suspension(std::string_view id, discovery::EndpointList& change) {
     return suspend(known(std::string(id)), change);
 }
 
@@ -97,18 +97,18 @@
     forget_some();
 }
 
-Verdict OperatorOverrides::resume(std::string_view id, discovery::Listing& change) {
+OverrideResult OperatorOverrides::resume(std::string_view id, discovery::EndpointList& change) {
     const auto at = known_.find(std::string(id));
-    if (at == known_.end()) return Verdict::never_listed;
+    if (at == known_.end()) return OverrideResult::never_listed;
     Known& one = at->second;
-    if (!std::exchange(one.suspended, false)) return Verdict::done;
+    if (!std::exchange(one.suspended, false)) return OverrideResult::done;
     --suspensions_;
-    if (one.entry.state == ServerState::in) {
-        change.update.entries.push_back(one.entry);
+    if (one.entry.state == EndpointState::serving) {
+        change.update.endpoints.push_back(one.entry);
         change.addresses.push_back(one.address);
     }
     forget_some();
-    return Verdict::done;
+    return OverrideResult::done;
 }
 
 bool OperatorOverrides::suspended(std::string_view id) const {
@@ -129,12 +129,12 @@
     return ids;
 }
 
-discovery::Listing OperatorOverrides::listed() const {
-    discovery::Listing listing;
-    listing.update.kind = ListKind::total;
+discovery::EndpointList OperatorOverrides::current_list() const {
+    discovery::EndpointList listing;
+    listing.update.kind = EndpointUpdateKind::snapshot;
     for (const auto& [id, one] : known_) {
         if (one.gone != 0) continue;
-        listing.update.entries.push_back(one.entry);
+        listing.update.endpoints.push_back(one.entry);
         listing.addresses.push_back(one.address);
     }
     return listing;
--- a/src/admin/operator_overrides.hpp
+++ b/src/admin/operator_overrides.hpp
@@ -19,26 +19,26 @@
 // taken for a mistake. Suspended ones are never forgotten, and no more than so many may be.
 inline constexpr std::size_t kGoneMost = 16384, kSuspendedMost = 4096;
 
-enum class Verdict { done, never_listed, too_many };
+enum class OverrideResult { done, never_listed, too_many };
 
 class OperatorOverrides {
   public:
     // Puts those that the listing names without being read back into it, as they were listed last.
-    void restore_unread(discovery::Listing& listing) const;
+    void restore_unread(discovery::EndpointList& listing) const;
     // Remembers what the directory lists, and makes each suspended entry Terminating, whatever is listed.
-    void lay_over(discovery::Listing& listing);
+    void apply_to(discovery::EndpointList& listing);
 
     // `change` gets what has changed of the list as the module is to see it; nothing when nothing has.
-    Verdict suspend(std::string_view id, discovery::Listing& change);
-    Verdict resume(std::string_view id, discovery::Listing& change);
+    OverrideResult suspend(std::string_view id, discovery::EndpointList& change);
+    OverrideResult resume(std::string_view id, discovery::EndpointList& change);
     // Suspended at another process of this ingress, which may have seen lists that this one has not.
-    Verdict impose(std::string_view id, discovery::Listing& change);
+    OverrideResult adopt_suspension(std::string_view id, discovery::EndpointList& change);
     void remember(std::string_view id);   // listed there at some time
 
     bool suspended(std::string_view id) const;
     std::vector<std::string> suspended() const;
     std::vector<std::string> ever_listed() const;
-    discovery::Listing listed() const;   // the whole list in force, as the directory has it
+    discovery::EndpointList current_list() const;   // the whole list in force, as the directory has it
     std::size_t suspensions() const { return suspensions_; }
 
     // False when that was so already.
@@ -48,13 +48,13 @@
 
   private:
     struct Known {
-        slatejunction::ListEntry entry;   // as listed last
+        slatejunction::Endpoint entry;   // as listed last
         std::string address;
         bool suspended = false;
         std::uint64_t gone = 0;   // its place in gone_; 0: the list names it
     };
     Known& known(const std::string& id);
-    Verdict suspend(Known& known, discovery::Listing& change);
+    OverrideResult suspend(Known& known, discovery::EndpointList& change);
     void list(const std::string& id, Known& known, bool listed);
     void forget_some();
 
--- a/src/admin/server.cpp
+++ b/src/admin/server.cpp
@@ -43,17 +43,19 @@
 }   // namespace
 
 struct Server::Linked : Session {
-    Linked(Host& host, Server& server) : Session(host, &server, server.bytes_) { attach(stream); }
+    Linked(AdminCallHandler& host, Server& server) : Session(host, &server, server.bytes_) {
+        attach(stream);
+    }
     net::Stream stream{*this, kPriority};
 };
 
-Server::Server(Host& host, net::Timers& timers, std::size_t most)
+Server::Server(AdminCallHandler& host, net::Timers& timers, std::size_t most)
     : host_(host),
       most_(most),
       bytes_(kBytes),
       listener_(
           timers, [this] { return room(); }, [this](net::Ref<GSocket> socket) { take(std::move(socket)); },
-          [this](const char* why) { host_.on_admin_trouble(why); }, kPriority) {}
+          [this](const char* why) { host_.on_admin_error(why); }, kPriority) {}
 
 Server::~Server() = default;
 
@@ -61,7 +63,7 @@
 // without a byte before those in the middle of a call.
 bool Server::room() {
     if (sessions_.size() < most_) return true;
-    Session* best = net::spare(sessions_, net::now());
+    Session* best = net::evict_idle(sessions_, net::now());
     if (best) best->end();
     return best != nullptr;
 }
@@ -77,7 +79,7 @@
     listener_.poke();
 }
 
-void Server::sweep(double now) {
+void Server::close_expired(double now) {
     std::vector<std::shared_ptr<Linked>> all;
     for (const auto& [session, linked] : sessions_)
         if (session->over(now) && !linked->stream.readable()) all.push_back(linked);
@@ -85,7 +87,7 @@
     listener_.poke();
 }
 
-std::span<char> Session::space() {
+std::span<char> Session::receive_buffer() {
     return state_ == State::reading ? parser_.room(buffer_) : std::span<char>();
 }
 
@@ -111,15 +113,15 @@
 void Session::take() {
     call_ = read_call(parser_.head().first, parser_.head().second);
     state_ = State::asking;
-    if (call_.what == Call::What::propose) call_.body = parser_.body();
+    if (call_.kind == AdminCall::Kind::propose) call_.body = parser_.body();
     if (call_.fault == 404) return answer({404, "no such path"});
     if (call_.fault == 405) return answer({405, "another method is wanted"});
     if (call_.fault != 0) return answer({call_.fault, "the id can't be read"});
     host_.on_call(call_, [self = std::static_pointer_cast<Session>(shared_from_this())](
-                             const Reply& reply) { self->answer(reply); });
+                             const AdminReply& reply) { self->answer(reply); });
 }
 
-void Session::answer(const Reply& reply) {
+void Session::answer(const AdminReply& reply) {
     if (state_ == State::closing || state_ == State::ended) return;
     state_ = State::closing;
     since_ = net::now();
@@ -162,7 +164,7 @@
     return now - since_ > (state_ == State::closing ? kLinger : kWhole);
 }
 
-int Session::spare_rank(double now) const {
+int Session::eviction_rank(double now) const {
     if (state_ == State::closing) return transport_->unsent() ? 3 : 0;
     if (state_ != State::reading) return -1;
     if (now - since_ < kSpareSoon) return 2;
--- a/src/admin/server.hpp
+++ b/src/admin/server.hpp
@@ -16,17 +16,17 @@
 namespace slatejunction::admin {
 
 // An answer in plain text, a line for a person.
-struct Reply {
+struct AdminReply {
     int status = 200;
     std::string text;
 };
 
-class Host {
+class AdminCallHandler {
   public:
-    virtual ~Host() = default;
+    virtual ~AdminCallHandler() = default;
     // `reply` is to be called once, now or later; it may be called after the caller has gone.
-    virtual void on_call(const Call& call, std::function<void(Reply)> reply) = 0;
-    virtual void on_admin_trouble(const char* why) = 0;
+    virtual void on_call(const AdminCall& call, std::function<void(AdminReply)> reply) = 0;
+    virtual void on_admin_error(const char* why) = 0;
 };
 
 class Session;
@@ -34,11 +34,11 @@
 class Server {
   public:
     // `most`: connections at once; beyond it the one that has been stalled longest goes.
-    Server(Host& host, net::Timers& timers, std::size_t most);
+    Server(AdminCallHandler& host, net::Timers& timers, std::size_t most);
     ~Server();
     bool start(const std::string& address, std::string& why) { return listener_.start(address, why); }
     bool listening() const { return listener_.descriptor() >= 0; }
-    void sweep(double now);   // ends connections whose time is up
+    void close_expired(double now);   // ends connections whose time is up
     std::size_t sessions() const { return sessions_.size(); }
 
   private:
@@ -48,9 +48,9 @@
     void take(net::Ref<GSocket> socket);
     void forget(Session& session);
 
-    Host& host_;
+    AdminCallHandler& host_;
     const std::size_t most_;
-    http::Budget bytes_;   // lives longer than the sessions that hold them
+    http::ByteBudget bytes_;   // lives longer than the sessions that hold them
     net::Listener listener_;
     std::unordered_map<Session*, std::shared_ptr<Linked>> sessions_;
 };
@@ -58,18 +58,18 @@
 // The state machine of one connection.
 class Session : public net::Protocol {
   public:
-    Session(Host& host, Server* server, http::Budget& bytes)
+    Session(AdminCallHandler& host, Server* server, http::ByteBudget& bytes)
         : host_(host), server_(server), parser_(http::Parser::Kind::request), buffer_(&bytes) {}
     void attach(net::Transport& transport) { transport_ = &transport; }
 
-    std::span<char> space() override;
+    std::span<char> receive_buffer() override;
     void on_bytes(std::size_t size) override;
     void on_sent() override;
     void on_end(bool clean) override;
-    void answer(const Reply& reply);
+    void answer(const AdminReply& reply);
 
-    bool over(double now) const;        // its time is up
-    int spare_rank(double now) const;   // how soon a full house gives it up: 0 first; below 0 not at all
+    bool over(double now) const;           // its time is up
+    int eviction_rank(double now) const;   // how soon a full house gives it up: 0 first; below 0 not at all
     double since() const { return since_; }
     void end();
 
@@ -77,12 +77,12 @@
     enum class State { reading, asking, closing, ended };
     void take();
 
-    Host& host_;
+    AdminCallHandler& host_;
     Server* server_;   // null: on its own, in tests
     net::Transport* transport_ = nullptr;
     http::Parser parser_;
     http::Buffer buffer_;
-    Call call_;
+    AdminCall call_;
     State state_ = State::reading;
     double since_ = net::now();
 };
--- a/src/app/fleet_command.cpp
+++ b/src/app/fleet_command.cpp
@@ -45,10 +45,10 @@
 int run(const FleetCommand& command) {
     std::string body;
     const int status = call_admin(command.admin, "GET",
-                                  command.what == "quorum" ? "/v1/fleet/quorum" : "/v1/fleet", {}, body);
+                                  command.command == "quorum" ? "/v1/fleet/quorum" : "/v1/fleet", {}, body);
     if (status == 0)
         return fail("no answer from '" + command.admin + "': is it admin_addr of a running ingress?");
-    if (command.what == "quorum" && (status == 200 || status == 503)) {
+    if (command.command == "quorum" && (status == 200 || status == 503)) {
         std::printf("%s", body.c_str());
         return status == 200 ? 0 : 1;
     }
@@ -59,8 +59,8 @@
     json.Parse(body.c_str());
     if (json.HasParseError() || !json.IsObject() || !json.HasMember("members"))
         return fail("an answer that can't be read");
-    if (command.what != "leases") print_members(json);
-    if (command.what != "members") print_leases(json);
+    if (command.command != "leases") print_members(json);
+    if (command.command != "members") print_leases(json);
     return 0;
 }
 
--- a/src/app/fleet_command.hpp
+++ b/src/app/fleet_command.hpp
@@ -6,8 +6,8 @@
 namespace slatejunction::app {
 
 struct FleetCommand {
-    std::string admin;   // ADDRESS:PORT
-    std::string what;    // members, leases, quorum; empty: the first two
+    std::string admin;     // ADDRESS:PORT
+    std::string command;   // members, leases, quorum; empty: the first two
     bool json = false;
 };
 
--- a/src/app/fleet_component.hpp
+++ b/src/app/fleet_component.hpp
@@ -21,7 +21,10 @@
 
 namespace slatejunction::app {
 
-class FleetPart final : public Part, public lease::Fleet, ingress::CallTaker, ingress::Inheritor {
+class FleetPart final : public Part,
+                        public lease::FleetContext,
+                        ingress::AdminCallExtension,
+                        ingress::StateTransfer {
   public:
     // The options have been checked. Throws std::runtime_error for a key file or state directory that can't
     // be used.
@@ -35,31 +38,33 @@
     void prepare(const operator_config::Options& fresh, config::Config& config) override;
     std::string take(const operator_config::Options& fresh) override;
 
-    bool may_conduct(lease::Permit& permit) const override;
-    std::string conductor() const override;
-    void on_conducts(std::function<void(bool)> call) override { conducts_.push_back(std::move(call)); }
+    bool leader_may_act(lease::Permit& permit) const override;
+    std::string leader_name() const override;
+    void on_leadership_change(std::function<void(bool)> call) override {
+        conducts_.push_back(std::move(call));
+    }
     bool send(const std::string& to, membership::Channel channel, std::string_view body) override {
         return peers_.send(to, channel, body);
     }
     void on_members(std::function<void(const std::vector<std::string>&)> call) override;
-    void send_all(membership::Channel channel, std::string_view body) override;
-    void listen(membership::Channel channel, membership::Driver::Listener listener) override {
+    void broadcast(membership::Channel channel, std::string_view body) override;
+    void listen(membership::Channel channel, membership::GossipTransport::Listener listener) override {
         peers_.listen(channel, std::move(listener));
     }
 
     static constexpr const char* kConductor = "conductor";
 
   private:
-    bool on_call(const admin::Call& call, std::function<void(admin::Reply)>& reply) override;
-    void on_leaves() override;
-    void on_given(std::string_view what) override;
-    std::string give() override;
+    bool on_call(const admin::AdminCall& call, std::function<void(admin::AdminReply)>& reply) override;
+    void on_process_leaving() override;
+    void restore_state(std::string_view what) override;
+    std::string serialize_state() override;
     void wake();
     void pump();
-    void changed(const lease::Change& change);
+    void changed(const lease::LeaseEvent& change);
     void hear_note(const std::string& from, std::string_view body);
     // What the voter here says to it; false: nothing.
-    bool keep_note(const lease::NoteMessage& message, lease::NoteMessage& answer);
+    bool keep_note(const lease::RegisterMessage& message, lease::RegisterMessage& answer);
     void make_sums(const config::Config& config, net::Timers& timers);
     void slot_gained();
     void slot_lost();
@@ -71,13 +76,13 @@
     const std::string name_;
     ingress::Ingress& ingress_;
     Log& log_;
-    std::vector<membership::Key> prepared_keys_;
-    membership::Driver peers_;
-    std::unique_ptr<lease::FileHome> home_;
-    std::unique_ptr<lease::Room> leases_;   // null: off
-    std::unique_ptr<lease::Announce> announce_;
-    std::unique_ptr<lease::NoteKeeper> notes_;   // null: this one does not vote
-    std::unique_ptr<lease::NotesHome> notes_home_;
+    std::vector<membership::AuthKey> prepared_keys_;
+    membership::GossipTransport peers_;
+    std::unique_ptr<lease::FileAcceptorStorage> home_;
+    std::unique_ptr<lease::LeaseNode> leases_;   // null: off
+    std::unique_ptr<lease::HolderWebhook> announce_;
+    std::unique_ptr<lease::RegisterAcceptor> notes_;   // null: this one does not vote
+    std::unique_ptr<lease::FileRegisterStorage> notes_home_;
     std::uint64_t notes_kept_ = 0;   // changes that the home has
     const telemetry::Telemetry* const telemetry_;
     std::unique_ptr<fleet_counters::Driver> sums_;
--- a/src/app/fleet_rate_limit_component.cpp
+++ b/src/app/fleet_rate_limit_component.cpp
@@ -8,18 +8,18 @@
 
 namespace slatejunction::app {
 
-fleet_rate_limit::Spec spec_of(const rules::LimitSettings& settings, double largest_units) {
+fleet_rate_limit::LimitSpec spec_of(const rules::LimitSettings& settings, double largest_units) {
     return {settings.rate, settings.burst, settings.count == 1 ? largest_units : 1};
 }
 
 std::vector<std::string> stated(const operator_config::Options& options, std::size_t all,
                                 double largest_units) {
     std::vector<std::string> lines;
-    const double known = membership::known_within_s(all, options.peers.interval_s);
+    const double known = membership::detection_bound_s(all, options.membership.interval_s);
     for (const rules::LimitSettings& one : options.rules.limits) {
         if (one.scope != 1) continue;
-        const auto b = fleet_rate_limit::bound(spec_of(one, largest_units), options.fleet_limits.credit,
-                                               all, 1, known);
+        const auto b = fleet_rate_limit::error_bound(spec_of(one, largest_units),
+                                                     options.fleet_rate_limits.credit, all, 1, known);
         char text[400];
         std::snprintf(
             text, sizeof text,
@@ -35,29 +35,29 @@
 }
 
 LimitsPart::LimitsPart(const std::string& name, std::vector<std::string> all, double largest_units,
-                       const operator_config::Options& options, lease::Fleet& fleet, std::uint64_t seed,
-                       net::Timers& timers)
+                       const operator_config::Options& options, lease::FleetContext& fleet,
+                       std::uint64_t seed, net::Timers& timers)
     : largest_units_(largest_units),
       fleet_(fleet),
-      room_({name, std::move(all), options.fleet_limits.credit,
-             static_cast<std::size_t>(options.fleet_limits.keys_max)},
+      room_({name, std::move(all), options.fleet_rate_limits.credit,
+             static_cast<std::size_t>(options.fleet_rate_limits.keys_max)},
             seed),
       timer_(timers, [this] {
-          room_.wake(net::now());
+          room_.on_timer(net::now());
           pump();
       }) {
-    fleet_.listen(membership::Channel::limits, [this](const membership::Heard& heard) {
+    fleet_.listen(membership::Channel::rate_limits, [this](const membership::ReceivedMessage& heard) {
         room_.receive(net::now(), heard.from, heard.process, heard.body);
         pump();
     });
     fleet_.on_members([this](const std::vector<std::string>& there) {
-        room_.set_there(net::now(), there);
+        room_.set_alive_members(net::now(), there);
         pump();
     });
 }
 
 void LimitsPart::stop(double, std::function<void()> done) {
-    room_.wake(net::now());
+    room_.on_timer(net::now());
     pump();
     stopped_ = true;
     timer_.disarm();
@@ -68,21 +68,21 @@
     room_.define(limit, spec_of(settings, largest_units_));
 }
 
-double LimitsPart::look(double now, std::uint32_t limit, std::uint64_t key, double count) {
-    return room_.look(now, limit, key, count);
+double LimitsPart::retry_after_s(double now, std::uint32_t limit, std::uint64_t key, double count) {
+    return room_.retry_after_s(now, limit, key, count);
 }
 
 // What is to be told goes out when this wake-up of the loop is over, not in the request's way.
-void LimitsPart::take(double now, std::uint32_t limit, std::uint64_t key, double count) {
-    room_.take(now, limit, key, count);
-    if (const double due = room_.due(); due < 1e17 && !stopped_) timer_.arm(std::max(due, now));
+void LimitsPart::consume(double now, std::uint32_t limit, std::uint64_t key, double count) {
+    room_.consume(now, limit, key, count);
+    if (const double due = room_.next_deadline(); due < 1e17 && !stopped_) timer_.arm(std::max(due, now));
 }
 
 void LimitsPart::pump() {
     if (stopped_) return;
-    for (const auto& post : room_.take_posts())
-        fleet_.send(post.to, membership::Channel::limits, post.body);
-    if (const double due = room_.due(); due < 1e17)
+    for (const auto& post : room_.take_outgoing())
+        fleet_.send(post.to, membership::Channel::rate_limits, post.body);
+    if (const double due = room_.next_deadline(); due < 1e17)
         timer_.arm(std::max(due, net::now()));
     else
         timer_.disarm();
--- a/src/app/fleet_rate_limit_component.hpp
+++ b/src/app/fleet_rate_limit_component.hpp
@@ -9,27 +9,27 @@
 
 namespace slatejunction::app {
 
-class LimitsPart final : public Part, public rules::SharedLimits {
+class LimitsPart final : public Part, public rules::FleetRateLimits {
   public:
     // `all`: every ingress of the fleet by name.
     LimitsPart(const std::string& name, std::vector<std::string> all, double largest_units,
-               const operator_config::Options& options, lease::Fleet& fleet, std::uint64_t seed,
+               const operator_config::Options& options, lease::FleetContext& fleet, std::uint64_t seed,
                net::Timers& timers);
 
     const char* name() const override { return "limits"; }
     void stop(double most_s, std::function<void()> done) override;
 
     void define(std::uint32_t limit, const rules::LimitSettings& settings) override;
-    double look(double now, std::uint32_t limit, std::uint64_t key, double count) override;
-    void take(double now, std::uint32_t limit, std::uint64_t key, double count) override;
-    const fleet_rate_limit::Room& room() const { return room_; }
+    double retry_after_s(double now, std::uint32_t limit, std::uint64_t key, double count) override;
+    void consume(double now, std::uint32_t limit, std::uint64_t key, double count) override;
+    const fleet_rate_limit::RateLimitNode& room() const { return room_; }
 
   private:
     void pump();
 
     const double largest_units_;
-    lease::Fleet& fleet_;
-    fleet_rate_limit::Room room_;
+    lease::FleetContext& fleet_;
+    fleet_rate_limit::RateLimitNode room_;
     net::Timer timer_;
     bool stopped_ = false;
 };
@@ -38,6 +38,6 @@
 std::vector<std::string> stated(const operator_config::Options& options, std::size_t all,
                                 double largest_units);
 // As the room is to have it.
-fleet_rate_limit::Spec spec_of(const rules::LimitSettings& settings, double largest_units);
+fleet_rate_limit::LimitSpec spec_of(const rules::LimitSettings& settings, double largest_units);
 
 }   // namespace slatejunction::app
--- a/src/app/program.cpp
+++ b/src/app/program.cpp
@@ -50,7 +50,7 @@
 // Every ingress of the fleet by name, this one too; sorted.
 std::vector<std::string> ingresses_of(const operator_config::Options& options, const std::string& name) {
     std::vector<std::string> all{name};
-    for (const auto& [other, address] : membership::settings_of(options.peers, name, "", "").known)
+    for (const auto& [other, address] : membership::settings_of(options.membership, name, "", "").known)
         all.push_back(other);
     std::sort(all.begin(), all.end());
     all.erase(std::unique(all.begin(), all.end()), all.end());
@@ -58,7 +58,7 @@
 }
 
 double largest_units(const config::Config& config) {
-    return config.settings.largest_units > 0 ? config.settings.largest_units : 1;
+    return config.settings.max_request_units > 0 ? config.settings.max_request_units : 1;
 }
 
 // What needs both files: checked once, for the start and for check-config. Throws for a fault.
@@ -68,13 +68,13 @@
 
     Promised(const Files& files, const operator_config::Options& options, const config::Config& config) {
         std::string fault;
-        if (options.peers.on()) {
-            std::vector<membership::Key> keys;
-            const std::string why = membership::load_keys(options.peers, keys);
+        if (options.membership.on()) {
+            std::vector<membership::AuthKey> keys;
+            const std::string why = membership::load_keys(options.membership, keys);
             if (!why.empty()) throw std::runtime_error(files.options + ": [peers] " + why);
-            for (auto& line : membership::stated(options.peers)) lines.push_back(line);
+            for (auto& line : membership::stated(options.membership)) lines.push_back(line);
         }
-        if (options.limits_fleet())
+        if (options.has_fleet_rate_limits())
             for (auto& line :
                  stated(options, ingresses_of(options, config.name).size(), largest_units(config)))
                 lines.push_back(line);
@@ -83,7 +83,8 @@
         if (std::string why = fault_of_rollout(options, config.name); !why.empty())
             throw std::runtime_error(files.options + ": [rollout] " + why);
         for (auto& line : stated_of_rollout(options)) lines.push_back(line);
-        if (options.sums.on()) lines.push_back(fleet_counters::stated(options.sums, options.lease.times));
+        if (options.fleet_counters.on())
+            lines.push_back(fleet_counters::stated(options.fleet_counters, options.lease.times));
         if (!options.quota.on()) return;
         quotas = quota::settings_of(options.quota, config.settings, fault);
         if (!fault.empty()) throw std::runtime_error(files.options + ": [quota] " + fault);
@@ -131,7 +132,7 @@
     bool load(operator_config::Options& options);
     void make(operator_config::Options& options);
     void make_rollout(const operator_config::Options& options, const config::Config& config,
-                      lease::Fleet* fleet);
+                      lease::FleetContext* fleet);
     std::vector<std::string> read_options(std::string& text, operator_config::Options& fresh) const;
     std::string check_rollout(const rollout::State& state);
     void take_rollout(const rollout::State& state);
@@ -146,7 +147,7 @@
 
     const Files& files_;
     const sigset_t signals_;
-    const discovery::UnixClock clock_;
+    const discovery::UnixTimeConverter clock_;
     const net::Loop loop_{g_main_loop_new(nullptr, FALSE)};
     std::unique_ptr<Log> log_;
     net::Timers timers_;   // one for all: each source of the loop costs every wake-up a look
@@ -158,10 +159,10 @@
     net::Timer parts_timer_{timers_, [this] { leave_parts(); }};
     // Of a follower: the operator's own file as it was taken last, and what lies over it.
     std::string text_, left_out_;
-    std::unique_ptr<rollout::Home> home_;   // until the part has it
-    RulesPart* rules_ = nullptr;            // null: no operator's file
-    RolloutPart* rollout_ = nullptr;        // null: off
-    operator_config::Options prepared_;     // with what is rolled out, checked last
+    std::unique_ptr<rollout::RolloutStorage> home_;   // until the part has it
+    RulesPart* rules_ = nullptr;                      // null: no operator's file
+    RolloutPart* rollout_ = nullptr;                  // null: off
+    operator_config::Options prepared_;               // with what is rolled out, checked last
     std::optional<rollout::State> prepared_state_;
 };
 
@@ -172,11 +173,11 @@
     if (!load_options(files_.options, options)) return false;
     if (!options.rollout.on()) return true;
     if (!ini::load(files_.options, text_)) return false;
-    home_ = std::make_unique<rollout::Home>(options.metrics.directory, options.rollout);
+    home_ = std::make_unique<rollout::RolloutStorage>(options.metrics.directory, options.rollout);
     if (home_->version().number == 0) return true;
     operator_config::Options rolled;
-    const auto faults =
-        operator_config::load_text(kRolledOut, operator_config::lay_over(text_, home_->state()), rolled);
+    const auto faults = operator_config::load_text(
+        kRolledOut, operator_config::apply_overlay(text_, home_->state()), rolled);
     if (faults.empty())
         options = rolled;
     else
@@ -185,7 +186,7 @@
 }
 
 void Program::make_rollout(const operator_config::Options& options, const config::Config& config,
-                           lease::Fleet* fleet) {
+                           lease::FleetContext* fleet) {
     if (!left_out_.empty())
         log_->write(
             Log::Level::error, net::now(),
@@ -207,7 +208,7 @@
 std::string Program::check_rollout(const rollout::State& state) {
     prepared_state_.reset();
     const auto faults =
-        operator_config::parse_text(kRolledOut, operator_config::lay_over(text_, state), prepared_);
+        operator_config::parse_text(kRolledOut, operator_config::apply_overlay(text_, state), prepared_);
     if (!faults.empty()) return faults.front();
     try {
         rules_->prepare(prepared_);   // compiles them: once is enough, it is all that a version costs
@@ -250,14 +251,14 @@
         rules = rules_ = part.get();
         parts_.push_back(std::move(part));
     }
-    lease::Fleet* fleet = nullptr;
-    if (options.peers.on()) {
+    lease::FleetContext* fleet = nullptr;
+    if (options.membership.on()) {
         auto part =
             std::make_unique<FleetPart>(options, config, *ingress_, telemetry_.get(), timers_, *log_);
         if (options.lease.on()) fleet = part.get();
         FleetPart& floor = *part;
         parts_.push_back(std::move(part));
-        if (options.limits_fleet()) {
+        if (options.has_fleet_rate_limits()) {
             auto limits = std::make_unique<LimitsPart>(config.name, ingresses_of(options, config.name),
                                                        largest_units(config), options, floor,
                                                        draw_process(), timers_);
@@ -304,7 +305,7 @@
     std::string text;
     try {
         if (!reload_options(text, fresh)) return;
-        auto config = config::load(files_.config, clock_, config::Moment::reload);
+        auto config = config::load(files_.config, clock_, config::LoadTime::reload);
         for (const auto& part : parts_) part->prepare(fresh, config);
         if (!files_.options.empty()) take(fresh);
         ingress_->reload(config);
@@ -334,8 +335,8 @@
 std::vector<std::string> Program::read_options(std::string& text, operator_config::Options& fresh) const {
     if (!rollout_) return operator_config::load(files_.options, fresh);
     if (!ini::load(files_.options, text)) return {files_.options + ": can't be read"};
-    return operator_config::load_text(files_.options, operator_config::lay_over(text, rollout_->state()),
-                                      fresh);
+    return operator_config::load_text(files_.options,
+                                      operator_config::apply_overlay(text, rollout_->state()), fresh);
 }
 
 void Program::take(const operator_config::Options& fresh) {
@@ -355,9 +356,9 @@
                            [&](const auto& one) { return one->name() == name; });
     };
     if (fresh.quota.on() && !there("quota")) waits("quota");
-    if (fresh.peers.on() && !there("peers")) waits("peers");
+    if (fresh.membership.on() && !there("peers")) waits("peers");
     if (fresh.rollout.on() && !there("rollout")) waits("rollout");
-    if (fresh.limits_fleet() && !there("limits"))
+    if (fresh.has_fleet_rate_limits() && !there("limits"))
         waits("limits with scope = fleet, kept at each gateway till then");
     if (!later.empty())
         log_->write(Log::Level::info, net::now(), "reloaded: after the next start: %s", later.c_str());
@@ -395,7 +396,7 @@
     make(options);
     const storage::File signals(signalfd(-1, &signals_, SFD_CLOEXEC | SFD_NONBLOCK));
     if (!signals) return fail("no descriptor for signals: " + std::string(std::strerror(errno)));
-    const net::Watch watch(timers_, signals.get(), [this, fd = signals.get()] { on_signal(fd); });
+    const net::SourceWatch watch(timers_, signals.get(), [this, fd = signals.get()] { on_signal(fd); });
     std::string why;
     if (!ingress_->start(why, pause_unless_told)) return why.empty() ? 0 : fail(why);
     for (std::size_t i = parts_.size(); i-- > 0;) parts_[i]->start();
@@ -427,14 +428,14 @@
     operator_config::Options options;
     bool good = load_options(files.options, options);
     try {
-        const auto read = config::load(files.config, discovery::UnixClock());
+        const auto read = config::load(files.config, discovery::UnixTimeConverter());
         for (const std::string& line : read.warnings) std::printf("warning: %s\n", line.c_str());
         if (good) {
             const Promised promised(files, options, read);
             for (const std::string& line : promised.lines) std::printf("%s\n", line.c_str());
             std::printf("configuration of %s is good: %zu classes, %zu plans, %zu providers known\n",
                         read.name.c_str(), read.settings.classes.size(), read.settings.plans.size(),
-                        read.known.update.entries.size());
+                        read.known.update.endpoints.size());
         }
     } catch (const std::exception& fault) {
         good = false;
--- a/src/app/quota_component.cpp
+++ b/src/app/quota_component.cpp
@@ -8,42 +8,42 @@
 namespace slatejunction::app {
 namespace {
 
-quota::Doors doors_of(const client::Invocation& i) {
-    return {i.first_door, static_cast<unsigned>(i.doors)};
+quota::IngressSet doors_of(const client::ClientRequest& i) {
+    return {i.first_ingress, static_cast<unsigned>(i.ingress_count)};
 }
 
 }   // namespace
 
 QuotaPart::QuotaPart(const operator_config::Options& options, const quota::Settings& settings,
-                     const config::Config& config, ingress::Ingress& ingress, lease::Fleet* fleet,
+                     const config::Config& config, ingress::Ingress& ingress, lease::FleetContext* fleet,
                      telemetry::Telemetry* telemetry, net::Timers& timers, Log& log)
     : plans_(config.settings.plans),
       driver_(options.quota, settings, config.seed ^ draw_process(), timers, log) {
-    ingress.join(static_cast<ingress::Judge&>(*this));
+    ingress.register_extension(static_cast<ingress::RequestFilter&>(*this));
     for (const std::string& line : quota::stated(settings))
         log.write(Log::Level::info, net::now(), "%s", line.c_str());
     if (telemetry)
         telemetry->join([this](metrics::Measures& measures) {
-            const std::uint64_t now = driver_.bank().empties();
+            const std::uint64_t now = driver_.shared_quota().counter_losses();
             measures.add(metrics::Id::counter_losses, 0,
                          static_cast<double>(now - std::exchange(losses_, now)));
         });
     if (!fleet) return;
-    quota::Driver::Ways ways;
+    quota::Driver::FleetCallbacks ways;
     ways.permit = [fleet] {
         lease::Permit permit;
-        return fleet->may_conduct(permit);
+        return fleet->leader_may_act(permit);
     };
-    ways.say = [fleet](bool all, const std::string& body) {
+    ways.send = [fleet](bool all, const std::string& body) {
         if (all)
-            fleet->send_all(membership::Channel::sentinel, body);
-        else if (const std::string to = fleet->conductor(); !to.empty())
-            fleet->send(to, membership::Channel::sentinel, body);
+            fleet->broadcast(membership::Channel::counter_incarnation, body);
+        else if (const std::string to = fleet->leader_name(); !to.empty())
+            fleet->send(to, membership::Channel::counter_incarnation, body);
     };
-    driver_.with_fleet(std::move(ways));
-    fleet->listen(membership::Channel::sentinel,
-                  [this](const membership::Heard& heard) { driver_.hear(heard.body); });
-    fleet->on_conducts([this](bool on) { driver_.on_conducts(on); });
+    driver_.join_fleet(std::move(ways));
+    fleet->listen(membership::Channel::counter_incarnation,
+                  [this](const membership::ReceivedMessage& heard) { driver_.on_message(heard.body); });
+    fleet->on_leadership_change([this](bool on) { driver_.on_leadership_change(on); });
 }
 
 void QuotaPart::prepare(const operator_config::Options&, config::Config& config) {
@@ -54,20 +54,23 @@
     return driver_.reload(fresh.quota) ? "" : name();
 }
 
-void QuotaPart::judge(client::Invocation& i, slatejunction::Request& request, ingress::Mark&) {
-    const double wait = driver_.look(i.customer, plan_number(i.plan), doors_of(i), i.units);
-    request.over_limit_s = std::max(request.over_limit_s, wait);
+void QuotaPart::on_request(client::ClientRequest& i, slatejunction::Request& request,
+                           ingress::FilterState&) {
+    const double wait = driver_.retry_after_s(i.customer, plan_number(i.plan), doors_of(i), i.units);
+    request.rate_limit_retry_after_s = std::max(request.rate_limit_retry_after_s, wait);
 }
 
-void QuotaPart::sent(const client::Invocation& i, ingress::Mark& mark, bool) {
-    driver_.take(i.customer, plan_number(i.plan), doors_of(i), i.units);
+void QuotaPart::on_first_attempt(const client::ClientRequest& i, ingress::FilterState& mark, bool) {
+    driver_.consume(i.customer, plan_number(i.plan), doors_of(i), i.units);
     mark = this;   // its units are drawn
 }
 
-slatejunction::Reason QuotaPart::refused(ingress::Mark) { return slatejunction::Reason::quota; }
+slatejunction::RejectReason QuotaPart::on_rate_limited(ingress::FilterState) {
+    return slatejunction::RejectReason::quota;
+}
 
-void QuotaPart::ended(const client::Invocation& i, ingress::Mark mark) {
-    if (mark) driver_.ended(i.customer);
+void QuotaPart::on_request_end(const client::ClientRequest& i, ingress::FilterState mark) {
+    if (mark) driver_.release(i.customer);
 }
 
 unsigned QuotaPart::plan_number(std::string_view plan) const {
--- a/src/app/quota_component.hpp
+++ b/src/app/quota_component.hpp
@@ -9,12 +9,12 @@
 
 namespace slatejunction::app {
 
-class QuotaPart final : public Part, ingress::Judge {
+class QuotaPart final : public Part, ingress::RequestFilter {
   public:
     // `settings` as quota::settings_of() made them, without a fault; `config` is told without quotas.
     // `fleet`: null where there are no leases; then each ingress has its own check of the counter only.
     QuotaPart(const operator_config::Options& options, const quota::Settings& settings,
-              const config::Config& config, ingress::Ingress& ingress, lease::Fleet* fleet,
+              const config::Config& config, ingress::Ingress& ingress, lease::FleetContext* fleet,
               telemetry::Telemetry* telemetry, net::Timers& timers, Log& log);
 
     const char* name() const override { return "quota"; }
@@ -23,11 +23,12 @@
     std::string take(const operator_config::Options& fresh) override;
 
   private:
-    void judge(client::Invocation& invocation, slatejunction::Request& request,
-               ingress::Mark& mark) override;
-    void sent(const client::Invocation& invocation, ingress::Mark& mark, bool spilled) override;
-    slatejunction::Reason refused(ingress::Mark mark) override;
-    void ended(const client::Invocation& invocation, ingress::Mark mark) override;
+    void on_request(client::ClientRequest& invocation, slatejunction::Request& request,
+                    ingress::FilterState& mark) override;
+    void on_first_attempt(const client::ClientRequest& invocation, ingress::FilterState& mark,
+                          bool spilled) override;
+    slatejunction::RejectReason on_rate_limited(ingress::FilterState mark) override;
+    void on_request_end(const client::ClientRequest& invocation, ingress::FilterState mark) override;
     unsigned plan_number(std::string_view plan) const;   // in the settings; their number: none of them
 
     const std::vector<slatejunction::Plan> plans_;
--- a/src/app/rollout_command.cpp
+++ b/src/app/rollout_command.cpp
@@ -98,11 +98,11 @@
 }   // namespace
 
 int run(const RolloutCommand& command) {
-    if (command.what == "status") return status(command);
+    if (command.command == "status") return status(command);
     std::string value, answer;
-    if (command.what == "propose" && !read_value(command, value))
+    if (command.command == "propose" && !read_value(command, value))
         return fail("'" + command.file + "' can't be read");
-    const char* const method = command.what == "propose" ? "POST" : "DELETE";
+    const char* const method = command.command == "propose" ? "POST" : "DELETE";
     const int status =
         call_admin(command.admin, method, "/v1/rollout/" + encode(command.key), value, answer);
     if (status == kNoAnswer) return no_answer(command);
--- a/src/app/rollout_command.hpp
+++ b/src/app/rollout_command.hpp
@@ -8,7 +8,7 @@
 
 struct RolloutCommand {
     std::string admin;        // ADDRESS:PORT
-    std::string what;         // status, propose, erase
+    std::string command;      // status, propose, erase
     std::string key;          // the section's header: "limit NAME"
     std::string text, file;   // its lines, or the file that holds them; - : standard input
     bool json = false;        // of the status
--- a/src/app/rollout_component.cpp
+++ b/src/app/rollout_component.cpp
@@ -14,12 +14,12 @@
 namespace {
 
 using Json = rapidjson::Writer<rapidjson::StringBuffer>;
+using rollout::LeaderEvent;
 using rollout::ProposeError;
-using rollout::SourceEvent;
 
-std::vector<membership::Key> keys_of(const operator_config::Options& options) {
-    std::vector<membership::Key> keys;
-    const std::string why = rollout::load_keys(options.rollout, options.peers.key_file, keys);
+std::vector<membership::AuthKey> keys_of(const operator_config::Options& options) {
+    std::vector<membership::AuthKey> keys;
+    const std::string why = rollout::load_keys(options.rollout, options.membership.key_file, keys);
     if (!why.empty()) throw std::runtime_error("[rollout] " + why);
     return keys;
 }
@@ -27,7 +27,7 @@
 // The control machines: the voters of the lease.
 std::vector<std::string> replicas_of(const operator_config::Options& options, const std::string& name) {
     if (!options.rollout.control()) return {};
-    return lease::settings_of(options.lease, name).voters.names;
+    return lease::settings_of(options.lease, name).acceptors.names;
 }
 
 void text(Json& json, const char* key, const std::string& value) {
@@ -45,7 +45,7 @@
         json.StartObject();
         text(json, "name", one.name);
         number(json, "in_force", one.in_force);
-        text(json, "trouble", rollout::kTroubles[static_cast<std::size_t>(one.trouble)]);
+        text(json, "trouble", rollout::kFollowerFaults[static_cast<std::size_t>(one.fault)]);
         json.EndObject();
     }
     json.EndArray();
@@ -54,7 +54,7 @@
     json.Key(key);
     json.StartObject();
     number(json, "counted", all.counted);
-    number(json, "everywhere", rollout::everywhere(all));
+    number(json, "everywhere", rollout::in_force_everywhere(all));
     number(json, "behind", all.behind);
     number(json, "silent", all.silent);
     number(json, "refuse", all.refused);
@@ -73,8 +73,8 @@
     json.EndObject();
 }
 
-const char* stage_of(const rollout::Source& source) {
-    using Stage = rollout::Source::Stage;
+const char* stage_of(const rollout::Leader& source) {
+    using Stage = rollout::Leader::Stage;
     switch (source.stage()) {
         case Stage::off:
             return "off";
@@ -91,8 +91,9 @@
 
 std::string fault_of_rollout(const operator_config::Options& options, const std::string& name) {
     if (!options.rollout.on()) return {};
-    std::vector<membership::Key> keys;
-    if (std::string why = rollout::load_keys(options.rollout, options.peers.key_file, keys); !why.empty())
+    std::vector<membership::AuthKey> keys;
+    if (std::string why = rollout::load_keys(options.rollout, options.membership.key_file, keys);
+        !why.empty())
         return why;
     if (!options.rollout.control()) return {};
     const auto all = replicas_of(options, name);
@@ -104,13 +105,13 @@
 std::vector<std::string> stated_of_rollout(const operator_config::Options& options) {
     if (!options.rollout.on()) return {};
     return rollout::stated(options.rollout, options.lease.times, replicas_of(options, "").size(),
-                           options.peers.interval_s);
+                           options.membership.interval_s);
 }
 
 RolloutPart::RolloutPart(const operator_config::Options& options, const config::Config& config,
-                         std::unique_ptr<rollout::Home> home, Ways ways, ingress::Ingress& ingress,
-                         lease::Fleet* fleet, telemetry::Telemetry* telemetry, net::Timers& timers,
-                         Log& log)
+                         std::unique_ptr<rollout::RolloutStorage> home, Ways ways,
+                         ingress::Ingress& ingress, lease::FleetContext* fleet,
+                         telemetry::Telemetry* telemetry, net::Timers& timers, Log& log)
     : options_(options.rollout),
       name_(config.name),
       replicas_(replicas_of(options, config.name)),
@@ -130,17 +131,18 @@
                },
                [this]() -> std::uint64_t {
                    lease::Permit permit;
-                   return fleet_ && fleet_->may_conduct(permit) ? permit.number : 0;
+                   return fleet_ && fleet_->leader_may_act(permit) ? permit.fencing_token : 0;
                }},
               timers, log) {
-    ingress.join(static_cast<ingress::CallTaker&>(*this));
+    ingress.register_extension(static_cast<ingress::AdminCallExtension&>(*this));
     if (telemetry) telemetry->join([this](metrics::Measures& measures) { count(measures); });
     for (const std::string& line : stated_of_rollout(options))
         log.write(Log::Level::info, net::now(), "%s", line.c_str());
     if (!fleet_ || !options_.control()) return;
-    fleet_->listen(membership::Channel::rollout,
-                   [this](const membership::Heard& heard) { driver_.hear(heard.from, heard.body); });
-    fleet_->on_conducts([this](bool on) { driver_.on_conducts(on); });
+    fleet_->listen(membership::Channel::rollout, [this](const membership::ReceivedMessage& heard) {
+        driver_.on_replica_message(heard.from, heard.body);
+    });
+    fleet_->on_leadership_change([this](bool on) { driver_.on_leadership_change(on); });
 }
 
 void RolloutPart::stop(double, std::function<void()> done) {
@@ -149,7 +151,7 @@
 }
 
 void RolloutPart::prepare(const operator_config::Options& fresh, config::Config&) {
-    prepared_keys_ = fresh.rollout.on() ? keys_of(fresh) : std::vector<membership::Key>{};
+    prepared_keys_ = fresh.rollout.on() ? keys_of(fresh) : std::vector<membership::AuthKey>{};
 }
 
 // Keys are taken at once; the rest waits.
@@ -174,19 +176,19 @@
 
 // Operators. ------------------------------------------------------------------------------------------
 
-bool RolloutPart::on_call(const admin::Call& call, std::function<void(admin::Reply)>& reply) {
-    using What = admin::Call::What;
-    if (call.what == What::rollout) {
+bool RolloutPart::on_call(const admin::AdminCall& call, std::function<void(admin::AdminReply)>& reply) {
+    using What = admin::AdminCall::Kind;
+    if (call.kind == What::rollout) {
         reply({200, describe()});
         return true;
     }
-    if (call.what != What::propose && call.what != What::erase) return false;
+    if (call.kind != What::propose && call.kind != What::erase) return false;
     propose(call, reply);
     return true;
 }
 
-void RolloutPart::propose(const admin::Call& call, std::function<void(admin::Reply)> reply) {
-    const bool erases = call.what == admin::Call::What::erase;
+void RolloutPart::propose(const admin::AdminCall& call, std::function<void(admin::AdminReply)> reply) {
+    const bool erases = call.kind == admin::AdminCall::Kind::erase;
     if (call.id.size() > rollout::kKeyMost || call.body.size() > rollout::kValueMost)
         return reply({413, "a section's header is of 80 bytes at most, its lines of 700 together"});
     if (!erases)
@@ -194,17 +196,17 @@
             return reply({400, fault});
     const auto value = erases ? std::nullopt : std::optional(call.body);
     driver_.propose(call.id, value,
-                    [this, reply = std::move(reply)](const rollout::Driver::Answer& answer) {
+                    [this, reply = std::move(reply)](const rollout::Driver::ProposeResult& answer) {
                         reply(reply_to(answer));
                     });
 }
 
-admin::Reply RolloutPart::reply_to(const rollout::Driver::Answer& answer) const {
+admin::AdminReply RolloutPart::reply_to(const rollout::Driver::ProposeResult& answer) const {
     const std::string number = std::to_string(answer.number);
     switch (answer.error) {
         case ProposeError::none:
             break;
-        case ProposeError::not_source: {
+        case ProposeError::not_leader: {
             const std::string other = source();
             return {409, other.empty() || other == name_ ? "not the source, and nobody is known to be it"
                                                          : "not the source: ask " + other};
@@ -222,8 +224,8 @@
 }
 
 std::string RolloutPart::source() const {
-    if (driver_.conducts()) return name_;
-    if (driver_.replica()) return driver_.replica()->source();
+    if (driver_.is_leader()) return name_;
+    if (driver_.replica()) return driver_.replica()->leader();
     return {};
 }
 
@@ -234,7 +236,7 @@
     const rollout::Replica* const replica = driver_.replica();
     json.StartObject();
     text(json, "name", name_);
-    text(json, "role", !follower ? "control" : driver_.feeder() ? "relay" : "follower");
+    text(json, "role", !follower ? "control" : driver_.publisher() ? "relay" : "follower");
     if (follower) {
         number(json, "in_force", follower->in_force().number);
         number(json, "cleared", follower->staging().cleared);
@@ -243,7 +245,7 @@
         const double heard = net::now() - follower->heard_at();
         json.Key("unheard_s");
         heard < 1e9 ? json.Double(heard) : json.Null();
-        text(json, "trouble", rollout::kTroubles[static_cast<std::size_t>(follower->trouble())]);
+        text(json, "trouble", rollout::kFollowerFaults[static_cast<std::size_t>(follower->fault())]);
         number(json, "refused", follower->refused());
         text(json, "reason", follower->refused() != 0 ? follower->reason() : "");
         text(json, "left_out", left_out_);
@@ -255,17 +257,17 @@
         number(json, "cleared", replica->staging().cleared);
         number(json, "term", replica->promised());
         text(json, "source", source());
-        text(json, "here", stage_of(*driver_.source()));
+        text(json, "here", stage_of(*driver_.leader()));
         json.Key("remembers");
         json.Bool(replica->remembers());
         json.Key("disk_failed");
         json.Bool(replica->disk_failed());
     }
-    if (driver_.feeder()) report(json, "children", driver_.children());
-    if (driver_.conducts()) {
+    if (driver_.publisher()) report(json, "children", driver_.children());
+    if (driver_.is_leader()) {
         report(json, "fleet", driver_.fleet());
         json.Key("last_everywhere_s");
-        json.Double(driver_.last_everywhere_s());
+        json.Double(driver_.last_propagation_s());
     }
     json.Key("keys");
     json.StartArray();
@@ -295,8 +297,8 @@
         set(Id::rollout_cleared, of(follower->staging().cleared));
         const double now = net::now(), heard = std::max(follower->heard_at(), started_);
         set(Id::rollout_unheard, now - heard);
-        const auto trouble = static_cast<std::size_t>(follower->trouble());
-        for (std::size_t i = 0; i < metrics::kTroubles.size(); ++i)
+        const auto trouble = static_cast<std::size_t>(follower->fault());
+        for (std::size_t i = 0; i < metrics::kRolloutFaults.size(); ++i)
             set(Id::rollout_trouble, trouble == i + 1 || (i == 2 && !left_out_.empty()) ? 1 : 0, i);
         refusals = follower->tally().refusals;
         disk_failures = follower->tally().disk_failures;
@@ -305,21 +307,21 @@
         set(Id::rollout_committed, of(replica->committed()));
         set(Id::rollout_cleared, of(replica->staging().cleared));
         set(Id::rollout_trouble, replica->disk_failed() ? 1 : 0, 0);
-        refusals = driver_.events_of(SourceEvent::What::refused);
+        refusals = driver_.events_of(LeaderEvent::Kind::refused);
     }
     moved(Id::rollout_refusals, refusals);
     moved(Id::rollout_disk_failures, disk_failures);
     moved(Id::rollout_snapshots_taken, snapshots);
-    moved(Id::rollout_sent, driver_.endpoint().tally().sent);
-    moved(Id::rollout_sent_bytes, driver_.endpoint().tally().sent_bytes);
-    if (!driver_.feeder()) return;
-    moved(Id::rollout_snapshots_cut, driver_.feeder()->tally().snapshots);
+    moved(Id::rollout_sent, driver_.transport().tally().sent);
+    moved(Id::rollout_sent_bytes, driver_.transport().tally().sent_bytes);
+    if (!driver_.publisher()) return;
+    moved(Id::rollout_snapshots_cut, driver_.publisher()->tally().snapshots);
     const rollout::Report all = driver_.fleet();
     set(Id::rollout_counted, of(all.counted));
-    set(Id::rollout_everywhere, of(rollout::everywhere(all)));
+    set(Id::rollout_everywhere, of(rollout::in_force_everywhere(all)));
     set(Id::rollout_behind, of(all.behind));
     set(Id::rollout_silent, of(all.silent));
-    set(Id::rollout_everywhere_s, driver_.conducts() ? driver_.last_everywhere_s() : 0);
+    set(Id::rollout_everywhere_s, driver_.is_leader() ? driver_.last_propagation_s() : 0);
 }
 
 }   // namespace slatejunction::app
--- a/src/app/rollout_component.hpp
+++ b/src/app/rollout_component.hpp
@@ -17,7 +17,7 @@
 
 namespace slatejunction::app {
 
-class RolloutPart final : public Part, ingress::CallTaker {
+class RolloutPart final : public Part, ingress::AdminCallExtension {
   public:
     // How the program takes what is rolled out: the whole state is laid over the operator's own file.
     struct Ways {
@@ -30,8 +30,8 @@
     // `fleet`: null for a follower or relay. The options have been checked. Throws std::runtime_error for a
     // key file that can't be used.
     RolloutPart(const operator_config::Options& options, const config::Config& config,
-                std::unique_ptr<rollout::Home> home, Ways ways, ingress::Ingress& ingress,
-                lease::Fleet* fleet, telemetry::Telemetry* telemetry, net::Timers& timers, Log& log);
+                std::unique_ptr<rollout::RolloutStorage> home, Ways ways, ingress::Ingress& ingress,
+                lease::FleetContext* fleet, telemetry::Telemetry* telemetry, net::Timers& timers, Log& log);
 
     const char* name() const override { return "rollout"; }
     void start() override { driver_.start(); }
@@ -45,9 +45,9 @@
     void reloaded();
 
   private:
-    bool on_call(const admin::Call& call, std::function<void(admin::Reply)>& reply) override;
-    void propose(const admin::Call& call, std::function<void(admin::Reply)> reply);
-    admin::Reply reply_to(const rollout::Driver::Answer& answer) const;
+    bool on_call(const admin::AdminCall& call, std::function<void(admin::AdminReply)>& reply) override;
+    void propose(const admin::AdminCall& call, std::function<void(admin::AdminReply)> reply);
+    admin::AdminReply reply_to(const rollout::Driver::ProposeResult& answer) const;
     void count(metrics::Measures& measures);
     std::string source() const;     // by name, as far as known; empty: nobody
     std::string describe() const;   // JSON
@@ -55,10 +55,10 @@
     const rollout::Options options_;
     const std::string name_;
     const std::vector<std::string> replicas_;
-    lease::Fleet* const fleet_;
+    lease::FleetContext* const fleet_;
     std::string left_out_;
     const double started_ = net::now();
-    std::vector<membership::Key> prepared_keys_;
+    std::vector<membership::AuthKey> prepared_keys_;
     rollout::Driver driver_;
     std::map<std::pair<metrics::Id, std::size_t>, std::uint64_t> counted_;
 };
--- a/src/app/rules_component.cpp
+++ b/src/app/rules_component.cpp
@@ -16,7 +16,7 @@
                      ingress::Ingress& ingress, telemetry::Telemetry* telemetry, net::Timers& timers,
                      Log& log)
     : facts_{config.name, config.settings.zone}, ingress_(ingress), log_(log) {
-    ingress_.join(static_cast<ingress::Overlay&>(*this));
+    ingress_.register_extension(static_cast<ingress::EndpointListFilter&>(*this));
     settings_ = options.rules;
     if (settings_.any()) set(compile(options));
     if (telemetry) {
@@ -25,7 +25,7 @@
     }
     if (settings_.limits.empty() || options.metrics.directory.empty()) return;
     if (!options.collects()) state_.emplace(options.metrics.directory);
-    keeper_ = std::make_unique<rules::Keeper>(
+    keeper_ = std::make_unique<rules::BucketStorage>(
         options.metrics.directory, [this] { return rules_.get(); }, timers, log_);
 }
 
@@ -61,20 +61,21 @@
     return {};
 }
 
-void RulesPart::share(rules::SharedLimits* shared) {
+void RulesPart::share(rules::FleetRateLimits* shared) {
     shared_ = shared;
-    if (rules_) rules_->share(shared);
+    if (rules_) rules_->set_fleet_rate_limits(shared);
 }
 
 void RulesPart::set(std::unique_ptr<rules::Rules> rules) {
     if (rules && rules_) rules->adopt(*rules_);
-    if (rules) rules->share(shared_);
+    if (rules) rules->set_fleet_rate_limits(shared_);
     rules_ = std::move(rules);
     ++number_;
     // Once there have been rules it stays: what was judged is told of its end.
-    if (rules_ && !std::exchange(joined_, true)) ingress_.join(static_cast<ingress::Judge&>(*this));
+    if (rules_ && !std::exchange(joined_, true))
+        ingress_.register_extension(static_cast<ingress::RequestFilter&>(*this));
     // Before the start the first list is still to come.
-    ingress_.hear(fleet_.reload(net::now(), rules_.get()));
+    ingress_.update_endpoints(fleet_.reload(net::now(), rules_.get()));
 }
 
 void RulesPart::on_error(const std::string& rule, std::string_view why) {
@@ -85,7 +86,8 @@
                rule.c_str(), static_cast<int>(why.size()), why.data());
 }
 
-void RulesPart::judge(client::Invocation& i, slatejunction::Request& request, ingress::Mark& mark) {
+void RulesPart::on_request(client::ClientRequest& i, slatejunction::Request& request,
+                           ingress::FilterState& mark) {
     if (!rules_) return;
     rules::RequestFacts facts;
     facts.method = i.method;
@@ -97,9 +99,10 @@
     facts.id = i.request_id;
     facts.headers = i.headers;
     facts.customer = static_cast<std::int64_t>(i.customer);
-    facts.deadline_ms = static_cast<std::int64_t>((i.due - i.arrived) * 1e3 + 0.5);   // over 0
+    facts.deadline_ms =
+        static_cast<std::int64_t>((i.deadline_at_s - i.arrived_at_s) * 1e3 + 0.5);   // over 0
     facts.units = i.units;
-    facts.retry = i.repeat;
+    facts.retry = i.is_client_retry;
     std::unique_ptr<Judged> judged;
     if (spare_.empty()) {
         judged = std::make_unique<Judged>();
@@ -108,39 +111,41 @@
         spare_.pop_back();
     }
     judged_at_ = net::now();   // not when it arrived: limits are asked in the order of time
-    rules_->judge(judged_at_, facts, judged->verdict);
+    rules_->evaluate(judged_at_, facts, judged->verdict);
     judged_at_ = 0;
     judged->rules = number_;
     request.subset = judged->verdict.subset;
-    request.spill = judged->verdict.spill;
-    request.over_limit_s = std::max(request.over_limit_s, judged->verdict.over_limit_s);
+    request.subset_fallback = judged->verdict.subset_fallback;
+    request.rate_limit_retry_after_s =
+        std::max(request.rate_limit_retry_after_s, judged->verdict.rate_limit_retry_after_s);
     mark = judged.release();   // until ended()
 }
 
-void RulesPart::sent(const client::Invocation&, ingress::Mark& mark, bool spilled) {
+void RulesPart::on_first_attempt(const client::ClientRequest&, ingress::FilterState& mark, bool spilled) {
     auto* const judged = static_cast<Judged*>(mark);
-    if (judged && rules_ && judged->rules == number_) rules_->sent(net::now(), judged->verdict, spilled);
+    if (judged && rules_ && judged->rules == number_)
+        rules_->on_first_attempt(net::now(), judged->verdict, spilled);
 }
 
-slatejunction::Reason RulesPart::refused(ingress::Mark mark) {
+slatejunction::RejectReason RulesPart::on_rate_limited(ingress::FilterState mark) {
     const auto* const judged = static_cast<const Judged*>(mark);
-    if (judged && rules_ && judged->rules == number_) rules_->refused(judged->verdict);
-    return slatejunction::Reason::limit;
+    if (judged && rules_ && judged->rules == number_) rules_->on_rejected(judged->verdict);
+    return slatejunction::RejectReason::rate_limit;
 }
 
-void RulesPart::ended(const client::Invocation&, ingress::Mark mark) {
+void RulesPart::on_request_end(const client::ClientRequest&, ingress::FilterState mark) {
     std::unique_ptr<Judged> judged(static_cast<Judged*>(mark));
     if (!judged) return;
-    rules::Rules::ended(net::now(), judged->verdict);
+    rules::Rules::on_request_end(net::now(), judged->verdict);
     if (spare_.size() < kSpareMost) spare_.push_back(std::move(judged));
 }
 
-std::span<const std::pair<std::size_t, std::string>> RulesPart::tags(ingress::Mark mark) const {
+std::span<const std::pair<std::size_t, std::string>> RulesPart::tags(ingress::FilterState mark) const {
     if (!mark) return {};
     return static_cast<const Judged*>(mark)->verdict.tags;
 }
 
-void RulesPart::lay_over(double now, slatejunction::ListUpdate& list) {
+void RulesPart::apply_to(double now, slatejunction::EndpointUpdate& list) {
     fleet_.update(now, list, rules_.get());
 }
 
@@ -162,11 +167,12 @@
         moved(Id::rule_matches, at, one.matches);
         moved(Id::rule_errors, at, one.errors);
         const std::string own = one.name.substr(one.name.find(' ') + 1);
-        if (one.name.starts_with("route ")) moved(Id::route_spills, place(shape_.routes, own), one.spills);
+        if (one.name.starts_with("route "))
+            moved(Id::route_spills, place(shape_.routes, own), one.fallbacks);
         if (one.name.starts_with("limit "))
-            moved(Id::limit_refusals, place(shape_.limits, own), one.refusals);
+            moved(Id::limit_refusals, place(shape_.limits, own), one.rejections);
     }
-    moved(Id::rule_cost, 0, rules_->spent());
+    moved(Id::rule_cost, 0, rules_->evaluation_cost());
     const rules::Settings& settings = rules_->settings();
     for (std::size_t i = 0; i < settings.limits.size(); ++i) {
         const std::size_t at = place(shape_.limits, settings.limits[i].name);
@@ -174,7 +180,7 @@
         const rules::Limiter& limiter = rules_->limiter(i);
         m.set(Id::limit_keys, static_cast<double>(limiter.keys()), at);
         moved(Id::limit_forgotten, at, limiter.forgotten());
-        moved(Id::limit_passed, at, limiter.passed());
+        moved(Id::limit_passed, at, limiter.untracked());
     }
     for (std::size_t i = 0; i < settings.subsets.size(); ++i)
         if (const std::size_t at = place(shape_.subsets, settings.subsets[i].name);
--- a/src/app/rules_component.hpp
+++ b/src/app/rules_component.hpp
@@ -15,13 +15,13 @@
 
 namespace slatejunction::app {
 
-class RulesPart final : public Part, ingress::Judge, ingress::Overlay {
+class RulesPart final : public Part, ingress::RequestFilter, ingress::EndpointListFilter {
   public:
     // `telemetry`: null where nobody counts. The options have been checked.
     RulesPart(const operator_config::Options& options, const config::Config& config,
               ingress::Ingress& ingress, telemetry::Telemetry* telemetry, net::Timers& timers, Log& log);
     // Where limits over the fleet are kept; before start(). Lives longer than requests do.
-    void share(rules::SharedLimits* shared);
+    void share(rules::FleetRateLimits* shared);
     ~RulesPart() override;
 
     const char* name() const override { return "rules"; }
@@ -33,23 +33,24 @@
 
   private:
     struct Judged {
-        rules::Verdict verdict;
+        rules::RequestVerdict verdict;
         std::uint64_t rules = 0;   // which made it, as they were counted
     };
     std::unique_ptr<rules::Rules> compile(const operator_config::Options& options);
     void set(std::unique_ptr<rules::Rules> rules);
-    rules::SharedLimits* shared_ = nullptr;   // null: limits are kept here alone
+    rules::FleetRateLimits* shared_ = nullptr;   // null: limits are kept here alone
     void on_error(const std::string& rule, std::string_view why);
     void count(metrics::Measures& measures);
 
-    void judge(client::Invocation& invocation, slatejunction::Request& request,
-               ingress::Mark& mark) override;
-    void sent(const client::Invocation& invocation, ingress::Mark& mark, bool spilled) override;
-    slatejunction::Reason refused(ingress::Mark mark) override;
-    void ended(const client::Invocation& invocation, ingress::Mark mark) override;
+    void on_request(client::ClientRequest& invocation, slatejunction::Request& request,
+                    ingress::FilterState& mark) override;
+    void on_first_attempt(const client::ClientRequest& invocation, ingress::FilterState& mark,
+                          bool spilled) override;
+    slatejunction::RejectReason on_rate_limited(ingress::FilterState mark) override;
+    void on_request_end(const client::ClientRequest& invocation, ingress::FilterState mark) override;
     bool wants_headers() const override { return rules_ != nullptr; }
-    std::span<const std::pair<std::size_t, std::string>> tags(ingress::Mark mark) const override;
-    void lay_over(double now, slatejunction::ListUpdate& list) override;
+    std::span<const std::pair<std::size_t, std::string>> tags(ingress::FilterState mark) const override;
+    void apply_to(double now, slatejunction::EndpointUpdate& list) override;
 
     const rules::GatewayFacts facts_;
     ingress::Ingress& ingress_;
@@ -59,9 +60,9 @@
     bool joined_ = false;
     std::uint64_t number_ = 0;                     // of the rules in force
     std::vector<std::unique_ptr<Judged>> spare_;   // their memory, for the next requests
-    rules::Fleet fleet_;
-    std::optional<storage::Directory> state_;   // else telemetry's own
-    std::unique_ptr<rules::Keeper> keeper_;
+    rules::EndpointSubsets fleet_;
+    std::optional<storage::StateDirectory> state_;   // else telemetry's own
+    std::unique_ptr<rules::BucketStorage> keeper_;
     metrics::Measures::Shape shape_;
     // As far as the rules' own figures have been counted, by where they are counted to.
     std::map<std::pair<metrics::Id, std::size_t>, std::uint64_t> seen_;
--- a/src/backend/connection.cpp
+++ b/src/backend/connection.cpp
@@ -29,10 +29,11 @@
 
 }   // namespace
 
-using slatejunction::Outcome;
+using slatejunction::AttemptResult;
 
-Connection::Connection(ConnectionHost& host, net::Timers& timers, http::Budget& bytes, std::string provider,
-                       std::string host_port, const std::vector<std::string>& report_fields)
+Connection::Connection(ConnectionCallbacks& host, net::Timers& timers, http::ByteBudget& bytes,
+                       std::string provider, std::string host_port,
+                       const std::vector<std::string>& report_fields)
     : host_(host),
       timer_(timers, [this] { overdue(); }),
       provider_(std::move(provider)),
@@ -42,7 +43,7 @@
       bytes_(bytes),
       buffer_(&bytes) {}
 
-void Connection::begin(CallTag tag, std::shared_ptr<client::Invocation> invocation,
+void Connection::begin(AttemptTag tag, std::shared_ptr<client::ClientRequest> invocation,
                        std::string_view probe_path, double until, double dial_until) {
     tag_ = tag;
     invocation_ = std::move(invocation);
@@ -63,22 +64,22 @@
     dialling_ = false;
     up_ = net::now();
     timer_.arm(until_);
-    if (invocation_ && invocation_->left()) return withdraw();
+    if (invocation_ && invocation_->client_disconnected()) return withdraw();
     // While this program stood still it came up, or its time ran out: a keyed request may come too late
     // now.
-    if (up_ > dial_until_) return abandon(Outcome::connect_failed);
+    if (up_ > dial_until_) return abandon(AttemptResult::connect_failed);
     write_call();
 }
 
 // Who asked has gone while this was dialled.
 void Connection::withdraw() {
     const auto keep = shared_from_this();
-    CallEnd end;
-    end.outcome = Outcome::moot;
-    end.left = true;
+    CallResult end;
+    end.result = AttemptResult::not_started;
+    end.client_disconnected = true;
     settle(end);
     free_since_ = net::now();
-    host_.on_free(*this);
+    host_.on_idle(*this);
     host_.on_call_end(*this, tag_, end);
 }
 
@@ -89,17 +90,17 @@
         return std::string_view(at, std::min(room - 1, static_cast<std::size_t>(size)));
     };
     bool sent = false;
-    if (probing()) {
+    if (health_checking()) {
         const std::array<std::string_view, 5> parts{"GET ", probe_path_, " HTTP/1.1\r\nHost: ", host_port_,
                                                     "\r\n\r\n"};
         sent = transport_->send(parts);
     } else {
-        const client::Invocation& i = *invocation_;
+        const client::ClientRequest& i = *invocation_;
         const bool typed = !i.content_type.empty();
-        const bool chunked = i.rest && !i.length;
+        const bool chunked = i.body_rest && !i.body_length;
         const bool sized = !chunked && (!i.body.empty() || i.method != "GET");
         // Of a request that is still coming the time counts from its last byte.
-        const double within = i.whole ? until_ - net::now() : std::min(i.wait_s, allow_s_);
+        const double within = i.body_complete ? until_ - net::now() : std::min(i.timeout_s, allow_s_);
         const double left = std::clamp(within, 0.0, kDeadlineMost);
         const std::array<std::string_view, 17> parts{
             i.method,
@@ -113,34 +114,34 @@
             text(wait, sizeof wait, "%.3f", std::floor(left * 1e3) / 1e3),
             typed ? "\r\nContent-Type: " : "",
             i.content_type,
-            i.key.empty() ? "" : "\r\nIdempotency-Key: ",
-            i.key,
+            i.idempotency_key.empty() ? "" : "\r\nIdempotency-Key: ",
+            i.idempotency_key,
             chunked ? "\r\nTransfer-Encoding: chunked"
             : sized ? "\r\nContent-Length: "
                     : "",
-            sized ? text(length, sizeof length, "%zu", i.rest ? *i.length : i.body.size())
+            sized ? text(length, sizeof length, "%zu", i.body_rest ? *i.body_length : i.body.size())
                   : std::string_view(),
             "\r\n\r\n",
-            i.rest ? std::string_view() : i.body};
+            i.body_rest ? std::string_view() : i.body};
         sent = transport_->send(parts);
     }
     if (!sent) return on_end(false);
     written_ = true;
-    if (probing() || !invocation_->rest) return;
+    if (health_checking() || !invocation_->body_rest) return;
     const auto keep = shared_from_this();
     whole_ = false;
-    const auto rest = invocation_->rest;
-    if (!invocation_->body.empty()) put(invocation_->body);
-    if (calling_) rest->pull(std::static_pointer_cast<Connection>(shared_from_this()));
+    const auto rest = invocation_->body_rest;
+    if (!invocation_->body.empty()) write(invocation_->body);
+    if (calling_) rest->stream_to(std::static_pointer_cast<Connection>(shared_from_this()));
 }
 
 // A large request. -------------------------------------------------------------------------------------
 
-bool Connection::put(std::string_view bytes) {
+bool Connection::write(std::string_view bytes) {
     if (!calling_ || whole_) return true;
     std::array<char, 24> size{};
     std::array<std::string_view, 3> parts{"", bytes, ""};
-    if (!invocation_->length) {
+    if (!invocation_->body_length) {
         const int digits = std::snprintf(size.data(), size.size(), "%zx\r\n", bytes.size());
         parts[0] = {size.data(), static_cast<std::size_t>(digits)};
         parts[2] = "\r\n";
@@ -152,38 +153,38 @@
     return !transport_->unsent();
 }
 
-void Connection::put_end(bool whole) {
+void Connection::end(bool whole) {
     if (!calling_ || whole_) return;
-    if (!whole) return abandon(Outcome::cancelled);
+    if (!whole) return abandon(AttemptResult::cancelled);
     constexpr std::string_view kLast = "0\r\n\r\n";
-    if (!invocation_->length && !transport_->send({&kLast, 1})) return on_end(false);
+    if (!invocation_->body_length && !transport_->send({&kLast, 1})) return on_end(false);
     whole_ = true;
     whole_at_ = net::now();
-    until_ = std::min(invocation_->due, whole_at_ + allow_s_);
+    until_ = std::min(invocation_->deadline_at_s, whole_at_ + allow_s_);
     if (!answering_) timer_.arm(until_);
 }
 
 void Connection::on_sent() {
-    if (calling_ && !whole_ && invocation_) invocation_->rest->go_on();
+    if (calling_ && !whole_ && invocation_) invocation_->body_rest->resume();
 }
 
 // A large answer. --------------------------------------------------------------------------------------
 
-std::span<char> Connection::space() {
+std::span<char> Connection::receive_buffer() {
     if (!passing_) return parser_.room(buffer_);
     return held_ ? std::span<char>() : buffer_.space(kAtOnce);
 }
 
 // The call is over with that: what is told of it has been read, and the rest is transport.
 void Connection::begin_passing() {
-    CallEnd end;
-    end.outcome = Outcome::ok;
+    CallResult end;
+    end.result = AttemptResult::ok;
     read_fields(end);
     end.body = parser_.body();
     end.length = parser_.length();
     end.rest = std::static_pointer_cast<Connection>(shared_from_this());
     reader_ = parser_.rest();
-    reusable_ = parser_.head().keep_alive && may_have_run() && !parser_.unframed();
+    reusable_ = parser_.head().keep_alive && may_have_run() && !parser_.ends_with_connection();
     http::Buffer front = std::move(buffer_);
     const std::string_view raw = front.view().substr(parser_.used());
     const std::span<char> room = buffer_.space(kAtOnce);
@@ -191,19 +192,19 @@
     raw.copy(buffer_.data(), raw.size());
     buffer_.commit(raw.size());
     passing_ = held_ = true;
-    const CallTag tag = tag_;
+    const AttemptTag tag = tag_;
     settle(end);
     parser_.reset();
     host_.on_call_end(*this, tag, end);
     if (passing_ && sink_.expired()) close();   // nobody wants it
 }
 
-void Connection::pull(std::weak_ptr<client::Sink> sink) {
+void Connection::stream_to(std::weak_ptr<client::BodySink> sink) {
     sink_ = std::move(sink);
-    go_on();
+    resume();
 }
 
-void Connection::go_on() {
+void Connection::resume() {
     if (!passing_ || closed_) return;
     const auto keep = shared_from_this();
     held_ = false;
@@ -226,11 +227,11 @@
     while (passing_ && !held_ && !in.empty() && reader_.state() == http::BodyReader::State::more) {
         reader_.feed(in, part);
         if (part.empty()) continue;
-        const bool more = sink->put(part);
+        const bool more = sink->write(part);
         if (!passing_) return;   // the sink has gone
         held_ = held_ || !more;
     }
-    buffer_.drop_front(buffer_.view().size() - in.size());
+    buffer_.consume(buffer_.view().size() - in.size());
     if (held_) timer_.disarm();   // it is the consumer's time
     if (reader_.state() != http::BodyReader::State::more)
         passed(reader_.state() == http::BodyReader::State::done);
@@ -246,11 +247,11 @@
     if (whole && reusable_ && buffer_.view().empty()) {
         buffer_ = http::Buffer(&bytes_);
         free_since_ = net::now();
-        host_.on_free(*this);
+        host_.on_idle(*this);
     } else {
         close();
     }
-    if (sink) sink->put_end(whole);
+    if (sink) sink->end(whole);
 }
 
 void Connection::on_bytes(std::size_t size) {
@@ -265,12 +266,13 @@
 
 void Connection::look(bool ended) {
     const http::Step step = parser_.feed(buffer_, ended);
-    if (step == http::Step::rest_follows && parser_.head().status == 200 && !probing() && !ended)
+    if (step == http::Step::rest_follows && parser_.head().status == 200 && !health_checking() && !ended)
         return begin_passing();
     // Where a head tells no length a clean end of the connection tells it (RFC 9112, section 6.3), and
     // on_end() brings no other here. Of any answer but a 200 the status is enough, at once.
-    const bool known = parser_.unframed() && (parser_.head().status != 200 || probing());
-    if (step != http::Step::more || known) return take(step, ended || parser_.unframed());
+    const bool known =
+        parser_.ends_with_connection() && (parser_.head().status != 200 || health_checking());
+    if (step != http::Step::more || known) return take(step, ended || parser_.ends_with_connection());
     if (ended || buffer_.view().empty())
         return;   // an interim answer alone: the real one is still to begin
     if (!answering_) timer_.arm(std::min(until_, net::now() + kAnswer));
@@ -278,21 +280,21 @@
 }
 
 void Connection::take(http::Step step, bool ended) {
-    CallEnd end;
+    CallResult end;
     // Guards against answers that can't be read: an error that may have run, never a crash or a 200.
-    end.outcome = Outcome::error;
+    end.result = AttemptResult::error;
     bool reusable = false;
-    if (step == http::Step::done || parser_.unframed()) {
+    if (step == http::Step::done || parser_.ends_with_connection()) {
         const http::Head& head = parser_.head();
         read_fields(end);
-        if (head.status == 200 && (step == http::Step::done || !parser_.unframed())) {
-            end.outcome = Outcome::ok;
+        if (head.status == 200 && (step == http::Step::done || !parser_.ends_with_connection())) {
+            end.result = AttemptResult::ok;
             end.body = parser_.body();
         } else if (head.status == 503 || head.status == 504) {
             const std::string_view* not_run = head.find("x-not-run");
-            if (not_run && *not_run == "1") end.outcome = Outcome::full;
+            if (not_run && *not_run == "1") end.result = AttemptResult::rejected;
         }
-        end.consumers_fault = !probing() && head.status >= 400 && head.status < 500;
+        end.bad_request = !health_checking() && head.status >= 400 && head.status < 500;
         reusable = head.keep_alive && !ended && may_have_run() && parser_.used() == buffer_.view().size();
     }
     // The connection is free before its outcome is told: a further attempt, which may follow at once, can
@@ -300,11 +302,11 @@
     const auto keep = shared_from_this();
     http::Buffer answer = std::move(buffer_);
     parser_.reset();
-    const CallTag tag = tag_;
+    const AttemptTag tag = tag_;
     settle(end);
     if (reusable) {
         free_since_ = net::now();
-        host_.on_free(*this);
+        host_.on_idle(*this);
     } else {
         close();
     }
@@ -315,7 +317,7 @@
     }
 }
 
-void Connection::read_fields(CallEnd& end) const {
+void Connection::read_fields(CallResult& end) const {
     const http::Head& head = parser_.head();
     if (const std::string_view* used = head.find("x-ratelimit-used")) {
         double percent = 0;
@@ -323,7 +325,7 @@
     }
     if (const std::string_view* type = head.find("content-type")) end.content_type = *type;
     const std::string_view* load = head.find("x-load");
-    std::string_view row = load ? *load : probing() ? parser_.body() : std::string_view();
+    std::string_view row = load ? *load : health_checking() ? parser_.body() : std::string_view();
     if (row.empty() || report_fields_.empty()) return;
     if (row.starts_with("X-Load:")) row.remove_prefix(7);
     end.report.assign(report_fields_.size(), std::numeric_limits<double>::quiet_NaN());
@@ -345,27 +347,28 @@
     if (!any) end.report.clear();
 }
 
-void Connection::settle(CallEnd& end) {
+void Connection::settle(CallResult& end) {
     timer_.disarm();
     calling_ = false;
-    if (invocation_ && invocation_->rest) {
-        end.written_s = (whole_ ? whole_at_ : net::now()) - began_;
-        if (!whole_) invocation_->rest->pull({});   // it holds on, for another try or the answer
+    if (invocation_ && invocation_->body_rest) {
+        end.write_duration_s = (whole_ ? whole_at_ : net::now()) - began_;
+        if (!whole_) invocation_->body_rest->stream_to({});   // it holds on, for another try or the answer
     }
-    end.took_s = net::now() - began_;
+    end.duration_s = net::now() - began_;
     end.idle_s = idle_s_;
     invocation_.reset();
 }
 
-void Connection::abandon(Outcome outcome) {
+void Connection::abandon(AttemptResult outcome) {
     const auto keep = shared_from_this();
     // What was not written whole can't have run, whoever stopped waiting.
-    CallEnd end;
-    end.outcome = may_have_run() || outcome == Outcome::moot ? outcome : Outcome::connect_failed;
+    CallResult end;
+    end.result =
+        may_have_run() || outcome == AttemptResult::not_started ? outcome : AttemptResult::connect_failed;
     give_up(end);
 }
 
-void Connection::give_up(CallEnd& end) {
+void Connection::give_up(CallResult& end) {
     close();   // before the outcome is told: no second copy while this one is out
     if (!calling_) return;
     settle(end);
@@ -375,7 +378,7 @@
 // A spoilt answer has run and may be tried elsewhere, which a silent provider's call may not.
 void Connection::overdue() {
     if (passing_) return passed(false);
-    abandon(answering_ && net::now() < until_ ? Outcome::error : Outcome::timeout);
+    abandon(answering_ && net::now() < until_ ? AttemptResult::error : AttemptResult::timeout);
 }
 
 void Connection::on_end(bool clean) {
@@ -383,11 +386,11 @@
     if (passing_) return passed(clean && reader_.ends_with_connection());
     // Bytes that wait when the connection ends may be a whole answer; a part of one is a reset, and so is
     // one that only a clean end could have ended.
-    if (calling_ && written_ && (clean || !parser_.unframed())) look(true);
+    if (calling_ && written_ && (clean || !parser_.ends_with_connection())) look(true);
     if (!calling_) return close();
-    CallEnd end;
-    end.outcome = may_have_run() ? Outcome::reset : Outcome::connect_failed;
-    end.broke = !dialling_ && !answering_ && net::now() - up_ < kResetAtOnce;
+    CallResult end;
+    end.result = may_have_run() ? AttemptResult::reset : AttemptResult::connect_failed;
+    end.reset_before_response = !dialling_ && !answering_ && net::now() - up_ < kResetAtOnce;
     give_up(end);
 }
 
--- a/src/backend/connection.hpp
+++ b/src/backend/connection.hpp
@@ -13,70 +13,70 @@
 namespace slatejunction::backend {
 
 // Which call a connection carries. A probe has no invocation.
-struct CallTag {
-    std::uint64_t invocation = 0;   // the program's own number of it
+struct AttemptTag {
+    std::uint64_t request = 0;   // the program's own number of it
     std::int64_t attempt = 0;
 };
 
 // What came of a call. The views are valid during the callback only.
-struct CallEnd {
-    slatejunction::Outcome outcome = slatejunction::Outcome::reset;
-    double took_s = 0;
-    double quota_use = 0;           // 1 + percent; 0: none
-    std::vector<double> report;     // by the settings' fields, NaN where one is absent; empty: none
-    bool consumers_fault = false;   // the provider could not use the request: that tells nothing of it
+struct CallResult {
+    slatejunction::AttemptResult result = slatejunction::AttemptResult::reset;
+    double duration_s = 0;
+    double quota_use = 0;         // 1 + percent; 0: none
+    std::vector<double> report;   // by the settings' fields, NaN where one is absent; empty: none
+    bool bad_request = false;     // the provider could not use the request: that tells nothing of it
     std::string_view content_type, body;
-    double idle_s = -1;     // how long the connection had been idle before; below 0: it was new
-    bool left = false;      // who asked had gone: nothing of it was written
-    bool broke = false;     // reset at once, before any of an answer
-    double written_s = 0;   // how long a request that came in pieces took to be written
+    double idle_s = -1;                 // how long the connection had been idle before; below 0: it was new
+    bool client_disconnected = false;   // who asked had gone: nothing of it was written
+    bool reset_before_response = false;   // reset at once, before any of an answer
+    double write_duration_s = 0;          // how long a request that came in pieces took to be written
     // An answer that is passed on as it comes: `body` is its front. Whoever takes it pulls the rest.
-    std::shared_ptr<client::Source> rest;
+    std::shared_ptr<client::BodySource> rest;
     std::optional<std::size_t> length;   // of all of it; none: it comes in chunks
 };
 
 class Connection;
 
-class ConnectionHost {
+class ConnectionCallbacks {
   public:
-    virtual ~ConnectionHost() = default;
-    virtual void on_call_end(Connection& connection, CallTag tag, const CallEnd& end) = 0;
-    virtual void on_free(Connection& connection) = 0;     // its call is over and it may carry another
+    virtual ~ConnectionCallbacks() = default;
+    virtual void on_call_end(Connection& connection, AttemptTag tag, const CallResult& end) = 0;
+    virtual void on_idle(Connection& connection) = 0;     // its call is over and it may carry another
     virtual void on_closed(Connection& connection) = 0;   // may forget the connection
 };
 
 // Of a large request's rest it is the sink, of a large answer's the source. Such an answer is told as the
 // call's end when it begins: what follows is between this connection and whoever pulls.
-class Connection : public net::Protocol, public client::Source, public client::Sink {
+class Connection : public net::Protocol, public client::BodySource, public client::BodySink {
   public:
-    Connection(ConnectionHost& host, net::Timers& timers, http::Budget& bytes, std::string provider,
-               std::string host_port, const std::vector<std::string>& report_fields);
+    Connection(ConnectionCallbacks& host, net::Timers& timers, http::ByteBudget& bytes,
+               std::string provider, std::string host_port, const std::vector<std::string>& report_fields);
     void attach(net::Transport& transport) { transport_ = &transport; }
 
     // Takes its call along from the start: it is written once the connection is up, unless it ends before.
-    void begin(CallTag tag, std::shared_ptr<client::Invocation> invocation, std::string_view probe_path,
-               double until, double dial_until);
+    void begin(AttemptTag tag, std::shared_ptr<client::ClientRequest> invocation,
+               std::string_view probe_path, double until, double dial_until);
     void write_call();   // on a connection that is up
     // Stops waiting: the connection ends, so that a late answer can't be taken for another call's.
-    void abandon(slatejunction::Outcome outcome);
+    void abandon(slatejunction::AttemptResult outcome);
     void close();
 
-    const std::string& provider() const { return provider_; }
+    const std::string& backend_id() const { return provider_; }
     const std::string& host_port() const { return host_port_; }
-    const CallTag& tag() const { return tag_; }
-    bool probing() const { return !probe_path_.empty(); }
+    const AttemptTag& tag() const { return tag_; }
+    bool health_checking() const { return !probe_path_.empty(); }
     bool dialling() const { return dialling_; }
-    bool calling() const { return calling_; }
-    bool complete() const { return written_ && whole_; }   // its call: all was given to the transport
+    bool call_active() const { return calling_; }
+    bool request_given() const { return written_ && whole_; }   // its call: all was given to the transport
     double free_since() const { return free_since_; }
 
     void on_open() override;
-    std::span<char> space() override;
+    std::span<char> receive_buffer() override;
     void on_sent() override;
-    bool put(std::string_view bytes) override;
-    void put_end(bool whole) override;
-    void pull(std::weak_ptr<client::Sink> sink) override;
-    void go_on() override;
+    bool write(std::string_view bytes) override;
+    void end(bool whole) override;
+    void stream_to(std::weak_ptr<client::BodySink> sink) override;
+    void resume() override;
     void cancel() override;
     void on_bytes(std::size_t size) override;
     void on_end(bool clean) override;
@@ -90,20 +90,20 @@
     void look(bool ended);
     void take(http::Step step, bool ended);
     void withdraw();
-    void settle(CallEnd& end);
-    void give_up(CallEnd& end);
-    void read_fields(CallEnd& end) const;
+    void settle(CallResult& end);
+    void give_up(CallResult& end);
+    void read_fields(CallResult& end) const;
 
-    ConnectionHost& host_;
+    ConnectionCallbacks& host_;
     net::Transport* transport_ = nullptr;
     net::Timer timer_;
     const std::string provider_, host_port_;
     const std::vector<std::string>& report_fields_;
     http::Parser parser_;
-    http::Budget& bytes_;
+    http::ByteBudget& bytes_;
     http::Buffer buffer_;
-    CallTag tag_;
-    std::shared_ptr<client::Invocation> invocation_;
+    AttemptTag tag_;
+    std::shared_ptr<client::ClientRequest> invocation_;
     std::string probe_path_;
     double began_ = 0, until_ = 0, dial_until_ = 0, free_since_ = 0;
     double up_ = 0;   // when the call could be written
@@ -114,7 +114,7 @@
     double allow_s_ = 0, whole_at_ = 0;
     // An answer's rest on its way.
     http::BodyReader reader_;
-    std::weak_ptr<client::Sink> sink_;
+    std::weak_ptr<client::BodySink> sink_;
     bool passing_ = false, held_ = false, reusable_ = false;
 };
 
--- a/src/backend/idle_lifetime.cpp
+++ b/src/backend/idle_lifetime.cpp
@@ -14,17 +14,17 @@
 
 }   // namespace
 
-Freshness::Count Freshness::Count::faded(double now) const {
+IdleLifetime::Count IdleLifetime::Count::faded(double now) const {
     const double keep = std::exp(-std::max(0.0, now - at) / kFade);
     return {calls * keep, broke * keep, now};
 }
 
-double Freshness::Count::rate(double now) const {
+double IdleLifetime::Count::rate(double now) const {
     const Count count = faded(now);
     return count.broke / (count.calls + kPrior);
 }
 
-void Freshness::used(double idle_s, bool broke, double now) {
+void IdleLifetime::record_use(double idle_s, bool broke, double now) {
     Count* count = &new_;
     if (idle_s >= 0) {
         const double step = idle_s < kFirst ? 0 : 1 + std::floor(std::log2(idle_s / kFirst));
@@ -35,7 +35,7 @@
     count->broke += broke ? 1 : 0;
 }
 
-double Freshness::limit(double now) const {
+double IdleLifetime::limit_s(double now) const {
     const double bearable = new_.rate(now) + kWorse;
     double from = 0;
     for (std::size_t i = 0; i < kSteps; ++i) {
--- a/src/backend/idle_lifetime.hpp
+++ b/src/backend/idle_lifetime.hpp
@@ -8,13 +8,13 @@
 
 namespace slatejunction::backend {
 
-class Freshness {
+class IdleLifetime {
   public:
     // A call went out on a connection that had been idle so long (below 0: a new one). `broke`: it was
     // reset at once, before any of an answer.
-    void used(double idle_s, bool broke, double now);
+    void record_use(double idle_s, bool broke, double now);
     // s; idle connections older than that break more often than new ones do, by more than a dial is worth.
-    double limit(double now) const;
+    double limit_s(double now) const;
 
   private:
     struct Count {
--- a/src/client/client_request.cpp
+++ b/src/client/client_request.cpp
@@ -18,7 +18,7 @@
 
 // units=2,spread=3,first=1, each once. What lies outside the settings is no request of this deployment: it
 // must neither reach a provider nor move the decisions on the customer that it names.
-bool read_terms(std::string_view text, const slatejunction::Settings& settings, Invocation& invocation) {
+bool read_terms(std::string_view text, const slatejunction::Settings& settings, ClientRequest& invocation) {
     int units = 0, spread = 0, first = 0;
     std::uint32_t doors = 0, door = 0;
     while (!text.empty()) {
@@ -36,12 +36,13 @@
             return false;
     }
     if (units != 1 || spread != 1 || first != 1) return false;
-    invocation.doors = doors;
-    invocation.first_door = door;
-    const bool bounded = settings.largest_units > 0;
+    invocation.ingress_count = doors;
+    invocation.first_ingress = door;
+    const bool bounded = settings.max_request_units > 0;
     return std::isfinite(invocation.units) && invocation.units > 0 &&
-           (!bounded || invocation.units <= settings.largest_units) && doors >= 1 &&
-           (settings.balancers < 1 || (doors <= settings.balancers && door < settings.balancers));
+           (!bounded || invocation.units <= settings.max_request_units) && doors >= 1 &&
+           (settings.ingress_count < 1 ||
+            (doors <= settings.ingress_count && door < settings.ingress_count));
 }
 
 // Once, as 16 hexadecimal digits of a number below 2^33.
@@ -61,9 +62,9 @@
 
 }   // namespace
 
-bool Invocation::left() const {
-    const auto one = asker.lock();
-    return one && one->left();
+bool ClientRequest::client_disconnected() const {
+    const auto one = response_writer.lock();
+    return one && one->client_disconnected();
 }
 
 std::string_view first_part(std::string_view target) {
@@ -78,8 +79,8 @@
     return at == settings.classes.end() ? nullptr : &*at;
 }
 
-std::string_view read_invocation(const http::Head& head, const slatejunction::Settings& settings,
-                                 double now, Invocation& invocation) {
+std::string_view read_request(const http::Head& head, const slatejunction::Settings& settings, double now,
+                              ClientRequest& invocation) {
     invocation.method = head.first;
     invocation.target = head.second;
     // Two fields of one name are two readings of the request: neither is taken.
@@ -92,8 +93,8 @@
     invocation.service_class = field("x-class");
     invocation.plan = field("x-tier");
     invocation.content_type = field("content-type");
-    invocation.key = field("idempotency-key");
-    invocation.repeat = field("x-retry") == "1";
+    invocation.idempotency_key = field("idempotency-key");
+    invocation.is_client_retry = field("x-retry") == "1";
     const std::string_view deadline = field("x-deadline");
     const std::string_view terms = field("x-call-terms");
     double wait = 0;
@@ -102,10 +103,12 @@
     const slatejunction::ServiceClass* service = find_class(settings, first_part(invocation.target));
     if (!service || invocation.service_class != service->name) return "X-Class";
     // The class determines the method.
-    const bool repeatable = service->effect == slatejunction::Effect::pure;
+    const bool repeatable = service->idempotency == slatejunction::Idempotency::idempotent;
     if (invocation.method != (repeatable ? "GET" : "POST")) return "method";
     // Without it a provider would run a repeat as another request.
-    if (service->effect == slatejunction::Effect::token && invocation.key.empty()) return "Idempotency-Key";
+    if (service->idempotency == slatejunction::Idempotency::idempotency_key &&
+        invocation.idempotency_key.empty())
+        return "Idempotency-Key";
     if (!settings.plans.empty() &&
         std::none_of(settings.plans.begin(), settings.plans.end(),
                      [&](const auto& plan) { return plan.name == invocation.plan; }))
@@ -114,9 +117,9 @@
     if (service->deadline_s > 0 && wait > kDeadlineSlack * service->deadline_s) return "X-Deadline";
     if (!read_terms(terms, settings, invocation)) return "X-Call-Terms";
     if (!read_customer(invocation.target, invocation.customer)) return "customer";
-    invocation.arrived = now;
-    invocation.wait_s = wait;
-    invocation.due = now + wait;
+    invocation.arrived_at_s = now;
+    invocation.timeout_s = wait;
+    invocation.deadline_at_s = now + wait;
     return {};
 }
 
--- a/src/client/server.cpp
+++ b/src/client/server.cpp
@@ -15,17 +15,17 @@
 }   // namespace
 
 struct Server::Linked : Session {
-    explicit Linked(SessionHost& host) : Session(host) { attach(stream); }
+    explicit Linked(SessionController& host) : Session(host) { attach(stream); }
     net::Stream stream{*this};
 };
 
-Server::Server(SessionHost& host, net::Timers& timers, std::size_t most)
+Server::Server(SessionController& host, net::Timers& timers, std::size_t most)
     : host_(host),
       most_(most),
       listener_(
           timers, [this] { return room(); }, [this](net::Ref<GSocket> socket) { take(std::move(socket)); },
           [this](const char* why) {
-              host_.on_accept_failed(why);
+              host_.on_accept_error(why);
               spare_one();
           }) {}
 
@@ -35,7 +35,7 @@
 bool Server::room() { return sessions_.size() < most_ || spare_one(); }
 
 bool Server::spare_one() {
-    Session* best = net::spare(sessions_, net::now());
+    Session* best = net::evict_idle(sessions_, net::now());
     if (!best) return false;
     best->end();
     return true;
@@ -52,7 +52,7 @@
     listener_.poke();
 }
 
-void Server::sweep(double now) {
+void Server::close_expired(double now) {
     std::vector<std::shared_ptr<Linked>> all;
     const bool many = sessions_.size() > most_ / kMany;
     for (const auto& [session, linked] : sessions_) {
@@ -65,7 +65,7 @@
     listener_.poke();   // with time, others than before can be spared
 }
 
-void Server::end_idle(double now, double idle_s) {
+void Server::close_idle(double now, double idle_s) {
     std::vector<std::shared_ptr<Linked>> all;
     for (const auto& [session, linked] : sessions_)
         if ((session->idle() || session->closing()) && now - session->since() > idle_s &&
@@ -74,28 +74,28 @@
     for (const auto& linked : all) linked->end();
 }
 
-void Server::turn_away(double retry_after_s) {
+void Server::reject_partial_requests(double retry_after_s) {
     std::vector<std::shared_ptr<Linked>> all;
     for (const auto& [session, linked] : sessions_)
-        if (session->half_through()) all.push_back(linked);
-    for (const auto& linked : all) linked->turn_away(retry_after_s);
+        if (session->has_partial_request()) all.push_back(linked);
+    for (const auto& linked : all) linked->reject_partial_request(retry_after_s);
 }
 
-void Server::end_all() {
+void Server::close_all() {
     std::vector<std::shared_ptr<Linked>> all;
     for (const auto& [session, linked] : sessions_) all.push_back(linked);
     for (const auto& linked : all) linked->end();
 }
 
 // Silent sessions on which bytes wait are known in a moment: they tell nothing now.
-Server::Census Server::census() const {
-    Census census;
+Server::SessionCounts Server::session_counts() const {
+    SessionCounts census;
     for (const auto& [session, linked] : sessions_) {
         if (session->checked_only()) continue;
         if (!session->silent())
             ++census.in_use;
         else if (!linked->stream.readable())
-            census.last_unknown_at = std::max(census.last_unknown_at, session->since());
+            census.last_unused_at = std::max(census.last_unused_at, session->since());
     }
     return census;
 }
--- a/src/client/session.cpp
+++ b/src/client/session.cpp
@@ -60,7 +60,7 @@
 }   // namespace
 
 // While an answer is owed, a little is read ahead, which shows whether the consumer is still there.
-std::span<char> Session::space() {
+std::span<char> Session::receive_buffer() {
     if (uploading_) return held_ ? std::span<char>() : buffer_.space(kAtOnce);
     if (unread()) return {};
     if (!busy_) return parser_.room(buffer_);
@@ -74,7 +74,7 @@
     // the time runs from its start.
     if (asked_ && !busy_ && buffer_.view().empty()) since_ = net::now();
     buffer_.commit(size);
-    arrivals_.add(size, net::now() - transport_->waited_s());
+    arrivals_.add(size, net::now() - transport_->stalled_s());
     if (uploading_) {
         moved_ = net::now();
         return pass_on();
@@ -131,19 +131,20 @@
     const double arrived = used > 0 ? std::min(now, arrivals_.at(used - 1)) : now;
     const http::Head& head = parser_.head();
     keep_alive_ = head.keep_alive;
-    newest_ = head.newest;
+    newest_ = head.is_http_1_1;
     busy_ = asked_ = true;
     continued_ = false;
     since_ = now;
     const bool health = head.second.substr(0, head.second.find('?')) == "/health/ready";
-    auto invocation = std::make_shared<Invocation>();
+    auto invocation = std::make_shared<ClientRequest>();
     if (health && rest_follows) return reject(413, "message over the limits");
     if (!health) {
         if (!find_class(host_.settings(), first_part(head.second))) return reject(404, "path");
-        const std::string_view fault = read_invocation(head, host_.settings(), arrived, *invocation);
+        const std::string_view fault = read_request(head, host_.settings(), arrived, *invocation);
         if (!fault.empty()) return reject(400, fault);
         // Guards against a second copy beside the one that is out, which no class but one may have.
-        if (host_.is_open(invocation->request_id)) return reject(409, "X-Request-Id of an open request");
+        if (host_.is_request_open(invocation->request_id))
+            return reject(409, "X-Request-Id of an open request");
         if (head.first == "GET" && (rest_follows || !parser_.body().empty())) return reject(400, "a body");
     }
     invocation->body = parser_.body();
@@ -151,10 +152,11 @@
         // When it is due is known once its last byte has come: until then the time that this may take is
         // added, which nobody waits for.
         reader_ = parser_.rest();
-        invocation->length = parser_.length();
-        invocation->whole = false;
-        invocation->rest = std::static_pointer_cast<Session>(shared_from_this());
-        invocation->due += static_cast<double>(invocation->length.value_or(http::kStreamMost)) / kSlowest;
+        invocation->body_length = parser_.length();
+        invocation->body_complete = false;
+        invocation->body_rest = std::static_pointer_cast<Session>(shared_from_this());
+        invocation->deadline_at_s +=
+            static_cast<double>(invocation->body_length.value_or(http::kMaxStreamedBodyBytes)) / kSlowest;
         upload_ = invocation;
         uploading_ = held_ = true;
         moved_ = now;
@@ -173,27 +175,27 @@
     invocation->bytes = std::move(buffer_);
     buffer_ = std::move(next);
     arrivals_.keep_last(buffer_.view().size());
-    if (health) return answer({host_.ready() ? 200 : 503, 0, {}, {}});
+    if (health) return write_response({host_.ready() ? 200 : 503, 0, {}, {}});
     requested_ = true;
     const auto keep = shared_from_this();
     handing_on_ = true;
     const std::uint64_t number =
-        host_.on_invocation(std::static_pointer_cast<Session>(shared_from_this()), std::move(invocation));
+        host_.on_request(std::static_pointer_cast<Session>(shared_from_this()), std::move(invocation));
     handing_on_ = false;
     if (!busy_) return;
     number_ = number;
-    if (!sink_.expired()) go_on();
+    if (!sink_.expired()) resume();
 }
 
 // A request's rest. -----------------------------------------------------------------------------------
 
-void Session::pull(std::weak_ptr<Sink> sink) {
+void Session::stream_to(std::weak_ptr<BodySink> sink) {
     sink_ = std::move(sink);
     held_ = handing_on_ || sink_.expired();
-    if (!held_) go_on();
+    if (!held_) resume();
 }
 
-void Session::go_on() {
+void Session::resume() {
     if (rest_ || handing_on_) return;
     // Who calls may hold it by the request alone, which is forgotten once both sides have gone.
     const auto keep = shared_from_this();
@@ -212,8 +214,8 @@
     while (!held_ && sink && invocation && uploading_ && !in.empty()) {
         const http::BodyReader::State state = reader_.feed(in, part);
         if (!part.empty()) {
-            invocation->passed = true;
-            const bool more = sink->put(part);
+            invocation->body_streamed = true;
+            const bool more = sink->write(part);
             // The sink may have found its connection broken: then the request has its answer by now, or the
             // session its end, and nothing of what was read is left.
             if (!uploading_) return;
@@ -222,29 +224,29 @@
         if (state == http::BodyReader::State::bad) {
             const std::uint64_t number = std::exchange(number_, 0);
             sink_.reset();
-            if (number != 0) host_.on_left(number);
+            if (number != 0) host_.on_client_disconnected(number);
             return reject(400, "a malformed body");
         }
         if (state == http::BodyReader::State::done) {
             uploading_ = false;
-            invocation->whole = true;
+            invocation->body_complete = true;
             const std::size_t used = buffer_.view().size() - in.size();
             arrivals_.keep_last(buffer_.view().size());
-            invocation->due = arrivals_.at(used > 0 ? used - 1 : 0) + invocation->wait_s;
+            invocation->deadline_at_s = arrivals_.at(used > 0 ? used - 1 : 0) + invocation->timeout_s;
             since_ = net::now();
         }
     }
-    buffer_.drop_front(buffer_.view().size() - in.size());
+    buffer_.consume(buffer_.view().size() - in.size());
     arrivals_.keep_last(buffer_.view().size());
     if (uploading_ || !sink) return;
     sink_.reset();
-    sink->put_end(true);
+    sink->end(true);
     transport_->resume();
 }
 
 // An answer's rest. -----------------------------------------------------------------------------------
 
-bool Session::put(std::string_view bytes) {
+bool Session::write(std::string_view bytes) {
     if (!rest_ || ended_) return true;
     std::array<char, 24> size{};
     std::array<std::string_view, 3> parts{"", bytes, ""};
@@ -261,7 +263,7 @@
     return !transport_->unsent();
 }
 
-void Session::put_end(bool whole) {
+void Session::end(bool whole) {
     if (!rest_ || ended_) return;
     const auto keep = shared_from_this();
     rest_.reset();
@@ -277,10 +279,10 @@
 void Session::reject(int status, std::string_view why) {
     host_.on_bad_request(status, why);
     keep_alive_ = false;
-    answer({status, status == 503 ? 1.0 : 0, {}, {}});
+    write_response({status, status == 503 ? 1.0 : 0, {}, {}});
 }
 
-void Session::answer(const Answer& answer) {
+void Session::write_response(const Response& answer) {
     if (ended_) return;
     if (ends_with_answer()) keep_alive_ = false;
     // An answer before the last byte of its request: what still comes of that is nobody's.
@@ -316,8 +318,8 @@
     rest_ = answer.rest;
     since_ = moved_ = net::now();
     if (!transport_->send(parts)) return end();
-    if (!answer.body.empty()) put(answer.body);
-    if (rest_) rest_->pull(std::static_pointer_cast<Session>(shared_from_this()));
+    if (!answer.body.empty()) write(answer.body);
+    if (rest_) rest_->stream_to(std::static_pointer_cast<Session>(shared_from_this()));
 }
 
 // The answer has been given to the transport.
@@ -339,7 +341,7 @@
 
 void Session::on_sent() {
     moved_ = net::now();
-    if (const auto rest = rest_) return rest->go_on();
+    if (const auto rest = rest_) return rest->resume();
     if (!busy_) finish_answer();   // else it was 100 Continue
 }
 
@@ -370,19 +372,19 @@
 void Session::expire() {
     if (uploading_) {
         const std::uint64_t number = std::exchange(number_, 0);
-        if (number != 0) host_.on_left(number);
+        if (number != 0) host_.on_client_disconnected(number);
         return reject(408, "a body that stalls");
     }
-    if (half_through()) return reject(408, "not whole in time");
+    if (has_partial_request()) return reject(408, "not whole in time");
     end();
 }
 
-void Session::turn_away(double retry_after_s) {
+void Session::reject_partial_request(double retry_after_s) {
     keep_alive_ = false;
-    answer({503, retry_after_s, {}, {}});
+    write_response({503, retry_after_s, {}, {}});
 }
 
-int Session::spare_rank(double now) const {
+int Session::eviction_rank(double now) const {
     const double age = now - since_;
     if (busy_ || transport_->unsent()) return -1;
     if (closing_) return age > kSpareLinger ? 0 : -1;
@@ -403,7 +405,8 @@
     if (const auto rest = std::exchange(rest_, nullptr)) rest->cancel();
     uploading_ = false;
     sink_.reset();
-    if (const bool owed = std::exchange(busy_, false); owed && number_ != 0) host_.on_left(number_);
+    if (const bool owed = std::exchange(busy_, false); owed && number_ != 0)
+        host_.on_client_disconnected(number_);
     host_.on_closed(*this);
 }
 
--- a/src/client/session.hpp
+++ b/src/client/session.hpp
@@ -13,54 +13,55 @@
 class Session;
 
 // What sessions need of the program.
-class SessionHost : public InvocationHost {
+class SessionController : public RequestHandler {
   public:
     virtual bool ready() const = 0;      // for the front
     virtual bool stopping() const = 0;   // connections are to end after their answer
     virtual const slatejunction::Settings& settings() const = 0;
-    virtual bool is_open(std::string_view request_id) const = 0;   // an invocation of that id
-    virtual bool wants_headers() const { return false; }           // Invocation::headers
-    virtual http::Budget& budget() = 0;                            // of all consumers' bytes
+    virtual bool is_request_open(std::string_view request_id) const = 0;   // an invocation of that id
+    virtual bool wants_headers() const { return false; }                   // Invocation::headers
+    virtual http::ByteBudget& budget() = 0;                                // of all consumers' bytes
     virtual void on_bad_request(int status, std::string_view why) = 0;
-    virtual void on_accept_failed(const char* why) = 0;
+    virtual void on_accept_error(const char* why) = 0;
     virtual void on_closed(Session& session) = 0;   // may forget the session
 };
 
 // A request or an answer over http::kBodyMost goes through it in pieces: of a request's rest it is the
 // source, of an answer's the sink.
-class Session : public net::Protocol, public Consumer, public Source, public Sink {
+class Session : public net::Protocol, public ResponseWriter, public BodySource, public BodySink {
   public:
-    explicit Session(SessionHost& host)
+    explicit Session(SessionController& host)
         : host_(host), parser_(http::Parser::Kind::request, true), buffer_(&host.budget()) {}
     void attach(net::Transport& transport) { transport_ = &transport; }
 
-    void answer(const Answer& answer) override;
-    bool left() const override { return ended_ || transport_->ended(); }
-    void pull(std::weak_ptr<Sink> sink) override;
-    void go_on() override;
+    void write_response(const Response& answer) override;
+    bool client_disconnected() const override { return ended_ || transport_->ended(); }
+    void stream_to(std::weak_ptr<BodySink> sink) override;
+    void resume() override;
     void cancel() override {}
-    bool put(std::string_view bytes) override;
-    void put_end(bool whole) override;
+    bool write(std::string_view bytes) override;
+    void end(bool whole) override;
     bool idle() const { return !busy_ && !closing_ && buffer_.view().empty() && !transport_->unsent(); }
     bool busy() const { return busy_; }
     bool closing() const { return closing_ && !transport_->unsent(); }
     bool silent() const { return !asked_ && !closing_ && buffer_.view().empty(); }   // from the start
     // Health checks came on it, and nothing else; no further request has begun.
     bool checked_only() const { return asked_ && !requested_ && !busy_ && buffer_.view().empty(); }
-    bool half_through() const {   // a request has begun to come
+    bool has_partial_request() const {   // a request has begun to come
         return !busy_ && !closing_ && !buffer_.view().empty() && !transport_->unsent();
     }
-    void turn_away(double retry_after_s);   // answers 503 to the request that has begun to come, and ends
+    void reject_partial_request(
+        double retry_after_s);   // answers 503 to the request that has begun to come, and ends
     double since() const { return std::max(since_, moved_); }   // when it last changed its state, or moved
     // When its time is up in the state it is in: silent from the start, a request or an answer half
     // through, idle, or ended but for the peer's part. Never while an answer is owed.
     double expires_at(bool many = false) const;   // many: as there are many sessions
     void expire();
     // How soon a full house gives it up: 0 first; below 0 not at all.
-    int spare_rank(double now) const;
+    int eviction_rank(double now) const;
     void end();   // whatever it holds
 
-    std::span<char> space() override;
+    std::span<char> receive_buffer() override;
     void on_bytes(std::size_t size) override;
     void on_dropped() override;
     void on_sent() override;
@@ -79,7 +80,7 @@
     void answered();
     void finish_answer();
 
-    SessionHost& host_;
+    SessionController& host_;
     net::Transport* transport_ = nullptr;
     http::Parser parser_;
     http::Buffer buffer_;
@@ -88,8 +89,8 @@
     double since_ = net::now();
     // A request's rest on its way.
     http::BodyReader reader_;
-    std::weak_ptr<Invocation> upload_;
-    std::weak_ptr<Sink> sink_;
+    std::weak_ptr<ClientRequest> upload_;
+    std::weak_ptr<BodySink> sink_;
     bool uploading_ = false;   // its last byte has not come
     bool held_ = false;        // its sink has enough for now, or there is none
     // The host is taking the request: nothing of its rest moves before the number of it is known, by which
@@ -97,7 +98,7 @@
     bool handing_on_ = false;
     double moved_ = 0;   // when a byte last came, or could be written
     // An answer's rest.
-    std::shared_ptr<Source> rest_;
+    std::shared_ptr<BodySource> rest_;
     bool newest_ = true;       // its last request was HTTP/1.1
     bool chunks_ = false;      // it goes out in chunks
     bool continued_ = false;   // 100 Continue was sent for the request that is coming
