--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -106,20 +106,24 @@
 }
 
 slatejunction::ServiceClass read_class(const Node& node) {
-    using slatejunction::Effect, slatejunction::Group;
+    using slatejunction::Idempotency, slatejunction::IdempotencyScope;
     slatejunction::ServiceClass c;
     c.name = node.needed_text("Name");
-    c.aim_s = node.needed_real("AimS");
+    c.latency_objective_s = node.needed_real("AimS");
     c.deadline_s = node.real("DeadlineS");
-    c.effect = one_of<Effect>(
-        node, "Effect",
-        {{"pure", Effect::pure}, {"token", Effect::token}, {"side_effect", Effect::side_effect}});
-    c.group = one_of<Group>(
-        node, "Group", {{"all", Group::all}, {"zone", Group::zone}, {"cell", Group::cell}}, Group::all);
-    c.window_s = node.real("WindowS");
-    c.stream = node.flag("Stream");
-    c.worth = node.real("Worth");
-    c.late_worth = node.real("LateWorth");
+    c.idempotency = one_of<Idempotency>(node, "Effect",
+                                        {{"pure", Idempotency::idempotent},
+                                         {"token", Idempotency::idempotency_key},
+                                         {"side_effect", Idempotency::not_idempotent}});
+    c.idempotency_scope = one_of<IdempotencyScope>(node, "Group",
+                                                   {{"all", IdempotencyScope::all},
+                                                    {"zone", IdempotencyScope::zone},
+                                                    {"cell", IdempotencyScope::cell}},
+                                                   IdempotencyScope::all);
+    c.idempotency_window_s = node.real("WindowS");
+    c.streaming = node.flag("Stream");
+    c.priority_weight = node.real("Worth");
+    c.late_priority_weight = node.real("LateWorth");
     return c;
 }
 
@@ -128,13 +132,13 @@
     p.name = node.needed_text("Name");
     p.rate = node.real("UnitsPerS");
     p.burst = node.real("Depth");
-    p.ceiling_rate = node.real("CeilingRate");
-    p.ceiling_burst = node.real("HardBurst");
-    p.ceiling_slack = node.real("Tolerance");
-    p.max_out = node.real("MaxOut");
-    p.price = node.real("Price");
-    p.over_worth = node.real("ExtraWorth");
-    p.over_cost = node.real("OverCost");
+    p.hard_limit_rate = node.real("CeilingRate");
+    p.hard_limit_burst = node.real("HardBurst");
+    p.hard_limit_slack = node.real("Tolerance");
+    p.max_in_flight = node.real("MaxOut");
+    p.plan_weight = node.real("Price");
+    p.over_quota_weight = node.real("ExtraWorth");
+    p.over_quota_penalty = node.real("OverCost");
     return p;
 }
 
@@ -165,36 +169,37 @@
             reports->each("Fields", [&](const Json& one, const std::string& path) {
                 s.report_fields.push_back(Node::text_of(one, path));
             });
-        s.reports_on_probe_only = how == "on_probe";
+        s.reports_on_health_check_only = how == "on_probe";
     }
     s.zone = node.text("Zone");
-    s.discovery = one_of<slatejunction::Discovery>(node, "Discovery",
-                                                   {{"automatic", slatejunction::Discovery::automatic},
-                                                    {"subscribe", slatejunction::Discovery::subscribe}},
-                                                   slatejunction::Discovery::automatic);
-    s.my_number = discovery::whole(node.real("MyNumber"));
-    s.balancers = node.needed_real("Balancers");
-    s.quantum_s = node.real("QuantumS");
+    s.discovery =
+        one_of<slatejunction::DiscoveryMode>(node, "Discovery",
+                                             {{"automatic", slatejunction::DiscoveryMode::automatic},
+                                              {"subscribe", slatejunction::DiscoveryMode::subscribe}},
+                                             slatejunction::DiscoveryMode::automatic);
+    s.ingress_index = discovery::to_integer(node.real("MyNumber"));
+    s.ingress_count = node.needed_real("Balancers");
+    s.tick_interval_s = node.real("QuantumS");
     if (const auto info = node.node("FamilyInfo")) {
         s.meter_period_s = info->real("MeterPeriodS");
-        s.largest_units = info->real("UnitsTop");
+        s.max_request_units = info->real("UnitsTop");
     }
     const Node limits(node.need("Limits"), node.at("Limits"), config.warnings);
-    s.attempts_cap = limits.needed_real("AttemptsCap");
-    s.parallel_tries = limits.flag("ParallelTries");
-    s.cancel = limits.flag("Cancel");
-    s.probes = limits.flag("Probes");
+    s.max_attempts = limits.needed_real("AttemptsCap");
+    s.hedging_allowed = limits.flag("ParallelTries");
+    s.cancellation_allowed = limits.flag("Cancel");
+    s.health_checks_allowed = limits.flag("Probes");
     s.retry_after = limits.flag("RetryAfter");
     s.max_retry_after_s = limits.real("MaxRetryAfterS");
-    config.max_open = static_cast<std::size_t>(std::max(0.0, limits.real("MaxOpen")));
+    config.max_open_requests = static_cast<std::size_t>(std::max(0.0, limits.real("MaxOpen")));
     config.dial_timeout_s = limits.positive("DialTimeoutS", config.dial_timeout_s);
     config.keepalive_s = limits.positive("KeepaliveS", config.keepalive_s);
     if (const auto rules = node.node("Rules")) {
-        s.ask_within_s = rules->real("AskWithinS");
-        s.cold_from = rules->real("ColdFrom");
-        s.warm_within_s = rules->real("WarmWithinS");
-        s.fall_multiple = rules->real("FallMultiple");
-        s.fall_s = rules->real("FallS");
+        s.watch_retry_within_s = rules->real("AskWithinS");
+        s.slow_start_min_capacity = rules->real("ColdFrom");
+        s.slow_start_window_s = rules->real("WarmWithinS");
+        s.overload_multiple = rules->real("FallMultiple");
+        s.overload_window_s = rules->real("FallS");
     }
 }
 
@@ -204,10 +209,10 @@
 }
 
 // Only a copy of what the directory tells anew: a fault in it is no reason not to start.
-void read_known(const Node& root, const discovery::UnixClock& clock, Config& config) {
+void read_known(const Node& root, const discovery::UnixTimeConverter& clock, Config& config) {
     if (const Json* known = root.find("known")) {
         int broken = 0;
-        if (!discovery::read_copy(*known, clock, config.known, broken))
+        if (!discovery::read_cached_list(*known, clock, config.known, broken))
             root.warn("known is not a list of the directory and was left out");
         else if (!config.known.revision)
             root.warn("known.revision is missing: the directory's whole list is asked for");
@@ -215,14 +220,14 @@
             root.warn("known.members: " + std::to_string(broken) +
                       " entries that can't be read were left out");
     }
-    config.known.update.kind = slatejunction::ListKind::warm_copy;
+    config.known.update.kind = slatejunction::EndpointUpdateKind::cached_snapshot;
 }
 
 }   // namespace
 
-Config read(const std::string& text, const discovery::UnixClock& clock) {
+Config read(const std::string& text, const discovery::UnixTimeConverter& clock) {
     rapidjson::Document json;
-    discovery::parse(text, json);
+    discovery::parse_json(text, json);
     if (json.HasParseError())
         throw Bad(
             "configuration is not JSON: " + std::string(rapidjson::GetParseError_En(json.GetParseError())) +
@@ -231,7 +236,7 @@
     const Node root(json, "", config.warnings);
     config.name = root.text("name");
     config.listen = root.text("listen");
-    config.directory = root.text("discovery");
+    config.discovery_address = root.text("discovery");
     config.admin = root.text("admin_addr");
     if (const std::string seed = root.text("seed"); !seed.empty()) {
         const char* last = seed.data() + seed.size();
@@ -253,7 +258,7 @@
     return config;
 }
 
-Config load(const std::string& path, const discovery::UnixClock& clock, Moment moment) {
+Config load(const std::string& path, const discovery::UnixTimeConverter& clock, LoadTime moment) {
     const auto variable = [](const char* name) {
         const char* value = std::getenv(name);
         return std::string(value ? value : "");
@@ -263,7 +268,7 @@
     // Guards against a reload that waits for ever: a pipe that was read at the start may have no writer
     // now.
     std::error_code fault;
-    if (moment == Moment::reload && std::filesystem::is_fifo(file, fault))
+    if (moment == LoadTime::reload && std::filesystem::is_fifo(file, fault))
         throw Bad("NODE_CONFIG is a pipe, which can't be read again: '" + file + "'");
     std::ifstream in(file, std::ios::binary);
     std::stringstream text;
@@ -281,9 +286,10 @@
     const char* admin = override_by(config.admin, "NODE_ADMIN_ADDR", "admin_addr");
     if (!config.admin.empty()) check_address(config.admin, admin);
     config.temporary = variable("TMPDIR");
-    check_address(config.directory, moment == Moment::reload
-                                        ? "discovery"
-                                        : override_by(config.directory, "NODE_DISCOVERY", "discovery"));
+    check_address(config.discovery_address,
+                  moment == LoadTime::reload
+                      ? "discovery"
+                      : override_by(config.discovery_address, "NODE_DISCOVERY", "discovery"));
     return config;
 }
 
--- a/src/discovery/endpoint_list.cpp
+++ b/src/discovery/endpoint_list.cpp
@@ -8,31 +8,31 @@
 
 namespace slatejunction::discovery {
 
-using slatejunction::ListKind;
-using slatejunction::ServerState;
+using slatejunction::EndpointState;
+using slatejunction::EndpointUpdateKind;
 
-UnixClock::UnixClock() {
+UnixTimeConverter::UnixTimeConverter() {
     const auto unix_now = std::chrono::system_clock::now().time_since_epoch();
     offset_s_ = std::chrono::duration<double>(unix_now).count() - net::now();
 }
 
-double UnixClock::monotonic(double unix_ms) const {
+double UnixTimeConverter::to_monotonic_s(double unix_ms) const {
     return unix_ms > 0 ? std::max(unix_ms / 1000 - offset_s_, 1e-6) : 0;
 }
 
-void parse(std::string_view text, rapidjson::Document& json) {
+void parse_json(std::string_view text, rapidjson::Document& json) {
     json.Parse<rapidjson::kParseIterativeFlag>(text.data(), text.size());
 }
 
-std::int64_t whole(double value) {
+std::int64_t to_integer(double value) {
     constexpr double kLimit = 0x1p63;
     return value >= -kLimit && value < kLimit ? static_cast<std::int64_t>(value) : 0;
 }
 
 namespace {
 
-bool read_entry(const rapidjson::Value& json, const UnixClock& clock, slatejunction::ListEntry& entry,
-                std::string& address, double& up_since_ms) {
+bool read_entry(const rapidjson::Value& json, const UnixTimeConverter& clock,
+                slatejunction::Endpoint& entry, std::string& address, double& up_since_ms) {
     if (!json.IsObject()) return false;
     const auto text = [&](const char* name) {
         const auto at = json.FindMember(name);
@@ -44,43 +44,43 @@
         const auto at = json.FindMember(name);
         return at != json.MemberEnd() && at->value.IsNumber() ? at->value.GetDouble() : 0.0;
     };
-    entry.server = text("id");
+    entry.backend = text("id");
     const std::string phase = text("phase");
     if (phase == "Ready")
-        entry.state = ServerState::in;
+        entry.state = EndpointState::serving;
     else if (phase == "Terminating")
-        entry.state = ServerState::lame;
+        entry.state = EndpointState::draining;
     else if (phase == "Gone")
-        entry.state = ServerState::out;
+        entry.state = EndpointState::removed;
     else
         return false;
     address = text("host_port");
-    entry.kind = text("flavor");
+    entry.flavor = text("flavor");
     entry.zone = text("locality");
     entry.capacity_hint = number("size");
-    entry.cell = whole(number("cell"));
+    entry.cell = to_integer(number("cell"));
     up_since_ms = std::max(0.0, number("up_since_ms"));
-    entry.born_s = clock.monotonic(up_since_ms);
-    return !entry.server.empty() && (entry.state != ServerState::in || net::parse_address(address));
+    entry.started_at_s = clock.to_monotonic_s(up_since_ms);
+    return !entry.backend.empty() && (entry.state != EndpointState::serving || net::parse_address(address));
 }
 
 // Each member that can be read; how many can't.
-int read_members(const rapidjson::Value& members, const UnixClock& clock, Listing& listing) {
+int read_members(const rapidjson::Value& members, const UnixTimeConverter& clock, EndpointList& listing) {
     int broken = 0;
-    listing.update.entries.clear();
+    listing.update.endpoints.clear();
     listing.addresses.clear();
     listing.up_since_ms.clear();
-    listing.unread.clear();
+    listing.unparsed_ids.clear();
     for (const rapidjson::Value& member : members.GetArray()) {
-        slatejunction::ListEntry entry;
+        slatejunction::Endpoint entry;
         std::string address;
         double up_since_ms = 0;
         if (!read_entry(member, clock, entry, address, up_since_ms)) {
             ++broken;
-            if (!entry.server.empty()) listing.unread.push_back(std::move(entry.server));
+            if (!entry.backend.empty()) listing.unparsed_ids.push_back(std::move(entry.backend));
             continue;
         }
-        listing.update.entries.push_back(std::move(entry));
+        listing.update.endpoints.push_back(std::move(entry));
         listing.addresses.push_back(std::move(address));
         listing.up_since_ms.push_back(up_since_ms);
     }
@@ -89,7 +89,8 @@
 
 }   // namespace
 
-bool read_listing(const rapidjson::Value& json, const UnixClock& clock, Listing& listing, int& broken) {
+bool read_endpoint_list(const rapidjson::Value& json, const UnixTimeConverter& clock, EndpointList& listing,
+                        int& broken) {
     broken = 0;
     if (!json.IsObject()) return false;
     const auto revision = json.FindMember("revision"), complete = json.FindMember("complete"),
@@ -99,12 +100,14 @@
         return false;
     listing.revision = revision->value.GetInt64();
     broken = read_members(members->value, clock, listing);
-    const bool all_named = static_cast<std::size_t>(broken) == listing.unread.size();
-    listing.update.kind = complete->value.GetBool() && all_named ? ListKind::total : ListKind::changes;
+    const bool all_named = static_cast<std::size_t>(broken) == listing.unparsed_ids.size();
+    listing.update.kind =
+        complete->value.GetBool() && all_named ? EndpointUpdateKind::snapshot : EndpointUpdateKind::delta;
     return true;
 }
 
-bool read_copy(const rapidjson::Value& json, const UnixClock& clock, Listing& listing, int& broken) {
+bool read_cached_list(const rapidjson::Value& json, const UnixTimeConverter& clock, EndpointList& listing,
+                      int& broken) {
     broken = 0;
     if (!json.IsObject()) return false;
     const auto revision = json.FindMember("revision"), members = json.FindMember("members");
--- a/src/discovery/endpoint_start_times.hpp
+++ b/src/discovery/endpoint_start_times.hpp
@@ -15,19 +15,19 @@
 
 namespace slatejunction::discovery {
 
-class StartTimes {
+class EndpointStartTimes {
   public:
     // Sets `born_s` of each entry of a list that discovery has told at `now` (s, net::now()); on its way in
     // it is what the wall clock says. Every whole answer counts, also one that names nothing. Entries
     // behind those with a stated start are known ones, and get theirs.
-    void settle(Listing& listing, double now);
+    void resolve(EndpointList& listing, double now);
     // The same for a copy that somebody kept: the list that all later ones are compared with. Its entries
     // have nothing but the wall clock.
-    void settle_copy(Listing& copy, double now);
+    void resolve_cached(EndpointList& copy, double now);
     // From another process of this ingress, which has settled it already.
-    void adopt(const Listing& settled);
+    void adopt(const EndpointList& settled);
     // Writes the stated start beside each entry of a list that is in force here.
-    void state(Listing& listing) const;
+    void restore_stated(EndpointList& listing) const;
 
     std::size_t size() const { return starts_.size(); }   // backends remembered
 
@@ -38,8 +38,8 @@
         double named_at = 0;      // s; when a list last named it, or first did not
         bool listed = false;
     };
-    void remember(const slatejunction::ListEntry& entry, double up_since_ms, double now);
-    void unlist_unnamed(const Listing& listing, double now);
+    void remember(const slatejunction::Endpoint& entry, double up_since_ms, double now);
+    void unlist_unnamed(const EndpointList& listing, double now);
     void forget_old(double now);
 
     std::unordered_map<std::string, Start> starts_;
--- a/src/discovery/endpoint_watch.cpp
+++ b/src/discovery/endpoint_watch.cpp
@@ -34,7 +34,7 @@
 
 }   // namespace
 
-double Watch::told_within() {
+double EndpointWatch::notification_bound_s() {
     // What is out when the directory comes to have news: a watch call that has just fallen silent, or a
     // call after a failure that it can't answer any more. After one that was given up late the next has the
     // shorter time.
@@ -47,32 +47,32 @@
     return std::max(kLost + kPause, kOlder + kLongestPause) + kNext;
 }
 
-Watch::Watch(WatchHost& host, net::Timers& timers, const UnixClock& clock, std::string authority,
-             std::uint64_t seed)
+EndpointWatch::EndpointWatch(WatchCallbacks& host, net::Timers& timers, const UnixTimeConverter& clock,
+                             std::string authority, std::uint64_t seed)
     : host_(host),
       clock_(clock),
       timer_(timers, [this] { overdue(); }),
       authority_(std::move(authority)),
-      parser_(http::Parser::Kind::response, false, kListMost),
+      parser_(http::Parser::Kind::response, false, kMaxListBytes),
       random_(static_cast<std::minstd_rand::result_type>(seed ^ (seed >> 32)) | 1) {}
 
-void Watch::attach(net::Transport& transport, std::function<bool()> dial) {
+void EndpointWatch::attach(net::Transport& transport, std::function<bool()> dial) {
     transport_ = &transport;
     dial_ = std::move(dial);
 }
 
-void Watch::start(std::optional<std::int64_t> known_revision, bool moved) {
+void EndpointWatch::start(std::optional<std::int64_t> known_revision, bool moved) {
     revision_ = newest_ = known_revision;
     at_once_ = moved;
     patient_ = slow_ = false;
     dial();
 }
 
-void Watch::ask_soon() {
+void EndpointWatch::poll_now() {
     if (state_ == State::waiting && turned_away_ == 0) dial();
 }
 
-void Watch::dial() {
+void EndpointWatch::dial() {
     buffer_.clear();
     parser_.reset();
     state_ = State::dialling;
@@ -80,22 +80,22 @@
     if (!dial_()) fail("it can't be dialled", kLongestUnheard);
 }
 
-void Watch::on_open() { ask(); }
+void EndpointWatch::on_open() { ask(); }
 
-int Watch::wait_ms() const {
+int EndpointWatch::wait_ms() const {
     if (at_once_) return kAtOnceMs;
     return slow_ ? kWaitSlowlyMs : kWaitMs;
 }
 
 // s; until the whole answer of the next call.
-double Watch::answer_within() const {
+double EndpointWatch::answer_within() const {
     if (!revision_ || at_once_) return patient_ ? kAtOnceSlowly : kAtOnce;
     return wait_ms() / 1000.0 + (slow_ ? kGraceSlowly : kGrace);
 }
 
 // What the answer that has come tells of the time that the directory takes. Of a watch call only one that
 // came after its wait does: news come within it.
-void Watch::learn_pace() {
+void EndpointWatch::learn_pace() {
     const bool watched = revision_ && !at_once_;
     const double took = net::now() - asked_at_ - (watched ? wait_ms() / 1000.0 : 0);
     patient_ = false;
@@ -103,7 +103,7 @@
 }
 
 // The next call follows each answer at once: the directory ends a watch that pauses for 200 ms.
-void Watch::ask() {
+void EndpointWatch::ask() {
     std::array<char, 96> query{};
     if (revision_)
         std::snprintf(query.data(), query.size(), "?index=%lld&wait=%d", static_cast<long long>(*revision_),
@@ -116,7 +116,7 @@
     if (!transport_->send(parts)) fail("the connection broke");
 }
 
-void Watch::on_bytes(std::size_t size) {
+void EndpointWatch::on_bytes(std::size_t size) {
     buffer_.commit(size);
     if (state_ != State::asking) return fail("an answer to no call");
     const http::Step step = parser_.feed(buffer_);
@@ -125,14 +125,14 @@
     take();
 }
 
-void Watch::take() {
+void EndpointWatch::take() {
     if (parser_.head().status == 503 || parser_.head().status == 429) return turned_away();
     if (parser_.head().status != 200) return fail("an answer other than 200");
     rapidjson::Document json;
-    parse(parser_.body(), json);
-    Listing listing;
+    parse_json(parser_.body(), json);
+    EndpointList listing;
     int broken = 0;
-    if (json.HasParseError() || !read_listing(json, clock_, listing, broken)) {
+    if (json.HasParseError() || !read_endpoint_list(json, clock_, listing, broken)) {
         revision_.reset();   // what it meant is lost: the whole list tells it again
         return fail("a list that can't be read");
     }
@@ -154,14 +154,14 @@
         transport_->close();
         dial();
     }
-    host_.on_listing(listing);
-    if (broken > 0) host_.on_lost("entries that can't be read were left out");
+    host_.on_endpoint_list(listing);
+    if (broken > 0) host_.on_watch_lost("entries that can't be read were left out");
 }
 
 // Guards against providers that come back from the dead: after a move, or behind one that can't be read, a
 // directory may hold less than is known here. One that stays behind has begun its count anew: then its
 // whole list is asked for and taken.
-bool Watch::older(const Listing& listing) {
+bool EndpointWatch::older(const EndpointList& listing) {
     const double now = net::now();
     if (!newest_ || *listing.revision >= *newest_) {
         older_since_ = 0;
@@ -170,31 +170,31 @@
     if (older_since_ == 0) older_since_ = now;
     revision_.reset();   // its next list is to be whole, as changes since another count tell nothing
     if (now - older_since_ < kOlder) return true;
-    const bool whole = listing.update.kind == slatejunction::ListKind::total;
+    const bool whole = listing.update.kind == slatejunction::EndpointUpdateKind::snapshot;
     if (whole) older_since_ = 0;
     return !whole;
 }
 
 // Guards the rule on drains: who leaves by a list that is left out is told to leave all the same. Harm: a
 // provider that came back since goes unused until the list is taken, which is whole then.
-void Watch::leave_by(Listing& listing) {
-    Listing leaving;
-    leaving.update.kind = slatejunction::ListKind::changes;
-    for (std::size_t i = 0; i < listing.update.entries.size(); ++i) {
-        if (listing.update.entries[i].state == slatejunction::ServerState::in) continue;
-        leaving.update.entries.push_back(std::move(listing.update.entries[i]));
+void EndpointWatch::leave_by(EndpointList& listing) {
+    EndpointList leaving;
+    leaving.update.kind = slatejunction::EndpointUpdateKind::delta;
+    for (std::size_t i = 0; i < listing.update.endpoints.size(); ++i) {
+        if (listing.update.endpoints[i].state == slatejunction::EndpointState::serving) continue;
+        leaving.update.endpoints.push_back(std::move(listing.update.endpoints[i]));
         leaving.addresses.push_back(std::move(listing.addresses[i]));
         leaving.up_since_ms.push_back(listing.up_since_ms[i]);
     }
-    if (!leaving.update.entries.empty()) host_.on_listing(leaving);
+    if (!leaving.update.endpoints.empty()) host_.on_endpoint_list(leaving);
 }
 
-void Watch::on_end(bool) {
+void EndpointWatch::on_end(bool) {
     if (state_ == State::asking && parser_.feed(buffer_, true) == http::Step::done) return take();
     fail("the connection ended", state_ == State::dialling ? kLongestUnheard : kLongestPause);
 }
 
-void Watch::overdue() {
+void EndpointWatch::overdue() {
     if (state_ == State::waiting) return dial();
     const bool watched = revision_ && !at_once_;
     if (state_ == State::asking && !watched) patient_ = !patient_;
@@ -203,7 +203,7 @@
 
 // Guards against a release in which most ingresses ask at once, and whom a busy directory turns away ask it
 // again in step. Harm: a list may come that much later; the last one serves meanwhile.
-void Watch::turned_away() {
+void EndpointWatch::turned_away() {
     const double pause = std::min(kLongestTurned, kFirstTurned * (1 << std::min(turned_away_, 10)));
     fail("it turns callers away");
     ++turned_away_;
@@ -211,15 +211,15 @@
     timer_.arm(net::now() + pause * spread(random_));
 }
 
-void Watch::fail(const char* why) { fail(why, kLongestPause); }
+void EndpointWatch::fail(const char* why) { fail(why, kLongestPause); }
 
-void Watch::fail(const char* why, double longest_pause_s) {
+void EndpointWatch::fail(const char* why, double longest_pause_s) {
     transport_->close();
     state_ = State::waiting;
     timer_.arm(net::now() + std::min(longest_pause_s, kFirstPause * (1 << std::min(failures_, 5))));
     ++failures_;
     at_once_ = true;
-    host_.on_lost(why);
+    host_.on_watch_lost(why);
 }
 
 }   // namespace slatejunction::discovery
--- a/src/discovery/endpoint_watch.hpp
+++ b/src/discovery/endpoint_watch.hpp
@@ -15,34 +15,36 @@
 
 // Bytes of a list, whole or as changes. One of 74,000 backends takes 11 MB, indented twice as much; at most
 // 3,200 are asked for (STANDING, "Beyond this bench").
-inline constexpr std::size_t kListMost = std::size_t{32} << 20;
+inline constexpr std::size_t kMaxListBytes = std::size_t{32} << 20;
 
-class WatchHost {
+class WatchCallbacks {
   public:
-    virtual ~WatchHost() = default;
-    virtual void on_listing(Listing& listing) = 0;
-    virtual void on_lost(const char* why) = 0;   // a call failed; another one follows by itself
+    virtual ~WatchCallbacks() = default;
+    virtual void on_endpoint_list(EndpointList& listing) = 0;
+    virtual void on_watch_lost(const char* why) = 0;   // a call failed; another one follows by itself
 };
 
-class Watch : public net::Protocol {
+class EndpointWatch : public net::Protocol {
   public:
     // `dial` begins a connection on the transport; false: it failed at once.
     // `seed`: of the waits, so that many ingresses do not ask in step.
-    Watch(WatchHost& host, net::Timers& timers, const UnixClock& clock, std::string authority,
-          std::uint64_t seed);
+    EndpointWatch(WatchCallbacks& host, net::Timers& timers, const UnixTimeConverter& clock,
+                  std::string authority, std::uint64_t seed);
     void attach(net::Transport& transport, std::function<bool()> dial);
 
     // s; the longest from when the directory has news and can be reached until they are told here, whatever
     // state the watch was in: silent, half an answer, refused, reset, turned away, moved or counting anew.
-    static double told_within();
+    static double notification_bound_s();
     // `moved`: from another directory, so that nothing may be waited for.
     void start(std::optional<std::int64_t> known_revision, bool moved = false);
-    std::optional<std::int64_t> newest() const { return newest_; }   // of the lists taken
-    void ask_soon();   // a call now, unless one is out or the directory turns callers away
-    double heard_at() const { return heard_at_; }   // s, net::now(): the last whole answer; 0: none yet
+    std::optional<std::int64_t> newest_revision() const { return newest_; }   // of the lists taken
+    void poll_now();   // a call now, unless one is out or the directory turns callers away
+    double last_answer_at() const {
+        return heard_at_;
+    }   // s, net::now(): the last whole answer; 0: none yet
 
     void on_open() override;
-    std::span<char> space() override { return parser_.room(buffer_); }
+    std::span<char> receive_buffer() override { return parser_.room(buffer_); }
     void on_bytes(std::size_t size) override;
     void on_end(bool clean) override;
 
@@ -50,8 +52,8 @@
     void dial();
     void ask();
     void take();
-    bool older(const Listing& listing);
-    void leave_by(Listing& listing);
+    bool older(const EndpointList& listing);
+    void leave_by(EndpointList& listing);
     void fail(const char* why);
     void fail(const char* why, double longest_pause_s);
     void turned_away();
@@ -60,8 +62,8 @@
     double answer_within() const;
     void learn_pace();
 
-    WatchHost& host_;
-    const UnixClock& clock_;
+    WatchCallbacks& host_;
+    const UnixTimeConverter& clock_;
     net::Transport* transport_ = nullptr;
     std::function<bool()> dial_;
     net::Timer timer_;
--- a/src/fleet_counters/aggregator.cpp
+++ b/src/fleet_counters/aggregator.cpp
@@ -17,51 +17,51 @@
 
 }   // namespace
 
-std::vector<std::string> Collector::names() {
+std::vector<std::string> Aggregator::names() {
     std::vector<std::string> all{kTotals};
     for (std::size_t page = 0; page < kPages; ++page) all.push_back(page_name(page));
     return all;
 }
 
-double row_within_s(const Settings& settings, const lease::Times& times, double round_trip_s) {
-    return settings.grace_s + 3 * (round_trip_s + 1.2 * lease::ask_s(times));
+double row_within_s(const Settings& settings, const lease::LeaseTimes& times, double round_trip_s) {
+    return settings.grace_s + 3 * (round_trip_s + 1.2 * lease::request_timeout_s(times));
 }
 
-double row_within_after_death_s(const Settings& settings, const lease::Times& times, double round_trip_s,
-                                int seekers) {
-    return lease::gap_s(times, round_trip_s, seekers) + row_within_s(settings, times, round_trip_s);
+double row_within_after_death_s(const Settings& settings, const lease::LeaseTimes& times,
+                                double round_trip_s, int seekers) {
+    return lease::max_vacancy_s(times, round_trip_s, seekers) + row_within_s(settings, times, round_trip_s);
 }
 
-Collector::Collector(const Settings& settings, const lease::Times& times, const lease::Voters& voters,
-                     std::uint64_t seed)
+Aggregator::Aggregator(const Settings& settings, const lease::LeaseTimes& times,
+                       const lease::AcceptorSet& voters, std::uint64_t seed)
     : settings_(settings), times_(times), book_(names(), times, voters, seed) {}
 
-std::uint64_t Collector::period_at(double unix_s) const {
+std::uint64_t Aggregator::period_at(double unix_s) const {
     return static_cast<std::uint64_t>(std::max(0.0, std::floor(unix_s / settings_.every_s)));
 }
 
-void Collector::hold(double now, double unix_s, std::uint64_t number) {
+void Aggregator::hold(double now, double unix_s, std::uint64_t number) {
     stage_ = Stage::reading;
     held_unix_ = unix_s;
     rows_.clear();
-    book_.hold(now, number);
+    book_.begin_term(now, number);
 }
 
-void Collector::lose() {
+void Aggregator::lose() {
     stage_ = Stage::off;
-    book_.lose();
+    book_.end_term();
     heard_.clear();
     rows_.clear();
     answers_.clear();
 }
 
-void Collector::on_note(double now, double unix_s, const std::string& voter,
-                        const lease::NoteMessage& message) {
+void Aggregator::on_note(double now, double unix_s, const std::string& voter,
+                         const lease::RegisterMessage& message) {
     book_.receive(now, voter, message);
     step(now, unix_s);
 }
 
-bool Collector::on_report(double now, double unix_s, const std::string& from, const Report& report) {
+bool Aggregator::on_report(double now, double unix_s, const std::string& from, const Report& report) {
     if (!holds() || report.cuts.empty()) return false;
     // Guards against one that comes when its process has been forgotten: it would be counted again.
     if (report.cuts.back().period + kForget / 2 < period_at(unix_s)) return false;
@@ -75,14 +75,14 @@
     return true;
 }
 
-void Collector::wake(double now, double unix_s) {
-    book_.wake(now);
+void Aggregator::wake(double now, double unix_s) {
+    book_.on_timer(now);
     step(now, unix_s);
 }
 
-double Collector::due(double now, double unix_s) const {
+double Aggregator::due(double now, double unix_s) const {
     if (!holds()) return 1e18;
-    double next = book_.due();
+    double next = book_.next_deadline();
     if (stage_ == Stage::idle) {
         const double ends = static_cast<double>(done() + 1) * settings_.every_s + settings_.grace_s;
         next = std::min(next, now + std::max(0.0, std::max(ends, held_unix_ + settings_.grace_s) - unix_s));
@@ -90,13 +90,13 @@
     return next;
 }
 
-bool Collector::all_settled() const {
+bool Aggregator::all_settled() const {
     const auto all = names();
-    return std::all_of(all.begin(), all.end(), [&](const auto& name) { return book_.settled(name); });
+    return std::all_of(all.begin(), all.end(), [&](const auto& name) { return book_.committed(name); });
 }
 
-void Collector::step(double now, double unix_s) {
-    if (!holds() || book_.passed()) return;
+void Aggregator::step(double now, double unix_s) {
+    if (!holds() || book_.superseded()) return;
     if (stage_ == Stage::reading && book_.read()) {
         load(unix_s);
         // What was seen may be with a minority only: it counts once a majority has it under this number.
@@ -133,7 +133,7 @@
 }
 
 // As the holder before this one left it.
-void Collector::load(double unix_s) {
+void Aggregator::load(double unix_s) {
     for (Page& page : pages_) page = {};
     rows_kept_.clear();
     sent_ = told_ = 0;
@@ -176,7 +176,7 @@
     sent_ = told_ = last + 1;
 }
 
-void Collector::begin(double now, std::uint64_t period) {
+void Aggregator::begin(double now, std::uint64_t period) {
     stage_ = Stage::pages;
     for (std::size_t i = 0; i < kPages; ++i) {
         if (pages_[i].period >= period) continue;   // done by the holder before
@@ -186,7 +186,7 @@
 }
 
 // What has come of the page's processes up to that period, and is not counted yet.
-void Collector::add(Page& page, std::uint64_t period) {
+void Aggregator::add(Page& page, std::uint64_t period) {
     page.period = period;
     const auto number = static_cast<std::size_t>(&page - pages_.data());
     std::erase_if(page.entries, [&](const auto& one) { return one.second + kForget < period; });
@@ -197,10 +197,10 @@
         // One that is not known here was never counted, or was by a holder whose notes are lost.
         const std::uint64_t counted =
             std::max(entry != page.entries.end() ? entry->second : 0, cuts.front().period);
-        const auto from =
-            std::find_if(cuts.begin(), cuts.end(), [&](const Cut& one) { return one.period == counted; });
-        const auto to =
-            std::find_if(cuts.rbegin(), cuts.rend(), [&](const Cut& one) { return one.period <= period; });
+        const auto from = std::find_if(cuts.begin(), cuts.end(),
+                                       [&](const PeriodCounters& one) { return one.period == counted; });
+        const auto to = std::find_if(cuts.rbegin(), cuts.rend(),
+                                     [&](const PeriodCounters& one) { return one.period <= period; });
         // Not in this report any more: the next one begins where the answer to this one says.
         if (from == cuts.end() || to == cuts.rend() || to->period <= counted) continue;
         if (entry == page.entries.end() && page.entries.size() >= kEntriesMost) {
@@ -212,7 +212,7 @@
     }
 }
 
-std::string Collector::pack(const Page& page) const {
+std::string Aggregator::pack(const Page& page) const {
     wire::Page out;
     out.set_period(page.period);
     for (const std::uint64_t value : page.values) out.add_value(value);
@@ -223,7 +223,7 @@
     return out.SerializeAsString();
 }
 
-std::string Collector::pack_totals() const {
+std::string Aggregator::pack_totals() const {
     wire::Totals out;
     out.set_period(done());
     out.set_sent(sent_);
@@ -235,7 +235,7 @@
     return out.SerializeAsString();
 }
 
-void Collector::answer(std::uint64_t process, const Heard& heard) {
+void Aggregator::answer(std::uint64_t process, const Heard& heard) {
     const Page& page = pages_[page_of(process)];
     const auto entry = page.entries.find(process);
     if (entry != page.entries.end() && entry->second > heard.report.counted)
@@ -243,7 +243,7 @@
 }
 
 // The totals stand with a majority: their rows may go out, and whoever is in them is told so.
-void Collector::finish() {
+void Aggregator::finish() {
     for (const Row& row : rows_kept_)
         if (row.period > told_) rows_.push_back(row);
     told_ = std::max(told_, done());
--- a/src/fleet_counters/aggregator.hpp
+++ b/src/fleet_counters/aggregator.hpp
@@ -33,10 +33,10 @@
 // How late a period's row is handed to the receiver at most, after its end, while a majority of the voters
 // and the holder hear one another: the grace, then three rounds of notes (pages, totals; one more after a
 // change of holder).
-double row_within_s(const Settings& settings, const lease::Times& times, double round_trip_s);
+double row_within_s(const Settings& settings, const lease::LeaseTimes& times, double round_trip_s);
 // After a holder's death the next one must first be found, and hears everybody's reports for a grace.
-double row_within_after_death_s(const Settings& settings, const lease::Times& times, double round_trip_s,
-                                int seekers);
+double row_within_after_death_s(const Settings& settings, const lease::LeaseTimes& times,
+                                double round_trip_s, int seekers);
 
 struct Row {
     std::uint64_t period = 0;
@@ -44,16 +44,17 @@
     std::uint64_t processes = 0;   // counted in it
 };
 
-class Collector {
+class Aggregator {
   public:
-    Collector(const Settings& settings, const lease::Times& times, const lease::Voters& voters,
-              std::uint64_t seed);
+    Aggregator(const Settings& settings, const lease::LeaseTimes& times, const lease::AcceptorSet& voters,
+               std::uint64_t seed);
 
     // Times: `now` s of the leases' clock, `unix_s` the wall clock's.
     void hold(double now, double unix_s, std::uint64_t number);
     void lose();
-    void set_voters(double now, const lease::Voters& voters) { book_.set_voters(now, voters); }
-    void on_note(double now, double unix_s, const std::string& voter, const lease::NoteMessage& message);
+    void set_voters(double now, const lease::AcceptorSet& voters) { book_.set_acceptors(now, voters); }
+    void on_note(double now, double unix_s, const std::string& voter,
+                 const lease::RegisterMessage& message);
     // Whether anything came of it: who does not hold the lease sums nothing.
     bool on_report(double now, double unix_s, const std::string& from, const Report& report);
     // Rows up to this period have been taken by the receiver.
@@ -61,7 +62,7 @@
     void wake(double now, double unix_s);
     double due(double now, double unix_s) const;   // of the leases' clock
 
-    std::vector<lease::NoteBook::Post> take_posts() { return book_.take_posts(); }
+    std::vector<lease::RegisterClient::OutgoingMessage> take_posts() { return book_.take_outgoing(); }
     // To be written, oldest first, if the lease still permits it.
     std::vector<Row> take_rows() { return std::exchange(rows_, {}); }
     struct Answer {
@@ -70,7 +71,7 @@
     };
     std::vector<Answer> take_answers() { return std::exchange(answers_, {}); }
 
-    bool holds() const { return book_.holds(); }
+    bool holds() const { return book_.has_term(); }
     std::uint64_t done() const { return rows_kept_.empty() ? 0 : rows_kept_.back().period; }
     std::uint64_t skipped() const { return skipped_; }   // periods without a row, as voters had forgotten
     std::uint64_t anew() const { return anew_; }         // times that the sums began at 0
@@ -106,8 +107,8 @@
     void answer(std::uint64_t process, const Heard& heard);
 
     const Settings settings_;
-    const lease::Times times_;
-    lease::NoteBook book_;
+    const lease::LeaseTimes times_;
+    lease::RegisterClient book_;
     Stage stage_ = Stage::off;
     double held_unix_ = 0;
     std::array<Page, kPages> pages_;
--- a/src/fleet_counters/driver.cpp
+++ b/src/fleet_counters/driver.cpp
@@ -56,8 +56,8 @@
 }   // namespace
 
 Driver::Driver(const Options& options, const remotewrite::Settings& receiver, std::string name,
-               std::uint64_t process, const lease::Times& times, const lease::Voters& voters,
-               std::uint64_t seed, std::string version, Ways ways, net::Timers& timers, Log& log)
+               std::uint64_t process, const lease::LeaseTimes& times, const lease::AcceptorSet& voters,
+               std::uint64_t seed, std::string version, Callbacks ways, net::Timers& timers, Log& log)
     : options_(options),
       receiver_(in_memory(receiver)),
       name_(std::move(name)),
@@ -87,7 +87,7 @@
     const auto period = static_cast<std::uint64_t>(std::floor(unix / options_.every_s));
     if (period > last_period_) {
         last_period_ = period;
-        teller_.cut(period, ways_.values());
+        teller_.record_period(period, ways_.values());
         // Not all in one moment.
         tell_timer_.arm(net::now() +
                         options_.grace_s / 4 * std::uniform_real_distribution<double>(0, 1)(random_));
@@ -104,7 +104,7 @@
         collector_.on_report(lease::boot_s(), unix_s(), name_, *report);
         pump();
     } else if (!holder.empty()) {
-        ways_.tell(holder, write(*report));
+        ways_.send_report(holder, write(*report));
     }
     // Until it is answered; after the grace it waits for the next period's end first.
     tell_timer_.arm(net::now() +
@@ -114,14 +114,14 @@
 void Driver::stop() {
     if (std::exchange(stopped_, true)) return;
     const std::string holder = ways_.holder();
-    teller_.cut(last_period_ + 1, ways_.values());
+    teller_.record_period(last_period_ + 1, ways_.values());
     if (const auto report = teller_.report(); report && !holder.empty() && holder != name_)
-        for (int i = 0; i < kLastWords; ++i) ways_.tell(holder, write(*report));
-    on_held(0);
+        for (int i = 0; i < kLastWords; ++i) ways_.send_report(holder, write(*report));
+    on_lease_held(0);
     for (net::Timer* timer : {&cut_timer_, &tell_timer_, &due_timer_, &answer_timer_}) timer->disarm();
 }
 
-void Driver::on_held(std::uint64_t number) {
+void Driver::on_lease_held(std::uint64_t number) {
     // What waits goes out by whoever holds it next: the rows are in the notes.
     writer_.reset();
     handed_ = 0;
@@ -137,21 +137,21 @@
     pump();
 }
 
-void Driver::set_voters(const lease::Voters& voters) {
+void Driver::set_acceptors(const lease::AcceptorSet& voters) {
     collector_.set_voters(lease::boot_s(), voters);
     pump();
 }
 
-void Driver::hear(const std::string& from, std::string_view body) {
+void Driver::on_report_message(const std::string& from, std::string_view body) {
     Report report;
     if (!read(body, report)) return;
     if (report.cuts.empty())
-        teller_.counted(report.process, report.counted);
+        teller_.acknowledge(report.process, report.counted);
     else if (collector_.on_report(lease::boot_s(), unix_s(), from, report))
         pump();
 }
 
-void Driver::hear_note(const std::string& from, const lease::NoteMessage& message) {
+void Driver::on_register_message(const std::string& from, const lease::RegisterMessage& message) {
     collector_.on_note(lease::boot_s(), unix_s(), from, message);
     pump();
 }
@@ -168,18 +168,18 @@
         more = false;
         for (const auto& post : collector_.take_posts()) {
             more = true;
-            ways_.note(post.to, lease::write(post.message));
+            ways_.send_register_message(post.to, lease::write(post.message));
         }
         for (const Row& row : collector_.take_rows()) rows_waiting_.push_back(row);
         for (auto& answer : collector_.take_answers())
             if (answer.to == name_)
-                teller_.counted(answer.report.process, answer.report.counted);
+                teller_.acknowledge(answer.report.process, answer.report.counted);
             else
                 answers_.push_back(std::move(answer));
     }
     hand_over();
     for (std::size_t i = 0; i < kAnswersAtOnce && !answers_.empty(); ++i) {
-        ways_.tell(answers_.front().to, write(answers_.front().report));
+        ways_.send_report(answers_.front().to, write(answers_.front().report));
         answers_.pop_front();
     }
     if (!answers_.empty()) answer_timer_.arm(net::now() + kAnswersEvery);
@@ -209,7 +209,7 @@
         frame.keep = true;
         for (std::size_t i = 0; i < kValues; ++i)
             frame.values.push_back(static_cast<double>(row.values[i]) /
-                                   (i >= worth_offered ? kWorthScale : 1));
+                                   (i >= weight_offered ? kWeightScale : 1));
         frame.values.push_back(static_cast<double>(row.processes));
         writer_->add(std::move(frame));
         handed_ = row.period;
--- a/src/fleet_counters/driver.hpp
+++ b/src/fleet_counters/driver.hpp
@@ -19,31 +19,33 @@
 
 class Driver {
   public:
-    struct Ways {
+    struct Callbacks {
         std::function<Values()> values;        // counters since the process began
         std::function<std::string()> holder;   // by name, as far as known; empty: nobody
         // Rows may be handed to the receiver now.
         std::function<bool()> permit;
-        std::function<void(const std::string&to, const std::string&body)> tell, note;
+        std::function<void(const std::string&to, const std::string&body)> send_report,
+            send_register_message;
     };
     Driver(const Options& options, const remotewrite::Settings& receiver, std::string name,
-           std::uint64_t process, const lease::Times& times, const lease::Voters& voters,
-           std::uint64_t seed, std::string version, Ways ways, net::Timers& timers, Log& log);
+           std::uint64_t process, const lease::LeaseTimes& times, const lease::AcceptorSet& voters,
+           std::uint64_t seed, std::string version, Callbacks ways, net::Timers& timers, Log& log);
 
     void start();
     void stop();   // tells what there is to tell, once
     // Held under this number from now on; 0: no longer.
-    void on_held(std::uint64_t number);
-    void set_voters(const lease::Voters& voters);
-    void hear(const std::string& from, std::string_view body);
-    void hear_note(const std::string& from, const lease::NoteMessage& message);
+    void on_lease_held(std::uint64_t number);
+    void set_acceptors(const lease::AcceptorSet& voters);
+    void on_report_message(const std::string& from, std::string_view body);
+    void on_register_message(const std::string& from, const lease::RegisterMessage& message);
 
-    const Collector& collector() const { return collector_; }
-    const Teller& teller() const { return teller_; }
+    const Aggregator& aggregator() const { return collector_; }
+    const Reporter& reporter() const { return teller_; }
     std::uint64_t rows() const { return rows_; }   // handed to the receiver
     // Periods that have ended since the last one in which this ingress is in the sums, or since the start.
     std::uint64_t behind() const {
-        return last_period_ - std::min(last_period_, std::max(teller_.counted_to(), first_period_));
+        return last_period_ -
+               std::min(last_period_, std::max(teller_.acknowledged_period(), first_period_));
     }
 
   private:
@@ -57,16 +59,16 @@
     const remotewrite::Settings receiver_;
     const std::string name_, version_;
     const std::uint64_t process_, seed_;
-    const Ways ways_;
+    const Callbacks ways_;
     net::Timers& timers_;
     Log& log_;
     std::minstd_rand random_;   // of waits only
-    Teller teller_;
-    Collector collector_;
+    Reporter teller_;
+    Aggregator collector_;
     std::shared_ptr<remotewrite::Layout> layout_;
     std::unique_ptr<remotewrite::Driver> writer_;   // while this is the holder
     std::deque<Row> rows_waiting_;                  // for the lease's permit
-    std::deque<Collector::Answer> answers_;         // paced, so that no burst goes out to all
+    std::deque<Aggregator::Answer> answers_;        // paced, so that no burst goes out to all
     net::Timer cut_timer_, tell_timer_, due_timer_, answer_timer_;
     std::uint64_t rows_ = 0, last_period_ = 0, told_anew_ = 0;
     std::uint64_t first_period_ = 0;
--- a/src/fleet_counters/reporter.cpp
+++ b/src/fleet_counters/reporter.cpp
@@ -10,7 +10,7 @@
     wire::Message out;
     out.set_process(report.process);
     out.set_counted(report.counted);
-    for (const Cut& cut : report.cuts) {
+    for (const PeriodCounters& cut : report.cuts) {
         wire::Cut& one = *out.add_cut();
         one.set_period(cut.period);
         for (const std::uint64_t value : cut.values) one.add_value(value);
@@ -23,13 +23,13 @@
     if (!in.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())) || in.process() == 0) return false;
     report = {in.process(), in.counted(), {}};
     for (const wire::Cut& one : in.cut()) {
-        Cut& cut = report.cuts.emplace_back();
+        PeriodCounters& cut = report.cuts.emplace_back();
         cut.period = one.period();
         if (one.value_size() != static_cast<int>(kValues)) return false;
         for (std::size_t i = 0; i < kValues; ++i) cut.values[i] = one.value(static_cast<int>(i));
         // Guards against a program that counts down: sums would run back.
         if (report.cuts.size() == 1) continue;
-        const Cut& before = report.cuts[report.cuts.size() - 2];
+        const PeriodCounters& before = report.cuts[report.cuts.size() - 2];
         if (cut.period <= before.period) return false;
         for (std::size_t i = 0; i < kValues; ++i)
             if (cut.values[i] < before.values[i]) return false;
@@ -37,7 +37,7 @@
     return report.cuts.empty() || report.cuts.front().period == report.counted;
 }
 
-void Teller::cut(std::uint64_t period, const Values& values) {
+void Reporter::record_period(std::uint64_t period, const Values& values) {
     if (period <= (cuts_.empty() ? base_.period : cuts_.back().period)) return;
     cuts_.push_back({period, values});
     // Nobody can have counted what was never told: the oldest become one.
@@ -52,16 +52,16 @@
     told_first_ = 0;
 }
 
-std::optional<Report> Teller::report() {
+std::optional<Report> Reporter::report() {
     if (cuts_.empty()) return {};
     Report made{process_, base_.period, {}};
     made.cuts.push_back(base_);
-    for (const Cut& cut : cuts_) made.cuts.push_back(cut);
+    for (const PeriodCounters& cut : cuts_) made.cuts.push_back(cut);
     if (told_first_ == 0) told_first_ = cuts_.back().period;
     return made;
 }
 
-void Teller::counted(std::uint64_t process, std::uint64_t period) {
+void Reporter::acknowledge(std::uint64_t process, std::uint64_t period) {
     if (process != process_) return;
     while (!cuts_.empty() && cuts_.front().period <= period) {
         base_ = cuts_.front();
--- a/src/fleet_counters/reporter.hpp
+++ b/src/fleet_counters/reporter.hpp
@@ -16,9 +16,9 @@
 namespace slatejunction::fleet_counters {
 
 // Counters since the process began. Worth is in millionths, so that sums are exact.
-enum Value : std::size_t { served, refused, failed, worth_offered, worth_served, kValues };
+enum Value : std::size_t { served, refused, failed, weight_offered, weight_served, kValues };
 using Values = std::array<std::uint64_t, kValues>;
-inline constexpr double kWorthScale = 1e6;
+inline constexpr double kWeightScale = 1e6;
 
 inline constexpr std::size_t kCutsUntold =
     8;   // that wait for somebody to tell them to; older ones become one
@@ -26,37 +26,39 @@
 // half of them leaves that out for good, as it can't know whether it was counted.
 inline constexpr std::uint64_t kForget = 24;
 
-struct Cut {
+struct PeriodCounters {
     std::uint64_t period = 0;
     Values values{};
 };
 
 struct Report {
     std::uint64_t process = 0;
-    std::uint64_t counted = 0;   // 0: nothing yet
-    std::vector<Cut> cuts;       // the first is that of `counted`; empty: it says what was counted
+    std::uint64_t counted = 0;          // 0: nothing yet
+    std::vector<PeriodCounters> cuts;   // the first is that of `counted`; empty: it says what was counted
 };
 std::string write(const Report& report);
 bool read(std::string_view bytes, Report& report);   // false: it is none
 
-class Teller {
+class Reporter {
   public:
-    explicit Teller(std::uint64_t process) : process_(process) {}
+    explicit Reporter(std::uint64_t process) : process_(process) {}
 
     // The period has ended, the counters stand so. A period that is not later than the last changes
     // nothing.
-    void cut(std::uint64_t period, const Values& values);
+    void record_period(std::uint64_t period, const Values& values);
     // What is still to be counted; none: nothing.
     std::optional<Report> report();
-    void counted(std::uint64_t process, std::uint64_t period);
-    std::uint64_t counted_to() const { return base_.period; }
+    void acknowledge(std::uint64_t process, std::uint64_t period);
+    std::uint64_t acknowledged_period() const { return base_.period; }
     std::size_t waiting() const { return cuts_.size(); }
-    std::uint64_t left_out() const { return left_out_; }   // requests that are in no sum, see kForget
+    std::uint64_t dropped_requests() const {
+        return left_out_;
+    }   // requests that are in no sum, see kForget
 
   private:
     const std::uint64_t process_;
-    Cut base_;
-    std::deque<Cut> cuts_;
+    PeriodCounters base_;
+    std::deque<PeriodCounters> cuts_;
     std::uint64_t told_first_ = 0;   // the newest period when what waits was first told; 0: it was not
     std::uint64_t left_out_ = 0;
 };
--- a/src/fleet_counters/settings.cpp
+++ b/src/fleet_counters/settings.cpp
@@ -19,7 +19,7 @@
     return section;
 }
 
-std::string stated(const Options& options, const lease::Times& times) {
+std::string stated(const Options& options, const lease::LeaseTimes& times) {
     char text[320];
     std::snprintf(
         text, sizeof text,
--- a/src/fleet_counters/settings.hpp
+++ b/src/fleet_counters/settings.hpp
@@ -20,6 +20,6 @@
 };
 
 // What is promised, for check-config.
-std::string stated(const Options& options, const lease::Times& times);
+std::string stated(const Options& options, const lease::LeaseTimes& times);
 
 }   // namespace slatejunction::fleet_counters
--- a/src/fleet_rate_limit/rate_limit_node.cpp
+++ b/src/fleet_rate_limit/rate_limit_node.cpp
@@ -23,22 +23,23 @@
 
 }   // namespace
 
-Room::Room(Settings settings, std::uint64_t seed) : settings_(std::move(settings)), random_(seed) {
+RateLimitNode::RateLimitNode(Settings settings, std::uint64_t seed)
+    : settings_(std::move(settings)), random_(seed) {
     there_ = {settings_.name};
 }
 
-const Spec* Room::spec(std::uint32_t limit) const {
+const LimitSpec* RateLimitNode::spec(std::uint32_t limit) const {
     const auto at = specs_.find(limit);
     return at == specs_.end() ? nullptr : &at->second;
 }
 
 // Of those that are gone nobody knows whether they are dead or only out of sight: they keep their parts.
-double Room::part() const {
+double RateLimitNode::part() const {
     const double all = static_cast<double>(std::max<std::size_t>(1, settings_.all.size()));
     return std::min(1.0, static_cast<double>(there_.size()) / all);
 }
 
-const std::string& Room::owner(std::uint32_t limit, std::uint64_t key) const {
+const std::string& RateLimitNode::owner(std::uint32_t limit, std::uint64_t key) const {
     const std::string* best = &there_.front();
     std::uint64_t most = 0;
     for (const std::string& name : there_) {
@@ -50,7 +51,7 @@
     return *best;
 }
 
-void Room::set_there(double now, std::vector<std::string> there) {
+void RateLimitNode::set_alive_members(double now, std::vector<std::string> there) {
     std::erase_if(there, [&](const auto& name) {
         return !std::binary_search(settings_.all.begin(), settings_.all.end(), name);
     });
@@ -61,7 +62,7 @@
     // Stores hold their level, whatever the part of the burst they are of now.
     if (const double after = part(); after != before)
         for (auto& [id, store] : stores_) {
-            const Spec& s = *spec(id.limit);
+            const LimitSpec& s = *spec(id.limit);
             if (s.rate <= 0) continue;
             const double level =
                 std::min(s.burst * before, s.burst * before - (store.full_at - now) * s.rate * before);
@@ -84,20 +85,20 @@
                 at->second.queued = false;
                 report(now, id, at->second);
             }
-    wake(now);
+    on_timer(now);
 }
 
-bool Room::silent(const std::string& owner) const {
+bool RateLimitNode::owner_silent(const std::string& owner) const {
     return owed_since_.contains(owner) && owed_since_.at(owner) < 0;
 }
 
-double Room::level(const Spec& s, const Account& account, double now) const {
+double RateLimitNode::level(const LimitSpec& s, const Account& account, double now) const {
     const double burst = s.burst * part();
     return std::min(burst, account.level + s.rate * part() * (now - account.known_at)) -
            account.unreported - account.flying - account.tally - account.flying_tally;
 }
 
-double Room::share_level(const Spec& s, const Account& account, double now) const {
+double RateLimitNode::share_level(const LimitSpec& s, const Account& account, double now) const {
     const double burst = share_burst(s, settings_.all.size());
     if (s.rate <= 0) return burst;
     return burst - std::max(0.0, account.share_full_at - now) * share_rate(s, settings_.all.size());
@@ -105,19 +106,19 @@
 
 // What was kept when this process stood still is old, others may have owned its keys: its stores count as
 // empty, and what owners had said is forgotten.
-void Room::notice(double now) {
+void RateLimitNode::notice(double now) {
     const double gap = now - std::exchange(noticed_at_, now);
     if (gap < kStoodStill || gap > 1e17 || there_.size() < 2) return;
     ++doubts_;
     for (auto& [id, store] : stores_)
-        if (const Spec& s = *spec(id.limit); s.rate > 0)
+        if (const LimitSpec& s = *spec(id.limit); s.rate > 0)
             store.full_at = std::max(store.full_at, now + s.burst / s.rate);
     for (auto& [id, account] : accounts_) account.known_at = kNever;
 }
 
-double Room::look(double now, std::uint32_t limit, std::uint64_t key, double units) {
+double RateLimitNode::retry_after_s(double now, std::uint32_t limit, std::uint64_t key, double units) {
     notice(now);
-    const Spec* const s = spec(limit);
+    const LimitSpec* const s = spec(limit);
     if (!s || s->rate <= 0) return 0;
     units = std::min(units, s->burst);
     const Id id{limit, key};
@@ -132,7 +133,7 @@
     }
     const auto at = accounts_.find(id);
     const Account account = at == accounts_.end() ? Account{} : at->second;
-    if (silent(owner)) {
+    if (owner_silent(owner)) {
         const double room = share_level(*s, account, now);
         return room >= units - kRound ? 0 : (units - room) / share_rate(*s, settings_.all.size());
     }
@@ -144,22 +145,22 @@
     return held + units <= credit(*s, settings_.credit) + kRound ? 0 : kAnswerSoon;
 }
 
-void Room::take(double now, std::uint32_t limit, std::uint64_t key, double units) {
-    const Spec* const s = spec(limit);
+void RateLimitNode::consume(double now, std::uint32_t limit, std::uint64_t key, double units) {
+    const LimitSpec* const s = spec(limit);
     if (!s || s->rate <= 0) return;
     const Id id{limit, key};
     const std::string& owner = this->owner(limit, key);
     if (owner == settings_.name) return void(spend(now, id, *s, units, false, 0));
     if (!accounts_.contains(id) && accounts_.size() >= settings_.keys_most)
         forget(accounts_, [&](const Id& one, const Account& a) {
-            const Spec* const of = spec(one.limit);
+            const LimitSpec* const of = spec(one.limit);
             return a.unreported + a.flying + a.tally + a.flying_tally == 0 && !a.queued &&
                    (!of || a.known_at <= kNever || level(*of, a, now) >= of->burst * part() - kRound);
         });
     Account& account = accounts_[id];
     account.used_at = now;
     if (account.unreported + account.tally <= 0) account.since = now;
-    if (silent(owner)) {
+    if (owner_silent(owner)) {
         const double rate = share_rate(*s, settings_.all.size());
         account.share_full_at = std::max(account.share_full_at, now) + units / rate;
         account.tally += units;
@@ -171,8 +172,8 @@
 
 // At once near the limit; far from it what is held waits a little, so that several units and keys go
 // together.
-void Room::report(double now, const Id& id, Account& account) {
-    const Spec* const s = spec(id.limit);
+void RateLimitNode::report(double now, const Id& id, Account& account) {
+    const LimitSpec* const s = spec(id.limit);
     if (!s || account.queued || account.unreported + account.tally <= 0) return;
     const std::string& owner = this->owner(id.limit, id.key);
     if (owner == settings_.name) {   // it has become this one's
@@ -184,7 +185,7 @@
     }
     const double held = account.unreported + account.flying;
     const bool far = account.known_at > kNever && level(*s, account, now) > s->burst * part() / 2;
-    const bool room = held + s->largest <= credit(*s, settings_.credit) - kRound;
+    const bool room = held + s->max_request_units <= credit(*s, settings_.credit) - kRound;
     if (far && room && now < account.since + kHeldFor) {
         held_due_ = std::min(held_due_, account.since + kHeldFor);
         return;
@@ -195,7 +196,7 @@
     queues_[owner].push_back(id);
 }
 
-void Room::flush(double now, const std::string& owner) {
+void RateLimitNode::flush(double now, const std::string& owner) {
     auto& ids = queues_[owner];
     while (!ids.empty()) {
         const std::size_t count = std::min(ids.size(), kBatchMost);
@@ -216,7 +217,7 @@
             item.set_key(id.key);
             item.set_units(account.flying + account.flying_tally);
             if (account.known_at > kNever) {
-                const Spec& s = *spec(id.limit);
+                const LimitSpec& s = *spec(id.limit);
                 item.set_knows(true);
                 item.set_level(
                     std::min(s.burst, account.level + s.rate * part() * (now - account.known_at)));
@@ -235,7 +236,8 @@
 }
 
 // The owner's store.
-double Room::spend(double now, const Id& id, const Spec& s, double units, bool knows, double hint) {
+double RateLimitNode::spend(double now, const Id& id, const LimitSpec& s, double units, bool knows,
+                            double hint) {
     const double rate = s.rate * part(), burst = s.burst * part();
     auto at = stores_.find(id);
     if (at == stores_.end()) {
@@ -251,7 +253,8 @@
     return burst - (store.full_at - now) * rate;
 }
 
-void Room::receive(double now, const std::string& from, std::uint64_t process, std::string_view body) {
+void RateLimitNode::receive(double now, const std::string& from, std::uint64_t process,
+                            std::string_view body) {
     notice(now);
     wire::Batch batch;
     if (!batch.ParseFromArray(body.data(), static_cast<int>(body.size())) || batch.number() == 0 ||
@@ -267,7 +270,8 @@
 
 // Each report counts once, however often it comes; one that is so old that its answer is forgotten has
 // none.
-void Room::answer(double now, const std::string& from, std::uint64_t process, const wire::Batch& batch) {
+void RateLimitNode::answer(double now, const std::string& from, std::uint64_t process,
+                           const wire::Batch& batch) {
     const std::uint64_t number = batch.number();
     if (reporters_.size() >= kReporters && !reporters_.contains(process))
         reporters_.erase(std::min_element(
@@ -282,7 +286,7 @@
     made.set_answer(true);
     made.set_number(number);
     for (const wire::Item& one : batch.item()) {
-        const Spec* const s = spec(one.limit());
+        const LimitSpec* const s = spec(one.limit());
         if (!s || s->rate <= 0 || !plain(one.units()) || one.units() < 0 || !plain(one.level())) continue;
         wire::Item& item = *made.add_item();
         item.set_limit(one.limit());
@@ -297,7 +301,7 @@
     posts_.push_back({from, reporter.answers.back().second});
 }
 
-void Room::answered(double now, const wire::Batch& batch) {
+void RateLimitNode::answered(double now, const wire::Batch& batch) {
     const auto at = out_.find(batch.number());
     if (at == out_.end()) return;   // come twice, or given up
     const Report report = std::move(at->second);
@@ -324,7 +328,7 @@
 }
 
 // Whether the owner has counted it is not known: it is told again to the next one, to the key's loss.
-void Room::give_up(double now, Report& report) {
+void RateLimitNode::give_up(double now, Report& report) {
     for (const Id& id : report.ids) {
         const auto at = accounts_.find(id);
         if (at == accounts_.end()) continue;
@@ -336,12 +340,12 @@
     }
 }
 
-void Room::wake(double now) {
+void RateLimitNode::on_timer(double now) {
     notice(now);
     for (auto& [owner, since] : owed_since_)
         if (since >= 0 && now >= since + kSilentAfter) since = -1;   // silent
     for (auto& [number, report] : out_)
-        if (now >= report.sent_at + kAgain * (silent(report.owner) ? 4 : 1)) {
+        if (now >= report.sent_at + kAgain * (owner_silent(report.owner) ? 4 : 1)) {
             report.sent_at = now;
             ++sent_;
             posts_.push_back({report.owner, report.body});
@@ -354,12 +358,12 @@
         if (!ids.empty()) flush(now, owner);
 }
 
-double Room::due() const {
+double RateLimitNode::next_deadline() const {
     double next = there_.size() < 2 ? held_due_ : std::min(held_due_, noticed_at_ + kNoticeEvery);
     for (const auto& [owner, since] : owed_since_)
         if (since >= 0) next = std::min(next, since + kSilentAfter);
     for (const auto& [number, report] : out_)
-        next = std::min(next, report.sent_at + kAgain * (silent(report.owner) ? 4 : 1));
+        next = std::min(next, report.sent_at + kAgain * (owner_silent(report.owner) ? 4 : 1));
     for (const auto& [owner, ids] : queues_)
         if (!ids.empty()) next = std::min(next, 0.0);
     return next;
@@ -367,7 +371,7 @@
 
 // The least used of a few, those that lose nothing by it first.
 template <class Table, class Full>
-void Room::forget(Table& table, Full full) {
+void RateLimitNode::forget(Table& table, Full full) {
     if (table.empty()) return;
     auto worst = table.end();
     bool worst_full = false;
--- a/src/fleet_rate_limit/rate_limit_node.hpp
+++ b/src/fleet_rate_limit/rate_limit_node.hpp
@@ -43,36 +43,36 @@
     std::size_t keys_most = 100'000;   // accounts here, and as many stores as an owner
 };
 
-class Room {
+class RateLimitNode {
   public:
-    Room(Settings settings, std::uint64_t seed);
+    RateLimitNode(Settings settings, std::uint64_t seed);
 
     // The limit of that number by its definition, the same at all ingresses.
-    void define(std::uint32_t limit, const Spec& spec) { specs_[limit] = spec; }
+    void define(std::uint32_t limit, const LimitSpec& spec) { specs_[limit] = spec; }
     // Who is there, this one with them; sorted.
-    void set_there(double now, std::vector<std::string> there);
+    void set_alive_members(double now, std::vector<std::string> there);
 
     // 0: a request of so many units may pass; else so many seconds until it may. Draws nothing.
-    double look(double now, std::uint32_t limit, std::uint64_t key, double units);
-    void take(double now, std::uint32_t limit, std::uint64_t key, double units);
+    double retry_after_s(double now, std::uint32_t limit, std::uint64_t key, double units);
+    void consume(double now, std::uint32_t limit, std::uint64_t key, double units);
 
     void receive(double now, const std::string& from, std::uint64_t process, std::string_view body);
-    void wake(double now);
-    double due() const;
-    struct Post {
+    void on_timer(double now);
+    double next_deadline() const;
+    struct OutgoingDatagram {
         std::string to;
         std::string body;
     };
-    std::vector<Post> take_posts() { return std::exchange(posts_, {}); }
+    std::vector<OutgoingDatagram> take_outgoing() { return std::exchange(posts_, {}); }
 
     const std::string& owner(std::uint32_t limit, std::uint64_t key) const;
-    bool silent(const std::string& owner) const;   // it has not answered for kSilentAfter
+    bool owner_silent(const std::string& owner) const;   // it has not answered for kSilentAfter
     std::size_t accounts() const { return accounts_.size(); }
-    std::size_t stores() const { return stores_.size(); }
+    std::size_t owned_buckets() const { return stores_.size(); }
     std::uint64_t forgotten() const { return forgotten_; }   // accounts or stores that were not full
     std::uint64_t unreadable() const { return unreadable_; }
-    std::uint64_t doubts() const { return doubts_; }   // times that this one had stood still
-    std::uint64_t sent() const { return sent_; }       // datagrams
+    std::uint64_t process_pauses() const { return doubts_; }   // times that this one had stood still
+    std::uint64_t sent() const { return sent_; }               // datagrams
 
   private:
     static constexpr double kNever = -1e18;
@@ -114,11 +114,11 @@
     };
 
     void notice(double now);
-    const Spec* spec(std::uint32_t limit) const;
+    const LimitSpec* spec(std::uint32_t limit) const;
     double part() const;   // of rate and burst that this side has
-    double level(const Spec& spec, const Account& account, double now) const;
-    double share_level(const Spec& spec, const Account& account, double now) const;
-    double spend(double now, const Id& id, const Spec& spec, double units, bool knows, double hint);
+    double level(const LimitSpec& spec, const Account& account, double now) const;
+    double share_level(const LimitSpec& spec, const Account& account, double now) const;
+    double spend(double now, const Id& id, const LimitSpec& spec, double units, bool knows, double hint);
     void report(double now, const Id& id, Account& account);
     void flush(double now, const std::string& owner);
     void answer(double now, const std::string& from, std::uint64_t process, const wire::Batch& batch);
@@ -129,7 +129,7 @@
 
     const Settings settings_;
     std::mt19937_64 random_;
-    std::map<std::uint32_t, Spec> specs_;
+    std::map<std::uint32_t, LimitSpec> specs_;
     std::vector<std::string> there_;
     std::unordered_map<Id, Account, Hash> accounts_;
     std::unordered_map<Id, Store, Hash> stores_;
@@ -137,7 +137,7 @@
     std::map<std::uint64_t, Report> out_;             // by number
     std::map<std::string, double> owed_since_;        // owners that owe an answer, since when
     std::map<std::uint64_t, Reporter> reporters_;     // by process
-    std::vector<Post> posts_;
+    std::vector<OutgoingDatagram> posts_;
     std::uint64_t numbers_ = 0, forgotten_ = 0, unreadable_ = 0, sent_ = 0;
     double held_due_ = 1e18;
     double noticed_at_ = kNever;
--- a/src/fleet_rate_limit/staleness_bound.hpp
+++ b/src/fleet_rate_limit/staleness_bound.hpp
@@ -7,27 +7,27 @@
 
 namespace slatejunction::fleet_rate_limit {
 
-struct Spec {
-    double rate = 0;      // units a second, over all ingresses
-    double burst = 1;     // units
-    double largest = 1;   // units of the largest request
-    bool operator==(const Spec&) const = default;
+struct LimitSpec {
+    double rate = 0;                // units a second, over all ingresses
+    double burst = 1;               // units
+    double max_request_units = 1;   // units of the largest request
+    bool operator==(const LimitSpec&) const = default;
 };
 
 inline constexpr double kLateMost = 2;   // s
 
 // Units that one ingress may have let pass without its owner's word on them.
-inline double credit(const Spec& s, double wanted) { return std::max(wanted, s.largest); }
+inline double credit(const LimitSpec& s, double wanted) { return std::max(wanted, s.max_request_units); }
 
 // One ingress's own part, while no owner answers it.
-inline double share_rate(const Spec& s, std::size_t ingresses) {
+inline double share_rate(const LimitSpec& s, std::size_t ingresses) {
     return s.rate / static_cast<double>(ingresses);
 }
-inline double share_burst(const Spec& s, std::size_t ingresses) {
-    return std::max(s.burst / static_cast<double>(ingresses), s.largest);
+inline double share_burst(const LimitSpec& s, std::size_t ingresses) {
+    return std::max(s.burst / static_cast<double>(ingresses), s.max_request_units);
 }
 
-struct Bound {
+struct ErrorBound {
     double healthy = 0;      // all hear one another within kSilentAfter
     double late = 0;         // answers are lost or late, none longer than kLateMost: beside any other
     double cut_off = 0;      // some are cut off, or the fleet is split in two, and it heals
@@ -51,11 +51,11 @@
 //
 //   stopped: the same; it wakes with empty stores (Room::notice), and gives the whole rate until its list
 //   has changed.
-inline Bound bound(const Spec& s, double wanted_credit, std::size_t ingresses, std::size_t apart,
-                   double known_s) {
+inline ErrorBound error_bound(const LimitSpec& s, double wanted_credit, std::size_t ingresses,
+                              std::size_t apart, double known_s) {
     const double n = static_cast<double>(ingresses), away = static_cast<double>(apart);
     const double held = n * credit(s, wanted_credit), shares = share_burst(s, ingresses);
-    Bound b;
+    ErrorBound b;
     b.healthy = held;
     b.late = n * shares + s.rate * kLateMost;
     b.cut_off = held + n * shares + 2 * (s.burst + s.rate * known_s) * away / n;
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -208,8 +208,8 @@
     void refill(double now, double start, const Plan& plan, double doors) {
         const double part = 1.0 / std::max(doors, 1.0);
         if (at_ < start) at_ = start;
-        units_ = std::min(units_ + std::max(0.0, now - at_) * plan.ceiling_rate * part,
-                          plan.ceiling_burst * part);
+        units_ = std::min(units_ + std::max(0.0, now - at_) * plan.hard_limit_rate * part,
+                          plan.hard_limit_burst * part);
         at_ = std::max(at_, now);
     }
     bool holds(double units) const { return units_ >= units; }
@@ -275,7 +275,7 @@
         const double wanted = std::max((demand(c, plan) + c.lately) / (1 + here), 1e-9);
         const double used = std::max(use(c, plan), c.doors * c.own / (plan.rate * lag));
         const double left = c.store + (1 - used) * lag - units / plan.rate;
-        const double aim = 1 - kMargin * clamp(plan.over_cost - plan.over_worth, 0.0, 1.0);
+        const double aim = 1 - kMargin * clamp(plan.over_quota_penalty - plan.over_quota_weight, 0.0, 1.0);
         c.share = clamp((aim + (repeat ? 0.0 : std::max(0.0, left)) / lag) / wanted, 0.0, 1.0);
         c.asks += 1;
         c.lately += 1;
@@ -396,24 +396,24 @@
     }
 
     // Returns how much of the fleet changed.
-    double update(const ListUpdate& list, double now) {
+    double update(const EndpointUpdate& list, double now) {
         const double before = std::max<double>(1.0, static_cast<double>(usable()));
         double changed = 0;
-        if (list.kind != ListKind::changes)
+        if (list.kind != EndpointUpdateKind::delta)
             for (auto& [id, s] : servers_) s.listed = false;
-        for (const ListEntry& e : list.entries) {
-            if (e.state != ServerState::in) {
-                if (Server* s = find(e.server)) s->listed = false, changed += 1;
+        for (const Endpoint& e : list.endpoints) {
+            if (e.state != EndpointState::serving) {
+                if (Server* s = find(e.backend)) s->listed = false, changed += 1;
                 continue;
             }
-            auto [at, fresh] = servers_.try_emplace(e.server);
+            auto [at, fresh] = servers_.try_emplace(e.backend);
             Server& s = at->second;
-            const double born = sane(e.born_s);
+            const double born = sane(e.started_at_s);
             if (fresh || born != s.born) {
                 const int open = s.open;
                 s = Server{};
                 s.open = open;
-                s.id = e.server;
+                s.id = e.backend;
                 s.born = born;
                 s.silent_since = now;
                 s.full.resize(full_.size());
@@ -435,7 +435,7 @@
         bool unsafe = false;
         std::size_t kind = 0;
         const std::vector<std::string>* avoid = nullptr;   // always given
-        Group group = Group::all;
+        IdempotencyScope group = IdempotencyScope::all;
         const Server* anchor = nullptr;
         std::size_t part = 0;
     };
@@ -459,7 +459,7 @@
                 best = s, least = score;
             }
         };
-        if (need.anchor && need.group != Group::all) {
+        if (need.anchor && need.group != IdempotencyScope::all) {
             for (Server* s : part.usable)
                 if (warmth(*s, now) >= 1 || random.unit() < cold_part(*s, now)) consider(s);
             return best ? best : bad;
@@ -560,8 +560,9 @@
         return part == 0 || (s.subsets >> (part - 1) & 1) != 0;
     }
     static bool in_group(const Server& s, const Need& need) {
-        if (!need.anchor || need.group == Group::all) return true;
-        return need.group == Group::zone ? s.zone == need.anchor->zone : s.cell == need.anchor->cell;
+        if (!need.anchor || need.group == IdempotencyScope::all) return true;
+        return need.group == IdempotencyScope::zone ? s.zone == need.anchor->zone
+                                                    : s.cell == need.anchor->cell;
     }
 
     static Server* draw(const Part& part, Random& random) {
@@ -572,9 +573,10 @@
 
     // The least part of its capacity that a server can have by now.
     double warmth(const Server& s, double now) const {
-        if (s.born <= 0 || settings_->warm_within_s <= 0 || settings_->fall_s <= 0) return 1;
-        const double age = std::max(0.0, now - s.born) / settings_->warm_within_s;
-        const double from = clamp(settings_->cold_from, 0.01, 1.0);
+        if (s.born <= 0 || settings_->slow_start_window_s <= 0 || settings_->overload_window_s <= 0)
+            return 1;
+        const double age = std::max(0.0, now - s.born) / settings_->slow_start_window_s;
+        const double from = clamp(settings_->slow_start_min_capacity, 0.01, 1.0);
         return age >= 1 ? 1 : from + (1 - from) * age;
     }
 
@@ -582,8 +584,8 @@
     // a cold server gets what the budget allows, by chance, so that any number of gateways keep it together
     // and no warm server is needed to judge by. At first less, as some gateways may not have been told yet.
     double cold_part(const Server& s, double now) const {
-        const double age = clamp((now - s.born) / std::max(settings_->fall_s, 1e-3), 0.0, 1.0);
-        return std::min(1.0, kColdSafety * settings_->fall_multiple * warmth(s, now)) * borne_ *
+        const double age = clamp((now - s.born) / std::max(settings_->overload_window_s, 1e-3), 0.0, 1.0);
+        return std::min(1.0, kColdSafety * settings_->overload_multiple * warmth(s, now)) * borne_ *
                (1 - kUntold * (1 - age));
     }
 
@@ -616,8 +618,9 @@
     std::vector<double> full_;
 };
 
-bool never_ran(Outcome o) {
-    return o == Outcome::full || o == Outcome::connect_failed || o == Outcome::moot;
+bool never_ran(AttemptResult o) {
+    return o == AttemptResult::rejected || o == AttemptResult::connect_failed ||
+           o == AttemptResult::not_started;
 }
 
 struct Attempt {
@@ -654,8 +657,9 @@
   public:
     Impl(Settings settings, std::uint64_t seed) : settings_(std::move(settings)), random_(seed) {
         servers_.configure(&settings_, settings_.classes.size() * (settings_.plans.size() + 1));
-        balancers_ = sane(settings_.balancers);
-        for (const ServiceClass& c : settings_.classes) top_worth_ = std::max(top_worth_, sane(c.worth));
+        balancers_ = sane(settings_.ingress_count);
+        for (const ServiceClass& c : settings_.classes)
+            top_worth_ = std::max(top_worth_, sane(c.priority_weight));
     }
 
     void handle(double now, const Event& event, std::vector<Action>& actions) {
@@ -678,14 +682,14 @@
         started_ = true;
         start_ = retries_at_ = now_;
         shares_.configure(sane(settings_.meter_period_s), start_);
-        if (settings_.discovery == Discovery::subscribe) listen();
+        if (settings_.discovery == DiscoveryMode::subscribe) listen();
         act(SetTimer{now_ + kTick, 0});
     }
 
-    void listen() { asked_ = now_, act(Listen{true}); }
+    void listen() { asked_ = now_, act(WatchEndpoints{true}); }
 
-    void on(const ListUpdate& list) {
-        if (list.kind == ListKind::lost)
+    void on(const EndpointUpdate& list) {
+        if (list.kind == EndpointUpdateKind::watch_lost)
             relisten_ = now_ + kRelisten;
         else if (servers_.update(list, now_) > kFleetShift)
             for (Lane& lane : lanes_) lane.load.fleet_changed();
@@ -697,33 +701,38 @@
         const auto& plans = settings_.plans;
         const auto service = std::find_if(classes.begin(), classes.end(),
                                           [&](const auto& s) { return s.name == request.service_class; });
-        if (service == classes.end() || !(request.due_s > now_))
-            return act(Refuse{request.id, 0, Reason::malformed});
+        if (service == classes.end() || !(request.deadline_at_s > now_))
+            return act(RejectRequest{request.id, 0, RejectReason::malformed});
         static const Plan no_plan;
         const auto named =
             std::find_if(plans.begin(), plans.end(), [&](const auto& p) { return p.name == request.plan; });
         const Plan* plan = named == plans.end() ? &no_plan : &*named;
         const double units = sane(request.units);
-        Customer& c = shares_.find(request.customer, now_, *plan, request.doors);
-        const double share = shares_.share(c, *plan, units, request.repeat);
+        Customer& c = shares_.find(request.customer, now_, *plan, request.ingress_count);
+        const double share = shares_.share(c, *plan, units, request.is_client_retry);
         c.ceiling.refill(now_, start_, *plan, c.doors);
-        const double class_worth = sane(service->worth);
+        const double class_worth = sane(service->priority_weight);
         if (!shares_.draw(c, *plan, share, class_worth / top_worth_, against(class_worth_, class_worth),
                           random_))
-            return refuse(Reason::quota, request, kSurplusStay * service->aim_s);
-        if (request.over_limit_s > 0) return act(Refuse{request.id, request.over_limit_s, Reason::limit});
-        if ((plan->ceiling_rate > 0 && !c.ceiling.holds(units)) ||
-            (plan->max_out > 0 && c.out >= plan->max_out))
-            return refuse(Reason::ceiling, request, kSurplusStay * service->aim_s);
+            return refuse(RejectReason::quota, request, kSurplusStay * service->latency_objective_s);
+        if (request.rate_limit_retry_after_s > 0)
+            return act(
+                RejectRequest{request.id, request.rate_limit_retry_after_s, RejectReason::rate_limit});
+        if ((plan->hard_limit_rate > 0 && !c.ceiling.holds(units)) ||
+            (plan->max_in_flight > 0 && c.out >= plan->max_in_flight))
+            return refuse(RejectReason::hard_limit, request, kSurplusStay * service->latency_objective_s);
         Job job;
         job.part = request.subset == 0 ? 0 : static_cast<std::size_t>(std::countr_zero(request.subset)) + 1;
         if (job.part >= lanes_.size()) lanes_.resize(job.part + 1);
-        if (request.spill != Spill::never && servers_.usable(job.part) == 0) job.part = 0;
-        const double worth = sane(service->worth) * (sane(plan->price) > 0 ? plan->price : 1.0);
+        if (request.subset_fallback != SubsetFallback::never && servers_.usable(job.part) == 0)
+            job.part = 0;
+        const double worth =
+            sane(service->priority_weight) * (sane(plan->plan_weight) > 0 ? plan->plan_weight : 1.0);
         const double dear = against(worth_, worth);
         auto why = pressed(job.part, dear);
-        if (why && job.part != 0 && request.spill == Spill::pressed) why = pressed(job.part = 0, dear);
-        if (why) return refuse(*why, request, kPressedStay * service->aim_s);
+        if (why && job.part != 0 && request.subset_fallback == SubsetFallback::when_overloaded)
+            why = pressed(job.part = 0, dear);
+        if (why) return refuse(*why, request, kPressedStay * service->latency_objective_s);
 
         job.number = ++numbers_;
         job.request = request;
@@ -731,12 +740,14 @@
         job.plan = plan;
         job.kind = static_cast<std::size_t>((named - plans.begin()) * std::ssize(classes) +
                                             (service - classes.begin()));
-        if (!send(job)) return refuse(Reason::no_provider, request, kPressedStay * service->aim_s);
+        if (!send(job))
+            return refuse(RejectReason::no_backend, request, kPressedStay * service->latency_objective_s);
         shares_.sent(c, units);
-        if (plan->ceiling_rate > 0) c.ceiling.draw(units);
+        if (plan->hard_limit_rate > 0) c.ceiling.draw(units);
         retries_ = retries_ * std::exp(-(now_ - retries_at_) / kRetryTime) + kRetryTokens;
         retries_at_ = now_;
-        act(SetTimer{std::max(now_, request.due_s - sane(settings_.quantum_s)), 2 * job.number});
+        act(SetTimer{std::max(now_, request.deadline_at_s - sane(settings_.tick_interval_s)),
+                     2 * job.number});
         jobs_by_id_[request.id] = job.number;
         jobs_.emplace(job.number, std::move(job));
     }
@@ -749,13 +760,14 @@
 
     // What keeps a request out of a part of the fleet: its load, or what is open there. The fraction is
     // sampled as shares are: one worth `dear` of the mean goes first by so much, and as many pass in all.
-    std::optional<Reason> pressed(std::size_t part, double dear) {
+    std::optional<RejectReason> pressed(std::size_t part, double dear) {
         Lane& lane = lanes_[part];
         if (lane.load.fraction() >= 1) lane.phase = 0;   // nothing is owed once all may pass
-        if (!sampled(lane.phase, lane.load.fraction(), kDearFirst * dear)) return Reason::fraction;
+        if (!sampled(lane.phase, lane.load.fraction(), kDearFirst * dear))
+            return RejectReason::admitted_fraction;
         const double fleet = static_cast<double>(servers_.usable(part)) / std::max(1.0, balancers_);
         if (lane.load.swamped(lane.open, lane.open_aims, fleet, std::max(dear, kEaseLeast), now_))
-            return Reason::open_work;
+            return RejectReason::concurrency_limit;
         return std::nullopt;
     }
 
@@ -768,71 +780,77 @@
         for (std::size_t i = 0; i < names.size(); ++i) text += names[i] + std::to_string(refused_[i]);
         text += "; admitted fraction " + std::to_string(static_cast<int>(100 * lanes_[0].load.fraction())) +
                 "%; suspect servers " + std::to_string(suspects);
-        if (suspects > 0 || refused_ != decltype(refused_){}) act(Note{std::move(text)});
+        if (suspects > 0 || refused_ != decltype(refused_){}) act(LogMessage{std::move(text)});
         refused_ = {};
         told_ = now_;
     }
 
-    void refuse(Reason reason, const Request& r, double stay) {
+    void refuse(RejectReason reason, const Request& r, double stay) {
         if (static_cast<std::size_t>(reason) < refused_.size())
             ++refused_[static_cast<std::size_t>(reason)];
         // Advised even where the site says that clients aren't told: one that is comes back when it helps.
         const double top = sane(settings_.max_retry_after_s);
-        act(Refuse{r.id, top > 0 ? std::min(stay, top) : stay, reason});
+        act(RejectRequest{r.id, top > 0 ? std::min(stay, top) : stay, reason});
     }
 
     bool spent(const Job& job) const {
-        return static_cast<double>(job.attempts.size()) >= std::max(1.0, settings_.attempts_cap);
+        return static_cast<double>(job.attempts.size()) >= std::max(1.0, settings_.max_attempts);
     }
     bool may_send(const Job& job) const {
         if (job.ended || job.streaming || spent(job)) return false;
-        if (job.open > 0 && !settings_.parallel_tries) return false;
+        if (job.open > 0 && !settings_.hedging_allowed) return false;
         const Attempt* ran = job.first_run();
-        if (!ran || job.service->effect == Effect::pure) return true;
-        return job.service->effect == Effect::token && now_ <= window_end(*ran, *job.service);
+        if (!ran || job.service->idempotency == Idempotency::idempotent) return true;
+        return job.service->idempotency == Idempotency::idempotency_key &&
+               now_ <= window_end(*ran, *job.service);
     }
     // Until when a keyed request that may have run may begin again: it has to arrive in time.
     double window_end(const Attempt& ran, const ServiceClass& service) const {
-        return ran.sent + sane(service.window_s) - kTick;
+        return ran.sent + sane(service.idempotency_window_s) - kTick;
     }
 
     // Sends the next attempt if the class allows it and a server can take it.
     bool send(Job& job) {
         if (!may_send(job)) return false;
         ServerPool::Need need;
-        need.unsafe = job.service->effect != Effect::pure;
+        need.unsafe = job.service->idempotency != Idempotency::idempotent;
         need.kind = job.kind;
         need.avoid = &job.tried;
-        need.group = job.service->group;
+        need.group = job.service->idempotency_scope;
         const Attempt* ran = job.first_run();
-        if (ran && job.service->effect == Effect::token && need.group != Group::all) {
+        if (ran && job.service->idempotency == Idempotency::idempotency_key &&
+            need.group != IdempotencyScope::all) {
             need.anchor = servers_.find(ran->server);
             if (!need.anchor) return false;
         }
         need.part = job.part;
         Server* s = servers_.choose(need, now_, random_);
-        const bool spills = job.request.spill == Spill::pressed ||
-                            (job.request.spill == Spill::empty && servers_.usable(job.part) == 0);
+        const bool spills =
+            job.request.subset_fallback == SubsetFallback::when_overloaded ||
+            (job.request.subset_fallback == SubsetFallback::when_empty && servers_.usable(job.part) == 0);
         if (!s && job.part != 0 && spills) {
             need.part = job.part = 0;
             s = servers_.choose(need, now_, random_);
         }
         if (!s) return false;
-        const double by = ran && job.service->effect == Effect::token ? window_end(*ran, *job.service) : 0;
+        const double by = ran && job.service->idempotency == Idempotency::idempotency_key
+                              ? window_end(*ran, *job.service)
+                              : 0;
         job.attempts.push_back({s->id, now_, true, true, false, job.part});
         job.tried.push_back(s->id);
         ++job.open;
         servers_.sent(*s, now_);
-        lanes_[job.part].opened(job.service->aim_s, 1);
+        lanes_[job.part].opened(job.service->latency_objective_s, 1);
         if (Customer* c = shares_.known(job.request.customer)) ++c->out;
-        act(Send{job.request.id, s->id, 0, job.request.subset != 0 && job.part == 0, by});
+        act(StartAttempt{job.request.id, s->id, 0, job.request.subset != 0 && job.part == 0, by});
         act(SetTimer{now_ + patience(job), 2 * job.number + 1});
         return true;
     }
 
     // How long an attempt may stay silent before its server is looked at.
     double patience(const Job& job) const {
-        return std::max(kSilence * servers_.mean(), kSilenceFloor) * std::max(job.service->aim_s, 0.01);
+        return std::max(kSilence * servers_.mean(), kSilenceFloor) *
+               std::max(job.service->latency_objective_s, 0.01);
     }
 
     Job* find(const std::string& id) {
@@ -840,7 +858,7 @@
         return at == jobs_by_id_.end() ? nullptr : &jobs_.at(at->second);
     }
 
-    void on(const AttemptEnd& e) {
+    void on(const AttemptEnded& e) {
         Job* job = find(e.id);
         if (!job || e.attempt < 0 || static_cast<std::size_t>(e.attempt) >= job->attempts.size()) return;
         Attempt& attempt = job->attempts[static_cast<std::size_t>(e.attempt)];
@@ -848,33 +866,35 @@
         attempt.open = false;
         --job->open;
         const bool stalled = attempt.sent < resumed_ && now_ - resumed_ < kTick;   // how long is not known
-        const double took = now_ - attempt.sent - sane(e.written_s);
-        const double aims = stalled ? servers_.mean() : took / std::max(job->service->aim_s, 1e-3);
+        const double took = now_ - attempt.sent - sane(e.write_duration_s);
+        const double aims =
+            stalled ? servers_.mean() : took / std::max(job->service->latency_objective_s, 1e-3);
         if (Customer* c = shares_.known(job->request.customer)) {
             --c->out;
             shares_.metered(*c, *job->plan, sane(e.quota_use), now_);
         }
-        if (!attempt.silent) lanes_[attempt.part].opened(job->service->aim_s, -1);
+        if (!attempt.silent) lanes_[attempt.part].opened(job->service->latency_objective_s, -1);
         if (Server* s = servers_.find(attempt.server)) {
             --s->open;
             const bool counts = servers_.counts(*s, now_);
-            if (e.outcome == Outcome::ok) {
+            if (e.result == AttemptResult::ok) {
                 servers_.answered(*s, job->kind, aims, now_);
                 lanes_[attempt.part].load.answered(now_);
-            } else if (e.outcome == Outcome::full) {
+            } else if (e.result == AttemptResult::rejected) {
                 servers_.turned_away(*s, job->kind, now_);
-            } else if (e.outcome != Outcome::cancelled && e.outcome != Outcome::moot) {
-                servers_.failed(*s, now_, e.stale ? kStaleWeight : kFailWeight);
+            } else if (e.result != AttemptResult::cancelled && e.result != AttemptResult::not_started) {
+                servers_.failed(*s, now_, e.stale_connection ? kStaleWeight : kFailWeight);
             }
-            const bool lost = e.outcome == Outcome::timeout || attempt.silent;   // timed out or called off
-            if (counts && (lost || e.outcome == Outcome::ok)) lanes_[attempt.part].load.sample(aims);
+            const bool lost =
+                e.result == AttemptResult::timeout || attempt.silent;   // timed out or called off
+            if (counts && (lost || e.result == AttemptResult::ok)) lanes_[attempt.part].load.sample(aims);
             if (!s->listed && s->open == 0) servers_.rebuild();
         }
-        attempt.ran = !never_ran(e.outcome);
-        if (e.ended || job->ended || e.outcome == Outcome::ok) return finish(*job);
+        attempt.ran = !never_ran(e.result);
+        if (e.request_ended || job->ended || e.result == AttemptResult::ok) return finish(*job);
         if (job->open > 0) return;
-        if (e.outcome != Outcome::timeout && retries_ >= 1 && job->request.due_s - now_ > kTick &&
-            send(*job)) {
+        if (e.result != AttemptResult::timeout && retries_ >= 1 &&
+            job->request.deadline_at_s - now_ > kTick && send(*job)) {
             retries_ -= 1;
             return;
         }
@@ -883,38 +903,40 @@
 
     // The final answer, as soon as no attempt can bring one any more: never later to keep a client quiet.
     void close(Job& job) {
-        const bool may_refuse = job.service->effect == Effect::pure || !job.first_run() ||
-                                (job.service->effect == Effect::token && job.service->group == Group::all);
+        const bool may_refuse = job.service->idempotency == Idempotency::idempotent || !job.first_run() ||
+                                (job.service->idempotency == Idempotency::idempotency_key &&
+                                 job.service->idempotency_scope == IdempotencyScope::all);
         if (may_refuse)
-            refuse(Reason::attempts, job.request, kPressedStay * job.service->aim_s);
+            refuse(RejectReason::attempts_exhausted, job.request,
+                   kPressedStay * job.service->latency_objective_s);
         else
-            act(Abort{job.request.id});
+            act(FailRequest{job.request.id});
         finish(job);
     }
 
     // Ends a request: calls off what is still out and forgets it once all of it has come back.
     void finish(Job& job) {
-        if (!job.ended && job.open > 0 && settings_.cancel && !job.streaming)
+        if (!job.ended && job.open > 0 && settings_.cancellation_allowed && !job.streaming)
             for (std::size_t i = 0; i < job.attempts.size(); ++i)
-                if (job.attempts[i].open) act(CallOff{job.request.id, static_cast<std::int64_t>(i)});
+                if (job.attempts[i].open) act(CancelAttempt{job.request.id, static_cast<std::int64_t>(i)});
         job.ended = true;
         if (job.open > 0) return;
         jobs_by_id_.erase(job.request.id);
         jobs_.erase(job.number);
     }
 
-    void on(const StreamBegun& b) {
+    void on(const StreamStarted& b) {
         Job* job = find(b.id);
         if (job && !job->ended) job->streaming = true;
     }
 
-    void on(const ProbeEnd&) {}   // none is asked for: reports tell of latency, which answers show
+    void on(const HealthCheckEnded&) {}   // none is asked for: reports tell of latency, which answers show
 
-    void on(const ClientGone& g) {
+    void on(const ClientDisconnected& g) {
         if (Job* job = find(g.id)) finish(*job);
     }
 
-    void on(const TimerDue& t) {
+    void on(const TimerFired& t) {
         if (t.tag == 0) return upkeep();
         const auto at = jobs_.find(t.tag / 2);
         if (at == jobs_.end() || at->second.ended || at->second.streaming) return;
@@ -932,25 +954,27 @@
         const double wait = patience(job);
         if (now_ - resumed_ < kTick) return act(SetTimer{now_ + kTick, 2 * job.number + 1});
         if (!attempt.open || now_ - attempt.sent < 0.9 * wait) return;
-        if (job.request.due_s - now_ > wait) act(SetTimer{now_ + wait, 2 * job.number + 1});
+        if (job.request.deadline_at_s - now_ > wait) act(SetTimer{now_ + wait, 2 * job.number + 1});
         if (!s || s->silent_since > attempt.sent + 1e-9) return;
         servers_.failed(*s, now_, kSilentWeight);
         if (servers_.wide()) return;
         const bool again = attempt.silent;   // a copy or a cancellation has been asked for
-        if (!again) lanes_[attempt.part].opened(job.service->aim_s, -1);
+        if (!again) lanes_[attempt.part].opened(job.service->latency_objective_s, -1);
         attempt.silent = true;
-        if (again || retries_ < 1 || job.service->effect == Effect::side_effect || spent(job)) return;
-        if (settings_.parallel_tries) {
+        if (again || retries_ < 1 || job.service->idempotency == Idempotency::not_idempotent || spent(job))
+            return;
+        if (settings_.hedging_allowed) {
             if (send(job)) retries_ -= 1;
-        } else if (settings_.cancel) {
-            act(CallOff{job.request.id, static_cast<std::int64_t>(job.attempts.size() - 1)});
+        } else if (settings_.cancellation_allowed) {
+            act(CancelAttempt{job.request.id, static_cast<std::int64_t>(job.attempts.size() - 1)});
         }
     }
 
     void upkeep() {
         act(SetTimer{now_ + kTick, 0});
-        if (settings_.discovery == Discovery::subscribe &&
-            (now_ >= relisten_ || now_ - asked_ > std::max(kTick, 0.5 * sane(settings_.ask_within_s)))) {
+        if (settings_.discovery == DiscoveryMode::subscribe &&
+            (now_ >= relisten_ ||
+             now_ - asked_ > std::max(kTick, 0.5 * sane(settings_.watch_retry_within_s)))) {
             relisten_ = 1e18, listen();
         }
         bool due = false;
@@ -960,7 +984,7 @@
                 if (job.ended) continue;
                 for (const Attempt& a : job.attempts) {
                     if (!lanes_[a.part].due) continue;
-                    const double aims = (now_ - a.sent) / std::max(job.service->aim_s, 1e-3);
+                    const double aims = (now_ - a.sent) / std::max(job.service->latency_objective_s, 1e-3);
                     Server* s = servers_.find(a.server);
                     // Lost requests report nothing until timed out: the age of an overdue attempt counts.
                     if (a.open && aims > 1 && s && servers_.counts(*s, now_))
@@ -972,7 +996,8 @@
                 if (!lane.due) continue;
                 lane.load.close(now_);
                 if (lane.load.fraction() == lane.admitted) continue;
-                act(Admitted{lane.admitted = lane.load.fraction(), (std::uint64_t{1} << part) >> 1});
+                act(AdmittedFraction{lane.admitted = lane.load.fraction(),
+                                     (std::uint64_t{1} << part) >> 1});
             }
         }
         if (now_ - told_ > kTellEvery) tell();
@@ -1027,6 +1052,6 @@
 void Gateway::handle(double now, const Event& event, std::vector<Action>& actions) {
     impl_->handle(now, event, actions);
 }
-std::size_t Gateway::open() const { return impl_->open(); }
+std::size_t Gateway::open_requests() const { return impl_->open(); }
 
 }   // namespace slatejunction
--- a/src/hot_restart/restart_channel.cpp
+++ b/src/hot_restart/restart_channel.cpp
@@ -92,9 +92,9 @@
 }
 
 // One connection between two processes: lines in, lines out.
-class Handover::Link : public net::Protocol {
+class RestartChannel::Link : public net::Protocol {
   public:
-    explicit Link(Handover& owner) : owner_(owner) {}
+    explicit Link(RestartChannel& owner) : owner_(owner) {}
     void adopt(net::Ref<GSocket> socket, std::string_view ahead = {}) {
         if (!ahead.empty()) {
             const auto room = buffer_.space(ahead.size());
@@ -103,7 +103,7 @@
         }
         stream_.adopt(std::move(socket));
     }
-    bool send(const Message& message) {
+    bool send(const RestartMessage& message) {
         const std::string line = write(message);
         const std::string_view part = line;
         return stream_.send({&part, 1});
@@ -122,7 +122,7 @@
                 return;
             }
             const std::string line(text.substr(0, end));
-            buffer_.drop_front(end + 1);
+            buffer_.consume(end + 1);
             owner_.on_line(*this, line);
         }
     }
@@ -134,7 +134,7 @@
         owner_.on_gone(*this);
     }
 
-    std::span<char> space() override { return buffer_.space(4096); }
+    std::span<char> receive_buffer() override { return buffer_.space(4096); }
     void on_bytes(std::size_t size) override {
         buffer_.commit(size);
         read_lines();
@@ -142,14 +142,14 @@
     void on_end(bool) override { break_off(); }
 
   private:
-    Handover& owner_;
+    RestartChannel& owner_;
     net::Stream stream_{*this, kPriority};
     http::Buffer buffer_;
     bool closed_ = false;
 };
 
-Handover::Handover(Host& host, net::Timers& timers, Log& log, std::string directory, std::string name,
-                   std::string listen)
+RestartChannel::RestartChannel(RestartHost& host, net::Timers& timers, Log& log, std::string directory,
+                               std::string name, std::string listen)
     : host_(host),
       log_(log),
       directory_(std::move(directory)),
@@ -158,7 +158,7 @@
       listen_(std::move(listen)),
       ticker_(timers, [this] { tick(); }) {}
 
-Handover::~Handover() {
+RestartChannel::~RestartChannel() {
     if (peer_) peer_->close();
     for (const auto& [key, link] : strangers_) link->close();
     remove_path();
@@ -166,13 +166,13 @@
 
 // The new process's side at its start. -----------------------------------------------------------------
 
-bool Handover::ask(Message& state, net::Ref<GSocket>& listening) {
+bool RestartChannel::request_takeover(RestartMessage& state, net::Ref<GSocket>& listening) {
     if (path_.empty()) {
         log_.write(Log::Level::info, net::now(), "handover: off, %s",
                    directory_.empty() ? "TMPDIR is not set" : "TMPDIR is too long for a socket's path");
         return false;
     }
-    const double until = net::now() + asks_within();
+    const double until = net::now() + takeover_bound_s();
     Answer answer = Answer::nobody;
     for (;;) {
         answer = ask_once(std::min(until, net::now() + kAnswer), state, listening);
@@ -188,7 +188,8 @@
     return false;
 }
 
-Handover::Answer Handover::ask_once(double until, Message& state, net::Ref<GSocket>& listening) {
+RestartChannel::Answer RestartChannel::ask_once(double until, RestartMessage& state,
+                                                net::Ref<GSocket>& listening) {
     auto socket = unix_socket();
     if (!socket) return Answer::nobody;
     g_socket_set_blocking(socket.get(), FALSE);
@@ -205,7 +206,7 @@
                    path_.c_str());
         return Answer::nobody;
     }
-    Message hello;
+    RestartMessage hello;
     hello.name = name_;
     hello.listen = listen_;
     const std::string line = write(hello);
@@ -214,8 +215,8 @@
 }
 
 // Reads until there is an answer, or the time is up.
-Handover::Answer Handover::hear(net::Ref<GSocket>& socket, double until, Message& state,
-                                net::Ref<GSocket>& listening) {
+RestartChannel::Answer RestartChannel::hear(net::Ref<GSocket>& socket, double until, RestartMessage& state,
+                                            net::Ref<GSocket>& listening) {
     std::string got;
     for (;;) {
         const double left = until - net::now();
@@ -226,10 +227,10 @@
         for (std::size_t end; (end = got.find('\n')) != std::string::npos;) {
             const std::string line = got.substr(0, end);
             got.erase(0, end + 1);
-            Message message;
+            RestartMessage message;
             if (!read(line, message)) return Answer::unclear;
-            if (message.what == Message::What::busy) return Answer::busy;
-            if (message.what != Message::What::state) continue;
+            if (message.kind == RestartMessage::Kind::busy) return Answer::busy;
+            if (message.kind != RestartMessage::Kind::state) continue;
             if (!listening) return Answer::unclear;
             state = std::move(message);
             role_.took_over();
@@ -242,7 +243,7 @@
     }
 }
 
-void Handover::start() {
+void RestartChannel::start() {
     own_path(role_.answers());
     if (peer_) {
         ticker_.arm(net::now() + kTick);
@@ -251,18 +252,18 @@
     }
 }
 
-void Handover::prepared() {
+void RestartChannel::ready_to_accept() {
     if (!role_.prepared()) return;
     const auto keep = peer_;
-    Message taken;
-    taken.what = Message::What::taken;
+    RestartMessage taken;
+    taken.kind = RestartMessage::Kind::taken;
     settle();   // accepts first, so that there is never nobody
     if (keep) keep->send(taken);
 }
 
 // The path. --------------------------------------------------------------------------------------------
 
-void Handover::own_path(bool own) {
+void RestartChannel::own_path(bool own) {
     if (path_.empty() || own == (socket_ != nullptr)) return;
     if (!own) {   // the file is the other process's by now, or will be
         source_.reset();
@@ -277,7 +278,7 @@
 }
 
 // Made under another name and moved there, so that there is always one, whoever's.
-bool Handover::bind_path(std::string& why) {
+bool RestartChannel::bind_path(std::string& why) {
     const std::string fresh = path_ + "~";
     ::unlink(fresh.c_str());
     socket_ = unix_socket();
@@ -299,14 +300,14 @@
     file_ = {file.st_dev, file.st_ino};
     g_socket_set_blocking(socket_.get(), FALSE);
     source_.reset(g_socket_create_source(socket_.get(), G_IO_IN, nullptr));
-    g_source_set_callback(source_.get(), G_SOURCE_FUNC(&Handover::on_in), this, nullptr);
+    g_source_set_callback(source_.get(), G_SOURCE_FUNC(&RestartChannel::on_in), this, nullptr);
     g_source_set_priority(source_.get(), kPriority);
     net::attach(source_.get());
     return true;
 }
 
 // Only its own file: another process's may stand there by now.
-void Handover::remove_path() {
+void RestartChannel::remove_path() {
     if (!socket_) return;
     struct stat file {};
     if (::stat(path_.c_str(), &file) == 0 &&
@@ -314,15 +315,15 @@
         ::unlink(path_.c_str());
 }
 
-gboolean Handover::on_in(GSocket*, GIOCondition, gpointer self) {
-    auto& handover = *static_cast<Handover*>(self);
+gboolean RestartChannel::on_in(GSocket*, GIOCondition, gpointer self) {
+    auto& handover = *static_cast<RestartChannel*>(self);
     net::Ref<GSocket> taken(g_socket_accept(handover.socket_.get(), nullptr, nullptr));
     if (taken && same_user(taken.get()) && handover.strangers_.size() < kStrangersMost)
         handover.greet(std::move(taken));
     return G_SOURCE_CONTINUE;
 }
 
-void Handover::greet(net::Ref<GSocket> socket) {
+void RestartChannel::greet(net::Ref<GSocket> socket) {
     const auto link = std::make_shared<Link>(*this);
     strangers_.emplace(link.get(), link);
     link->adopt(std::move(socket));
@@ -330,18 +331,18 @@
 
 // Messages. --------------------------------------------------------------------------------------------
 
-void Handover::welcome(Link& link) {
+void RestartChannel::welcome(Link& link) {
     const auto keep = strangers_.extract(&link).mapped();
     const int listening = host_.listening_descriptor();
-    if (listening < 0 || !role_.heir_came()) {
-        Message busy;
-        busy.what = Message::What::busy;
+    if (listening < 0 || !role_.on_takeover_requested()) {
+        RestartMessage busy;
+        busy.kind = RestartMessage::Kind::busy;
         keep->send(busy);
         return keep->close();
     }
     // The socket goes with a line of its own, which is small enough to be taken at once.
-    Message with;
-    with.what = Message::What::socket;
+    RestartMessage with;
+    with.kind = RestartMessage::Kind::socket;
     const std::string line = write(with);
     const net::Ref<GUnixFDMessage> descriptors(G_UNIX_FD_MESSAGE(g_unix_fd_message_new()));
     g_unix_fd_message_append_fd(descriptors.get(), listening, nullptr);
@@ -360,35 +361,36 @@
     settle();
 }
 
-void Handover::on_line(Link& link, std::string_view line) {
-    Message message;
+void RestartChannel::on_line(Link& link, std::string_view line) {
+    RestartMessage message;
     const bool good = read(line, message);
     if (strangers_.contains(&link)) {
-        if (good && message.what == Message::What::hello && message.listen == listen_) return welcome(link);
+        if (good && message.kind == RestartMessage::Kind::hello && message.listen == listen_)
+            return welcome(link);
         log_.write(Log::Level::warning, net::now(), "handover: a caller that can't be understood");
         return link.break_off();
     }
     if (!good || peer_.get() != &link) return link.break_off();
-    switch (message.what) {
-        case Message::What::taken:
+    switch (message.kind) {
+        case RestartMessage::Kind::taken:
             role_.heir_took();
             return settle();
-        case Message::What::back:
-            if (role_.elder()) role_.heir_back();
+        case RestartMessage::Kind::back:
+            if (role_.is_old_process()) role_.heir_back();
             return settle();
-        case Message::What::use:
-            return host_.on_use(message.use);
-        case Message::What::part:
-            return host_.on_part(static_cast<std::size_t>(message.number), message.name);
-        case Message::What::order: {
-            Message done;
-            done.what = Message::What::done;
+        case RestartMessage::Kind::use:
+            return host_.on_peer_resource_use(message.resource_use);
+        case RestartMessage::Kind::part:
+            return host_.on_transferred_state(static_cast<std::size_t>(message.number), message.name);
+        case RestartMessage::Kind::order: {
+            RestartMessage done;
+            done.kind = RestartMessage::Kind::done;
             done.number = message.number;
-            done.yes = host_.on_order(message.order);
+            done.yes = host_.on_operator_order(message.order);
             link.send(done);
             return;
         }
-        case Message::What::done:
+        case RestartMessage::Kind::done:
             if (const auto at = pending_.find(message.number); at != pending_.end()) {
                 const auto call = std::move(at->second.done);
                 pending_.erase(at);
@@ -400,7 +402,7 @@
     }
 }
 
-void Handover::on_gone(Link& link) {
+void RestartChannel::on_gone(Link& link) {
     if (strangers_.erase(&link) > 0 || peer_.get() != &link) return;
     const auto keep = std::move(peer_);
     peer_.reset();
@@ -408,55 +410,55 @@
     told_ = {};
     finish_orders(true);
     settle();
-    host_.on_use({});
+    host_.on_peer_resource_use({});
 }
 
-void Handover::settle() {
+void RestartChannel::settle() {
     if (settled_ == role_.state()) return;
     settled_ = role_.state();
     constexpr const char* kTold[] = {"alone", "a new process readies itself",
                                      "the new process accepts, this one leaves", "readying itself",
                                      "this process accepts, the old one leaves"};
     log_.write(Log::Level::info, net::now(), "handover: %s", kTold[static_cast<std::size_t>(settled_)]);
-    host_.on_role();
+    host_.on_role_changed();
     own_path(role_.answers());
     if (peer_) tick();
 }
 
-void Handover::stop() {
+void RestartChannel::stop() {
     role_.end();   // it still says that it is busy, until the elder answers at the path again
-    if (!peer_ || role_.elder()) return;
-    Message back;
-    back.what = Message::What::back;
+    if (!peer_ || role_.is_old_process()) return;
+    RestartMessage back;
+    back.kind = RestartMessage::Kind::back;
     peer_->send(back);
 }
 
-void Handover::pass(const Order& order, std::function<void(bool)> done) {
+void RestartChannel::forward_order(const OperatorOrder& order, std::function<void(bool)> done) {
     if (!peer_) return done(true);
-    Message message;
-    message.what = Message::What::order;
+    RestartMessage message;
+    message.kind = RestartMessage::Kind::order;
     message.number = ++numbers_;
     message.order = order;
     if (!peer_->send(message)) return done(true);
     pending_[message.number] = {net::now() + kConfirm, std::move(done)};
-    log_.write(Log::Level::info, net::now(), "handover: %s %s goes to the other process", word(order.what),
+    log_.write(Log::Level::info, net::now(), "handover: %s %s goes to the other process", word(order.kind),
                order.id.c_str());
 }
 
-void Handover::give(std::size_t place, std::string_view what) {
+void RestartChannel::transfer_state(std::size_t place, std::string_view what) {
     if (!peer_) return;
-    Message message;
-    message.what = Message::What::part;
+    RestartMessage message;
+    message.kind = RestartMessage::Kind::part;
     message.number = place;
     message.name = what;
     peer_->send(message);
 }
 
-void Handover::finish_orders(bool yes) {
+void RestartChannel::finish_orders(bool yes) {
     for (auto all = std::move(pending_); auto& [number, one] : all) one.done(yes);
 }
 
-void Handover::tick() {
+void RestartChannel::tick() {
     const double now = net::now();
     std::vector<std::function<void(bool)>> late;
     for (auto at = pending_.begin(); at != pending_.end();) {
@@ -469,11 +471,11 @@
     }
     for (const auto& call : late) call(false);
     if (!peer_) return;
-    Message message;
-    message.what = Message::What::use;
-    message.use = host_.use();
-    if (message.use != told_) {
-        told_ = message.use;
+    RestartMessage message;
+    message.kind = RestartMessage::Kind::use;
+    message.resource_use = host_.resource_use();
+    if (message.resource_use != told_) {
+        told_ = message.resource_use;
         peer_->send(message);
     }
     ticker_.arm(now + kTick);
--- a/src/hot_restart/restart_channel.hpp
+++ b/src/hot_restart/restart_channel.hpp
@@ -15,49 +15,52 @@
 
 namespace slatejunction::hot_restart {
 
-class Host {
+class RestartHost {
   public:
-    virtual ~Host() = default;
-    virtual Message state() const = 0;        // what an heir is to know
-    virtual int listening_descriptor() = 0;   // that it gets; below 0: there is none
-    virtual Use use() const = 0;
-    virtual void on_role() = 0;   // it has changed: accept, hold, let go as it says
-    virtual void on_use(const Use& theirs) = 0;
-    virtual bool on_order(const Order& order) = 0;   // from the other process; the answer goes back
-    virtual void on_part(std::size_t place, std::string_view what) = 0;   // what give() gave there
+    virtual ~RestartHost() = default;
+    virtual RestartMessage state() const = 0;   // what an heir is to know
+    virtual int listening_descriptor() = 0;     // that it gets; below 0: there is none
+    virtual ResourceUse resource_use() const = 0;
+    virtual void on_role_changed() = 0;   // it has changed: accept, hold, let go as it says
+    virtual void on_peer_resource_use(const ResourceUse& theirs) = 0;
+    virtual bool on_operator_order(
+        const OperatorOrder& order) = 0;   // from the other process; the answer goes back
+    virtual void on_transferred_state(std::size_t place,
+                                      std::string_view what) = 0;   // what give() gave there
 };
 
-class Handover {
+class RestartChannel {
   public:
     // `directory`: where the socket's file is, or empty: there is none, and every process is alone.
-    Handover(Host& host, net::Timers& timers, Log& log, std::string directory, std::string name,
-             std::string listen);
-    ~Handover();
-    Handover(const Handover&) = delete;
-    Handover& operator=(const Handover&) = delete;
+    RestartChannel(RestartHost& host, net::Timers& timers, Log& log, std::string directory,
+                   std::string name, std::string listen);
+    ~RestartChannel();
+    RestartChannel(const RestartChannel&) = delete;
+    RestartChannel& operator=(const RestartChannel&) = delete;
 
     // s; the longest that ask() takes, whatever the process at the socket does: stands still, says nothing
     // or half a line, says for ever that it is busy. A new process has 6 s until it serves.
-    static constexpr double asks_within() { return 3.0; }
+    static constexpr double takeover_bound_s() { return 3.0; }
     // At the start, before anything else: asks a process that serves at this address. False: there is none
     // that answers, this process listens by itself.
-    bool ask(Message& state, net::Ref<GSocket>& listening);
-    void start();      // the loop is about to run
-    void prepared();   // everything is there for accepting
-    void stop();       // the process was told to end
+    bool request_takeover(RestartMessage& state, net::Ref<GSocket>& listening);
+    void start();             // the loop is about to run
+    void ready_to_accept();   // everything is there for accepting
+    void stop();              // the process was told to end
     // To the other process, if there is one: `done` gets its answer, or true when it has gone meanwhile.
-    void pass(const Order& order, std::function<void(bool)> done);
+    void forward_order(const OperatorOrder& order, std::function<void(bool)> done);
     // To the new process, of the part at that place of both; an older one breaks off at it.
-    void give(std::size_t place, std::string_view what);
-    const Role& role() const { return role_; }
+    void transfer_state(std::size_t place, std::string_view what);
+    const RestartRole& role() const { return role_; }
 
   private:
     class Link;
     // What came of one call at the socket: nobody listens there; it said that another process takes over;
     // nothing, or nothing that can be understood; all that there is to take over.
     enum class Answer { nobody, busy, unclear, given };
-    Answer ask_once(double until, Message& state, net::Ref<GSocket>& listening);
-    Answer hear(net::Ref<GSocket>& socket, double until, Message& state, net::Ref<GSocket>& listening);
+    Answer ask_once(double until, RestartMessage& state, net::Ref<GSocket>& listening);
+    Answer hear(net::Ref<GSocket>& socket, double until, RestartMessage& state,
+                net::Ref<GSocket>& listening);
     static gboolean on_in(GSocket*, GIOCondition, gpointer self);
     void own_path(bool own);
     bool bind_path(std::string& why);
@@ -70,11 +73,11 @@
     void finish_orders(bool yes);
     void tick();
 
-    Host& host_;
+    RestartHost& host_;
     Log& log_;
     const std::string directory_, path_, name_, listen_;
-    Role role_;
-    Role::State settled_ = Role::State::alone;
+    RestartRole role_;
+    RestartRole::State settled_ = RestartRole::State::alone;
     net::Timer ticker_;
     net::Ref<GSocket> socket_;   // heirs come to it
     net::Source source_;
@@ -87,7 +90,7 @@
     };
     std::map<std::uint64_t, Pending> pending_;
     std::uint64_t numbers_ = 0;
-    Use told_;
+    ResourceUse told_;
 };
 
 // $TMPDIR's place for that address; empty when the path would be too long for a Unix socket.
--- a/src/hot_restart/restart_message.cpp
+++ b/src/hot_restart/restart_message.cpp
@@ -79,25 +79,25 @@
 
 // In the form of discovery's lists, with the start as the old process counts it: both processes have one
 // monotonic clock.
-void write_list(const discovery::Listing& list, Writer& json) {
+void write_list(const discovery::EndpointList& list, Writer& json) {
     if (list.revision) {
         json.Key("revision");
         json.Int64(*list.revision);
     }
     json.Key("members");
     json.StartArray();
-    for (std::size_t i = 0; i < list.update.entries.size(); ++i) {
-        const slatejunction::ListEntry& entry = list.update.entries[i];
+    for (std::size_t i = 0; i < list.update.endpoints.size(); ++i) {
+        const slatejunction::Endpoint& entry = list.update.endpoints[i];
         json.StartObject();
         const auto text = [&](const char* name, const std::string& value) {
             json.Key(name);
             json.String(value.data(), static_cast<rapidjson::SizeType>(value.size()));
         };
-        text("id", entry.server);
+        text("id", entry.backend);
         text("host_port", list.addresses[i]);
         text("locality", entry.zone);
-        text("flavor", entry.kind);
-        text("phase", kPhases[entry.state == slatejunction::ServerState::in ? 0 : 1]);
+        text("flavor", entry.flavor);
+        text("phase", kPhases[entry.state == slatejunction::EndpointState::serving ? 0 : 1]);
         json.Key("cell");
         json.Int64(entry.cell);
         json.Key("size");
@@ -105,14 +105,14 @@
         json.Key("up_since_ms");
         json.Double(list.up_since_ms[i]);
         json.Key("born_s");
-        json.Double(entry.born_s);
+        json.Double(entry.started_at_s);
         json.EndObject();
     }
     json.EndArray();
 }
 
 // False where an entry can't be read: then there is no list.
-bool read_list(const rapidjson::Value& json, discovery::Listing& list) {
+bool read_list(const rapidjson::Value& json, discovery::EndpointList& list) {
     const auto members = json.FindMember("members");
     if (members == json.MemberEnd() || !members->value.IsArray()) return false;
     if (const auto at = json.FindMember("revision"); at != json.MemberEnd() && at->value.IsInt64())
@@ -120,19 +120,20 @@
     for (const auto& one : members->value.GetArray()) {
         if (!one.IsObject()) return false;
         Reader fields(one);
-        slatejunction::ListEntry entry;
-        entry.server = fields.text("id");
+        slatejunction::Endpoint entry;
+        entry.backend = fields.text("id");
         const std::string address = fields.text("host_port");
         entry.zone = fields.text("locality");
-        entry.kind = fields.text("flavor");
+        entry.flavor = fields.text("flavor");
         const bool ready = fields.text("phase") == kPhases[0];
-        entry.state = ready ? slatejunction::ServerState::in : slatejunction::ServerState::lame;
+        entry.state =
+            ready ? slatejunction::EndpointState::serving : slatejunction::EndpointState::draining;
         entry.cell = fields.whole("cell");
         entry.capacity_hint = fields.real("size");
-        entry.born_s = fields.real("born_s");
+        entry.started_at_s = fields.real("born_s");
         const double up_since_ms = fields.real("up_since_ms");
-        if (!fields.good() || entry.server.empty()) return false;
-        list.update.entries.push_back(std::move(entry));
+        if (!fields.good() || entry.backend.empty()) return false;
+        list.update.endpoints.push_back(std::move(entry));
         list.addresses.push_back(address);
         list.up_since_ms.push_back(up_since_ms);
     }
@@ -141,9 +142,9 @@
 
 }   // namespace
 
-const char* word(Order::What what) { return kOrders[static_cast<std::size_t>(what)]; }
+const char* word(OperatorOrder::Kind what) { return kOrders[static_cast<std::size_t>(what)]; }
 
-std::string write(const Message& message) {
+std::string write(const RestartMessage& message) {
     rapidjson::StringBuffer out;
     Writer json(out);
     const auto text = [&](const char* name, const std::string& value) {
@@ -165,20 +166,20 @@
     };
     json.StartObject();
     number("v", kVersion);
-    text("is", kWords[static_cast<std::size_t>(message.what)]);
-    switch (message.what) {
-        case Message::What::hello:
+    text("is", kWords[static_cast<std::size_t>(message.kind)]);
+    switch (message.kind) {
+        case RestartMessage::Kind::hello:
             text("name", message.name);
             text("listen", message.listen);
             break;
-        case Message::What::state:
+        case RestartMessage::Kind::state:
             // Suspensions are all there, or the line is too long to be read and nothing is taken over.
             texts("suspended", message.suspended, ~std::size_t{0});
-            if (const std::size_t begun = out.GetSize(); !message.list.update.entries.empty()) {
+            if (const std::size_t begun = out.GetSize(); !message.endpoint_list.update.endpoints.empty()) {
                 rapidjson::StringBuffer list;
                 Writer members(list);
                 members.StartObject();
-                write_list(message.list, members);
+                write_list(message.endpoint_list, members);
                 members.EndObject();
                 if (begun + list.GetSize() < kLineMost - 1024) {
                     json.Key("list");
@@ -189,19 +190,19 @@
             json.Key("drained");
             json.Bool(message.drained);
             [[fallthrough]];
-        case Message::What::use:
-            number("consumers", message.use.consumers);
-            number("calls", message.use.calls);
-            number("open", message.use.open);
-            number("consumer_bytes", message.use.consumer_bytes);
-            number("provider_bytes", message.use.provider_bytes);
+        case RestartMessage::Kind::use:
+            number("consumers", message.resource_use.client_connections);
+            number("calls", message.resource_use.backend_connections);
+            number("open", message.resource_use.open_requests);
+            number("consumer_bytes", message.resource_use.client_bytes);
+            number("provider_bytes", message.resource_use.backend_bytes);
             break;
-        case Message::What::order:
+        case RestartMessage::Kind::order:
             number("number", message.number);
-            text("order", word(message.order.what));
+            text("order", word(message.order.kind));
             text("id", message.order.id);
             break;
-        case Message::What::part: {
+        case RestartMessage::Kind::part: {
             static constexpr char kDigits[] = "0123456789abcdef";
             std::string hex;
             for (const char c : message.name) {
@@ -212,7 +213,7 @@
             text("bytes", hex);
             break;
         }
-        case Message::What::done:
+        case RestartMessage::Kind::done:
             number("number", message.number);
             json.Key("yes");
             json.Bool(message.yes);
@@ -224,7 +225,7 @@
     return std::string(out.GetString(), out.GetSize()) + "\n";
 }
 
-bool read(std::string_view line, Message& message) {
+bool read(std::string_view line, RestartMessage& message) {
     message = {};
     rapidjson::Document json;
     // Iterative: noise must not take the stack.
@@ -233,32 +234,33 @@
     if (json.HasParseError() || !json.IsObject()) return false;
     Reader fields(json);
     if (fields.number("v") != kVersion || !fields.good()) return false;
-    if (!find(kWords, fields.text("is"), message.what)) return false;
-    switch (message.what) {
-        case Message::What::hello:
+    if (!find(kWords, fields.text("is"), message.kind)) return false;
+    switch (message.kind) {
+        case RestartMessage::Kind::hello:
             message.name = fields.text("name");
             message.listen = fields.text("listen");
             break;
-        case Message::What::state:
+        case RestartMessage::Kind::state:
             message.suspended = fields.texts("suspended");
             message.listed = fields.texts("listed");
             message.drained = fields.flag("drained");
             if (const auto list = json.FindMember("list"); list != json.MemberEnd())
-                if (!list->value.IsObject() || !read_list(list->value, message.list)) message.list = {};
+                if (!list->value.IsObject() || !read_list(list->value, message.endpoint_list))
+                    message.endpoint_list = {};
             [[fallthrough]];
-        case Message::What::use:
-            message.use.consumers = fields.number("consumers");
-            message.use.calls = fields.number("calls");
-            message.use.open = fields.number("open");
-            message.use.consumer_bytes = fields.number("consumer_bytes");
-            message.use.provider_bytes = fields.number("provider_bytes");
+        case RestartMessage::Kind::use:
+            message.resource_use.client_connections = fields.number("consumers");
+            message.resource_use.backend_connections = fields.number("calls");
+            message.resource_use.open_requests = fields.number("open");
+            message.resource_use.client_bytes = fields.number("consumer_bytes");
+            message.resource_use.backend_bytes = fields.number("provider_bytes");
             break;
-        case Message::What::order:
+        case RestartMessage::Kind::order:
             message.number = fields.number("number");
-            if (!find(kOrders, fields.text("order"), message.order.what)) return false;
+            if (!find(kOrders, fields.text("order"), message.order.kind)) return false;
             message.order.id = fields.text("id");
             break;
-        case Message::What::part: {
+        case RestartMessage::Kind::part: {
             message.number = fields.number("number");
             const std::string hex = fields.text("bytes");
             if (hex.size() % 2 != 0 || hex.find_first_not_of("0123456789abcdef") != std::string::npos)
@@ -267,7 +269,7 @@
                 message.name += static_cast<char>(std::stoi(hex.substr(i, 2), nullptr, 16));
             break;
         }
-        case Message::What::done:
+        case RestartMessage::Kind::done:
             message.number = fields.number("number");
             message.yes = fields.flag("yes");
             break;
--- a/src/hot_restart/restart_message.hpp
+++ b/src/hot_restart/restart_message.hpp
@@ -15,25 +15,26 @@
 inline constexpr std::size_t kLineMost = 1 << 20;   // bytes
 
 // What one process holds, so that the other stays inside their common limits.
-struct Use {
-    std::size_t consumers = 0, calls = 0;   // connections it holds or may come to hold
-    std::size_t open = 0;                   // invocations
-    std::size_t consumer_bytes = 0, provider_bytes = 0;
-    bool operator==(const Use&) const = default;
+struct ResourceUse {
+    std::size_t client_connections = 0,
+                backend_connections = 0;   // connections it holds or may come to hold
+    std::size_t open_requests = 0;         // invocations
+    std::size_t client_bytes = 0, backend_bytes = 0;
+    bool operator==(const ResourceUse&) const = default;
 };
 
 // What operators said at the other process.
-struct Order {
-    enum class What { suspend, resume, drain, activate };
-    What what = What::suspend;
+struct OperatorOrder {
+    enum class Kind { suspend, resume, drain, activate };
+    Kind kind = Kind::suspend;
     std::string id;   // of a provider
-    bool operator==(const Order&) const = default;
+    bool operator==(const OperatorOrder&) const = default;
 };
 
-const char* word(Order::What what);   // as it stands in messages
+const char* word(OperatorOrder::Kind what);   // as it stands in messages
 
-struct Message {
-    enum class What {
+struct RestartMessage {
+    enum class Kind {
         hello,    // new to old, first of all: name and listen
         busy,     // old to new: not now
         socket,   // old to new: the listening socket comes with this line
@@ -46,19 +47,19 @@
         done,
         part   // old to new, after taken: `name` holds what the part at place `number` hands over
     };
-    What what = What::hello;
+    Kind kind = Kind::hello;
     std::string name, listen;
     std::vector<std::string> listed, suspended;
-    discovery::Listing list;   // empty: it was not said, as by an older process
+    discovery::EndpointList endpoint_list;   // empty: it was not said, as by an older process
     bool drained = false;
-    Use use;
-    Order order;
+    ResourceUse resource_use;
+    OperatorOrder order;
     std::uint64_t number = 0;
     bool yes = false;
-    bool operator==(const Message&) const = default;
+    bool operator==(const RestartMessage&) const = default;
 };
 
-std::string write(const Message& message);   // ends with the line's end
-bool read(std::string_view line, Message& message);
+std::string write(const RestartMessage& message);   // ends with the line's end
+bool read(std::string_view line, RestartMessage& message);
 
 }   // namespace slatejunction::hot_restart
--- a/src/http/body.cpp
+++ b/src/http/body.cpp
@@ -26,7 +26,7 @@
 BodyReader BodyReader::by_end(std::size_t had) {
     BodyReader reader;
     reader.by_end_ = true;
-    reader.left_ = kStreamMost - std::min(kStreamMost, had);
+    reader.left_ = kMaxStreamedBodyBytes - std::min(kMaxStreamedBodyBytes, had);
     reader.state_ = State::more;
     return reader;
 }
@@ -38,7 +38,7 @@
     const std::size_t end = in.find('\n');
     const std::string_view part = in.substr(0, end == std::string_view::npos ? in.size() : end + 1);
     in.remove_prefix(part.size());
-    if (line_.size() + part.size() > kHeadMost) {
+    if (line_.size() + part.size() > kMaxHeadBytes) {
         end_bad();
         return false;
     }
@@ -80,7 +80,7 @@
                 at != digits.data() + digits.size())
                 return state_ = State::bad;
             total_ += left_;
-            if (total_ > kStreamMost) return state_ = State::bad;
+            if (total_ > kMaxStreamedBodyBytes) return state_ = State::bad;
             at_ = left_ > 0 ? At::data : At::trailer;
             return state_;
         }
@@ -88,7 +88,7 @@
             if (!line(in)) return state_;
             if (line_.empty()) return state_ = State::done;
             trailers_ += line_.size() + 2;
-            if (trailers_ > kHeadMost) state_ = State::bad;
+            if (trailers_ > kMaxHeadBytes) state_ = State::bad;
             return state_;
     }
     return state_;
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -45,7 +45,7 @@
 
 }   // namespace
 
-bool same_word(std::string_view text, std::string_view lower) {
+bool equals_ignore_case(std::string_view text, std::string_view lower) {
     return text.size() == lower.size() && std::equal(text.begin(), text.end(), lower.begin(),
                                                      [](char a, char b) { return lowered(a) == b; });
 }
@@ -73,7 +73,7 @@
     std::swap(budget_, other.budget_);
 }
 
-void Buffer::drop_front(std::size_t n) {
+void Buffer::consume(std::size_t n) {
     size_ -= n;
     if (size_ > 0) std::memmove(data_.get(), data_.get() + n, size_);
 }
@@ -81,7 +81,7 @@
 const std::string_view* Head::find(std::string_view lower, bool* repeated) const {
     const std::string_view* found = nullptr;
     for (std::size_t i = 0; i < count; ++i) {
-        if (!same_word(fields[i].name, lower)) continue;
+        if (!equals_ignore_case(fields[i].name, lower)) continue;
         if (found) {
             if (repeated) *repeated = true;
             break;
@@ -100,8 +100,8 @@
 }
 
 bool Parser::expects_continue() const {
-    const std::string_view* expect = head_.newest ? head_.find("expect") : nullptr;
-    return expect && same_word(*expect, "100-continue");
+    const std::string_view* expect = head_.is_http_1_1 ? head_.find("expect") : nullptr;
+    return expect && equals_ignore_case(*expect, "100-continue");
 }
 
 std::span<char> Parser::room(Buffer& buffer) const {
@@ -138,20 +138,20 @@
 
 Step Parser::look(Buffer& buffer, bool ended) {
     if (!have_head_) {
-        while (kind_ == Kind::request && buffer.view().starts_with("\r\n")) buffer.drop_front(2);
+        while (kind_ == Kind::request && buffer.view().starts_with("\r\n")) buffer.consume(2);
         const std::string_view text = buffer.view();
         const std::size_t from = scanned_ > 3 ? scanned_ - 3 : 0;
         const std::size_t end = text.find("\r\n\r\n", from);
         scanned_ = text.size();
         // A head that never ends must not fill the memory.
         if (end == std::string_view::npos)
-            return text.size() > kHeadMost ? Step::head_too_large : Step::more;
-        if (end + 4 > kHeadMost) return Step::head_too_large;
+            return text.size() > kMaxHeadBytes ? Step::head_too_large : Step::more;
+        if (end + 4 > kMaxHeadBytes) return Step::head_too_large;
         body_at_ = end + 4;
         if (const Step step = parse_head(text.substr(0, end + 2)); step != Step::done) return step;
         if (const Step step = parse_framing(); step != Step::done) return step;
         if (kind_ == Kind::response && head_.status < 200) {   // an interim answer: the real one follows
-            buffer.drop_front(body_at_);
+            buffer.consume(body_at_);
             reset();
             return look(buffer, ended);
         }
@@ -198,7 +198,7 @@
         if (line.size() < one + 4 || !read_size(line.substr(one + 1, 3), 10, status)) return false;
         if (line.size() > one + 4 && line[one + 4] != ' ') return false;
         head_.status = static_cast<int>(status);
-        head_.keep_alive = head_.newest = version == "HTTP/1.1";
+        head_.keep_alive = head_.is_http_1_1 = version == "HTTP/1.1";
         // 101 would begin another protocol, which nothing here asks for.
         return status >= 100 && status != 101;
     }
@@ -207,9 +207,9 @@
     head_.first = line.substr(0, one);
     head_.second = line.substr(one + 1, two - one - 1);
     const std::string_view version = line.substr(two + 1);
-    head_.keep_alive = head_.newest = version == "HTTP/1.1";
+    head_.keep_alive = head_.is_http_1_1 = version == "HTTP/1.1";
     // Absolute form (RFC 9112, 3.2.2), as to a proxy: the path is what counts.
-    if (same_word(head_.second.substr(0, 7), "http://")) {
+    if (equals_ignore_case(head_.second.substr(0, 7), "http://")) {
         const std::size_t path = head_.second.find('/', 7);
         head_.second =
             path == std::string_view::npos ? head_.second.substr(6, 1) : head_.second.substr(path);
@@ -234,7 +234,7 @@
         }
         const std::size_t colon = line.find(':');
         if (colon == std::string_view::npos || !is_token(line.substr(0, colon))) return Step::bad;
-        if (head_.count == kFieldsMost) return Step::head_too_large;
+        if (head_.count == kMaxHeaderFields) return Step::head_too_large;
         const std::string_view value = trimmed(line.substr(colon + 1));
         if (!is_value(value)) return Step::bad;
         head_.fields[head_.count++] = {line.substr(0, colon), value};
@@ -255,17 +255,17 @@
         while (!rest.empty()) {
             const std::size_t comma = std::min(rest.find(','), rest.size());
             const std::string_view word = trimmed(rest.substr(0, comma));
-            if (same_word(word, "close")) head_.keep_alive = false;
-            if (same_word(word, "keep-alive")) head_.keep_alive = true;
+            if (equals_ignore_case(word, "close")) head_.keep_alive = false;
+            if (equals_ignore_case(word, "keep-alive")) head_.keep_alive = true;
             rest.remove_prefix(std::min(comma + 1, rest.size()));
         }
     }
     if (coding) {
-        if (!same_word(*coding, "chunked") || !head_.newest) return Step::bad;
+        if (!equals_ignore_case(*coding, "chunked") || !head_.is_http_1_1) return Step::bad;
         framing_ = Framing::chunked;
     } else if (length) {
         if (length->size() > 18 || !read_size(*length, 10, body_size_)) return Step::bad;
-        if (body_size_ > (streams_ ? kStreamMost : body_most_)) return Step::body_too_large;
+        if (body_size_ > (streams_ ? kMaxStreamedBodyBytes : body_most_)) return Step::body_too_large;
         framing_ = Framing::length;
     }
     if (kind_ == Kind::response && (head_.status == 204 || head_.status == 304 || head_.status < 200))
@@ -293,15 +293,15 @@
         std::size_t size = 0;
         if (line.size() > 8 || !read_size(line, 16, size)) return Step::bad;
         if (body_size_ + size > body_most_) {
-            if (!streams_ || body_size_ + size > kStreamMost) return Step::body_too_large;
+            if (!streams_ || body_size_ + size > kMaxStreamedBodyBytes) return Step::body_too_large;
             return rest_follows(buffer, chunk_at_, body_size_);
         }
         if (size == 0) {
             // The end: trailers, which are dropped, up to an empty line.
             for (std::size_t at = line_end + 2;;) {
                 const std::size_t end = text.find("\r\n", at);
-                if (end == std::string_view::npos || end + 2 - line_end > kHeadMost)
-                    return text.size() - line_end > kHeadMost ? Step::head_too_large : Step::more;
+                if (end == std::string_view::npos || end + 2 - line_end > kMaxHeadBytes)
+                    return text.size() - line_end > kMaxHeadBytes ? Step::head_too_large : Step::more;
                 if (end == at) {
                     used_ = end + 2;
                     return Step::done;
--- a/src/http/message.hpp
+++ b/src/http/message.hpp
@@ -13,22 +13,22 @@
 
 namespace slatejunction::http {
 
-inline constexpr std::size_t kHeadMost = 8 * 1024;
-inline constexpr std::size_t kBodyMost = 64 * 1024;   // what the protocol allows a body
+inline constexpr std::size_t kMaxHeadBytes = 8 * 1024;
+inline constexpr std::size_t kMaxBufferedBodyBytes = 64 * 1024;   // what the protocol allows a body
 // Beyond that a body is passed on as it comes, up to so much: 32 MB are asked for, and some are to spare.
-inline constexpr std::size_t kStreamMost = 40 * 1024 * 1024;
-inline constexpr std::size_t kFieldsMost = 48;
+inline constexpr std::size_t kMaxStreamedBodyBytes = 40 * 1024 * 1024;
+inline constexpr std::size_t kMaxHeaderFields = 48;
 
 // What many Buffers may hold together. Guards against peers that promise or send large bodies by hundreds.
-class Budget {
+class ByteBudget {
   public:
-    explicit Budget(std::size_t most) : most_(most) {}
+    explicit ByteBudget(std::size_t most) : most_(most) {}
     bool fits(std::size_t more) const { return used_ + more <= most_; }
     void take(std::size_t size) { used_ += size; }
     void give(std::size_t size) { used_ -= size; }
     std::size_t used() const { return used_; }
-    std::size_t most() const { return most_; }
-    void set_most(std::size_t most) { most_ = most; }
+    std::size_t limit() const { return most_; }
+    void set_limit(std::size_t most) { most_ = most; }
 
   private:
     std::size_t most_;
@@ -39,7 +39,7 @@
 class Buffer {
   public:
     // What it holds counts in the budget, which has to live longer. Heads are small and always fit.
-    explicit Buffer(Budget* budget = nullptr) : budget_(budget) {}
+    explicit Buffer(ByteBudget* budget = nullptr) : budget_(budget) {}
     Buffer(Buffer&& other) noexcept : budget_(other.budget_) { swap(other); }
     Buffer& operator=(Buffer&& other) noexcept {
         Buffer taken(std::move(other));
@@ -58,14 +58,14 @@
     char* data() { return data_.get(); }
     std::size_t capacity() const { return capacity_; }
     void clear() { size_ = 0; }
-    void drop_front(std::size_t n);
+    void consume(std::size_t n);
     Buffer copy(std::size_t capacity) const;
 
   private:
     void swap(Buffer& other) noexcept;
     std::unique_ptr<char[]> data_;
     std::size_t size_ = 0, capacity_ = 0;
-    Budget* budget_;
+    ByteBudget* budget_;
 };
 
 struct Field {
@@ -77,8 +77,8 @@
     std::string_view first, second;
     int status = 0;   // of a response
     bool keep_alive = true;
-    bool newest = true;   // HTTP/1.1, not 1.0
-    std::array<Field, kFieldsMost> fields;
+    bool is_http_1_1 = true;   // HTTP/1.1, not 1.0
+    std::array<Field, kMaxHeaderFields> fields;
     std::size_t count = 0;
 
     // The field of that name (lower case); `repeated` tells of a second one.
@@ -95,7 +95,7 @@
     enum class Kind { request, response };
     // `streams`: its owner passes larger bodies on as they come; else they are too large. `body_most`:
     // bytes of a body that is taken whole.
-    explicit Parser(Kind kind, bool streams = false, std::size_t body_most = kBodyMost)
+    explicit Parser(Kind kind, bool streams = false, std::size_t body_most = kMaxBufferedBodyBytes)
         : kind_(kind), streams_(streams), body_most_(body_most) {}
 
     // Where the next bytes go. Once the head is known only feed() grows the Buffer, as views point into it.
@@ -106,7 +106,7 @@
     bool has_head() const { return have_head_; }   // its body may still be coming
     // A response whose head is read and says nothing of its length: only a clean end of the connection ends
     // it.
-    bool unframed() const { return have_head_ && framing_ == Framing::until_end; }
+    bool ends_with_connection() const { return have_head_ && framing_ == Framing::until_end; }
     std::string_view body() const { return body_; }
     // After rest_follows: body() and used() are as far as it was read here, length() is that of all.
     BodyReader rest() const {
@@ -144,6 +144,6 @@
     std::string_view body_;
 };
 
-bool same_word(std::string_view text, std::string_view lower);   // without regard to case
+bool equals_ignore_case(std::string_view text, std::string_view lower);   // without regard to case
 
 }   // namespace slatejunction::http
--- a/src/ingress/extensions.hpp
+++ b/src/ingress/extensions.hpp
@@ -14,50 +14,52 @@
 
 namespace slatejunction::ingress {
 
-inline constexpr std::size_t kJudgesMost = 4;
+inline constexpr std::size_t kMaxRequestFilters = 4;
 
 // What a judge remembers of one request: null at first, given back to it with each call, never read by
 // anybody else.
-using Mark = void*;
+using FilterState = void*;
 
 // Says something of each request before the module hears of it, and is told what became of it.
-class Judge {
+class RequestFilter {
   public:
-    virtual ~Judge() = default;
+    virtual ~RequestFilter() = default;
     // May fill in subset, spill and over_limit_s; a wait is only ever raised.
-    virtual void judge(client::Invocation& invocation, slatejunction::Request& request, Mark& mark) = 0;
+    virtual void on_request(client::ClientRequest& invocation, slatejunction::Request& request,
+                            FilterState& mark) = 0;
     // The first attempt goes out now.
-    virtual void sent(const client::Invocation& invocation, Mark& mark, bool spilled) = 0;
+    virtual void on_first_attempt(const client::ClientRequest& invocation, FilterState& mark,
+                                  bool spilled) = 0;
     // It was refused for the wait that this judge had asked for. Returns how that refusal is to be counted.
-    virtual slatejunction::Reason refused(Mark mark) = 0;
-    virtual void ended(const client::Invocation& invocation, Mark mark) = 0;
+    virtual slatejunction::RejectReason on_rate_limited(FilterState mark) = 0;
+    virtual void on_request_end(const client::ClientRequest& invocation, FilterState mark) = 0;
     virtual bool wants_headers() const { return false; }
-    virtual std::span<const std::pair<std::size_t, std::string>> tags(Mark) const { return {}; }
+    virtual std::span<const std::pair<std::size_t, std::string>> tags(FilterState) const { return {}; }
 };
 
 // Lays something over the list of providers on its way to the module.
-class Overlay {
+class EndpointListFilter {
   public:
-    virtual ~Overlay() = default;
-    virtual void lay_over(double now, slatejunction::ListUpdate& list) = 0;
+    virtual ~EndpointListFilter() = default;
+    virtual void apply_to(double now, slatejunction::EndpointUpdate& list) = 0;
 };
 
 // Takes operators' calls before the ingress does.
-class CallTaker {
+class AdminCallExtension {
   public:
-    virtual ~CallTaker() = default;
+    virtual ~AdminCallExtension() = default;
     // False: it is not for this part. Else `reply` is called once, now or later.
-    virtual bool on_call(const admin::Call& call, std::function<void(admin::Reply)>& reply) = 0;
+    virtual bool on_call(const admin::AdminCall& call, std::function<void(admin::AdminReply)>& reply) = 0;
 };
 
 // Has something that an upgrade hands from the old process to the new one.
-class Inheritor {
+class StateTransfer {
   public:
-    virtual ~Inheritor() = default;
+    virtual ~StateTransfer() = default;
     // This is the old process, and the new one accepts from now on: what it is to get; empty: nothing.
-    virtual std::string give() = 0;
-    virtual void on_given(std::string_view what) = 0;   // this is the new one
-    virtual void on_leaves() = 0;                       // this process ends, or has given
+    virtual std::string serialize_state() = 0;
+    virtual void restore_state(std::string_view what) = 0;   // this is the new one
+    virtual void on_process_leaving() = 0;                   // this process ends, or has given
 };
 
 }   // namespace slatejunction::ingress
--- a/src/ingress/ingress.cpp
+++ b/src/ingress/ingress.cpp
@@ -9,8 +9,8 @@
 
 namespace slatejunction::ingress {
 
-using lifecycle::Shutdown;
-using slatejunction::Outcome;
+using lifecycle::GracefulShutdown;
+using slatejunction::AttemptResult;
 
 namespace {
 
@@ -26,15 +26,15 @@
 constexpr double kPrepare = 0.3;          // s; a new process's wait for a list, if it knows one already
 constexpr double kPrepareAnew = 2.0;      // s; and if it knows none
 constexpr double kNewProcess = 6.0;       // s; until a new process must say yes
-static_assert(hot_restart::Handover::asks_within() + kPrepareAnew < kNewProcess - 0.5);
+static_assert(hot_restart::RestartChannel::takeover_bound_s() + kPrepareAnew < kNewProcess - 0.5);
 constexpr double kRestart = 30.0;       // s; until a process that was killed must serve again
 constexpr double kListenPause = 0.25;   // s; before an address is tried again
-static_assert(hot_restart::Handover::asks_within() + Ingress::listens_within() < kRestart - 5);
+static_assert(hot_restart::RestartChannel::takeover_bound_s() + Ingress::listens_within() < kRestart - 5);
 constexpr std::size_t kAdminMost = 48, kAdminPart = 12;   // operators' connections; of all descriptors
 constexpr double kMissingRetry = 0.5;   // s; Retry-After of a large request that can't be sent again here
 constexpr double kNearDue = 0.05;       // s; an abort so near to the due time is a time-out
 
-backend::PoolLimits limits_of(const config::Config& config) {
+backend::ConnectionPoolLimits limits_of(const config::Config& config) {
     return {(config.sockets - kReserve) * 2 / 5, config.dial_timeout_s, config.keepalive_s};
 }
 
@@ -43,7 +43,7 @@
 }
 
 std::size_t consumers_of(const config::Config& config) {
-    return config.sockets - kReserve - limits_of(config).connections - admin_of(config);
+    return config.sockets - kReserve - limits_of(config).max_connections - admin_of(config);
 }
 
 std::size_t bytes_of(const config::Config& config) {
@@ -52,10 +52,10 @@
 
 }   // namespace
 
-struct Ingress::WatchLink : discovery::Watch {
-    WatchLink(discovery::WatchHost& host, net::Timers& timers, const discovery::UnixClock& clock,
-              const std::string& authority, std::uint64_t seed)
-        : Watch(host, timers, clock, authority, seed), address(net::parse_address(authority)) {
+struct Ingress::WatchLink : discovery::EndpointWatch {
+    WatchLink(discovery::WatchCallbacks& host, net::Timers& timers,
+              const discovery::UnixTimeConverter& clock, const std::string& authority, std::uint64_t seed)
+        : EndpointWatch(host, timers, clock, authority, seed), address(net::parse_address(authority)) {
         attach(stream, [this] { return stream.dial(address.get()); });
     }
     net::Address address;
@@ -64,8 +64,8 @@
     net::Stream stream{*this, G_PRIORITY_HIGH};
 };
 
-Ingress::Ingress(config::Config config, const discovery::UnixClock& clock, net::Timers& timers, Log& log,
-                 std::function<void()> done, Observer* observer)
+Ingress::Ingress(config::Config config, const discovery::UnixTimeConverter& clock, net::Timers& timers,
+                 Log& log, std::function<void()> done, RequestObserver* observer)
     : clock_(clock),
       log_(log),
       done_(std::move(done)),
@@ -81,18 +81,19 @@
       server_(*this, timers_, consumers_of(config_)),
       shutdown_(lifecycle::longest_deadline_s(config_.settings)),
       handover_(*this, timers_, log_, config_.temporary, config_.name, config_.listen),
-      prepare_timer_(timers_, [this] { handover_.prepared(); }),
-      watch_(std::make_shared<WatchLink>(static_cast<discovery::WatchHost&>(*this), timers_, clock,
-                                         config_.directory, config_.seed)) {
+      prepare_timer_(timers_, [this] { handover_.ready_to_accept(); }),
+      watch_(std::make_shared<WatchLink>(static_cast<discovery::WatchCallbacks&>(*this), timers_, clock,
+                                         config_.discovery_address, config_.seed)) {
     if (!config_.admin.empty())
-        admin_ =
-            std::make_unique<admin::Server>(static_cast<admin::Host&>(*this), timers_, admin_of(config_));
+        admin_ = std::make_unique<admin::Server>(static_cast<admin::AdminCallHandler&>(*this), timers_,
+                                                 admin_of(config_));
 }
 
 // What is open still ends here for those who keep something of it.
 Ingress::~Ingress() {
     for (const auto& [number, open] : open_)
-        for (std::size_t i = 0; i < open.judged; ++i) judges_[i]->ended(*open.invocation, open.marks[i]);
+        for (std::size_t i = 0; i < open.judged; ++i)
+            judges_[i]->on_request_end(*open.invocation, open.marks[i]);
 }
 
 // Operators' first: from the other one on consumers wait for their answers.
@@ -126,52 +127,52 @@
 
 bool Ingress::start(std::string& why, const std::function<bool(double)>& pause) {
     tell(slatejunction::Start{});
-    hot_restart::Message state;
+    hot_restart::RestartMessage state;
     net::Ref<GSocket> listening;
     bool listed = false;
-    const bool heir = handover_.ask(state, listening);
+    const bool heir = handover_.request_takeover(state, listening);
     if (heir) server_.adopt(std::move(listening));
     if (!listen_in_time(why, pause)) return false;
     if (heir) {
-        listed = take_over_list(state.list);
-        discovery::Listing change;
+        listed = take_over_list(state.endpoint_list);
+        discovery::EndpointList change;
         for (const std::string& id : state.listed) operations_.remember(id);
-        for (const std::string& id : state.suspended) operations_.impose(id, change);
+        for (const std::string& id : state.suspended) operations_.adopt_suspension(id, change);
         if (state.drained && operations_.drain()) drained_at_ = net::now();
-        theirs_ = state.use;
+        theirs_ = state.resource_use;
         share_out();
-        prepare_timer_.arm(net::now() + (config_.known.update.entries.empty() ? kPrepareAnew : kPrepare));
+        prepare_timer_.arm(net::now() + (config_.known.update.endpoints.empty() ? kPrepareAnew : kPrepare));
     }
-    if (!listed) start_times_.settle_copy(config_.known, net::now());
-    operations_.lay_over(config_.known);
+    if (!listed) start_times_.resolve_cached(config_.known, net::now());
+    operations_.apply_to(config_.known);
     pool_.update(config_.known);
-    slatejunction::ListUpdate known = config_.known.update;
+    slatejunction::EndpointUpdate known = config_.known.update;
     lay_over(known);
     tell(std::move(known));
     watch_->start(config_.known.revision);
     handover_.start();
     sweep_timer_.arm(net::now() + kSweepEvery);
     log_.write(Log::Level::info, net::now(), "serving: %s at %s, %zu providers known", config_.name.c_str(),
-               config_.listen.c_str(), config_.known.update.entries.size());
+               config_.listen.c_str(), config_.known.update.endpoints.size());
     return true;
 }
 
 // What the old process was told is in force here before anything is sent on, and the file's copy is older:
 // the two count as one ingress, and discovery may be silent now.
-bool Ingress::take_over_list(discovery::Listing& list) {
-    if (list.update.entries.empty()) return false;
-    for (slatejunction::ListEntry& entry : list.update.entries)
-        entry.born_s = std::min(entry.born_s, net::now());
-    list.update.kind = slatejunction::ListKind::warm_copy;
+bool Ingress::take_over_list(discovery::EndpointList& list) {
+    if (list.update.endpoints.empty()) return false;
+    for (slatejunction::Endpoint& entry : list.update.endpoints)
+        entry.started_at_s = std::min(entry.started_at_s, net::now());
+    list.update.kind = slatejunction::EndpointUpdateKind::cached_snapshot;
     start_times_.adopt(list);
     config_.known = std::move(list);
     return true;
 }
 
 void Ingress::stop() {
-    if (shutdown_.told()) return;
+    if (shutdown_.stop_requested()) return;
     const double now = net::now();
-    shutdown_.tell(now);
+    shutdown_.request_stop(now);
     handover_.stop();
     sweep_timer_.arm(shutdown_.advance_again_at(now));
     log_.write(Log::Level::info, now, "stopping: %zu invocations open, ends within %.1f s", open_.size(),
@@ -187,57 +188,59 @@
     waits(fresh.listen != config_.listen, "listen");
     waits(fresh.admin != config_.admin, "admin_addr");
     waits(fresh.stated_sockets != config_.stated_sockets || fresh.memory_mb != config_.memory_mb, "limits");
-    waits(fresh.settings != config_.settings || fresh.max_open != config_.max_open ||
+    waits(fresh.settings != config_.settings || fresh.max_open_requests != config_.max_open_requests ||
               fresh.dial_timeout_s != config_.dial_timeout_s || fresh.keepalive_s != config_.keepalive_s,
           "settings");
-    log_.write(Log::Level::info, net::now(), "reloaded: discovery %s%s%s%s", fresh.directory.c_str(),
+    log_.write(Log::Level::info, net::now(), "reloaded: discovery %s%s%s%s",
+               fresh.discovery_address.c_str(),
                later.empty() ? "" : "; after the next start: ", later.c_str(),
-               fresh.directory == config_.directory ? "" : "; the watch moves there");
-    if (fresh.directory == config_.directory) return;
+               fresh.discovery_address == config_.discovery_address ? "" : "; the watch moves there");
+    if (fresh.discovery_address == config_.discovery_address) return;
     // The list stays in force and the new watch goes on from its version, so that nothing is told twice or
     // missed; the file's own list is not taken, as it may be older.
-    config_.directory = fresh.directory;
-    const auto newest = watch_->newest();
-    watch_ = std::make_shared<WatchLink>(static_cast<discovery::WatchHost&>(*this), timers_, clock_,
-                                         config_.directory, config_.seed);
+    config_.discovery_address = fresh.discovery_address;
+    const auto newest = watch_->newest_revision();
+    watch_ = std::make_shared<WatchLink>(static_cast<discovery::WatchCallbacks&>(*this), timers_, clock_,
+                                         config_.discovery_address, config_.seed);
     watch_->start(newest, true);
 }
 
 void Ingress::sweep() {
     const double now = net::now();
     log_.drain();
-    server_.sweep(now);
-    pool_.sweep(now);
-    if (admin_) admin_->sweep(now);
+    server_.close_expired(now);
+    pool_.close_expired(now);
+    if (admin_) admin_->close_expired(now);
     const bool drained = operations_.drained();
-    if (drained && now - drained_at_ > Shutdown::kStillComingS) server_.end_idle(now, Shutdown::kQuietS);
-    if (shutdown_.leaves()) {
+    if (drained && now - drained_at_ > GracefulShutdown::kGraceS)
+        server_.close_idle(now, GracefulShutdown::kQuietS);
+    if (shutdown_.draining()) {
         if (wind_down(now)) return;
         return sweep_timer_.arm(shutdown_.advance_again_at(now));
     }
-    sweep_timer_.arm(now + (drained ? Shutdown::kLookEveryS : kSweepEvery));
+    sweep_timer_.arm(now + (drained ? GracefulShutdown::kCheckIntervalS : kSweepEvery));
 }
 
 bool Ingress::wind_down(double now) {
-    if (const auto most_s = shutdown_.idle_most_s(now)) server_.end_idle(now, *most_s);
+    if (const auto most_s = shutdown_.max_idle_s(now)) server_.close_idle(now, *most_s);
     for (;;) {
-        const auto census = server_.census();
-        switch (shutdown_.advance({now, handover_.role().leaves(), server_.sessions(), census.in_use,
-                                   last_request_at_, census.last_unknown_at})) {
-            case Shutdown::Act::none:
+        const auto census = server_.session_counts();
+        switch (shutdown_.advance({now, handover_.role().draining(), server_.sessions(), census.in_use,
+                                   last_request_at_, census.last_unused_at})) {
+            case GracefulShutdown::Action::none:
                 return false;
-            case Shutdown::Act::refuse_new:
-                if (!handover_.role().paired()) server_.refuse_new();
+            case GracefulShutdown::Action::refuse_handshakes:
+                if (!handover_.role().paired()) server_.refuse_handshakes();
                 break;
-            case Shutdown::Act::stop_listening:
-                server_.take_waiting_and_stop();
+            case GracefulShutdown::Action::stop_listening:
+                server_.accept_pending_and_stop();
                 break;
-            case Shutdown::Act::answer_owed:
+            case GracefulShutdown::Action::answer_open_requests:
                 answer_owed();
                 break;
-            case Shutdown::Act::end:
+            case GracefulShutdown::Action::end:
                 server_.stop();
-                server_.end_all();
+                server_.close_all();
                 log_.write(Log::Level::info, now, "stopped");
                 done_();
                 return true;
@@ -259,31 +262,32 @@
         const Open& open = at->second;
         const bool sent_on =
             open.ran || std::any_of(open.calls.begin(), open.calls.end(),
-                                    [](const auto& call) { return call && call->complete(); });
+                                    [](const auto& call) { return call && call->request_given(); });
         const int status = lifecycle::forced_status(sent_on);
         answer(number, {status, sent_on ? 0 : config_.settings.max_retry_after_s, {}, {}},
-               Finish::How::failed, "stopped");
+               RequestSummary::Result::failed, "stopped");
         let_go(number);
     }
-    server_.turn_away(config_.settings.max_retry_after_s);
+    server_.reject_partial_requests(config_.settings.max_retry_after_s);
 }
 
 // Facts. ----------------------------------------------------------------------------------------------
 
-std::uint64_t Ingress::on_invocation(std::shared_ptr<client::Consumer> consumer,
-                                     std::shared_ptr<client::Invocation> invocation) {
+std::uint64_t Ingress::on_request(std::shared_ptr<client::ResponseWriter> consumer,
+                                  std::shared_ptr<client::ClientRequest> invocation) {
     last_request_at_ = net::now();
-    const bool stopped = shutdown_.turns_away();
-    if (stopped || (config_.max_open > 0 && open_.size() >= config_.max_open)) {
-        consumer->answer({503, config_.settings.max_retry_after_s, {}, {}});
+    const bool stopped = shutdown_.rejects_new_requests();
+    if (stopped || (config_.max_open_requests > 0 && open_.size() >= config_.max_open_requests)) {
+        consumer->write_response({503, config_.settings.max_retry_after_s, {}, {}});
         if (observer_)
-            observer_->on_finish({*invocation,
-                                  stopped ? Finish::How::failed : Finish::How::refused,
-                                  stopped ? "stopped" : metrics::kReasons[metrics::kOpenLimit],
-                                  stopped ? 0 : metrics::kOpenLimit,
-                                  {},
-                                  0,
-                                  net::now() - invocation->arrived});
+            observer_->on_request_end(
+                {*invocation,
+                 stopped ? RequestSummary::Result::failed : RequestSummary::Result::rejected,
+                 stopped ? "stopped" : metrics::kReasons[metrics::kOpenLimit],
+                 stopped ? 0 : metrics::kOpenLimit,
+                 {},
+                 0,
+                 net::now() - invocation->arrived_at_s});
         return 0;
     }
     const std::uint64_t number = ++numbers_;
@@ -293,26 +297,26 @@
     open.invocation = std::move(invocation);
     ids_.insert(open.invocation->request_id);
     open.consumer = std::move(consumer);
-    open.invocation->asker = open.consumer;
-    const client::Invocation& i = *open.invocation;
+    open.invocation->response_writer = open.consumer;
+    const client::ClientRequest& i = *open.invocation;
     slatejunction::Request request;
     request.id = open.id;
     request.service_class = i.service_class;
     request.plan = i.plan;
     request.units = i.units;
     request.customer = i.customer;
-    request.due_s = i.due;
-    request.doors = i.doors;
-    request.repeat = i.repeat;
+    request.deadline_at_s = i.deadline_at_s;
+    request.ingress_count = i.ingress_count;
+    request.is_client_retry = i.is_client_retry;
     if (!judges_.empty()) judge(open, request);
     tell(std::move(request));
     return number;
 }
 
-void Ingress::on_left(std::uint64_t number) {
+void Ingress::on_client_disconnected(std::uint64_t number) {
     const auto at = open_.find(number);
     if (at == open_.end() || !at->second.consumer) return;
-    if (observer_) observe(at->second, Finish::How::failed, "left");
+    if (observer_) observe(at->second, RequestSummary::Result::failed, "left");
     at->second.consumer.reset();
     let_go(number);
 }
@@ -325,18 +329,18 @@
     // settings let calls be called off.
     const auto calls = at->second.calls;
     for (const auto& call : calls)
-        if (call && !call->complete()) call->abandon(Outcome::moot);
+        if (call && !call->request_given()) call->abandon(AttemptResult::not_started);
     forget_if_over(number);
-    tell(slatejunction::ClientGone{id});
+    tell(slatejunction::ClientDisconnected{id});
 }
 
 void Ingress::on_bad_request(int status, std::string_view why) {
-    if (observer_) observer_->on_bad();
+    if (observer_) observer_->on_bad_request();
     log_.write(Log::Level::warning, net::now(), "bad request: %d, %.*s", status,
                static_cast<int>(why.size()), why.data());
 }
 
-void Ingress::on_accept_failed(const char* why) {
+void Ingress::on_accept_error(const char* why) {
     log_.write(Log::Level::warning, net::now(), "accepting failed: %s", why);
 }
 
@@ -344,140 +348,141 @@
 
 // Each answer may bring the session's next request at once, with all that the module then does: nothing of
 // the list of open requests is held over one. What the event tells is taken first.
-void Ingress::on_call_end(const backend::CallTag& tag, const backend::CallEnd& end) {
-    Open* const open = find(tag.invocation);
+void Ingress::on_call_end(const backend::AttemptTag& tag, const backend::CallResult& end) {
+    Open* const open = find(tag.request);
     if (!open) return;
     open->calls[static_cast<std::size_t>(tag.attempt)].reset();
     --open->out;
-    const bool ran = end.outcome != Outcome::connect_failed && end.outcome != Outcome::full &&
-                     end.outcome != Outcome::moot;
+    const bool ran = end.result != AttemptResult::connect_failed && end.result != AttemptResult::rejected &&
+                     end.result != AttemptResult::not_started;
     open->ran = open->ran || ran;
-    slatejunction::AttemptEnd event;
+    slatejunction::AttemptEnded event;
     event.id = open->id;
     event.attempt = tag.attempt;
-    event.outcome = end.consumers_fault ? Outcome::cancelled : end.outcome;
-    event.took_s = end.took_s;
-    event.written_s = end.written_s;
+    event.result = end.bad_request ? AttemptResult::cancelled : end.result;
+    event.duration_s = end.duration_s;
+    event.write_duration_s = end.write_duration_s;
     event.quota_use = end.quota_use;
     event.report = end.report;
-    event.stale = end.broke && end.idle_s >= 0;
+    event.stale_connection = end.reset_before_response && end.idle_s >= 0;
     // Guards against a large request that is told to go on and can't: some of its bytes are gone.
-    const bool missing = open->invocation->passed && end.outcome != Outcome::ok && !end.consumers_fault;
+    const bool missing =
+        open->invocation->body_streamed && end.result != AttemptResult::ok && !end.bad_request;
     if (observer_) {
-        observer_->on_attempt(end.outcome);
+        observer_->on_attempt_end(end.result);
         if (end.quota_use > 0) observer_->on_quota_report();
     }
-    if (end.left && open->consumer) {
-        if (observer_) observe(*open, Finish::How::failed, "left");
+    if (end.client_disconnected && open->consumer) {
+        if (observer_) observe(*open, RequestSummary::Result::failed, "left");
         open->consumer.reset();
     }
     // Guards against a provider that looks broken because a consumer sends what it can't use.
-    if (end.consumers_fault) on_bad_request(400, "a provider could not use it");
-    if (end.outcome == Outcome::ok) {
-        answer(tag.invocation, {200, 0, end.content_type, end.body, end.rest, end.length},
-               Finish::How::served, "");
+    if (end.bad_request) on_bad_request(400, "a provider could not use it");
+    if (end.result == AttemptResult::ok) {
+        answer(tag.request, {200, 0, end.content_type, end.body, end.rest, end.length},
+               RequestSummary::Result::served, "");
     } else if (missing) {
-        answer(tag.invocation, {ran ? 502 : 503, ran ? 0 : kMissingRetry, {}, {}}, Finish::How::failed,
-               "lost");
-    } else if (end.consumers_fault) {
-        answer(tag.invocation, {400, 0, {}, {}}, Finish::How::failed, "turned_down");
+        answer(tag.request, {ran ? 502 : 503, ran ? 0 : kMissingRetry, {}, {}},
+               RequestSummary::Result::failed, "lost");
+    } else if (end.bad_request) {
+        answer(tag.request, {400, 0, {}, {}}, RequestSummary::Result::failed, "turned_down");
     }
-    const Open* const left = find(tag.invocation);
-    event.ended = !left || !left->consumer;
-    forget_if_over(tag.invocation);
+    const Open* const left = find(tag.request);
+    event.request_ended = !left || !left->consumer;
+    forget_if_over(tag.request);
     tell(std::move(event));
 }
 
-void Ingress::on_probe_end(const std::string& provider, const backend::CallEnd& end) {
-    tell(slatejunction::ProbeEnd{provider, end.outcome, end.took_s, end.report});
+void Ingress::on_health_check_end(const std::string& provider, const backend::CallResult& end) {
+    tell(slatejunction::HealthCheckEnded{provider, end.result, end.duration_s, end.report});
 }
 
-void Ingress::on_listing(discovery::Listing& listing) {
+void Ingress::on_endpoint_list(discovery::EndpointList& listing) {
     operations_.restore_unread(listing);
-    start_times_.settle(listing, net::now());
-    operations_.lay_over(listing);
-    const bool first = handover_.role().state() == hot_restart::Role::State::preparing;
+    start_times_.resolve(listing, net::now());
+    operations_.apply_to(listing);
+    const bool first = handover_.role().state() == hot_restart::RestartRole::State::preparing;
     // The pool first: it ends dials to providers that are leaving, before the module sends anything more.
     pool_.update(listing);
     lay_over(listing.update);
     tell(std::move(listing.update));
-    if (first) handover_.prepared();
+    if (first) handover_.ready_to_accept();
 }
 
 // Operators. ------------------------------------------------------------------------------------------
 
-void Ingress::tell_change(discovery::Listing& change) {
-    if (change.update.entries.empty()) return;
+void Ingress::tell_change(discovery::EndpointList& change) {
+    if (change.update.endpoints.empty()) return;
     pool_.update(change);
     lay_over(change.update);
     tell(std::move(change.update));
 }
 
-void Ingress::on_call(const admin::Call& call, std::function<void(admin::Reply)> reply) {
-    for (CallTaker* one : takers_)
+void Ingress::on_call(const admin::AdminCall& call, std::function<void(admin::AdminReply)> reply) {
+    for (AdminCallExtension* one : takers_)
         if (one->on_call(call, reply)) return;
     this->call(call, std::move(reply));
 }
 
-void Ingress::call(const admin::Call& call, std::function<void(admin::Reply)> reply) {
-    using What = admin::Call::What;
-    if (call.what == What::readyz) return reply(ready_call());
-    hot_restart::Order order;
+void Ingress::call(const admin::AdminCall& call, std::function<void(admin::AdminReply)> reply) {
+    using What = admin::AdminCall::Kind;
+    if (call.kind == What::readyz) return reply(ready_call());
+    hot_restart::OperatorOrder order;
     order.id = call.id;
     const char* text = "";
-    switch (call.what) {
+    switch (call.kind) {
         case What::suspend:
-            order.what = hot_restart::Order::What::suspend;
+            order.kind = hot_restart::OperatorOrder::Kind::suspend;
             text = "suspended";
             break;
         case What::resume:
-            order.what = hot_restart::Order::What::resume;
+            order.kind = hot_restart::OperatorOrder::Kind::resume;
             text = "may serve again";
             break;
         case What::drain:
-            order.what = hot_restart::Order::What::drain;
+            order.kind = hot_restart::OperatorOrder::Kind::drain;
             text = "drained";
             break;
         case What::activate:
-            order.what = hot_restart::Order::What::activate;
+            order.kind = hot_restart::OperatorOrder::Kind::activate;
             text = "active";
             break;
         default:
             return reply({404, "no such call"});
     }
     switch (carry_out(order, false)) {
-        case admin::Verdict::never_listed:
+        case admin::OverrideResult::never_listed:
             return reply({404, "no backend of that id was ever listed"});
-        case admin::Verdict::too_many:
+        case admin::OverrideResult::too_many:
             return reply({503, "too many backends are suspended"});
-        case admin::Verdict::done:
+        case admin::OverrideResult::done:
             break;
     }
     // The yes counts for both processes during an upgrade.
-    handover_.pass(order, [reply = std::move(reply), text](bool yes) {
+    handover_.forward_order(order, [reply = std::move(reply), text](bool yes) {
         yes ? reply({200, text})
             : reply({503, "the other process of this upgrade has not confirmed; ask again"});
     });
 }
 
-admin::Reply Ingress::ready_call() const {
-    if (handover_.role().leaves()) return {503, "handed over to a new process"};
-    if (shutdown_.told()) return {503, "stopping"};
+admin::AdminReply Ingress::ready_call() const {
+    if (handover_.role().draining()) return {503, "handed over to a new process"};
+    if (shutdown_.stop_requested()) return {503, "stopping"};
     if (!handover_.role().accepts()) return {503, "taking over"};
     return {200, operations_.drained() ? "ready, and drained" : "ready"};
 }
 
 // Pool and module are told before the yes is given, so that nothing new follows it.
-admin::Verdict Ingress::carry_out(const hot_restart::Order& order, bool from_other) {
-    using What = hot_restart::Order::What;
+admin::OverrideResult Ingress::carry_out(const hot_restart::OperatorOrder& order, bool from_other) {
+    using What = hot_restart::OperatorOrder::Kind;
     const double now = net::now();
-    discovery::Listing change;
-    admin::Verdict verdict = admin::Verdict::done;
+    discovery::EndpointList change;
+    admin::OverrideResult verdict = admin::OverrideResult::done;
     const char* text = "";
-    switch (order.what) {
+    switch (order.kind) {
         case What::suspend:
-            verdict =
-                from_other ? operations_.impose(order.id, change) : operations_.suspend(order.id, change);
+            verdict = from_other ? operations_.adopt_suspension(order.id, change)
+                                 : operations_.suspend(order.id, change);
             text = "suspended";
             break;
         case What::resume:
@@ -488,14 +493,14 @@
             text = "drained";
             if (!operations_.drain()) break;
             drained_at_ = now;
-            sweep_timer_.arm(now + Shutdown::kLookEveryS);
+            sweep_timer_.arm(now + GracefulShutdown::kCheckIntervalS);
             break;
         case What::activate:
             text = "active";
             operations_.activate();
             break;
     }
-    if (verdict != admin::Verdict::done) return verdict;
+    if (verdict != admin::OverrideResult::done) return verdict;
     log_.write(Log::Level::info, now, "operators: %s%s%s%s, %zu suspended in all", order.id.c_str(),
                order.id.empty() ? "" : " ", text, from_other ? " at the other process" : "",
                operations_.suspensions());
@@ -505,107 +510,109 @@
 
 // An upgrade. -----------------------------------------------------------------------------------------
 
-hot_restart::Message Ingress::state() const {
-    hot_restart::Message message;
-    message.what = hot_restart::Message::What::state;
+hot_restart::RestartMessage Ingress::state() const {
+    hot_restart::RestartMessage message;
+    message.kind = hot_restart::RestartMessage::Kind::state;
     message.listed = operations_.ever_listed();
     message.suspended = operations_.suspended();
     message.drained = operations_.drained();
-    message.use = use();
-    message.list = operations_.listed();
-    message.list.revision = watch_->newest();
-    start_times_.state(message.list);
+    message.resource_use = resource_use();
+    message.endpoint_list = operations_.current_list();
+    message.endpoint_list.revision = watch_->newest_revision();
+    start_times_.restore_stated(message.endpoint_list);
     return message;
 }
 
 int Ingress::listening_descriptor() { return server_.descriptor(); }
 
-bool Ingress::on_order(const hot_restart::Order& order) {
+bool Ingress::on_operator_order(const hot_restart::OperatorOrder& order) {
     const auto verdict = carry_out(order, true);
-    return verdict != admin::Verdict::too_many;   // one never listed here is not suspended here
+    return verdict != admin::OverrideResult::too_many;   // one never listed here is not suspended here
 }
 
-void Ingress::on_role() {
-    const hot_restart::Role& role = handover_.role();
-    if (role.leaves()) {
+void Ingress::on_role_changed() {
+    const hot_restart::RestartRole& role = handover_.role();
+    if (role.draining()) {
         const double now = net::now();
         shutdown_.hand_over(now);
-        server_.hold();
+        server_.pause_accepting();
         sweep_timer_.arm(shutdown_.advance_again_at(now));
         for (std::size_t i = 0; i < inheritors_.size(); ++i)
-            if (const std::string what = inheritors_[i]->give(); !what.empty()) handover_.give(i, what);
+            if (const std::string what = inheritors_[i]->serialize_state(); !what.empty())
+                handover_.transfer_state(i, what);
     } else if (role.accepts()) {
-        shutdown_.take_back();
-        server_.go_on();
+        shutdown_.cancel_hand_over();
+        server_.resume_accepting();
     }
-    pool_.set_idle_most(role.leaves() ? kHandedIdle : -1);
+    pool_.set_max_idle_s(role.draining() ? kHandedIdle : -1);
     share_out();
 }
 
-void Ingress::on_part(std::size_t place, std::string_view what) {
-    if (place < inheritors_.size()) inheritors_[place]->on_given(what);
+void Ingress::on_transferred_state(std::size_t place, std::string_view what) {
+    if (place < inheritors_.size()) inheritors_[place]->restore_state(what);
 }
 
-void Ingress::on_use(const hot_restart::Use& theirs) {
+void Ingress::on_peer_resource_use(const hot_restart::ResourceUse& theirs) {
     theirs_ = theirs;
     share_out();
 }
 
 // Both processes share one machine's limits until one of them is gone: the old one keeps to a part from the
 // moment that a new one comes, and to what it has once that one accepts; the new one takes what is left.
-hot_restart::Use Ingress::use() const {
-    hot_restart::Use mine;
-    mine.consumers = server_.sessions();
-    mine.calls = pool_.connections();
-    mine.open = open_.size();
-    mine.consumer_bytes = consumer_bytes_.used();
-    mine.provider_bytes = provider_bytes_.used();
-    if (handover_.role().state() == hot_restart::Role::State::asked ||
-        handover_.role().state() == hot_restart::Role::State::alone) {
+hot_restart::ResourceUse Ingress::resource_use() const {
+    hot_restart::ResourceUse mine;
+    mine.client_connections = server_.sessions();
+    mine.backend_connections = pool_.connections();
+    mine.open_requests = open_.size();
+    mine.client_bytes = consumer_bytes_.used();
+    mine.backend_bytes = provider_bytes_.used();
+    if (handover_.role().state() == hot_restart::RestartRole::State::takeover_requested ||
+        handover_.role().state() == hot_restart::RestartRole::State::alone) {
         const auto part = [](std::size_t all) { return all - all / kHeirPart; };
-        mine.consumers = std::max(mine.consumers, part(consumers_of(config_)));
-        mine.calls = std::max(mine.calls, part(limits_of(config_).connections));
+        mine.client_connections = std::max(mine.client_connections, part(consumers_of(config_)));
+        mine.backend_connections =
+            std::max(mine.backend_connections, part(limits_of(config_).max_connections));
     }
     return mine;
 }
 
 void Ingress::share_out() {
-    const hot_restart::Role& role = handover_.role();
-    std::size_t consumers = consumers_of(config_), calls = limits_of(config_).connections;
+    const hot_restart::RestartRole& role = handover_.role();
+    std::size_t consumers = consumers_of(config_), calls = limits_of(config_).max_connections;
     std::size_t bytes = bytes_of(config_), provider_bytes = bytes;
     const auto rest = [](std::size_t all, std::size_t theirs) {
         return std::max(all / kHeirPart / 2, all - std::min(all, theirs));
     };
     if (role.paired()) consumers -= admin_of(config_);   // that of the other process
-    if (role.elder()) {
+    if (role.is_old_process()) {
         consumers -= consumers / kHeirPart;
         calls -= calls / kHeirPart;
     } else if (role.paired()) {
-        consumers = rest(consumers, theirs_.consumers);
-        calls = rest(calls, theirs_.calls);
-        bytes = rest(bytes, theirs_.consumer_bytes);
-        provider_bytes = rest(provider_bytes, theirs_.provider_bytes);
+        consumers = rest(consumers, theirs_.client_connections);
+        calls = rest(calls, theirs_.backend_connections);
+        bytes = rest(bytes, theirs_.client_bytes);
+        provider_bytes = rest(provider_bytes, theirs_.backend_bytes);
     }
-    if (role.leaves()) calls = std::min(calls, pool_.connections() + kHandedCalls);
-    server_.set_most(consumers);
-    pool_.set_most(calls);
-    consumer_bytes_.set_most(bytes);
-    provider_bytes_.set_most(provider_bytes);
+    if (role.draining()) calls = std::min(calls, pool_.connections() + kHandedCalls);
+    server_.set_max_sessions(consumers);
+    pool_.set_max_connections(calls);
+    consumer_bytes_.set_limit(bytes);
+    provider_bytes_.set_limit(provider_bytes);
 }
 
-void Ingress::on_admin_trouble(const char* why) {
+void Ingress::on_admin_error(const char* why) {
     log_.write(Log::Level::warning, net::now(), "operators' address: accepting failed: %s", why);
 }
 
 // Calls follow one another quickly while discovery is away: a line for each would crowd out all others.
-void Ingress::on_lost(const char* why) {
+void Ingress::on_watch_lost(const char* why) {
     const double now = net::now();
     if (now - lost_told_at_ >= (lost_why_ == why ? kLostEvery : kLostEvery / 5)) {
         log_.write(Log::Level::warning, now, "directory: %s", why);
         lost_why_ = why;
         lost_told_at_ = now;
     }
-    tell(slatejunction::ListUpdate{slatejunction::ListKind::lost, {}});
+    tell(slatejunction::EndpointUpdate{slatejunction::EndpointUpdateKind::watch_lost, {}});
 }
 
 void Ingress::timers_due() {
@@ -614,7 +621,7 @@
     for (std::size_t left = due_.size(); left > 0 && due_.top().due <= now; --left) {
         const std::uint64_t tag = due_.top().tag;
         due_.pop();
-        tell(slatejunction::TimerDue{tag});
+        tell(slatejunction::TimerFired{tag});
     }
     if (!due_.empty()) module_timer_.arm(due_.top().due);
 }
@@ -652,153 +659,156 @@
     return at == open_.end() ? nullptr : &at->second;
 }
 
-void Ingress::carry_out(const slatejunction::Send& send) {
+void Ingress::carry_out(const slatejunction::StartAttempt& send) {
     Open* open = find(send.id);
     if (!open) return;
-    const backend::CallTag tag{open->number, static_cast<std::int64_t>(open->calls.size())};
+    const backend::AttemptTag tag{open->number, static_cast<std::int64_t>(open->calls.size())};
     const double now = net::now();
-    const double due = open->invocation->due;
-    const double until = send.allow_s > 0 ? std::min(due, now + send.allow_s) : due;
+    const double due = open->invocation->deadline_at_s;
+    const double until = send.timeout_s > 0 ? std::min(due, now + send.timeout_s) : due;
     open->calls.emplace_back();
     ++open->out;
-    if (observer_) open->provider = send.server;
+    if (observer_) open->provider = send.backend;
     if (open->judged > 0 && tag.attempt == 0)
         for (std::size_t i = 0; i < open->judged; ++i)
-            judges_[i]->sent(*open->invocation, open->marks[i], send.spilled);
-    const double begin_by = send.begin_by_s > 0 ? send.begin_by_s : backend::Pool::kNever;
-    const auto call = pool_.call(send.server, tag, open->invocation, until, begin_by);
-    open = find(tag.invocation);   // the call may have ended, and the request with it
+            judges_[i]->on_first_attempt(*open->invocation, open->marks[i], send.used_fallback);
+    const double begin_by = send.start_by_s > 0 ? send.start_by_s : backend::ConnectionPool::kNever;
+    const auto call = pool_.start_call(send.backend, tag, open->invocation, until, begin_by);
+    open = find(tag.request);   // the call may have ended, and the request with it
     if (open && call) open->calls[static_cast<std::size_t>(tag.attempt)] = call;
 }
 
-void Ingress::carry_out(const slatejunction::CallOff& call_off) {
+void Ingress::carry_out(const slatejunction::CancelAttempt& call_off) {
     Open* open = find(call_off.id);
     if (!open || call_off.attempt < 0 || static_cast<std::size_t>(call_off.attempt) >= open->calls.size())
         return;
     const auto call = open->calls[static_cast<std::size_t>(call_off.attempt)];
-    if (call) call->abandon(Outcome::cancelled);
+    if (call) call->abandon(AttemptResult::cancelled);
 }
 
-void Ingress::carry_out(const slatejunction::Refuse& refuse) {
+void Ingress::carry_out(const slatejunction::RejectRequest& refuse) {
     Open* const open = find(refuse.id);
     if (!open) return;
     const std::uint64_t number = open->number;
     if (open->consumer) {
         // A quota kept here is a limit to the module.
         auto reason = refuse.reason;
-        if (reason == slatejunction::Reason::limit && open->judged > 0)
-            reason = judges_[open->over]->refused(open->marks[open->over]);
+        if (reason == slatejunction::RejectReason::rate_limit && open->judged > 0)
+            reason = judges_[open->over]->on_rate_limited(open->marks[open->over]);
         const auto refusal = static_cast<std::size_t>(reason);
-        answer(number, {503, refuse.retry_after_s, {}, {}}, Finish::How::refused,
+        answer(number, {503, refuse.retry_after_s, {}, {}}, RequestSummary::Result::rejected,
                metrics::kReasons[refusal], refusal);
     }
     forget_if_over(number);
 }
 
-void Ingress::carry_out(const slatejunction::Abort& abort) {
+void Ingress::carry_out(const slatejunction::FailRequest& abort) {
     const Open* const open = find(abort.id);
     if (!open) return;
     const std::uint64_t number = open->number;
-    const bool late = open->invocation->due - net::now() < kNearDue;
-    answer(number, {late ? 504 : 502, 0, {}, {}}, Finish::How::failed, late ? "due" : "lost");
+    const bool late = open->invocation->deadline_at_s - net::now() < kNearDue;
+    answer(number, {late ? 504 : 502, 0, {}, {}}, RequestSummary::Result::failed, late ? "due" : "lost");
     forget_if_over(number);
 }
 
 void Ingress::carry_out(const slatejunction::SetTimer& timer) {
     // One that is no number would stay at the front and keep all others from coming.
-    const double due = std::isnan(timer.due_s) ? net::now() : timer.due_s;
+    const double due = std::isnan(timer.fire_at_s) ? net::now() : timer.fire_at_s;
     due_.push({due, timer.tag});
     if (due_.top().due >= due) module_timer_.arm(due);
 }
 
-void Ingress::carry_out(const slatejunction::Probe& probe) {
-    pool_.probe(probe.server, config_.settings.report_fields.empty() ? "/health/live" : "/stats");
+void Ingress::carry_out(const slatejunction::StartHealthCheck& probe) {
+    pool_.start_health_check(probe.backend,
+                             config_.settings.report_fields.empty() ? "/health/live" : "/stats");
 }
 
-void Ingress::carry_out(const slatejunction::Listen& listen) {
-    if (listen.on) watch_->ask_soon();
+void Ingress::carry_out(const slatejunction::WatchEndpoints& listen) {
+    if (listen.enabled) watch_->poll_now();
 }
 
-void Ingress::carry_out(const slatejunction::Note& note) {
+void Ingress::carry_out(const slatejunction::LogMessage& note) {
     log_.write(Log::Level::info, net::now(), "module: %s", note.text.c_str());
 }
 
-void Ingress::carry_out(const slatejunction::Admitted& admitted) {
-    if (observer_ && admitted.subset == 0) observer_->on_admitted(admitted.fraction);
+void Ingress::carry_out(const slatejunction::AdmittedFraction& admitted) {
+    if (observer_ && admitted.subset == 0) observer_->on_admitted_fraction(admitted.fraction);
 }
 
-void Ingress::observe(const Open& open, Finish::How how, std::string_view reason, std::size_t refusal) {
-    Finish finish{*open.invocation,
-                  how,
-                  reason,
-                  refusal,
-                  open.provider,
-                  open.calls.size(),
-                  net::now() - open.invocation->arrived};
+void Ingress::observe(const Open& open, RequestSummary::Result how, std::string_view reason,
+                      std::size_t refusal) {
+    RequestSummary finish{*open.invocation,
+                          how,
+                          reason,
+                          refusal,
+                          open.provider,
+                          open.calls.size(),
+                          net::now() - open.invocation->arrived_at_s};
     for (std::size_t i = 0; i < open.judged && finish.tags.empty(); ++i)
         finish.tags = judges_[i]->tags(open.marks[i]);
-    observer_->on_finish(finish);
+    observer_->on_request_end(finish);
 }
 
 // Parts. ----------------------------------------------------------------------------------------------
 
 bool Ingress::wants_headers() const {
     return std::any_of(judges_.begin(), judges_.end(),
-                       [](const Judge* one) { return one->wants_headers(); });
+                       [](const RequestFilter* one) { return one->wants_headers(); });
 }
 
 void Ingress::judge(Open& open, slatejunction::Request& request) {
     for (std::size_t i = 0; i < judges_.size(); ++i) {
-        const double wait = request.over_limit_s;
-        judges_[i]->judge(*open.invocation, request, open.marks[i]);
-        if (request.over_limit_s > wait) open.over = i;
+        const double wait = request.rate_limit_retry_after_s;
+        judges_[i]->on_request(*open.invocation, request, open.marks[i]);
+        if (request.rate_limit_retry_after_s > wait) open.over = i;
     }
     open.judged = judges_.size();
     open.invocation->headers = {};
 }
 
-void Ingress::lay_over(slatejunction::ListUpdate& list) {
-    for (Overlay* one : overlays_) one->lay_over(net::now(), list);
+void Ingress::lay_over(slatejunction::EndpointUpdate& list) {
+    for (EndpointListFilter* one : overlays_) one->apply_to(net::now(), list);
 }
 
-void Ingress::hear(slatejunction::ListUpdate list) {
-    if (!list.entries.empty()) tell(std::move(list));
+void Ingress::update_endpoints(slatejunction::EndpointUpdate list) {
+    if (!list.endpoints.empty()) tell(std::move(list));
 }
 
 Gauges Ingress::gauges() const {
     Gauges now;
-    now.open = open_.size();
-    now.consumers = server_.sessions();
-    now.calls = pool_.connections();
-    now.ready = pool_.ready();
-    now.draining = pool_.providers() - now.ready;
-    now.consumer_bytes = consumer_bytes_.used();
-    now.provider_bytes = provider_bytes_.used();
-    now.consumer_budget = consumer_bytes_.most();
-    now.provider_budget = provider_bytes_.most();
-    now.descriptors = now.consumers + now.calls + kReserve + (admin_ ? admin_->sessions() : 0);
+    now.open_requests = open_.size();
+    now.client_connections = server_.sessions();
+    now.backend_connections = pool_.connections();
+    now.serving_backends = pool_.serving_backends();
+    now.draining_backends = pool_.backends() - now.serving_backends;
+    now.client_bytes = consumer_bytes_.used();
+    now.backend_bytes = provider_bytes_.used();
+    now.client_bytes_limit = consumer_bytes_.limit();
+    now.backend_bytes_limit = provider_bytes_.limit();
+    now.descriptors =
+        now.client_connections + now.backend_connections + kReserve + (admin_ ? admin_->sessions() : 0);
     now.descriptors_limit = config_.sockets;
     now.memory_limit_bytes = config_.memory_mb * 1024 * 1024;
-    now.directory_heard_at = watch_->heard_at();
+    now.last_discovery_answer_at = watch_->last_answer_at();
     return now;
 }
 
 // Nothing of open_ may be held over it. It is counted before it is given, so that what was answered has
 // been counted even if the program is killed.
-void Ingress::answer(std::uint64_t number, const client::Answer& answer, Finish::How how,
+void Ingress::answer(std::uint64_t number, const client::Response& answer, RequestSummary::Result how,
                      std::string_view reason, std::size_t refusal) {
     Open* const open = find(number);
     if (!open || !open->consumer) return;
     if (observer_) observe(*open, how, reason, refusal);
     const auto consumer = std::exchange(open->consumer, nullptr);
-    consumer->answer(answer);
+    consumer->write_response(answer);
 }
 
 void Ingress::forget_if_over(std::uint64_t number) {
     const auto at = open_.find(number);
     if (at == open_.end() || at->second.consumer || at->second.out > 0) return;
     for (std::size_t i = 0; i < at->second.judged; ++i)
-        judges_[i]->ended(*at->second.invocation, at->second.marks[i]);
+        judges_[i]->on_request_end(*at->second.invocation, at->second.marks[i]);
     ids_.erase(at->second.invocation->request_id);
     open_.erase(at);
 }
