--- a/src/ingress/ingress.hpp
+++ b/src/ingress/ingress.hpp
@@ -26,15 +26,15 @@
 
 namespace slatejunction::ingress {
 
-class Ingress final : client::SessionHost,
-                      backend::CallHost,
-                      discovery::WatchHost,
-                      admin::Host,
-                      hot_restart::Host {
+class Ingress final : client::SessionController,
+                      backend::CallCallbacks,
+                      discovery::WatchCallbacks,
+                      admin::AdminCallHandler,
+                      hot_restart::RestartHost {
   public:
     // `observer`: empty where nobody counts; else it lives longer.
-    Ingress(config::Config config, const discovery::UnixClock& clock, net::Timers& timers, Log& log,
-            std::function<void()> done, Observer* observer = nullptr);
+    Ingress(config::Config config, const discovery::UnixTimeConverter& clock, net::Timers& timers, Log& log,
+            std::function<void()> done, RequestObserver* observer = nullptr);
     ~Ingress();
     // s; for so long an address that can't be listened on is tried again, then the start has failed. A
     // process that was killed is to serve again within 30 s at the most, and asks at the handover's socket
@@ -50,14 +50,14 @@
     // beside that is named in the log and waits for the next start.
     void reload(const config::Config& fresh);
     // Parts join here, before the start or later; judges are asked in the order in which they came.
-    void join(Judge& judge) { judges_.push_back(&judge); }   // kJudgesMost at most
-    void join(Overlay& overlay) { overlays_.push_back(&overlay); }
-    void join(CallTaker& taker) { takers_.push_back(&taker); }
-    void join(Inheritor& inheritor) { inheritors_.push_back(&inheritor); }
+    void register_extension(RequestFilter& judge) { judges_.push_back(&judge); }   // kJudgesMost at most
+    void register_extension(EndpointListFilter& overlay) { overlays_.push_back(&overlay); }
+    void register_extension(AdminCallExtension& taker) { takers_.push_back(&taker); }
+    void register_extension(StateTransfer& inheritor) { inheritors_.push_back(&inheritor); }
     // Providers as a part now has them: goes to the module. An empty list is nothing.
-    void hear(slatejunction::ListUpdate list);
+    void update_endpoints(slatejunction::EndpointUpdate list);
     // As from operators; for a part that let a call wait.
-    void call(const admin::Call& call, std::function<void(admin::Reply)> reply);
+    void call(const admin::AdminCall& call, std::function<void(admin::AdminReply)> reply);
     Gauges gauges() const;
 
   private:
@@ -65,15 +65,15 @@
     struct Open {
         std::uint64_t number = 0;
         std::string id;   // the module's name for it: short, and unlike the consumer's never repeated
-        std::shared_ptr<client::Invocation> invocation;
-        std::shared_ptr<client::Consumer> consumer;                // empty once it is answered
+        std::shared_ptr<client::ClientRequest> invocation;
+        std::shared_ptr<client::ResponseWriter> consumer;          // empty once it is answered
         std::vector<std::shared_ptr<backend::Connection>> calls;   // by attempt; empty once ended
         int out = 0;
-        std::string provider;                    // the last one called, where somebody records it
-        std::array<Mark, kJudgesMost> marks{};   // of the judges, in their order
-        std::size_t judged = 0;                  // by so many of them
-        std::size_t over = 0;                    // whose wait it was that the module heard
-        bool ran = false;                        // an attempt that has ended may have run
+        std::string provider;   // the last one called, where somebody records it
+        std::array<FilterState, kMaxRequestFilters> marks{};   // of the judges, in their order
+        std::size_t judged = 0;                                // by so many of them
+        std::size_t over = 0;                                  // whose wait it was that the module heard
+        bool ran = false;                                      // an attempt that has ended may have run
     };
     struct DueTimer {
         double due;
@@ -82,78 +82,79 @@
     };
     struct WatchLink;
 
-    std::uint64_t on_invocation(std::shared_ptr<client::Consumer> consumer,
-                                std::shared_ptr<client::Invocation> invocation) override;
-    void on_left(std::uint64_t number) override;
+    std::uint64_t on_request(std::shared_ptr<client::ResponseWriter> consumer,
+                             std::shared_ptr<client::ClientRequest> invocation) override;
+    void on_client_disconnected(std::uint64_t number) override;
     // A process that has handed over answers for the new one: the two are one ingress.
     bool ready() const override {
-        return (!shutdown_.told() || handover_.role().leaves()) && !operations_.drained();
+        return (!shutdown_.stop_requested() || handover_.role().draining()) && !operations_.drained();
     }
     bool stopping() const override {
-        return shutdown_.told() || operations_.drained() || handover_.role().leaves();
+        return shutdown_.stop_requested() || operations_.drained() || handover_.role().draining();
     }
     const slatejunction::Settings& settings() const override { return config_.settings; }
-    bool is_open(std::string_view request_id) const override { return ids_.contains(request_id); }
+    bool is_request_open(std::string_view request_id) const override { return ids_.contains(request_id); }
     bool wants_headers() const override;
-    http::Budget& budget() override { return consumer_bytes_; }
+    http::ByteBudget& budget() override { return consumer_bytes_; }
     void on_bad_request(int status, std::string_view why) override;
-    void on_accept_failed(const char* why) override;
+    void on_accept_error(const char* why) override;
     void on_closed(client::Session& session) override;
-    void on_call_end(const backend::CallTag& tag, const backend::CallEnd& end) override;
-    void on_probe_end(const std::string& provider, const backend::CallEnd& end) override;
-    void on_listing(discovery::Listing& listing) override;
-    void on_lost(const char* why) override;
-    void on_call(const admin::Call& call, std::function<void(admin::Reply)> reply) override;
-    void on_admin_trouble(const char* why) override;
+    void on_call_end(const backend::AttemptTag& tag, const backend::CallResult& end) override;
+    void on_health_check_end(const std::string& provider, const backend::CallResult& end) override;
+    void on_endpoint_list(discovery::EndpointList& listing) override;
+    void on_watch_lost(const char* why) override;
+    void on_call(const admin::AdminCall& call, std::function<void(admin::AdminReply)> reply) override;
+    void on_admin_error(const char* why) override;
 
-    hot_restart::Message state() const override;
+    hot_restart::RestartMessage state() const override;
     int listening_descriptor() override;
-    hot_restart::Use use() const override;
-    void on_role() override;
-    void on_use(const hot_restart::Use& theirs) override;
-    bool on_order(const hot_restart::Order& order) override;
-    void on_part(std::size_t place, std::string_view what) override;
+    hot_restart::ResourceUse resource_use() const override;
+    void on_role_changed() override;
+    void on_peer_resource_use(const hot_restart::ResourceUse& theirs) override;
+    bool on_operator_order(const hot_restart::OperatorOrder& order) override;
+    void on_transferred_state(std::size_t place, std::string_view what) override;
 
     bool listen(std::string& why);   // at the addresses where it does not listen yet
     bool listen_in_time(std::string& why, const std::function<bool(double)>& pause);
-    admin::Reply ready_call() const;
-    admin::Verdict carry_out(const hot_restart::Order& order, bool from_other);
-    bool take_over_list(discovery::Listing& list);   // false: there is none
-    void share_out();                                // of the limits, with the other process
-    void tell_change(discovery::Listing& change);    // of the list, as operators have it
+    admin::AdminReply ready_call() const;
+    admin::OverrideResult carry_out(const hot_restart::OperatorOrder& order, bool from_other);
+    bool take_over_list(discovery::EndpointList& list);   // false: there is none
+    void share_out();                                     // of the limits, with the other process
+    void tell_change(discovery::EndpointList& change);    // of the list, as operators have it
 
     void tell(slatejunction::Event event);   // to the module, after what is being carried out
     void carry_out(const slatejunction::Action& action);
-    void carry_out(const slatejunction::Send& send);
-    void carry_out(const slatejunction::CallOff& call_off);
-    void carry_out(const slatejunction::Refuse& refuse);
-    void carry_out(const slatejunction::Abort& abort);
+    void carry_out(const slatejunction::StartAttempt& send);
+    void carry_out(const slatejunction::CancelAttempt& call_off);
+    void carry_out(const slatejunction::RejectRequest& refuse);
+    void carry_out(const slatejunction::FailRequest& abort);
     void carry_out(const slatejunction::SetTimer& timer);
-    void carry_out(const slatejunction::Probe& probe);
-    void carry_out(const slatejunction::Listen& listen);
-    void carry_out(const slatejunction::Note& note);
+    void carry_out(const slatejunction::StartHealthCheck& probe);
+    void carry_out(const slatejunction::WatchEndpoints& listen);
+    void carry_out(const slatejunction::LogMessage& note);
     Open* find(const std::string& id);   // null: forgotten
     Open* find(std::uint64_t number);
-    void carry_out(const slatejunction::Admitted& admitted);
+    void carry_out(const slatejunction::AdmittedFraction& admitted);
     // Gives the final answer, if one is owed still.
-    void answer(std::uint64_t number, const client::Answer& answer, Finish::How how,
+    void answer(std::uint64_t number, const client::Response& answer, RequestSummary::Result how,
                 std::string_view reason, std::size_t refusal = 0);
-    void observe(const Open& open, Finish::How how, std::string_view reason, std::size_t refusal = 0);
+    void observe(const Open& open, RequestSummary::Result how, std::string_view reason,
+                 std::size_t refusal = 0);
     void forget_if_over(std::uint64_t number);
     void let_go(std::uint64_t number);   // nothing is owed any more for one that is open still
     void judge(Open& open, slatejunction::Request& request);
-    void lay_over(slatejunction::ListUpdate& list);
+    void lay_over(slatejunction::EndpointUpdate& list);
     void timers_due();
     void sweep();
     bool wind_down(double now);   // true: it has ended
     void answer_owed();
 
-    const discovery::UnixClock& clock_;
+    const discovery::UnixTimeConverter& clock_;
     Log& log_;
     std::function<void()> done_;
-    Observer* const observer_;
+    RequestObserver* const observer_;
     config::Config config_;
-    http::Budget consumer_bytes_, provider_bytes_;   // live longer than all that holds bytes
+    http::ByteBudget consumer_bytes_, provider_bytes_;   // live longer than all that holds bytes
     net::Timers& timers_;
     net::Timer module_timer_, sweep_timer_;
     slatejunction::Gateway gateway_;
@@ -164,24 +165,24 @@
     std::unordered_map<std::uint64_t, Open> open_;
     std::unordered_set<std::string_view> ids_;   // the consumers' names of those open, in their bytes
     std::uint64_t numbers_ = 0;
-    backend::Pool pool_;
+    backend::ConnectionPool pool_;
     client::Server server_;
     std::unique_ptr<admin::Server> admin_;   // null: operators have no address
     admin::OperatorOverrides operations_;
     double drained_at_ = 0;
-    lifecycle::Shutdown shutdown_;
+    lifecycle::GracefulShutdown shutdown_;
     double last_request_at_ = 0;
-    hot_restart::Handover handover_;
-    net::Timer prepare_timer_;   // while taking over
-    hot_restart::Use theirs_;    // what the other process holds
+    hot_restart::RestartChannel handover_;
+    net::Timer prepare_timer_;          // while taking over
+    hot_restart::ResourceUse theirs_;   // what the other process holds
     std::shared_ptr<WatchLink> watch_;
-    discovery::StartTimes start_times_;
+    discovery::EndpointStartTimes start_times_;
     std::string lost_why_;   // the trouble with discovery that was logged last, and when (s)
     double lost_told_at_ = 0;
-    std::vector<Judge*> judges_;
-    std::vector<Overlay*> overlays_;
-    std::vector<CallTaker*> takers_;
-    std::vector<Inheritor*> inheritors_;
+    std::vector<RequestFilter*> judges_;
+    std::vector<EndpointListFilter*> overlays_;
+    std::vector<AdminCallExtension*> takers_;
+    std::vector<StateTransfer*> inheritors_;
 };
 
 }   // namespace slatejunction::ingress
--- a/src/lease/acceptor.cpp
+++ b/src/lease/acceptor.cpp
@@ -37,8 +37,8 @@
     return message.lives_s <= kLivesMost;
 }
 
-Voter::Voter(const Times& times, double now, std::uint64_t floor, bool remembers,
-             const std::map<std::string, Grant>& kept, std::uint32_t step)
+Acceptor::Acceptor(const LeaseTimes& times, double now, std::uint64_t floor, bool remembers,
+                   const std::map<std::string, Grant>& kept, std::uint32_t step)
     : times_(times), floor_(floor), step_(step) {
     if (!remembers) {
         waits_until_ = now + amnesia_s(times_);
@@ -46,11 +46,11 @@
     }
     grants_ = kept;
     for (auto& [lease, grant] : grants_)
-        if (grant.holder != 0) grant.until = now + times_.lives_s;
+        if (grant.holder != 0) grant.until = now + times_.grant_duration_s;
 }
 
-bool Voter::receive(double now, const Message& message, Message& answer) {
-    if (!takes_part(now)) return false;
+bool Acceptor::receive(double now, const Message& message, Message& answer) {
+    if (!may_vote(now)) return false;
     answer = message;
     answer.lives_s = 0;
     answer.step = step_;
@@ -77,7 +77,7 @@
     if (message.kind != Kind::ask) return false;
     answer.number = grant.number;
     // Guards against files that differ: nobody counts on a grant for longer than it is kept here.
-    if (message.lives_s > times_.lives_s + kMsOfWire) {
+    if (message.lives_s > times_.grant_duration_s + kMsOfWire) {
         answer.kind = Kind::denied;
         return true;
     }
@@ -98,14 +98,14 @@
     grant.round = message.round;
     grant.name = message.name;
     // By what the settings here say too: a grant never lives longer than amnesia_s() reckons with.
-    grant.until = now + times_.lives_s;
+    grant.until = now + times_.grant_duration_s;
     if (message.number != 0 && !owns) {
         grant.number = message.number;
         grant.number_of = message.holder;
     }
     answer.kind = Kind::granted;
     answer.number = grant.number;
-    answer.lives_s = times_.lives_s;
+    answer.lives_s = times_.grant_duration_s;
     return true;
 }
 
--- a/src/lease/acceptor.hpp
+++ b/src/lease/acceptor.hpp
@@ -40,18 +40,18 @@
     std::string name;
 };
 
-class Voter {
+class Acceptor {
   public:
     static constexpr std::size_t kLeasesMost = 256;
 
     // `floor`: numbers begin above it. `remembers`: `kept` is all that was granted before, and it may take
     // part at once, each grant counted as if it were given now; else it waits.
-    Voter(const Times& times, double now, std::uint64_t floor, bool remembers,
-          const std::map<std::string, Grant>& kept = {}, std::uint32_t step = 0);
+    Acceptor(const LeaseTimes& times, double now, std::uint64_t floor, bool remembers,
+             const std::map<std::string, Grant>& kept = {}, std::uint32_t step = 0);
 
     // The answer; false: there is none. `ours`: the message's sender is in the set.
     bool receive(double now, const Message& message, Message& answer);
-    bool takes_part(double now) const { return now >= waits_until_; }
+    bool may_vote(double now) const { return now >= waits_until_; }
     double waits_until() const { return waits_until_; }
     std::uint32_t step() const { return step_; }
     void set_step(std::uint32_t step) { step_ = std::max(step_, step); }
@@ -59,7 +59,7 @@
     std::uint64_t changes() const { return changes_; }   // goes up when what must be kept has changed
 
   private:
-    const Times times_;
+    const LeaseTimes times_;
     const std::uint64_t floor_;
     double waits_until_ = 0;
     std::uint32_t step_ = 0;
--- a/src/lease/acceptor_storage.cpp
+++ b/src/lease/acceptor_storage.cpp
@@ -13,7 +13,7 @@
 template <class Wire>
 std::optional<Wire> take(const std::string& directory, const char* file, const char* magic,
                          std::string& broken) {
-    const auto body = storage::take_whole(directory, file, magic, broken);
+    const auto body = storage::read_checked_file(directory, file, magic, broken);
     Wire all;
     if (!body) return {};
     if (all.ParseFromString(*body)) return all;
@@ -23,7 +23,7 @@
 
 }   // namespace
 
-void write(const Memory& memory, wire::Memory& out) {
+void write(const AcceptorState& memory, wire::Memory& out) {
     out.set_step(memory.step);
     for (const auto& [lease, grant] : memory.grants) {
         wire::Granted& one = *out.add_granted();
@@ -36,8 +36,8 @@
     }
 }
 
-Memory read(const wire::Memory& in) {
-    Memory memory;
+AcceptorState read(const wire::Memory& in) {
+    AcceptorState memory;
     memory.step = in.step();
     for (const wire::Granted& one : in.granted())
         memory.grants[one.lease()] = {one.holder(),    one.round(), one.number(),
@@ -45,43 +45,43 @@
     return memory;
 }
 
-void write(const NoteKeeper::All& kept, wire::Notes& out) {
+void write(const RegisterAcceptor::Registers& kept, wire::Notes& out) {
     for (const auto& [name, one] : kept) {
         wire::NoteKept& to = *out.add_kept();
         to.set_name(name);
         to.set_promised(one.promised);
-        to.set_number(one.note.number);
+        to.set_number(one.note.fencing_token);
         to.set_sequence(one.note.sequence);
         to.set_text(one.note.text);
     }
 }
 
-NoteKeeper::All read(const wire::Notes& in) {
-    NoteKeeper::All all;
+RegisterAcceptor::Registers read(const wire::Notes& in) {
+    RegisterAcceptor::Registers all;
     for (const wire::NoteKept& one : in.kept())
         all[one.name()] = {one.promised(), {one.number(), one.sequence(), one.text()}};
     return all;
 }
 
-FileHome::FileHome(const std::string& directory) : directory_(directory) {
+FileAcceptorStorage::FileAcceptorStorage(const std::string& directory) : directory_(directory) {
     if (const auto all = take<wire::Memory>(directory, kFile, kMagic, broken_)) memory_ = lease::read(*all);
 }
 
-bool FileHome::keep(std::uint32_t step, const std::map<std::string, Grant>& grants) {
+bool FileAcceptorStorage::save(std::uint32_t step, const std::map<std::string, Grant>& grants) {
     wire::Memory all;
     write({step, grants}, all);
-    return storage::put_whole(directory_, kFile, kMagic, all.SerializeAsString(), why_);
+    return storage::write_checked_file(directory_, kFile, kMagic, all.SerializeAsString(), why_);
 }
 
-NotesHome::NotesHome(const std::string& directory) : directory_(directory) {
+FileRegisterStorage::FileRegisterStorage(const std::string& directory) : directory_(directory) {
     if (const auto all = take<wire::Notes>(directory, kNotesFile, kNotesMagic, broken_))
         kept_ = lease::read(*all);
 }
 
-bool NotesHome::keep(const NoteKeeper::All& kept) {
+bool FileRegisterStorage::save(const RegisterAcceptor::Registers& kept) {
     wire::Notes all;
     write(kept, all);
-    return storage::put_whole(directory_, kNotesFile, kNotesMagic, all.SerializeAsString(), why_);
+    return storage::write_checked_file(directory_, kNotesFile, kNotesMagic, all.SerializeAsString(), why_);
 }
 
 }   // namespace slatejunction::lease
--- a/src/lease/acceptor_storage.hpp
+++ b/src/lease/acceptor_storage.hpp
@@ -11,36 +11,36 @@
 
 namespace slatejunction::lease {
 
-class FileHome final : public Home {
+class FileAcceptorStorage final : public AcceptorStorage {
   public:
     // Throws storage::Error when the file is there and can't be read. A broken one is put aside, see
     // broken().
-    explicit FileHome(const std::string& directory);
-    bool keep(std::uint32_t step, const std::map<std::string, Grant>& grants) override;
+    explicit FileAcceptorStorage(const std::string& directory);
+    bool save(std::uint32_t step, const std::map<std::string, Grant>& grants) override;
     // What an earlier process kept; null: nothing, so the voter waits.
-    const Memory* memory() const { return memory_ ? &*memory_ : nullptr; }
-    const std::string& broken() const { return broken_; }
-    const std::string& why() const { return why_; }   // of the last failure
+    const AcceptorState* restored() const { return memory_ ? &*memory_ : nullptr; }
+    const std::string& quarantined_path() const { return broken_; }
+    const std::string& last_error() const { return why_; }   // of the last failure
 
   private:
     const std::string directory_;
-    std::optional<Memory> memory_;
+    std::optional<AcceptorState> memory_;
     std::string broken_, why_;
 };
 
 // The same for what a voter keeps of notes.
-class NotesHome {
+class FileRegisterStorage {
   public:
-    explicit NotesHome(const std::string& directory);   // throws as FileHome
-    bool keep(const NoteKeeper::All& kept);
+    explicit FileRegisterStorage(const std::string& directory);   // throws as FileHome
+    bool save(const RegisterAcceptor::Registers& kept);
     // What an earlier process kept; null: nothing.
-    const NoteKeeper::All* kept() const { return kept_ ? &*kept_ : nullptr; }
-    const std::string& broken() const { return broken_; }
-    const std::string& why() const { return why_; }
+    const RegisterAcceptor::Registers* restored() const { return kept_ ? &*kept_ : nullptr; }
+    const std::string& quarantined_path() const { return broken_; }
+    const std::string& last_error() const { return why_; }
 
   private:
     const std::string directory_;
-    std::optional<NoteKeeper::All> kept_;
+    std::optional<RegisterAcceptor::Registers> kept_;
     std::string broken_, why_;
 };
 
@@ -48,9 +48,9 @@
 class Memory;
 class Notes;
 }   // namespace wire
-void write(const Memory& memory, wire::Memory& out);
-Memory read(const wire::Memory& in);
-void write(const NoteKeeper::All& kept, wire::Notes& out);
-NoteKeeper::All read(const wire::Notes& in);
+void write(const AcceptorState& memory, wire::Memory& out);
+AcceptorState read(const wire::Memory& in);
+void write(const RegisterAcceptor::Registers& kept, wire::Notes& out);
+RegisterAcceptor::Registers read(const wire::Notes& in);
 
 }   // namespace slatejunction::lease
--- a/src/lease/candidate.hpp
+++ b/src/lease/candidate.hpp
@@ -18,10 +18,10 @@
 namespace slatejunction::lease {
 
 // Who votes. While the set changes it has two: a majority of each is wanted (lease.md, "Change of voters").
-struct Voters {
+struct AcceptorSet {
     std::vector<std::string> names, before;   // before: those of the last step; empty: the same
-    std::uint32_t step = 1;
-    bool operator==(const Voters&) const = default;
+    std::uint32_t epoch = 1;
+    bool operator==(const AcceptorSet&) const = default;
     std::set<std::string> all() const;
     // Whether these are a majority of each set.
     bool majority(const std::set<std::string>& of) const;
@@ -32,12 +32,12 @@
     Message message;
 };
 
-class Seeker {
+class Candidate {
   public:
     enum class State { idle, waiting, learning, taking, held };
 
-    Seeker(std::string lease, std::string name, std::uint64_t holder, const Times& times,
-           const Voters& voters, std::uint64_t seed);
+    Candidate(std::string lease, std::string name, std::uint64_t holder, const LeaseTimes& times,
+              const AcceptorSet& voters, std::uint64_t seed);
 
     void seek(double now);      // wanted from now on
     void release(double now);   // not wanted; what is held ends now
@@ -45,7 +45,7 @@
     void receive(double now, const std::string& voter, const Message& answer);
     void wake(double now);
     double due() const;
-    void set_voters(double now, const Voters& voters);
+    void set_voters(double now, const AcceptorSet& voters);
     std::vector<Outgoing> take() { return std::exchange(out_, {}); }
 
     State state() const { return state_; }
@@ -68,13 +68,13 @@
     std::string digest(double now) const;
 
     // The whole hold, for another process of this ingress on this machine; this one holds nothing after it.
-    struct Hold {
+    struct HeldLease {
         std::string lease;
-        std::uint64_t holder = 0, round = 0, number = 0;
+        std::uint64_t holder = 0, round = 0, fencing_token = 0;
         double until = 0, since = 0;
     };
-    Hold give(double now);
-    void adopt(double now, const Hold& hold);
+    HeldLease give(double now);
+    void adopt(double now, const HeldLease& hold);
 
   private:
     void ask(double now, std::uint64_t number);
@@ -85,8 +85,8 @@
 
     const std::string lease_, name_;
     std::uint64_t holder_;
-    const Times times_;
-    Voters voters_;
+    const LeaseTimes times_;
+    AcceptorSet voters_;
     std::minstd_rand random_;   // of waits only
     State state_ = State::idle;
     bool wanted_ = false;
--- a/src/lease/holder_webhook.cpp
+++ b/src/lease/holder_webhook.cpp
@@ -6,8 +6,8 @@
 namespace slatejunction::lease {
 
 // One connection, kept between calls. An answer is known by its head.
-struct Announce::Link final : net::Protocol {
-    explicit Link(Announce& owner) : owner_(owner), parser_(http::Parser::Kind::response) {}
+struct HolderWebhook::Link final : net::Protocol {
+    explicit Link(HolderWebhook& owner) : owner_(owner), parser_(http::Parser::Kind::response) {}
 
     void on_open() override {
         up = true;
@@ -21,7 +21,7 @@
         char body[200];
         const int size =
             std::snprintf(body, sizeof body, "{\"holder\":\"%s\",\"number\":%llu,\"sequence\":%llu}",
-                          owner_.name_.c_str(), static_cast<unsigned long long>(permit.number),
+                          owner_.name_.c_str(), static_cast<unsigned long long>(permit.fencing_token),
                           static_cast<unsigned long long>(++owner_.sequence_));
         const std::string length = std::to_string(size);
         const std::array<std::string_view, 8> parts{
@@ -36,12 +36,12 @@
         busy = true;
         const std::pair<std::string_view, std::string> fields[] = {
             {"lease", "conductor"},
-            {"number", std::to_string(permit.number)},
+            {"number", std::to_string(permit.fencing_token)},
             {"sequence", std::to_string(owner_.sequence_)}};
         owner_.log_.event("act_begin", fields);
         if (!stream.send(parts)) on_end(false);
     }
-    std::span<char> space() override { return parser_.room(buffer_); }
+    std::span<char> receive_buffer() override { return parser_.room(buffer_); }
     void on_bytes(std::size_t size) override {
         const auto keep = shared_from_this();
         buffer_.commit(size);
@@ -67,15 +67,15 @@
         if (owner_.link_.get() == this) owner_.link_.reset();
     }
 
-    Announce& owner_;
+    HolderWebhook& owner_;
     net::Stream stream{*this};
     http::Parser parser_;
     http::Buffer buffer_;
     bool busy = false, up = false;
 };
 
-Announce::Announce(const std::string& url, double every_s, std::string name, double most_s,
-                   std::function<bool(Permit&)> permit, net::Timers& timers, Log& log)
+HolderWebhook::HolderWebhook(const std::string& url, double every_s, std::string name, double most_s,
+                             std::function<bool(Permit&)> permit, net::Timers& timers, Log& log)
     : every_s_(every_s),
       most_s_(most_s),
       name_(std::move(name)),
@@ -90,11 +90,11 @@
     address_ = net::parse_address(url_.host_port);
 }
 
-Announce::~Announce() {
+HolderWebhook::~HolderWebhook() {
     if (link_) link_->stream.close();
 }
 
-void Announce::on(bool held) {
+void HolderWebhook::set_held(bool held) {
     held_ = held;
     if (held) return timer_.arm(net::now());
     timer_.disarm();
@@ -102,7 +102,7 @@
     if (const auto link = link_) link->lose();   // what it had begun is not waited for
 }
 
-void Announce::due() {
+void HolderWebhook::due() {
     if (!held_) return;
     if (link_ && (link_->busy || link_->stream.readable())) link_->lose();
     most_.arm(net::now() + most_s_);
@@ -113,13 +113,14 @@
 }
 
 // `status`: 0: none came, below 0: not begun.
-void Announce::ended(int status) {
+void HolderWebhook::ended(int status) {
     most_.disarm();
     if (status >= 0) {
-        const std::pair<std::string_view, std::string> fields[] = {{"lease", "conductor"},
-                                                                   {"number", std::to_string(last_.number)},
-                                                                   {"sequence", std::to_string(sequence_)},
-                                                                   {"status", std::to_string(status)}};
+        const std::pair<std::string_view, std::string> fields[] = {
+            {"lease", "conductor"},
+            {"number", std::to_string(last_.fencing_token)},
+            {"sequence", std::to_string(sequence_)},
+            {"status", std::to_string(status)}};
         log_.event("act_end", fields);
     }
     taken_ += status / 100 == 2;
@@ -127,7 +128,7 @@
         ++fenced_;
         log_.write(Log::Level::warning, net::now(),
                    "lease: an act with number %llu came too late and was turned down",
-                   static_cast<unsigned long long>(last_.number));
+                   static_cast<unsigned long long>(last_.fencing_token));
     }
     const bool failed = status >= 0 && status / 100 != 2 && status != 409;
     failed_ += failed;
--- a/src/lease/holder_webhook.hpp
+++ b/src/lease/holder_webhook.hpp
@@ -15,14 +15,14 @@
 
 namespace slatejunction::lease {
 
-class Announce {
+class HolderWebhook {
   public:
     // `permit` is asked right before the bytes of a call go out, on a connection that is up already.
-    Announce(const std::string& url, double every_s, std::string name, double most_s,
-             std::function<bool(Permit&)> permit, net::Timers& timers, Log& log);
-    ~Announce();
-    void on(bool held);   // the lease is held from now on, or no longer
-    std::uint64_t taken() const { return taken_; }
+    HolderWebhook(const std::string& url, double every_s, std::string name, double most_s,
+                  std::function<bool(Permit&)> permit, net::Timers& timers, Log& log);
+    ~HolderWebhook();
+    void set_held(bool held);   // the lease is held from now on, or no longer
+    std::uint64_t accepted() const { return taken_; }
     std::uint64_t fenced() const { return fenced_; }   // turned down for a number too low
     std::uint64_t failed() const { return failed_; }
 
--- a/src/lease/lease_node.cpp
+++ b/src/lease/lease_node.cpp
@@ -5,35 +5,36 @@
 
 namespace slatejunction::lease {
 
-Room::Room(const RoomSettings& settings, std::uint64_t holder, std::uint64_t seed, double now,
-           std::uint64_t floor, const Memory* memory, Home* home)
+LeaseNode::LeaseNode(const LeaseNodeSettings& settings, std::uint64_t holder, std::uint64_t seed,
+                     double now, std::uint64_t floor, const AcceptorState* memory, AcceptorStorage* home)
     : settings_(settings), holder_(holder), floor_(floor), random_(seed), home_(home) {
-    const auto all = settings_.voters.all();
+    const auto all = settings_.acceptors.all();
     if (!all.contains(settings_.name)) return;
-    voter_ = std::make_unique<Voter>(settings_.times, now, floor, memory != nullptr,
-                                     memory ? memory->grants : std::map<std::string, Grant>{},
-                                     memory ? memory->step : 0);
-    voter_->set_step(settings_.voters.step);
+    voter_ = std::make_unique<Acceptor>(settings_.times, now, floor, memory != nullptr,
+                                        memory ? memory->grants : std::map<std::string, Grant>{},
+                                        memory ? memory->step : 0);
+    voter_->set_step(settings_.acceptors.epoch);
 }
 
-std::string Room::slot_name(const std::string& lease, const Want& want, unsigned slot) const {
+std::string LeaseNode::slot_name(const std::string& lease, const Want& want, unsigned slot) const {
     return want.slots == 1 ? lease : lease + "/" + std::to_string(slot + 1);
 }
 
 // Seekers stay for as long as the process lives: their rounds only go up.
-Room::Want& Room::want(const std::string& lease, unsigned slots) {
+LeaseNode::Want& LeaseNode::want(const std::string& lease, unsigned slots) {
     const auto [at, made] = wants_.try_emplace(lease);
     Want& want = at->second;
     if (!made) return want;
     want.slots = std::clamp(slots, 1U, kSlotsMost);
     for (unsigned i = 0; i < want.slots; ++i)
-        want.seekers.push_back(std::make_unique<Seeker>(slot_name(lease, want, i), settings_.name, holder_,
-                                                        settings_.times, settings_.voters, random_()));
+        want.seekers.push_back(std::make_unique<Candidate>(slot_name(lease, want, i), settings_.name,
+                                                           holder_, settings_.times, settings_.acceptors,
+                                                           random_()));
     want.at = static_cast<unsigned>(random_() % want.slots);
     return want;
 }
 
-void Room::seek(double now, const std::string& lease, unsigned slots) {
+void LeaseNode::campaign(double now, const std::string& lease, unsigned slots) {
     Want& one = want(lease, slots);
     if (std::exchange(one.wanted, true)) return;
     one.tried_at = now;
@@ -41,19 +42,19 @@
     deliver(now);
 }
 
-void Room::release(double now, const std::string& lease) {
+void LeaseNode::release(double now, const std::string& lease) {
     const auto at = wants_.find(lease);
     if (at == wants_.end() || !std::exchange(at->second.wanted, false)) return;
     for (const auto& seeker : at->second.seekers) seeker->release(now);
     deliver(now);
 }
 
-bool Room::answer(double now, const Message& message, Message& reply) {
+bool LeaseNode::answer(double now, const Message& message, Message& reply) {
     if (!voter_) return false;
     const bool replies = voter_->receive(now, message, reply);
     if (home_ && (voter_->changes() != kept_ || !step_kept_)) {
         // What could be forgotten must not have been said.
-        if (!home_->keep(voter_->step(), voter_->grants())) {
+        if (!home_->save(voter_->step(), voter_->grants())) {
             ++not_kept_;
             return false;
         }
@@ -63,7 +64,7 @@
     return replies;
 }
 
-void Room::receive(double now, const std::string& from, std::string_view body) {
+void LeaseNode::receive(double now, const std::string& from, std::string_view body) {
     Message message;
     if (!read(body, message)) {
         ++unreadable_;
@@ -81,7 +82,7 @@
 }
 
 // What seekers say: to the voter here at once, to the others by post.
-void Room::deliver(double now) {
+void LeaseNode::deliver(double now) {
     for (bool more = true; more;) {
         more = false;
         for (auto& [lease, want] : wants_)
@@ -101,18 +102,18 @@
 }
 
 // Tells of what has changed; looks for another slot where the one sought is another's.
-void Room::settle(double now) {
+void LeaseNode::settle(double now) {
     for (auto& [lease, want] : wants_) {
-        Seeker& seeker = *want.seekers[want.at];
+        Candidate& seeker = *want.seekers[want.at];
         const std::uint64_t number = seeker.number();
         if (number != want.told) {
-            const auto what = want.told == 0 ? Change::What::gained
-                              : number == 0  ? Change::What::lost
-                                             : Change::What::renumbered;
+            const auto what = want.told == 0 ? LeaseEvent::Kind::gained
+                              : number == 0  ? LeaseEvent::Kind::lost
+                                             : LeaseEvent::Kind::token_changed;
             changes_.push_back({what, lease, want.at, number == 0 ? want.told : number, seeker.until()});
             want.told = number;
         }
-        if (!want.wanted || want.slots == 1 || seeker.state() != Seeker::State::waiting ||
+        if (!want.wanted || want.slots == 1 || seeker.state() != Candidate::State::waiting ||
             seeker.denied_at() <= want.tried_at)
             continue;
         seeker.release(now);
@@ -122,97 +123,97 @@
     }
 }
 
-void Room::wake(double now) {
+void LeaseNode::on_timer(double now) {
     for (auto& [lease, want] : wants_)
         for (const auto& seeker : want.seekers)
             if (seeker->due() <= now) seeker->wake(now);
     deliver(now);
 }
 
-double Room::due() const {
+double LeaseNode::next_deadline() const {
     double next = 1e18;
     for (const auto& [lease, want] : wants_)
         for (const auto& seeker : want.seekers) next = std::min(next, seeker->due());
     return next;
 }
 
-bool Room::permit(double now, const std::string& lease, Permit& permit) const {
+bool LeaseNode::permit(double now, const std::string& lease, Permit& permit) const {
     const auto at = wants_.find(lease);
     if (at == wants_.end()) return false;
-    const Seeker& seeker = *at->second.seekers[at->second.at];
+    const Candidate& seeker = *at->second.seekers[at->second.at];
     if (!seeker.may_act(now)) return false;
     permit = {seeker.number(), seeker.until()};
     return true;
 }
 
-bool Room::holds(double now, const std::string& lease) const {
+bool LeaseNode::holds(double now, const std::string& lease) const {
     const auto at = wants_.find(lease);
     return at != wants_.end() && at->second.seekers[at->second.at]->holds(now);
 }
 
-bool Room::quorum(double now, double s) const {
+bool LeaseNode::has_quorum(double now, double s) const {
     for (const auto& [lease, want] : wants_)
         for (const auto& seeker : want.seekers)
             if (now - seeker->majority_at() <= s) return true;
     return false;
 }
 
-std::vector<View> Room::views() const {
-    std::vector<View> all;
+std::vector<LeaseStatus> LeaseNode::statuses() const {
+    std::vector<LeaseStatus> all;
     for (const auto& [lease, want] : wants_) {
-        const Seeker& seeker = *want.seekers[want.at];
+        const Candidate& seeker = *want.seekers[want.at];
         all.push_back({lease, want.slots, want.at, seeker.state(), seeker.number(), seeker.until(),
                        seeker.held_since(), seeker.other()});
     }
     return all;
 }
 
-void Room::set_voters(double now, const Voters& voters) {
-    settings_.voters = voters;
+void LeaseNode::set_acceptors(double now, const AcceptorSet& voters) {
+    settings_.acceptors = voters;
     // One that is named a voter only now can't know what it granted when it was one before.
     if (!voter_ && voters.all().contains(settings_.name))
-        voter_ = std::make_unique<Voter>(settings_.times, now, floor_, false);
-    if (voter_) voter_->set_step(voters.step);
+        voter_ = std::make_unique<Acceptor>(settings_.times, now, floor_, false);
+    if (voter_) voter_->set_step(voters.epoch);
     step_kept_ = false;
     for (auto& [lease, want] : wants_)
         for (const auto& seeker : want.seekers) seeker->set_voters(now, voters);
     deliver(now);
 }
 
-std::uint64_t Room::gained() const {
+std::uint64_t LeaseNode::gained() const {
     std::uint64_t all = 0;
     for (const auto& [lease, want] : wants_)
         for (const auto& seeker : want.seekers) all += seeker->gained();
     return all;
 }
 
-std::uint64_t Room::lost() const {
+std::uint64_t LeaseNode::lost() const {
     std::uint64_t all = 0;
     for (const auto& [lease, want] : wants_)
         for (const auto& seeker : want.seekers) all += seeker->lost();
     return all;
 }
 
-std::vector<Seeker::Hold> Room::give(double now) {
-    std::vector<Seeker::Hold> all;
+std::vector<Candidate::HeldLease> LeaseNode::export_holds(double now) {
+    std::vector<Candidate::HeldLease> all;
     for (auto& [lease, want] : wants_) {
         want.wanted = false;
         for (const auto& seeker : want.seekers)
-            if (const auto hold = seeker->give(now); hold.number != 0) all.push_back(hold);
+            if (const auto hold = seeker->give(now); hold.fencing_token != 0) all.push_back(hold);
     }
     settle(now);
     return all;
 }
 
-void Room::remember(double now, const Memory& memory) {
+void LeaseNode::restore_acceptor(double now, const AcceptorState& memory) {
     if (!voter_) return;
-    const std::uint32_t step = std::max(memory.step, settings_.voters.step);
-    voter_ = std::make_unique<Voter>(settings_.times, now, 0, true, memory.grants, step);
+    const std::uint32_t step = std::max(memory.step, settings_.acceptors.epoch);
+    voter_ = std::make_unique<Acceptor>(settings_.times, now, 0, true, memory.grants, step);
     kept_ = 0;
     step_kept_ = false;
 }
 
-void Room::adopt(double now, const std::vector<Seeker::Hold>& holds) {
+void LeaseNode::import_holds(double now, const std::vector<Candidate::HeldLease>& holds) {
     for (const auto& hold : holds)
         for (auto& [lease, want] : wants_)
             for (unsigned i = 0; i < want.slots; ++i)
@@ -222,8 +223,9 @@
                     want.wanted = true;
                     want.seekers[i]->adopt(now, hold);
                     if (want.seekers[i]->number() == 0) continue;
-                    want.told = hold.number;
-                    changes_.push_back({Change::What::adopted, lease, i, hold.number, hold.until});
+                    want.told = hold.fencing_token;
+                    changes_.push_back(
+                        {LeaseEvent::Kind::adopted, lease, i, hold.fencing_token, hold.until});
                 }
     deliver(now);
 }
--- a/src/lease/replicated_register.hpp
+++ b/src/lease/replicated_register.hpp
@@ -24,91 +24,94 @@
 
 namespace slatejunction::lease {
 
-inline constexpr std::size_t kNoteMost = 860;   // bytes, so that it fits into one datagram
-inline constexpr std::size_t kNotesMost = 64;   // names that a voter keeps
-inline constexpr double kLostAfter = 4;         // times a grant's life
+inline constexpr std::size_t kMaxValueBytes = 860;   // bytes, so that it fits into one datagram
+inline constexpr std::size_t kMaxRegisters = 64;     // names that a voter keeps
+inline constexpr double kLostAfter = 4;              // times a grant's life
 
-struct Note {
-    std::uint64_t number = 0, sequence = 0;   // of its writer: the lease's number, its own count
+struct RegisterValue {
+    std::uint64_t fencing_token = 0, sequence = 0;   // of its writer: the lease's number, its own count
     std::string text;
-    bool operator==(const Note&) const = default;
-    bool before(const Note& other) const {
-        return number != other.number ? number < other.number : sequence < other.sequence;
+    bool operator==(const RegisterValue&) const = default;
+    bool before(const RegisterValue& other) const {
+        return fencing_token != other.fencing_token ? fencing_token < other.fencing_token
+                                                    : sequence < other.sequence;
     }
 };
 
-struct NoteMessage {
+struct RegisterMessage {
     enum class Kind { read = 1, found, write, taken, passed } kind = Kind::read;
     std::string name;
     std::uint64_t number = 0;   // of who asks
     std::uint64_t ask = 0;      // of the asker; an answer repeats it
-    Note note;                  // of a write and of what was found
+    RegisterValue note;         // of a write and of what was found
     bool knows = false;         // of what was found: nothing of this name was forgotten
-    std::uint32_t step = 0;     // of the voter set
+    std::uint32_t epoch = 0;    // of the voter set
 };
-std::string write(const NoteMessage& message);
-bool read(std::string_view bytes, NoteMessage& message);   // false: it is none
+std::string write(const RegisterMessage& message);
+bool read(std::string_view bytes, RegisterMessage& message);   // false: it is none
 
 // A voter's side.
-class NoteKeeper {
+class RegisterAcceptor {
   public:
-    struct Kept {
+    struct StoredRegister {
         std::uint64_t promised = 0;   // writes under lower numbers are shut out
-        Note note;
-        bool operator==(const Kept&) const = default;
+        RegisterValue note;
+        bool operator==(const StoredRegister&) const = default;
     };
-    using All = std::map<std::string, Kept>;
+    using Registers = std::map<std::string, StoredRegister>;
 
     // `remembers`: `kept` is all that was ever taken here.
-    NoteKeeper(bool remembers, All kept) : remembers_(remembers), kept_(std::move(kept)) {}
+    RegisterAcceptor(bool remembers, Registers kept) : remembers_(remembers), kept_(std::move(kept)) {}
     // False: there is nothing to answer.
-    bool receive(const NoteMessage& message, NoteMessage& answer);
-    const All& kept() const { return kept_; }
+    bool receive(const RegisterMessage& message, RegisterMessage& answer);
+    const Registers& registers() const { return kept_; }
     std::uint64_t changes() const { return changes_; }   // to be kept before an answer leaves
     // As the process before this one had them, if it remembered.
-    void remember(const All& kept);
+    void restore(const Registers& kept);
     bool remembers() const { return remembers_; }
 
   private:
     bool remembers_;
-    All kept_;
+    Registers kept_;
     std::uint64_t changes_ = 0;
 };
 
 // The holder's side: all notes of one lease.
-class NoteBook {
+class RegisterClient {
   public:
-    NoteBook(std::vector<std::string> names, const Times& times, const Voters& voters, std::uint64_t seed);
-
-    void hold(double now, std::uint64_t number);   // held under it from now on: all are read anew
-    void lose();
-    void set_voters(double now, const Voters& voters);   // what a majority of the old took is written again
-    void receive(double now, const std::string& voter, const NoteMessage& message);
-    void wake(double now);
-    double due() const;
-
-    bool holds() const { return number_ != 0; }
+    RegisterClient(std::vector<std::string> names, const LeaseTimes& times, const AcceptorSet& voters,
+                   std::uint64_t seed);
+
+    void begin_term(double now, std::uint64_t number);   // held under it from now on: all are read anew
+    void end_term();
+    void set_acceptors(double now,
+                       const AcceptorSet& voters);   // what a majority of the old took is written again
+    void receive(double now, const std::string& voter, const RegisterMessage& message);
+    void on_timer(double now);
+    double next_deadline() const;
+
+    bool has_term() const { return number_ != 0; }
     std::uint64_t number() const { return number_; }
     bool read() const;   // all are known
     // Fewer than a majority remembered something; what is told is the highest of what was seen.
     bool lost() const { return lost_; }
     const std::string& text(const std::string& name) const { return pages_.at(name).note.text; }
     void write(double now, const std::string& name, std::string text);   // wants read()
-    bool settled(const std::string& name) const;   // a majority has what was written last
+    bool committed(const std::string& name) const;   // a majority has what was written last
     // Somebody holds a higher number: nothing that is written here counts any more.
-    bool passed() const { return passed_; }
+    bool superseded() const { return passed_; }
 
-    struct Post {
+    struct OutgoingMessage {
         std::string to;
-        NoteMessage message;
+        RegisterMessage message;
     };
-    std::vector<Post> take_posts() { return std::exchange(posts_, {}); }
+    std::vector<OutgoingMessage> take_outgoing() { return std::exchange(posts_, {}); }
 
   private:
     enum class State { unread, reading, known, writing };
     struct Page {
         State state = State::unread;
-        Note note;
+        RegisterValue note;
         std::uint64_t ask = 0;
         std::set<std::string> answered, knowing;
         double again_at = 1e18, asked_first = 0;
@@ -116,13 +119,13 @@
     void ask(double now, const std::string& name, Page& page, bool first);
     void begin_write(double now, const std::string& name, Page& page);
 
-    const Times times_;
-    Voters voters_;
+    const LeaseTimes times_;
+    AcceptorSet voters_;
     std::minstd_rand random_;   // of waits only
     std::map<std::string, Page> pages_;
     std::uint64_t number_ = 0, asks_ = 0;
     bool passed_ = false, lost_ = false;
-    std::vector<Post> posts_;
+    std::vector<OutgoingMessage> posts_;
 };
 
 }   // namespace slatejunction::lease
--- a/src/lease/settings.cpp
+++ b/src/lease/settings.cpp
@@ -36,25 +36,28 @@
     ini::Section section("lease",
                          "Leases for tasks that one ingress does for all: docs/fleet.md. Wants [peers]; "
                          "off without voters.");
-    section.text("voters", voters, "names, by commas, three or five of them best: the same in every file",
+    section.text("voters", acceptors,
+                 "names, by commas, three or five of them best: the same in every file", check_names);
+    section.text("voters_before", previous_acceptors, "while the voters change: those of the step before",
                  check_names);
-    section.text("voters_before", before, "while the voters change: those of the step before", check_names);
-    section.integer("step", step, 1, 1'000'000'000, "", "of the voters: one more with each change of them");
-    section.real("lives_s", times.lives_s, 0.3, 3600, "s", "that a grant lives: the same in every file");
+    section.integer("step", epoch, 1, 1'000'000'000, "",
+                    "of the voters: one more with each change of them");
+    section.real("lives_s", times.grant_duration_s, 0.3, 3600, "s",
+                 "that a grant lives: the same in every file");
     section.real("drift", times.drift, 0, 0.2, "",
                  "by which a clock's rate may be off true time, either way");
-    section.real("margin_s", times.margin_s, 0.001, 60, "s",
+    section.real("margin_s", times.safety_margin_s, 0.001, 60, "s",
                  "that a holder stops early beyond what drift asks");
-    section.real("act_s", times.act_s, 0.001, 60, "s", "that an act may take");
-    section.choice("numbers", numbers, {"clock", "kept"},
+    section.real("act_s", times.max_action_s, 0.001, 60, "s", "that an act may take");
+    section.choice("numbers", token_persistence, {"clock", "kept"},
                    "after all voters were restarted fencing numbers go on by the wall clock, or from "
                    "[state] directory");
     section.integer("drains", drains, 0, kSlotsMost, "",
                     "ingresses of a site that may be drained at once; 0: any number");
     section.whole([this]() -> std::string {
         if (!on()) return {};
-        const auto now = names_of(voters), then = names_of(before);
-        if (!before.empty()) {
+        const auto now = names_of(acceptors), then = names_of(previous_acceptors);
+        if (!previous_acceptors.empty()) {
             // One step at a time: majorities of neighbouring sets have a voter in common.
             const std::set<std::string> a(now.begin(), now.end()), b(then.begin(), then.end());
             std::size_t differ = 0;
@@ -62,7 +65,7 @@
             for (const auto& one : b) differ += !a.contains(one);
             if (differ > 1) return "voters_before: differs from voters by more than one name";
         }
-        if (usable_s(times) <= times.act_s + 2 * ask_s(times))
+        if (usable_duration_s(times) <= times.max_action_s + 2 * request_timeout_s(times))
             return "lives_s: too short: after drift, margin_s and act_s nothing is left to renew in";
         return {};
     });
@@ -82,24 +85,25 @@
     return section;
 }
 
-RoomSettings settings_of(const Options& options, const std::string& name) {
-    RoomSettings made;
+LeaseNodeSettings settings_of(const Options& options, const std::string& name) {
+    LeaseNodeSettings made;
     made.name = name;
     made.times = options.times;
-    made.voters.names = names_of(options.voters);
-    if (!options.before.empty()) made.voters.before = names_of(options.before);
-    made.voters.step = static_cast<std::uint32_t>(options.step);
+    made.acceptors.names = names_of(options.acceptors);
+    if (!options.previous_acceptors.empty()) made.acceptors.before = names_of(options.previous_acceptors);
+    made.acceptors.epoch = static_cast<std::uint32_t>(options.epoch);
     return made;
 }
 
 std::vector<std::string> stated(const Options& options) {
     char text[320];
-    const Times& t = options.times;
+    const LeaseTimes& t = options.times;
     std::snprintf(
         text, sizeof text,
         "lease: %zu voters, a grant of %g s may be used for %.2f s; without a holder for at most %.2f s "
         "after it dies (round trips of 20 ms); a voter that forgot waits %.2f s",
-        names_of(options.voters).size(), t.lives_s, usable_s(t), gap_s(t, 0.02), amnesia_s(t));
+        names_of(options.acceptors).size(), t.grant_duration_s, usable_duration_s(t),
+        max_vacancy_s(t, 0.02), amnesia_s(t));
     return {text};
 }
 
--- a/src/lifecycle/graceful_shutdown.cpp
+++ b/src/lifecycle/graceful_shutdown.cpp
@@ -33,91 +33,91 @@
     return std::max(kArrivalsS, force_after_s(longest_deadline_s) - kLastCallsS);
 }
 
-void Shutdown::tell(double now) {
+void GracefulShutdown::request_stop(double now) {
     if (told_at_) return;
     told_at_ = now;
     if (state_ == State::serving) state_ = State::finishing;
 }
 
-void Shutdown::hand_over(double now) {
+void GracefulShutdown::hand_over(double now) {
     handed_at_ = now;
     if (state_ == State::serving) state_ = State::finishing;
 }
 
 // The listening socket was never closed meanwhile, only held.
-void Shutdown::take_back() {
+void GracefulShutdown::cancel_hand_over() {
     if (state_ == State::ended) return;
     handed_at_.reset();
     if (!told_at_) state_ = State::serving;
 }
 
-bool Shutdown::over(double now, double told_s, double handed_s) const {
+bool GracefulShutdown::over(double now, double told_s, double handed_s) const {
     return (told_at_ && now - *told_at_ > told_s) || (handed_at_ && now - *handed_at_ > handed_s);
 }
 
-std::optional<double> Shutdown::idle_most_s(double now) const {
-    if (turns_away()) return 0;
-    if (told_at_ && now - *told_at_ > kStillComingS) return kQuietS;
+std::optional<double> GracefulShutdown::max_idle_s(double now) const {
+    if (rejects_new_requests()) return 0;
+    if (told_at_ && now - *told_at_ > kGraceS) return kQuietS;
     if (handed_at_ && now - *handed_at_ > kHandedStillComingS) return kHandedQuietS;
     return std::nullopt;
 }
 
 // Health checks count for nothing here, however many there are: they would never cease.
-bool Shutdown::quiet(const Facts& facts) const {
+bool GracefulShutdown::quiet(const Facts& facts) const {
     return facts.in_use == 0 && facts.now - facts.last_request_at > kQuietS &&
            facts.now - facts.last_unknown_at > kQuietS;
 }
 
-double Shutdown::close_at() const {
+double GracefulShutdown::close_at() const {
     if (told_at_) return *told_at_ + close_after_s(longest_deadline_s_);
     return force_at() - kLastCallsS;
 }
 
-double Shutdown::force_at() const {
+double GracefulShutdown::force_at() const {
     if (told_at_) return *told_at_ + force_after_s(longest_deadline_s_);
     return *handed_at_ + std::max(longest_deadline_s_, kLongestCountedS) + kHandedMoreS;
 }
 
-double Shutdown::ends_by() const {
-    if (!leaves()) return std::numeric_limits<double>::infinity();
+double GracefulShutdown::ends_by() const {
+    if (!draining()) return std::numeric_limits<double>::infinity();
     return force_at() + kAnswersS + kPartsS;
 }
 
-Shutdown::Act Shutdown::advance(const Facts& facts) {
-    const bool may_end = over(facts.now, kStillComingS, kStillComingS);
+GracefulShutdown::Action GracefulShutdown::advance(const Facts& facts) {
+    const bool may_end = over(facts.now, kGraceS, kGraceS);
     switch (state_) {
         case State::serving:
         case State::ended:
-            return Act::none;
+            return Action::none;
         case State::finishing:
             if (facts.another_accepts) {
-                if (may_end && facts.connections == 0) return state_ = State::ended, Act::end;
+                if (may_end && facts.connections == 0) return state_ = State::ended, Action::end;
                 if (facts.now >= force_at()) {
                     forced_at_ = facts.now;
-                    return state_ = State::forcing, Act::answer_owed;
+                    return state_ = State::forcing, Action::answer_open_requests;
                 }
-                return Act::none;
+                return Action::none;
             }
-            if (facts.now < close_at() && !(may_end && quiet(facts))) return Act::none;
+            if (facts.now < close_at() && !(may_end && quiet(facts))) return Action::none;
             refused_at_ = facts.now;
-            return state_ = State::refusing, Act::refuse_new;
+            return state_ = State::refusing, Action::refuse_handshakes;
         case State::refusing:
-            if (facts.now < refused_at_ + kHandshakesS) return Act::none;
-            return state_ = State::closed, Act::stop_listening;
+            if (facts.now < refused_at_ + kHandshakesS) return Action::none;
+            return state_ = State::closed, Action::stop_listening;
         case State::closed:
-            if (facts.connections == 0) return state_ = State::ended, Act::end;
-            if (facts.now < force_at()) return Act::none;
+            if (facts.connections == 0) return state_ = State::ended, Action::end;
+            if (facts.now < force_at()) return Action::none;
             forced_at_ = facts.now;
-            return state_ = State::forcing, Act::answer_owed;
+            return state_ = State::forcing, Action::answer_open_requests;
         case State::forcing:
-            if (facts.connections > 0 && facts.now < forced_at_ + kAnswersS) return Act::none;
-            return state_ = State::ended, Act::end;
+            if (facts.connections > 0 && facts.now < forced_at_ + kAnswersS) return Action::none;
+            return state_ = State::ended, Action::end;
     }
-    return Act::none;
+    return Action::none;
 }
 
-double Shutdown::advance_again_at(double now) const {
-    const double look = now + kLookEveryS;
+double GracefulShutdown::advance_again_at(double now) const {
+    const double look = now + kCheckIntervalS;
     double due = look;
     if (state_ == State::finishing) due = close_at();
     if (state_ == State::refusing) due = refused_at_ + kHandshakesS;
--- a/src/lifecycle/graceful_shutdown.hpp
+++ b/src/lifecycle/graceful_shutdown.hpp
@@ -60,17 +60,17 @@
 // 504 is for one of which an attempt was begun.
 constexpr int forced_status(bool sent_on) { return sent_on ? 504 : 503; }
 
-class Shutdown {
+class GracefulShutdown {
   public:
     // Told to end, connections are kept for kStillComingS, then until they were idle for kQuietS; as long
     // must nothing new have come before the process listens no more.
-    static constexpr double kStillComingS = 0.6;
+    static constexpr double kGraceS = 0.6;
     static constexpr double kQuietS = 0.15;
     // After a handover idle connections are kept longer: whoever asks once more is told to go by the
     // answer, and no close crosses a request.
     static constexpr double kHandedStillComingS = 1.2;
     static constexpr double kHandedQuietS = 0.5;
-    static constexpr double kLookEveryS = 0.05;   // between two calls of advance(), at most
+    static constexpr double kCheckIntervalS = 0.05;   // between two calls of advance(), at most
 
     enum class State {
         serving,     // neither told nor handed over
@@ -80,12 +80,12 @@
         forcing,     // what was open has been answered; what still comes is turned away
         ended
     };
-    enum class Act {
+    enum class Action {
         none,
-        refuse_new,       // let no new handshake begin, for kHandshakesS
-        stop_listening,   // take what waits to be accepted, then listen no more
-        answer_owed,      // answer every open request, see forced_status()
-        end               // end every connection, then the process
+        refuse_handshakes,      // let no new handshake begin, for kHandshakesS
+        stop_listening,         // take what waits to be accepted, then listen no more
+        answer_open_requests,   // answer every open request, see forced_status()
+        end                     // end every connection, then the process
     };
     struct Facts {
         double now = 0;                 // s
@@ -97,21 +97,21 @@
     };
 
     // `longest_deadline_s`: 0 where it is not known.
-    explicit Shutdown(double longest_deadline_s) : longest_deadline_s_(longest_deadline_s) {}
+    explicit GracefulShutdown(double longest_deadline_s) : longest_deadline_s_(longest_deadline_s) {}
 
-    void tell(double now);        // to end; only the first time counts
-    void hand_over(double now);   // a new process accepts from now on
-    void take_back();             // it has gone: this one accepts again
+    void request_stop(double now);   // to end; only the first time counts
+    void hand_over(double now);      // a new process accepts from now on
+    void cancel_hand_over();         // it has gone: this one accepts again
 
-    bool told() const { return told_at_.has_value(); }
-    bool leaves() const { return told_at_ || handed_at_; }
+    bool stop_requested() const { return told_at_.has_value(); }
+    bool draining() const { return told_at_ || handed_at_; }
     State state() const { return state_; }
     // What comes from now on is answered 503 at once.
-    bool turns_away() const { return state_ == State::forcing || state_ == State::ended; }
+    bool rejects_new_requests() const { return state_ == State::forcing || state_ == State::ended; }
     // Connections that were idle for longer are to be ended; none: not yet.
-    std::optional<double> idle_most_s(double now) const;
+    std::optional<double> max_idle_s(double now) const;
     // Call it with new facts until it returns none or end.
-    Act advance(const Facts& facts);
+    Action advance(const Facts& facts);
     double advance_again_at(double now) const;
     // The time at which the process has to be gone; infinite when it is not to end.
     double ends_by() const;
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -251,15 +251,15 @@
         put_text(json, "class", r.service_class);
         put_text(json, "plan", r.plan);
         put_text(json, "customer", customer);
-        put_text(json, "outcome", r.outcome);
+        put_text(json, "outcome", r.result);
         put_text(json, "reason", r.reason);
-        put_text(json, "provider", r.provider);
+        put_text(json, "provider", r.backend);
         json.Key("attempts");
         json.Uint64(r.attempts);
         json.Key("seconds");
         json.Double(r.seconds);
         json.Key("worth");
-        json.Double(r.worth);
+        json.Double(r.earned_weight);
         for (const auto& [name, value] : r.tags)
             put_text(json, ("tag_" + std::string(name)).c_str(), value);
         json.EndObject();
@@ -271,12 +271,12 @@
     put_word(line, "class", r.service_class);
     put_word(line, "plan", r.plan);
     put_word(line, "customer", customer);
-    put_word(line, "outcome", r.outcome);
+    put_word(line, "outcome", r.result);
     put_word(line, "reason", r.reason);
-    put_word(line, "provider", r.provider);
+    put_word(line, "provider", r.backend);
     char figures[96];
     std::snprintf(figures, sizeof figures, " attempts=%llu seconds=%.6f worth=%.6f",
-                  static_cast<unsigned long long>(r.attempts), r.seconds, r.worth);
+                  static_cast<unsigned long long>(r.attempts), r.seconds, r.earned_weight);
     line += figures;
     for (const auto& [name, value] : r.tags) put_word(line, ("tag_" + std::string(name)).c_str(), value);
     logger_->log(spdlog::level::info, spdlog::string_view_t(line.data(), line.size()));
--- a/src/log/log.hpp
+++ b/src/log/log.hpp
@@ -19,11 +19,11 @@
 
 // A finished request, for `[log] requests`. The views are read during the call only.
 struct RequestRecord {
-    std::string_view id, service_class, plan, outcome, reason, provider;
+    std::string_view id, service_class, plan, result, reason, backend;
     std::uint64_t customer = 0;
     std::uint64_t attempts = 0;
-    double seconds = 0;   // from its last byte to its final answer
-    double worth = 0;     // earned by the answer
+    double seconds = 0;         // from its last byte to its final answer
+    double earned_weight = 0;   // earned by the answer
     std::span<const std::pair<std::string_view, std::string_view>> tags = {};   // of rules: name, value
 };
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -19,7 +19,7 @@
 
 // Reads the counters that a state directory holds, beside a program that may be running there.
 int counters(const std::string& directory) {
-    for (const auto& [name, value] : sj::storage::Cells::read(directory + "/counters")) {
+    for (const auto& [name, value] : sj::storage::PersistentCounters::read(directory + "/counters")) {
         std::string line = name;
         bool label = true;   // NAME \n LABEL \n VALUE ...
         for (char& c : line)
@@ -58,7 +58,7 @@
         ->envname("NODE_ADMIN_ADDR")
         ->required();
     fleeting
-        ->add_option("what", fleet.what,
+        ->add_option("what", fleet.command,
                      "members, leases or quorum (exit status 1: none); else the first two")
         ->check(CLI::IsMember({"members", "leases", "quorum"}));
     fleeting->add_flag("--json", fleet.json, "as the ingress tells it");
@@ -84,7 +84,7 @@
                 if (text->count() + file->count() != 1) throw CLI::RequiredError("-e or -f");
             });
         }
-        one->callback([&rollout, name = name] { rollout.what = name; });
+        one->callback([&rollout, name = name] { rollout.command = name; });
     }
     auto* expression = app.add_subcommand("expr", "check, run, explain or time an expression of rules");
     expression->require_subcommand(1);
--- a/src/membership/datagram_auth.cpp
+++ b/src/membership/datagram_auth.cpp
@@ -22,13 +22,13 @@
     return value;
 }
 // Tells which key without trying all; nothing can be learnt of the key from it.
-unsigned char name_of(const Key& key) {
+unsigned char name_of(const AuthKey& key) {
     unsigned char name[crypto_generichash_BYTES_MIN];
     static constexpr unsigned char kWhat[] = "slatejunction key";
     crypto_generichash(name, sizeof name, kWhat, sizeof kWhat - 1, key.data(), key.size());
     return name[0];
 }
-std::array<unsigned char, kTag> tag_of(const Key& key, std::string_view bytes) {
+std::array<unsigned char, kTag> tag_of(const AuthKey& key, std::string_view bytes) {
     std::array<unsigned char, kTag> tag{};
     crypto_generichash(tag.data(), tag.size(), reinterpret_cast<const unsigned char*>(bytes.data()),
                        bytes.size(), key.data(), key.size());
@@ -37,8 +37,8 @@
 
 }   // namespace
 
-std::string read_keys(std::string_view text, std::vector<Key>& keys) {
-    std::vector<Key> found;
+std::string read_keys(std::string_view text, std::vector<AuthKey>& keys) {
+    std::vector<AuthKey> found;
     std::size_t line = 0;
     while (!text.empty()) {
         ++line;
@@ -50,7 +50,7 @@
             one.remove_suffix(1);
         while (!one.empty() && (one.front() == ' ' || one.front() == '\t')) one.remove_prefix(1);
         if (one.empty()) continue;
-        Key key{};
+        AuthKey key{};
         std::size_t size = 0;
         const char* stop = nullptr;
         if (one.size() != 2 * kKeyBytes ||
@@ -67,17 +67,17 @@
     return {};
 }
 
-Seal::Seal(const std::vector<Key>& keys, std::uint64_t process) : process_(process) {
+DatagramAuth::DatagramAuth(const std::vector<AuthKey>& keys, std::uint64_t process) : process_(process) {
     if (sodium_init() < 0) throw std::runtime_error("libsodium can't be used");
     set_keys(keys);
 }
 
-void Seal::set_keys(const std::vector<Key>& keys) {
+void DatagramAuth::set_keys(const std::vector<AuthKey>& keys) {
     keys_.clear();
-    for (const Key& key : keys) keys_.push_back({key, name_of(key)});
+    for (const AuthKey& key : keys) keys_.push_back({key, name_of(key)});
 }
 
-std::string Seal::close(std::uint64_t to, std::string_view payload) {
+std::string DatagramAuth::seal(std::uint64_t to, std::string_view payload) {
     std::string made;
     made.reserve(kSealBytes + payload.size());
     made.push_back(static_cast<char>(kVersion));
@@ -92,16 +92,16 @@
     return made;
 }
 
-Opened Seal::open(std::string_view bytes, std::uint64_t& from, std::string_view& payload) {
-    const Opened result = look(bytes, from, payload);
+OpenResult DatagramAuth::open(std::string_view bytes, std::uint64_t& from, std::string_view& payload) {
+    const OpenResult result = look(bytes, from, payload);
     ++counts_[static_cast<std::size_t>(result)];
     return result;
 }
 
-Opened Seal::look(std::string_view bytes, std::uint64_t& from, std::string_view& payload) {
-    if (bytes.size() < kSealBytes || bytes.size() > kDatagramMost) return Opened::short_or_long;
+OpenResult DatagramAuth::look(std::string_view bytes, std::uint64_t& from, std::string_view& payload) {
+    if (bytes.size() < kSealBytes || bytes.size() > kDatagramMost) return OpenResult::short_or_long;
     if (static_cast<unsigned char>(bytes[0]) != kVersion || bytes[2] != 0 || bytes[3] != 0)
-        return Opened::version;
+        return OpenResult::version;
     const std::string_view body = bytes.substr(0, bytes.size() - kTag);
     bool good = false;
     for (const Named& one : keys_) {
@@ -110,15 +110,15 @@
         good = sodium_memcmp(tag.data(), bytes.data() + body.size(), kTag) == 0;
         if (good) break;
     }
-    if (!good) return Opened::key;
+    if (!good) return OpenResult::key;
     from = get(bytes, 4);
     payload = body.substr(kHead);
-    if (from == process_ || from == 0) return Opened::replayed;   // its own, come back
-    if (get(bytes, 12) != process_) return Opened::stranger;
-    return take_number(from, get(bytes, 20)) ? Opened::fresh : Opened::replayed;
+    if (from == process_ || from == 0) return OpenResult::replayed;   // its own, come back
+    if (get(bytes, 12) != process_) return OpenResult::unknown_sender;
+    return take_number(from, get(bytes, 20)) ? OpenResult::fresh : OpenResult::replayed;
 }
 
-bool Seal::take_number(std::uint64_t from, std::uint64_t number) {
+bool DatagramAuth::take_number(std::uint64_t from, std::uint64_t number) {
     auto at = senders_.find(from);
     if (at == senders_.end()) {
         if (senders_.size() >= kSendersMost) {
--- a/src/membership/datagram_auth.hpp
+++ b/src/membership/datagram_auth.hpp
@@ -22,25 +22,25 @@
 inline constexpr std::size_t kSealBytes = 28 + 16;
 inline constexpr std::size_t kKeyBytes = 32;
 
-using Key = std::array<unsigned char, kKeyBytes>;
+using AuthKey = std::array<unsigned char, kKeyBytes>;
 
 // Keys of a file: one a line, 64 hexadecimal digits, the first seals and both open; '#' begins a comment.
 // Returns what is wrong, "line N: why", and takes nothing then.
-std::string read_keys(std::string_view text, std::vector<Key>& keys);
+std::string read_keys(std::string_view text, std::vector<AuthKey>& keys);
 
-enum class Opened { fresh, stranger, short_or_long, version, key, replayed };
+enum class OpenResult { fresh, unknown_sender, short_or_long, version, key, replayed };
 inline constexpr std::array<std::string_view, 6> kOpened{"fresh",   "stranger", "size",
                                                          "version", "key",      "replayed"};
 
-class Seal {
+class DatagramAuth {
   public:
     static constexpr std::size_t kSendersMost = 4096;   // whose numbers are remembered
 
-    Seal(const std::vector<Key>& keys, std::uint64_t process);
-    void set_keys(const std::vector<Key>& keys);
-    std::string close(std::uint64_t to, std::string_view payload);
+    DatagramAuth(const std::vector<AuthKey>& keys, std::uint64_t process);
+    void set_keys(const std::vector<AuthKey>& keys);
+    std::string seal(std::uint64_t to, std::string_view payload);
     // `payload` is a part of `bytes`. Counts by result.
-    Opened open(std::string_view bytes, std::uint64_t& from, std::string_view& payload);
+    OpenResult open(std::string_view bytes, std::uint64_t& from, std::string_view& payload);
     const std::array<std::uint64_t, 6>& counts() const { return counts_; }
 
   private:
@@ -50,11 +50,11 @@
         std::bitset<kWindow> seen;
         std::list<std::uint64_t>::iterator place;
     };
-    Opened look(std::string_view bytes, std::uint64_t& from, std::string_view& payload);
+    OpenResult look(std::string_view bytes, std::uint64_t& from, std::string_view& payload);
     bool take_number(std::uint64_t from, std::uint64_t number);
 
     struct Named {
-        Key key;
+        AuthKey key;
         unsigned char name = 0;   // in each datagram: tells which key without trying all
     };
     std::vector<Named> keys_;
--- a/src/membership/detection_bounds.hpp
+++ b/src/membership/detection_bounds.hpp
@@ -49,7 +49,7 @@
 // How long after a death every member that hears the others knows of it, in 999 of 1,000 cases, while few
 // datagrams are lost: 7 intervals until somebody probes it (nobody does for m intervals with a chance of
 // e^-m), two for the probe, the longest suspicion, and rounds of news that reach all.
-inline double known_within_s(std::size_t members, double interval_s) {
+inline double detection_bound_s(std::size_t members, double interval_s) {
     const double n = static_cast<double>(std::max<std::size_t>(members, 2));
     const double rounds = 2 * std::log(n) / std::log(1.0 + kSpreadTo) + 2;
     return (9 + rounds * kSpreadPart) * interval_s + suspicion_s(members, 0, interval_s) + interval_s;
--- a/src/membership/gossip_transport.cpp
+++ b/src/membership/gossip_transport.cpp
@@ -10,8 +10,8 @@
 
 }   // namespace
 
-Driver::Driver(const Settings& settings, const std::vector<Key>& keys, std::uint64_t process,
-               std::uint64_t seed, net::Timers& timers, Log& log)
+GossipTransport::GossipTransport(const Settings& settings, const std::vector<AuthKey>& keys,
+                                 std::uint64_t process, std::uint64_t seed, net::Timers& timers, Log& log)
     : process_(process),
       listen_(settings.address),
       members_(settings, process, seed),
@@ -21,9 +21,9 @@
       bind_timer_(timers, [this] { bind(); }),
       socket_(timers, [this](std::string_view bytes) { taken(bytes); }) {}
 
-void Driver::start() { bind(); }
+void GossipTransport::start() { bind(); }
 
-void Driver::bind() {
+void GossipTransport::bind() {
     std::string why;
     if (!socket_.start(address(listen_), why)) {
         if (!std::exchange(told_held_, true))
@@ -39,7 +39,7 @@
     pump();
 }
 
-void Driver::leave() {
+void GossipTransport::leave() {
     if (std::exchange(left_, true)) return;
     bind_timer_.disarm();
     timer_.disarm();
@@ -49,7 +49,7 @@
     socket_.stop();
 }
 
-GSocketAddress* Driver::address(const std::string& text) {
+GSocketAddress* GossipTransport::address(const std::string& text) {
     auto at = addresses_.find(text);
     if (at == addresses_.end()) {
         if (addresses_.size() >= kAddressesMost) addresses_.clear();
@@ -58,57 +58,58 @@
     return at->second.get();
 }
 
-bool Driver::send(const std::string& name, Channel channel, std::string_view body) {
+bool GossipTransport::send(const std::string& name, Channel channel, std::string_view body) {
     if (!socket_.open()) return false;
     const bool sent = members_.send(net::now(), name, static_cast<std::uint32_t>(channel), body);
     pump();
     return sent;
 }
 
-void Driver::taken(std::string_view bytes) {
+void GossipTransport::taken(std::string_view bytes) {
     std::uint64_t from = 0;
     std::string_view payload;
-    const Opened opened = seal_.open(bytes, from, payload);
-    if (opened != Opened::fresh && opened != Opened::stranger) return;
-    members_.receive(net::now(), from, opened == Opened::fresh, payload);
+    const OpenResult opened = seal_.open(bytes, from, payload);
+    if (opened != OpenResult::fresh && opened != OpenResult::unknown_sender) return;
+    members_.receive(net::now(), from, opened == OpenResult::fresh, payload);
     pump();
 }
 
-void Driver::due() {
-    if (members_.due() <= net::now()) members_.wake(net::now());
+void GossipTransport::due() {
+    if (members_.next_deadline() <= net::now()) members_.on_timer(net::now());
     pump();
 }
 
 // A listener may send in its turn: that goes out in the same round, not inside it.
-void Driver::pump() {
+void GossipTransport::pump() {
     if (std::exchange(pumping_, true)) return;
     for (bool more = true; more;) {
         more = false;
         for (const Datagram& one : members_.take_datagrams())
             if (GSocketAddress* to = address(one.address))
-                socket_.send(to, seal_.close(one.process, one.payload));
-        for (const Heard& heard : members_.take_heard()) {
+                socket_.send(to, seal_.seal(one.process, one.payload));
+        for (const ReceivedMessage& heard : members_.take_heard()) {
             more = true;
             if (const auto at = listeners_.find(heard.channel); at != listeners_.end()) at->second(heard);
         }
-        for (const Change& change : members_.take_changes()) {
+        for (const MemberChange& change : members_.take_changes()) {
             more = true;
             const Member& m = change.member;
-            if (change.what == Change::What::disputed)
+            if (change.what == MemberChange::What::disputed)
                 log_.write(Log::Level::error, net::now(),
                            "peers: two processes claim the name %s, one at %s", m.name.c_str(),
                            m.address.c_str());
-            else if (change.what != Change::What::forgotten)
+            else if (change.what != MemberChange::What::forgotten)
                 log_.write(Log::Level::info, net::now(), "peers: %s of %s at %s is %s", m.name.c_str(),
                            m.site.c_str(), m.address.c_str(),
-                           change.what == Change::What::joined      ? "there"
-                           : change.what == Change::What::restarted ? "there anew"
-                                                                    : kStates[static_cast<int>(m.state)]);
+                           change.what == MemberChange::What::joined ? "there"
+                           : change.what == MemberChange::What::restarted
+                               ? "there anew"
+                               : kStates[static_cast<int>(m.state)]);
             for (const auto& call : changed_) call(change);
         }
     }
     pumping_ = false;
-    const double next = members_.due();
+    const double next = members_.next_deadline();
     if (next < 1e17)
         timer_.arm(next);
     else
--- a/src/membership/gossip_transport.hpp
+++ b/src/membership/gossip_transport.hpp
@@ -20,20 +20,20 @@
 // One for each room above; a number is never used for anything else.
 enum class Channel : std::uint32_t {
     lease = 1,
-    limits = 2,
+    rate_limits = 2,
     verdicts = 3,
     sites = 4,
-    notes = 5,
-    sums = 6,
-    sentinel = 7,
+    registers = 5,
+    fleet_counters = 6,
+    counter_incarnation = 7,
     rollout = 8
 };
 
-class Driver {
+class GossipTransport {
   public:
-    using Listener = std::function<void(const Heard&)>;
-    Driver(const Settings& settings, const std::vector<Key>& keys, std::uint64_t process,
-           std::uint64_t seed, net::Timers& timers, Log& log);
+    using Listener = std::function<void(const ReceivedMessage&)>;
+    GossipTransport(const Settings& settings, const std::vector<AuthKey>& keys, std::uint64_t process,
+                    std::uint64_t seed, net::Timers& timers, Log& log);
     // Binds, and joins. While the address is held by another process (the old one of an upgrade) it is
     // tried again.
     void start();
@@ -41,13 +41,13 @@
     void listen(Channel channel, Listener listener) {
         listeners_[static_cast<std::uint32_t>(channel)] = std::move(listener);
     }
-    void on_change(std::function<void(const Change&)> call) { changed_.push_back(std::move(call)); }
+    void on_change(std::function<void(const MemberChange&)> call) { changed_.push_back(std::move(call)); }
     bool send(const std::string& name, Channel channel, std::string_view body);
-    void set_keys(const std::vector<Key>& keys) { seal_.set_keys(keys); }
+    void set_keys(const std::vector<AuthKey>& keys) { seal_.set_keys(keys); }
 
-    Members& members() { return members_; }
-    const Members& members() const { return members_; }
-    const Seal& seal() const { return seal_; }
+    SwimMembership& members() { return members_; }
+    const SwimMembership& members() const { return members_; }
+    const DatagramAuth& seal() const { return seal_; }
     std::uint64_t process() const { return process_; }
     bool open() const { return socket_.open(); }
 
@@ -60,14 +60,14 @@
 
     const std::uint64_t process_;
     const std::string listen_;
-    Members members_;
-    Seal seal_;
+    SwimMembership members_;
+    DatagramAuth seal_;
     Log& log_;
     net::Timer timer_, bind_timer_;
     net::Datagrams socket_;
     std::map<std::string, net::Address> addresses_;
     std::map<std::uint32_t, Listener> listeners_;
-    std::vector<std::function<void(const Change&)>> changed_;
+    std::vector<std::function<void(const MemberChange&)>> changed_;
     bool told_held_ = false, pumping_ = false, left_ = false;
 };
 
--- a/src/membership/settings.cpp
+++ b/src/membership/settings.cpp
@@ -91,7 +91,7 @@
     return made;
 }
 
-std::string load_keys(const Options& options, std::vector<Key>& keys) {
+std::string load_keys(const Options& options, std::vector<AuthKey>& keys) {
     std::ifstream in(options.key_file, std::ios::binary);
     if (!in) return "key_file: '" + options.key_file + "' can't be read";
     std::string text((std::istreambuf_iterator<char>(in)), std::istreambuf_iterator<char>());
@@ -108,7 +108,7 @@
             text, sizeof text,
             "peers: of %zu members a death is known to all within %.1f s (999 of 1,000, links whole); "
             "at most %.0f datagrams a second",
-            members, known_within_s(members, options.interval_s),
+            members, detection_bound_s(members, options.interval_s),
             kDatagramsPerInterval / options.interval_s);
         all.emplace_back(text);
     }
--- a/src/membership/settings.hpp
+++ b/src/membership/settings.hpp
@@ -28,7 +28,7 @@
 Settings settings_of(const Options& options, const std::string& name, const std::string& zone,
                      const std::string& version);
 // The keys of key_file; "key_file: why" when there are none to be had.
-std::string load_keys(const Options& options, std::vector<Key>& keys);
+std::string load_keys(const Options& options, std::vector<AuthKey>& keys);
 // What is promised, for check-config.
 std::vector<std::string> stated(const Options& options);
 
--- a/src/membership/swim.cpp
+++ b/src/membership/swim.cpp
@@ -37,11 +37,11 @@
            said.incarnation() <= kIncarnationMost && said.state() <= 3;
 }
 
-bool there(State state) { return state == State::alive || state == State::suspected; }
+bool there(MemberState state) { return state == MemberState::alive || state == MemberState::suspected; }
 
 }   // namespace
 
-Members::Members(const Settings& settings, std::uint64_t process, std::uint64_t seed)
+SwimMembership::SwimMembership(const Settings& settings, std::uint64_t process, std::uint64_t seed)
     : settings_(settings), random_(seed) {
     self_.name = settings.name;
     self_.address = settings.address;
@@ -50,9 +50,9 @@
     self_.process = process;
 }
 
-Members::~Members() = default;
+SwimMembership::~SwimMembership() = default;
 
-void Members::start(double now) {
+void SwimMembership::start(double now) {
     started_ = true;
     self_.since = tokens_at_ = now;
     const double first = settings_.interval_s * std::uniform_real_distribution<double>(0, 1)(random_);
@@ -61,13 +61,13 @@
     next_sync_ = now + kSyncLeast * settings_.interval_s;
     next_reach_ = now;
     spread(self_.name);
-    wake(now);
+    on_timer(now);
 }
 
-void Members::leave(double now) {
+void SwimMembership::leave(double now) {
     if (leaving_) return;
     leaving_ = true;
-    self_.state = State::left;
+    self_.state = MemberState::departed;
     self_.since = now;
     if (waits_) return;
     // Told to several directly, as nobody asks a process that has ended.
@@ -76,7 +76,7 @@
     for (const std::string& name : pick(2 * kSpreadTo, {})) post(now, members_[name], said, true);
 }
 
-double Members::due() const {
+double SwimMembership::next_deadline() const {
     if (!started_ || leaving_) return 1e18;
     double next = std::min(next_probe_, next_reach_);
     if (!news_.empty()) next = std::min(next, next_spread_);
@@ -89,14 +89,14 @@
     return next;
 }
 
-void Members::wake(double now) {
+void SwimMembership::on_timer(double now) {
     if (!started_ || leaving_) return;
     const double interval = settings_.interval_s;
     // Guards against judging others by one's own standstill: what lies in the socket is read first.
-    if (now - due() > kTimeoutPart * interval) {
+    if (now - next_deadline() > kTimeoutPart * interval) {
         ++tally_.late;
         healthier(-1);
-        const double late = now - due();
+        const double late = now - next_deadline();
         if (probe_.number != 0) probe_.indirect_at += late, probe_.over_at += late;
         for (const std::string& name : suspected_) members_.find(name)->second.deadline += late;
     }
@@ -122,7 +122,7 @@
     if (probe_.number != 0 && now >= probe_.over_at) probe_over(now);
     for (const std::string& name : std::vector<std::string>(suspected_.begin(), suspected_.end()))
         if (Known& known = members_.find(name)->second; now >= known.deadline) {
-            set(now, known, State::gone);
+            set(now, known, MemberState::gone);
             spread(name);
         }
     if (now >= next_probe_) probe_next(now);
@@ -137,7 +137,7 @@
         for (auto at = members_.begin(); at != members_.end();) {
             const bool over =
                 !there(at->second.member.state) && now - at->second.member.since > kForget * interval;
-            if (over) changes_.push_back({at->second.member, Change::What::forgotten});
+            if (over) changes_.push_back({at->second.member, MemberChange::What::forgotten});
             at = over ? members_.erase(at) : std::next(at);
         }
         for (auto& [name, known] : members_)
@@ -149,13 +149,13 @@
 
 // Joining, and finding one another again after a split: a hello to seeds and to members known ahead that
 // are not there, and now and then to one that is gone.
-void Members::reach_out(double now) {
+void SwimMembership::reach_out(double now) {
     std::set<std::string> reached;
     std::vector<std::string> lost;
     for (const auto& [name, known] : members_) {
         const std::string at = address_of(known.member);
         if (there(known.member.state)) reached.insert(at), reached.insert(known.member.address);
-        if (known.member.state == State::gone) lost.push_back(at);
+        if (known.member.state == MemberState::gone) lost.push_back(at);
     }
     std::vector<std::string> wanted;
     const auto want = [&](const std::string& address) {
@@ -181,7 +181,7 @@
     next_reach_ = now + jitter((joined_ ? kReachMany : kReach) * settings_.interval_s);
 }
 
-void Members::probe_next(double now) {
+void SwimMembership::probe_next(double now) {
     const double interval = settings_.interval_s * factor();
     next_probe_ = now + jitter(interval);
     if (probe_.number != 0) probe_over(now);
@@ -200,13 +200,13 @@
         wire::Packet ping = packet(Kind::ping);
         ping.set_number(probe_.number);
         // One that is suspected hears of it first of all, so that it can answer.
-        if (at->second.member.state == State::suspected) write(at->second.member, *ping.add_news());
+        if (at->second.member.state == MemberState::suspected) write(at->second.member, *ping.add_news());
         post(now, at->second, ping, true);
         return;
     }
 }
 
-void Members::probe_over(double now) {
+void SwimMembership::probe_over(double now) {
     const Probe probe = std::exchange(probe_, {});
     if (!probe.indirect) missed_ -= kMissedWeight * missed_;
     if (probe.answered) return;
@@ -216,12 +216,12 @@
     suspect(now, at->second, self_.name);
 }
 
-void Members::suspect(double now, Known& known, const std::string& accuser) {
+void SwimMembership::suspect(double now, Known& known, const std::string& accuser) {
     if (!there(known.member.state)) return;
-    const bool anew = known.member.state == State::alive;
+    const bool anew = known.member.state == MemberState::alive;
     if (anew) {
         known.accusers.clear();
-        set(now, known, State::suspected);
+        set(now, known, MemberState::suspected);
     }
     if (!known.accusers.insert(accuser).second) return;
     const std::size_t confirmed = known.accusers.size() - 1;
@@ -231,27 +231,27 @@
 }
 
 // By how far own answers are missing: a member that hears badly is slow to accuse (Lifeguard, 3.1).
-void Members::healthier(int by) { health_ = std::clamp(health_ - by, 0, kHealthMost); }
+void SwimMembership::healthier(int by) { health_ = std::clamp(health_ - by, 0, kHealthMost); }
 
-void Members::put(Known& known, State state) {
+void SwimMembership::put(Known& known, MemberState state) {
     alive_ += there(state) && !there(known.member.state);
     alive_ -= !there(state) && there(known.member.state);
     known.member.state = state;
-    state == State::suspected ? void(suspected_.insert(known.member.name))
-                              : void(suspected_.erase(known.member.name));
+    state == MemberState::suspected ? void(suspected_.insert(known.member.name))
+                                    : void(suspected_.erase(known.member.name));
 }
 
-void Members::set(double now, Known& known, State state) {
+void SwimMembership::set(double now, Known& known, MemberState state) {
     if (known.member.state == state) return;
     put(known, state);
     known.member.since = now;
-    if (state != State::suspected) known.accusers.clear();
-    changes_.push_back({known.member, Change::What::state});
+    if (state != MemberState::suspected) known.accusers.clear();
+    changes_.push_back({known.member, MemberChange::What::state});
 }
 
-void Members::spread(const std::string& name) { news_[name].told = 0; }
+void SwimMembership::spread(const std::string& name) { news_[name].told = 0; }
 
-void Members::gossip(double now) {
+void SwimMembership::gossip(double now) {
     if (news_.empty()) return;
     for (const std::string& name : pick(kSpreadTo, {})) {
         if (news_.empty()) return;
@@ -260,12 +260,12 @@
     }
 }
 
-void Members::sync_with(double now, Known& known, bool wants) {
+void SwimMembership::sync_with(double now, Known& known, bool wants) {
     ++tally_.syncs;
     send_all(now, known, wants);
 }
 
-void Members::send_all(double now, Known& known, bool wants) {
+void SwimMembership::send_all(double now, Known& known, bool wants) {
     wire::Packet part = packet(Kind::sync);
     part.set_wants_sync(wants);
     std::size_t size = part.ByteSizeLong();
@@ -285,7 +285,7 @@
     flush();
 }
 
-std::vector<std::string> Members::pick(std::size_t count, const std::string& but) {
+std::vector<std::string> SwimMembership::pick(std::size_t count, const std::string& but) {
     std::vector<const std::string*> names;
     for (const auto& [name, known] : members_)
         if (there(known.member.state) && name != but) names.push_back(&name);
@@ -299,12 +299,12 @@
 }
 
 // By the way that the operator has named; else where it says that it is.
-std::string Members::reach(const std::string& name, const std::string& address) const {
+std::string SwimMembership::reach(const std::string& name, const std::string& address) const {
     const auto at = settings_.via.find(name);
     return at == settings_.via.end() ? address : at->second;
 }
 
-void Members::write(const Member& from, wire::Member& to) const {
+void SwimMembership::write(const Member& from, wire::Member& to) const {
     to.set_name(from.name);
     to.set_address(from.address);
     to.set_site(from.site);
@@ -314,21 +314,21 @@
     to.set_state(static_cast<std::uint32_t>(from.state));
 }
 
-wire::Packet Members::packet(Kind kind) const {
+wire::Packet SwimMembership::packet(Kind kind) const {
     wire::Packet made;
     made.set_kind(static_cast<std::uint32_t>(kind));
     write(self_, *made.mutable_from());
     return made;
 }
 
-bool Members::post(double now, Known& known, wire::Packet& packet, bool urgent) {
+bool SwimMembership::post(double now, Known& known, wire::Packet& packet, bool urgent) {
     return post(now, address_of(known.member), known.member.process, packet, urgent);
 }
 
 // Fills what room the datagram has with news, those told least first. Each is told so many times that all
 // have heard of it, whatever the size of the fleet (SWIM, 4.1).
-bool Members::post(double now, const std::string& address, std::uint64_t process, wire::Packet& packet,
-                   bool urgent, bool with_news) {
+bool SwimMembership::post(double now, const std::string& address, std::uint64_t process,
+                          wire::Packet& packet, bool urgent, bool with_news) {
     if (address.empty()) return false;
     const double rate = kDatagramsPerInterval / settings_.interval_s;
     tokens_ = std::min(2 * kDatagramsPerInterval, tokens_ + (now - tokens_at_) * rate);
@@ -358,7 +358,7 @@
                 }
                 write(at->second.member, entry);
                 // Own suspicions go by this one's name: they confirm those of others.
-                if (at->second.member.state == State::suspected && !at->second.accusers.empty())
+                if (at->second.member.state == MemberState::suspected && !at->second.accusers.empty())
                     entry.set_accuser(at->second.accusers.contains(self_.name)
                                           ? self_.name
                                           : *at->second.accusers.begin());
@@ -377,7 +377,8 @@
     return true;
 }
 
-bool Members::send(double now, const std::string& name, std::uint32_t channel, std::string_view body) {
+bool SwimMembership::send(double now, const std::string& name, std::uint32_t channel,
+                          std::string_view body) {
     if (body.size() > kBodyMost || leaving_) return false;
     const auto at = members_.find(name);
     if (at == members_.end()) {
@@ -392,14 +393,14 @@
 }
 
 // Who is here, for one that does not know this process: it may then seal what it says for it.
-void Members::welcome(double now, const wire::Packet& packet, std::uint64_t process) {
+void SwimMembership::welcome(double now, const wire::Packet& packet, std::uint64_t process) {
     if (!packet.has_from() || !sane(packet.from()) || packet.from().process() != process) return;
     if (packet.from().name() == self_.name && process == self_.process) return;
     wire::Packet answer = this->packet(Kind::welcome);
     post(now, reach(packet.from().name(), packet.from().address()), process, answer, false, false);
 }
 
-void Members::receive(double now, std::uint64_t from_process, bool fresh, std::string_view payload) {
+void SwimMembership::receive(double now, std::uint64_t from_process, bool fresh, std::string_view payload) {
     if (!started_) return;
     wire::Packet packet;
     if (!packet.ParseFromArray(payload.data(), static_cast<int>(payload.size()))) {
@@ -422,7 +423,7 @@
     if (known.member.process == from_process) known.member.heard_at = now;
     // One that was restarted does not know what the fleet holds of its name.
     if (known.member.process != from_process || known.member.incarnation > packet.from().incarnation() ||
-        (known.member.state != State::alive && kind != Kind::news)) {
+        (known.member.state != MemberState::alive && kind != Kind::news)) {
         wire::Packet told = this->packet(Kind::news);
         write(known.member, *told.add_news());
         post(now, reach(packet.from().name(), packet.from().address()), from_process, told, false, false);
@@ -486,12 +487,12 @@
 }
 
 // What the fleet holds of this one's name.
-void Members::note_self(double now, const wire::Member& said) {
+void SwimMembership::note_self(double now, const wire::Member& said) {
     if (leaving_) return;
-    const auto state = static_cast<State>(said.state());
+    const auto state = static_cast<MemberState>(said.state());
     if (said.process() == self_.process) {
         // Suspected, or called gone: answered by a higher incarnation, which only this process may raise.
-        if (state == State::alive || said.incarnation() < self_.incarnation) return;
+        if (state == MemberState::alive || said.incarnation() < self_.incarnation) return;
         self_.incarnation = said.incarnation() + 1;
         ++tally_.refuted;
         healthier(-1);
@@ -516,7 +517,7 @@
         Member other = self_;
         other.address = said.address();
         other.process = said.process();
-        changes_.push_back({other, Change::What::disputed});
+        changes_.push_back({other, MemberChange::What::disputed});
     }
     if (newcomer) {
         waits_ = true;
@@ -530,13 +531,13 @@
     }
 }
 
-void Members::settle_name(double now) {
+void SwimMembership::settle_name(double now) {
     if (waits_ || self_.since > now) return;
     spread(self_.name);
 }
 
-void Members::note(double now, const wire::Member& said, const std::string& from) {
-    const auto state = static_cast<State>(said.state());
+void SwimMembership::note(double now, const wire::Member& said, const std::string& from) {
+    const auto state = static_cast<MemberState>(said.state());
     auto at = members_.find(said.name());
     if (at == members_.end()) {
         if (!there(state) || members_.size() + 1 >= kMembersMost) return;
@@ -547,15 +548,15 @@
                         said.version(),
                         said.incarnation(),
                         said.process(),
-                        State::alive,
+                        MemberState::alive,
                         now,
                         0,
                         false};
         at = members_.emplace(said.name(), std::move(known)).first;
         ++alive_;
-        changes_.push_back({at->second.member, Change::What::joined});
+        changes_.push_back({at->second.member, MemberChange::What::joined});
         spread(said.name());
-        if (state == State::suspected)
+        if (state == MemberState::suspected)
             suspect(now, at->second, said.accuser().empty() ? from : said.accuser());
         return;
     }
@@ -565,9 +566,10 @@
     const bool before = there(member.state);
     if (!same && before && there(state) && said.address() != member.address) {
         known.disputed_until = now + kDisputed * settings_.interval_s;
-        if (!std::exchange(member.disputed, true)) changes_.push_back({member, Change::What::disputed});
+        if (!std::exchange(member.disputed, true))
+            changes_.push_back({member, MemberChange::What::disputed});
     }
-    if (same && state == State::suspected && member.state == State::suspected &&
+    if (same && state == MemberState::suspected && member.state == MemberState::suspected &&
         said.incarnation() == member.incarnation)
         return suspect(now, known, said.accuser().empty() ? from : said.accuser());
     if (!newer(said, member)) return;
@@ -577,35 +579,35 @@
         member.heard_at = 0;
         member.since = now;
         known.accusers.clear();
-        put(known, State::alive);
-        changes_.push_back({member, Change::What::restarted});
+        put(known, MemberState::alive);
+        changes_.push_back({member, MemberChange::What::restarted});
     }
     member.incarnation = said.incarnation();
     member.address = said.address();
     member.site = said.site();
     member.version = said.version();
     spread(said.name());
-    if (state == State::suspected) {
-        if (member.state == State::alive)
+    if (state == MemberState::suspected) {
+        if (member.state == MemberState::alive)
             suspect(now, known, said.accuser().empty() ? from : said.accuser());
         else if (!there(member.state))
-            set(now, known, State::alive), suspect(now, known, from);
+            set(now, known, MemberState::alive), suspect(now, known, from);
         return;
     }
     set(now, known, state);
 }
 
-std::vector<Datagram> Members::take_datagrams() { return std::exchange(datagrams_, {}); }
-std::vector<Change> Members::take_changes() { return std::exchange(changes_, {}); }
-std::vector<Heard> Members::take_heard() { return std::exchange(heard_, {}); }
+std::vector<Datagram> SwimMembership::take_datagrams() { return std::exchange(datagrams_, {}); }
+std::vector<MemberChange> SwimMembership::take_changes() { return std::exchange(changes_, {}); }
+std::vector<ReceivedMessage> SwimMembership::take_heard() { return std::exchange(heard_, {}); }
 
-std::vector<Member> Members::list() const {
+std::vector<Member> SwimMembership::list() const {
     std::vector<Member> all{self_};
     for (const auto& [name, known] : members_) all.push_back(known.member);
     return all;
 }
 
-const Member* Members::find(const std::string& name) const {
+const Member* SwimMembership::find(const std::string& name) const {
     if (name == self_.name) return &self_;
     const auto at = members_.find(name);
     return at == members_.end() ? nullptr : &at->second.member;
--- a/src/membership/swim.hpp
+++ b/src/membership/swim.hpp
@@ -24,14 +24,14 @@
 class Packet;
 }   // namespace wire
 
-enum class State { alive = 0, suspected = 1, gone = 2, left = 3 };
+enum class MemberState { alive = 0, suspected = 1, gone = 2, departed = 3 };
 inline constexpr const char* kStates[] = {"alive", "suspected", "gone", "left"};
 
 struct Member {
     std::string name, address, site, version;
     std::uint32_t incarnation = 0;
     std::uint64_t process = 0;   // told apart by it: two processes are never one member's life
-    State state = State::alive;
+    MemberState state = MemberState::alive;
     double since = 0;        // s; in this state
     double heard_at = 0;     // s; something came from it directly; 0: never
     bool disputed = false;   // two processes claim the name
@@ -53,19 +53,19 @@
     std::string payload;
 };
 
-struct Change {
+struct MemberChange {
     Member member;   // as it is now
     enum class What { joined, state, restarted, disputed, forgotten } what = What::state;
 };
 
-struct Heard {
+struct ReceivedMessage {
     std::string from;
     std::uint64_t process = 0;
     std::uint32_t channel = 0;
     std::string body;
 };
 
-struct Tally {
+struct TrafficCounts {
     std::uint64_t sent = 0, sent_bytes = 0;      // datagrams, with what sealing adds
     std::uint64_t held_back = 0;                 // over the budget
     std::uint64_t unreadable = 0, refuted = 0;   // packets; suspicions of this one that it has answered
@@ -73,27 +73,27 @@
     std::uint64_t syncs = 0;
 };
 
-class Members {
+class SwimMembership {
   public:
     // `process` is drawn for this life of the process, never 0.
-    Members(const Settings& settings, std::uint64_t process, std::uint64_t seed);
-    ~Members();
+    SwimMembership(const Settings& settings, std::uint64_t process, std::uint64_t seed);
+    ~SwimMembership();
 
     void start(double now);
     void leave(double now);   // tells the others; nothing but what is asked is sent after it
     // `fresh`: sealed for this very process. Else it may be old: only an answer that tells who is here
     // comes of it.
     void receive(double now, std::uint64_t from_process, bool fresh, std::string_view payload);
-    void wake(double now);
-    double due() const;   // s; when wake() is wanted
+    void on_timer(double now);
+    double next_deadline() const;   // s; when wake() is wanted
 
     // One datagram to that member, of kBodyMost bytes at most, by a channel of the caller's own; nothing is
     // sent again. False: it is not known, or its process isn't yet (which is asked for then).
     bool send(double now, const std::string& name, std::uint32_t channel, std::string_view body);
 
     std::vector<Datagram> take_datagrams();
-    std::vector<Change> take_changes();
-    std::vector<Heard> take_heard();
+    std::vector<MemberChange> take_changes();
+    std::vector<ReceivedMessage> take_heard();
 
     // This one first, the others by name; those gone and left for as long as they are remembered.
     std::vector<Member> list() const;
@@ -101,11 +101,11 @@
     const Member& self() const { return self_; }
     std::size_t alive() const { return alive_; }   // with this one, suspected ones included
     // For how long what is told here may be out of date (s) while links work.
-    double staleness_s() const { return known_within_s(alive(), settings_.interval_s); }
+    double staleness_s() const { return detection_bound_s(alive(), settings_.interval_s); }
     // Another process holds the name; nothing is claimed until it is gone.
     bool waits_for_name() const { return waits_; }
     int health() const { return health_; }   // 0: well
-    const Tally& tally() const { return tally_; }
+    const TrafficCounts& tally() const { return tally_; }
     void set_via(const std::map<std::string, std::string>& via) { settings_.via = via; }
 
   private:
@@ -134,8 +134,8 @@
 
     void note(double now, const wire::Member& said, const std::string& from);
     void note_self(double now, const wire::Member& said);
-    void put(Known& known, State state);
-    void set(double now, Known& known, State state);
+    void put(Known& known, MemberState state);
+    void set(double now, Known& known, MemberState state);
     void spread(const std::string& name);
     void suspect(double now, Known& known, const std::string& accuser);
     void probe_next(double now);
@@ -175,9 +175,9 @@
     double next_probe_ = 0, next_spread_ = 0, next_sync_ = 0, next_reach_ = 0, asserted_at_ = -1e18;
     double tokens_ = kDatagramsPerInterval, tokens_at_ = 0;
     std::vector<Datagram> datagrams_;
-    std::vector<Change> changes_;
-    std::vector<Heard> heard_;
-    Tally tally_;
+    std::vector<MemberChange> changes_;
+    std::vector<ReceivedMessage> heard_;
+    TrafficCounts tally_;
 };
 
 }   // namespace slatejunction::membership
--- a/src/metrics/measures.cpp
+++ b/src/metrics/measures.cpp
@@ -79,7 +79,7 @@
         case Id::lease_acts:
             return {{"result", all(kActs)}};
         case Id::rollout_trouble:
-            return {{"trouble", all(kTroubles)}};
+            return {{"trouble", all(kRolloutFaults)}};
         case Id::connections:
         case Id::bytes_held:
         case Id::bytes_budget:
@@ -144,7 +144,7 @@
     std::set<double> bounds(kBounds.begin(), kBounds.end());
     for (const ServiceClass& one : shape.classes) {
         classes.push_back(one.name);
-        for (const double bound : {one.aim_s, one.deadline_s})
+        for (const double bound : {one.latency_objective_s, one.deadline_s})
             if (bound > 0) bounds.insert(bound);
     }
     for (const Plan& one : shape.plans) plans.push_back(one.name);
@@ -195,32 +195,34 @@
       sources_(std::move(layout.sources)),
       plans_(std::max<std::size_t>(1, shape_.plans.size())),
       last_sample_(layout.names.size() - 1),
-      cells_(path.empty() ? storage::Cells(layout.names.size(), now_ms)
-                          : storage::Cells(path, layout.names, now_ms)),
+      cells_(path.empty() ? storage::PersistentCounters(layout.names.size(), now_ms)
+                          : storage::PersistentCounters(path, layout.names, now_ms)),
       gauges_(layout.gauges) {
     set(Id::counters_created, static_cast<double>(cells_.created_ms()) / 1e3);
 }
 
-double Measures::finished(const Finished& r) {
+double Measures::finished(const FinishedRequest& r) {
     const ServiceClass& service = shape_.classes[r.service_class];
-    const double price = shape_.plans.empty() ? 1 : shape_.plans[r.plan].price;
+    const double price = shape_.plans.empty() ? 1 : shape_.plans[r.plan].plan_weight;
     // What is beyond its quota is asked of nobody: it is neither offered nor lost.
-    const bool surplus = r.ending == Ending::refused && r.reason == kQuota;
-    const double offered = surplus ? 0 : service.worth * price * r.units;
-    const bool late = service.aim_s > 0 && r.seconds > service.aim_s;
-    const double served = r.ending != Ending::served ? 0 : late ? offered * service.late_worth : offered;
+    const bool surplus = r.result == RequestResult::rejected && r.reason == kQuota;
+    const double offered = surplus ? 0 : service.priority_weight * price * r.units;
+    const bool late = service.latency_objective_s > 0 && r.seconds > service.latency_objective_s;
+    const double served = r.result != RequestResult::served ? 0
+                          : late                            ? offered * service.late_priority_weight
+                                                            : offered;
     const std::size_t pair = r.service_class * plans_ + r.plan;
-    const auto ending = static_cast<std::size_t>(r.ending);
+    const auto ending = static_cast<std::size_t>(r.result);
     const auto bound = static_cast<std::size_t>(
         std::lower_bound(bounds_.begin(), bounds_.end(), r.seconds) - bounds_.begin());
     const std::size_t histogram = (r.service_class * kEndings.size() + ending) * (bounds_.size() + 2);
-    std::array<storage::Cells::Change, 7> changes;
+    std::array<storage::PersistentCounters::Change, 7> changes;
     std::size_t count = 0;
     const auto change = [&](Id id, std::size_t label, double by) {
         if (by != 0) changes[count++] = {static_cast<std::uint32_t>(at(id, label)), by};
     };
     change(Id::requests, pair * kEndings.size() + ending, 1);
-    if (r.ending == Ending::refused) change(Id::refusals, pair * kReasons.size() + r.reason, 1);
+    if (r.result == RequestResult::rejected) change(Id::refusals, pair * kReasons.size() + r.reason, 1);
     change(Id::worth_offered, pair, offered);
     change(Id::worth_served, pair, served);
     change(Id::worth_lost, pair, offered - served);
@@ -231,7 +233,7 @@
 }
 
 void Measures::add(Id id, std::size_t label, double by) {
-    const storage::Cells::Change change{static_cast<std::uint32_t>(at(id, label)), by};
+    const storage::PersistentCounters::Change change{static_cast<std::uint32_t>(at(id, label)), by};
     cells_.apply({&change, 1});
 }
 
--- a/src/metrics/measures.hpp
+++ b/src/metrics/measures.hpp
@@ -25,7 +25,7 @@
     Labels labels;
 };
 
-enum class Ending { served = 0, refused = 1, failed = 2 };
+enum class RequestResult { served = 0, rejected = 1, failed = 2 };
 inline constexpr std::array<std::string_view, 3> kEndings{"served", "refused", "failed"};
 
 // By slatejunction::Outcome.
@@ -39,14 +39,14 @@
                                                           "held_back"};
 inline constexpr std::array<std::string_view, 2> kChanges{"gained", "lost"};
 inline constexpr std::array<std::string_view, 3> kActs{"taken", "turned_down", "failed"};
-inline constexpr std::array<std::string_view, 3> kTroubles{"disk", "diverged", "refused"};
+inline constexpr std::array<std::string_view, 3> kRolloutFaults{"disk", "diverged", "refused"};
 inline constexpr std::array<std::string_view, 4> kDropped{"thinned", "backlog_full", "rejected", "stopped"};
 inline constexpr std::array<std::string_view, 6> kBatches{"taken",  "put_off",   "rejected",
                                                           "broken", "timed_out", "fallen_back"};
 
-struct Finished {
+struct FinishedRequest {
     std::size_t service_class = 0, plan = 0;   // numbers in the settings; plan 0 where there are none
-    Ending ending = Ending::served;
+    RequestResult result = RequestResult::served;
     std::size_t reason = 0;   // of kReasons; of a refusal only
     double seconds = 0;
     double units = 1;
@@ -67,7 +67,7 @@
     Measures(Shape shape, std::int64_t now_ms, const std::string& path = {});
 
     // All figures of one finished request, as one update. Returns the worth earned.
-    double finished(const Finished& request);
+    double finished(const FinishedRequest& request);
     void add(Id id, std::size_t label = 0, double by = 1);   // a counter without or with one fixed label
     void set(Id id, double value, std::size_t label = 0);    // a gauge
     double get(Id id, std::size_t label = 0) const;
@@ -77,7 +77,7 @@
     const std::vector<Series>& series() const { return series_; }
     // One figure for each of series(), in that order; buckets are cumulative.
     void sample(std::vector<double>& values) const;
-    const storage::Cells& cells() const { return cells_; }
+    const storage::PersistentCounters& cells() const { return cells_; }
     // The time of the newest sample ever taken, Unix ms: kept with the counters, so that times don't run
     // back over a restart either.
     std::int64_t last_sample_ms() const;
@@ -105,7 +105,7 @@
     std::vector<std::uint32_t> sources_;   // of each series: its cell, or its gauge
     std::size_t plans_ = 1;
     std::size_t last_sample_ = 0;   // the cell
-    storage::Cells cells_;
+    storage::PersistentCounters cells_;
     std::vector<double> gauges_;
 };
 
--- a/src/net/datagrams.hpp
+++ b/src/net/datagrams.hpp
@@ -43,7 +43,7 @@
     std::function<void(std::string_view)> taken_;
     std::function<void(std::string_view, const Sender&)> taken_from_;   // one of the two
     Ref<GSocket> socket_;
-    std::optional<Watch> watch_;
+    std::optional<SourceWatch> watch_;
     char room_[2048];
 };
 
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -79,13 +79,13 @@
     held_ = true;
 }
 
-void Listener::hold() {
+void Listener::pause() {
     held_ = true;
     again_.disarm();
     source_.reset();
 }
 
-void Listener::go_on() {
+void Listener::resume() {
     held_ = false;
     if (socket_ && !source_) watch();
 }
@@ -97,14 +97,14 @@
     socket_.reset();
 }
 
-void Listener::refuse_new() {
+void Listener::refuse_handshakes() {
     if (!socket_ || held_) return;
     drop_knocks(g_socket_get_fd(socket_.get()));
     refusing_ = true;
 }
 
 // Bounded: more may come meanwhile. An accept that fails tells nothing of those behind it.
-void Listener::take_waiting_and_stop() {
+void Listener::accept_pending_and_stop() {
     for (int i = 0; i <= kBacklog && socket_ && !held_ && room_(); ++i) {
         GError* fault = nullptr;
         Ref<GSocket> taken(g_socket_accept(socket_.get(), nullptr, &fault));
--- a/src/net/listener.hpp
+++ b/src/net/listener.hpp
@@ -18,17 +18,17 @@
     bool start(const std::string& address, std::string& why);
     // Another process's socket, which listens already. Held: nothing is accepted until go_on().
     void adopt(Ref<GSocket> listening);
-    void hold();
-    void go_on();
+    void pause();
+    void resume();
     // For another process; below 0: there is none to give.
     int descriptor() const { return socket_ && !refusing_ ? g_socket_get_fd(socket_.get()) : -1; }
     void stop();
     // Makes no new connection from here on, but accepts those whose handshake has begun. Guards against a
     // close that resets them, with a request behind them maybe: close some time later. Not for a socket
     // that another process has too.
-    void refuse_new();
+    void refuse_handshakes();
     // Accepts what waits, as far as there is room, and stops. Held: stops at once.
-    void take_waiting_and_stop();
+    void accept_pending_and_stop();
     void poke();   // there may be room again
 
   private:
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -86,7 +86,7 @@
     return ready == 1 && (one.revents & kEnded) != 0;
 }
 
-double Stream::waited_s() const {
+double Stream::stalled_s() const {
     if (!socket_) return 0;
     tcp_info info{};
     socklen_t size = sizeof info;
@@ -184,7 +184,7 @@
         }
         return G_SOURCE_CONTINUE;
     }
-    const std::span<char> space = protocol_.space();
+    const std::span<char> space = protocol_.receive_buffer();
     if (space.empty()) {   // until resume()
         pause();
         return G_SOURCE_REMOVE;
--- a/src/net/stream.hpp
+++ b/src/net/stream.hpp
@@ -23,15 +23,15 @@
     virtual bool ended() const { return false; }   // by the peer, whatever it sent before lies unread
     // s; how long the bytes that were read last had lain with the system, as far as it tells. Of bytes that
     // came at several times it is the last one's.
-    virtual double waited_s() const { return 0; }
+    virtual double stalled_s() const { return 0; }
 };
 
 // A protocol as a state machine that is fed bytes.
 class Protocol : public std::enable_shared_from_this<Protocol> {
   public:
     virtual ~Protocol() = default;
-    virtual void on_open() {}              // a dialled connection is up
-    virtual std::span<char> space() = 0;   // where the next bytes go; empty: not now
+    virtual void on_open() {}                       // a dialled connection is up
+    virtual std::span<char> receive_buffer() = 0;   // where the next bytes go; empty: not now
     virtual void on_bytes(std::size_t size) = 0;
     virtual void on_dropped() {}           // something of what is to be dropped has come
     virtual void on_sent() {}              // all that was kept has been written
@@ -61,7 +61,7 @@
     void drop(std::size_t most) override;
     void close() override;
     bool ended() const override;
-    double waited_s() const override;
+    double stalled_s() const override;
 
   private:
     static gboolean on_unread_end(gint, GIOCondition, gpointer self);
--- a/src/net/timers.cpp
+++ b/src/net/timers.cpp
@@ -64,21 +64,21 @@
     attach(source_.get());
 }
 
-Watch::Watch(Timers& timers, int fd, std::function<void()> call)
+SourceWatch::SourceWatch(Timers& timers, int fd, std::function<void()> call)
     : timers_(timers),
       call_(std::move(call)),
       tag_(g_source_add_unix_fd(timers.source_.get(), fd, G_IO_IN)) {
     timers_.watches_.push_back(this);
 }
 
-Watch::~Watch() {
+SourceWatch::~SourceWatch() {
     std::erase(timers_.watches_, this);
     g_source_remove_unix_fd(timers_.source_.get(), tag_);
 }
 
 void Timers::look() {
-    const std::vector<Watch*> all = watches_;   // a call may end any of them, or begin one
-    for (Watch* one : all)
+    const std::vector<SourceWatch*> all = watches_;   // a call may end any of them, or begin one
+    for (SourceWatch* one : all)
         if (std::find(watches_.begin(), watches_.end(), one) != watches_.end() &&
             g_source_query_unix_fd(source_.get(), one->tag_) != 0)
             one->call_();
--- a/src/net/timers.hpp
+++ b/src/net/timers.hpp
@@ -37,12 +37,12 @@
 };
 
 // Calls back when the descriptor can be read, until it is destroyed; the descriptor outlives it.
-class Watch {
+class SourceWatch {
   public:
-    Watch(Timers& timers, int fd, std::function<void()> call);
-    ~Watch();
-    Watch(const Watch&) = delete;
-    Watch& operator=(const Watch&) = delete;
+    SourceWatch(Timers& timers, int fd, std::function<void()> call);
+    ~SourceWatch();
+    SourceWatch(const SourceWatch&) = delete;
+    SourceWatch& operator=(const SourceWatch&) = delete;
 
   private:
     friend class Timers;
@@ -57,14 +57,14 @@
 
   private:
     friend class Timer;
-    friend class Watch;
+    friend class SourceWatch;
     struct Wake {
         GSource base;
         Timers* self;
     };
     void run();
     void look();
-    std::vector<Watch*> watches_;
+    std::vector<SourceWatch*> watches_;
     std::multimap<double, Timer*> queue_;
     Source source_;
     static constexpr double kNever = std::numeric_limits<double>::infinity();   // s, as a time
--- a/src/operator_config/options.cpp
+++ b/src/operator_config/options.cpp
@@ -18,7 +18,7 @@
     if (options.metrics.directory.empty())
         return (options.rollout.follows() ? "from" : "listen") +
                std::string(": wants [state] directory, where what is in force outlives the process");
-    if (options.rollout.key_file.empty() && options.peers.key_file.empty())
+    if (options.rollout.key_file.empty() && options.membership.key_file.empty())
         return "key_file: is wanted, here or in [peers]: what nodes say is authenticated";
     if (options.rollout.control() && !options.lease.on())
         return "listen: wants [lease] voters, which are the control machines; or `from`, for a relay";
@@ -35,11 +35,11 @@
     all.push_back(remote_write.section());
     all.push_back(rules.section());
     all.push_back(quota.section());
-    all.push_back(peers.section());
+    all.push_back(membership.section());
     all.push_back(lease.section());
     all.push_back(lease.announce());
-    all.push_back(sums.section());
-    all.push_back(fleet_limits.section());
+    all.push_back(fleet_counters.section());
+    all.push_back(fleet_rate_limits.section());
     all.push_back(rollout.section());
     return all;
 }
@@ -59,21 +59,22 @@
         fresh.metrics.directory == fresh.remote_write.backlog_directory)
         faults.push_back(path +
                          ": [remote_write] backlog_directory: is [state] directory too; each has its own");
-    if (faults.empty() && fresh.lease.on() && !fresh.peers.on())
+    if (faults.empty() && fresh.lease.on() && !fresh.membership.on())
         faults.push_back(path + ": [lease] voters: [peers] listen is wanted, leases are carried by it");
     if (faults.empty() && !fresh.lease.announce_url.empty() && !fresh.lease.on())
         faults.push_back(path +
                          ": [announce] url: [lease] voters are wanted, only a holder announces itself");
-    if (faults.empty() && fresh.peers.members.empty())
+    if (faults.empty() && fresh.membership.members.empty())
         for (const auto& one : fresh.rules.limits)
             if (one.scope == 1)
                 faults.push_back(path + ": [limit " + one.name +
                                  "] scope: fleet wants [peers] members, every ingress by name");
-    if (faults.empty() && fresh.sums.on() && (!fresh.lease.on() || fresh.remote_write.url.empty()))
+    if (faults.empty() && fresh.fleet_counters.on() &&
+        (!fresh.lease.on() || fresh.remote_write.url.empty()))
         faults.push_back(path + ": [fleet_sums] every_s: wants " +
                          (fresh.lease.on() ? "[remote_write] url, where the sums are written"
                                            : "[lease] voters, one of all ingresses writes them"));
-    if (faults.empty() && fresh.lease.on() && fresh.lease.numbers == lease::Options::kept &&
+    if (faults.empty() && fresh.lease.on() && fresh.lease.token_persistence == lease::Options::kept &&
         fresh.metrics.directory.empty())
         faults.push_back(path + ": [lease] numbers: kept wants [state] directory");
     if (faults.empty() && fresh.rollout.on()) {
--- a/src/operator_config/options.hpp
+++ b/src/operator_config/options.hpp
@@ -24,13 +24,13 @@
     remotewrite::Settings remote_write;
     rules::Settings rules;
     quota::Options quota;
-    membership::Options peers;
+    membership::Options membership;
     lease::Options lease;
-    fleet_counters::Options sums;
-    fleet_rate_limit::Options fleet_limits;
+    fleet_counters::Options fleet_counters;
+    fleet_rate_limit::Options fleet_rate_limits;
     rollout::Options rollout;
 
-    bool limits_fleet() const {
+    bool has_fleet_rate_limits() const {
         for (const auto& one : rules.limits)
             if (one.scope == 1) return true;
         return false;
--- a/src/operator_config/overlay.cpp
+++ b/src/operator_config/overlay.cpp
@@ -49,7 +49,7 @@
     return made ? "" : "[" + header + "]: names no key";
 }
 
-std::string lay_over(const std::string& text, const Sections& sections) {
+std::string apply_overlay(const std::string& text, const Sections& sections) {
     std::string made;
     bool replaced = false;
     std::istringstream lines(text);
--- a/src/operator_config/overlay.hpp
+++ b/src/operator_config/overlay.hpp
@@ -15,6 +15,6 @@
 std::string fault_of_section(const std::string& header, const std::string& lines);
 
 // The text with these sections in place of its own of the same headers, the others behind it.
-std::string lay_over(const std::string& text, const Sections& sections);
+std::string apply_overlay(const std::string& text, const Sections& sections);
 
 }   // namespace slatejunction::operator_config
--- a/src/quota/account.hpp
+++ b/src/quota/account.hpp
@@ -27,7 +27,7 @@
 /// One customer.
 struct Account {
     unsigned plan = 0, part = 0;
-    Doors doors;
+    IngressSet doors;
     double v = kNever;      ///< V as it should be by the last answer; kNever: not known
     double seen = kNever;   ///< V as the counter had it, of `generation` and `epoch`
     std::int64_t generation = 0;
--- a/src/quota/admission.cpp
+++ b/src/quota/admission.cpp
@@ -22,35 +22,35 @@
 
 }   // namespace
 
-unsigned Bank::part_of(std::uint64_t customer) const {
+unsigned SharedQuota::part_of(std::uint64_t customer) const {
     return static_cast<unsigned>(customer * 0x9e3779b97f4a7c15ULL >> 33) % settings_.parts;
 }
 
-Stores Bank::stores_of(const Account& account) const {
-    return stores(settings_, plan(account), account.doors.spread);
+BucketLayout SharedQuota::stores_of(const Account& account) const {
+    return bucket_layout(settings_, plan(account), account.doors.count);
 }
 
 // What a unit counts on the counter: more, while some of the customer's ingresses are cut off and spend
 // their share by themselves.
-double Bank::factor(const Account& account) const {
+double SharedQuota::factor(const Account& account) const {
     const CounterPart& part = parts_[account.part];
     unsigned missing = 0;
-    for (unsigned i = 0; i < account.doors.spread; ++i) {
-        const unsigned ingress = (account.doors.first + i) % settings_.ingresses;
-        missing += ingress != settings_.number && now_ - part.beat_at[ingress] > kMissingAfter;
+    for (unsigned i = 0; i < account.doors.count; ++i) {
+        const unsigned ingress = (account.doors.first + i) % settings_.ingress_count;
+        missing += ingress != settings_.ingress_index && now_ - part.beat_at[ingress] > kMissingAfter;
     }
-    const double ingresses = account.doors.spread;
+    const double ingresses = account.doors.count;
     return ingresses / (ingresses - std::min<double>(missing, ingresses - 1));
 }
 
-bool Bank::sharing(const Account& account) const {
+bool SharedQuota::sharing(const Account& account) const {
     const CounterPart& part = parts_[account.part];
     return part.lost || now_ < part.returned_at + kSettle;
 }
 
 // As it will be once all is reported.
-double Bank::level(const Account& account) const {
-    const Stores s = stores_of(account);
+double SharedQuota::level(const Account& account) const {
+    const BucketLayout s = stores_of(account);
     const double news = account.unreported + account.in_flight;
     double v = account.v;
     if (news > 0)
@@ -59,26 +59,26 @@
     return s.burst - s.rate * std::max(0.0, v - clock());
 }
 
-double Bank::level(std::uint64_t customer) const {
+double SharedQuota::level(std::uint64_t customer) const {
     const auto at = accounts_.find(customer);
     return at == accounts_.end() ? 0 : level(at->second);
 }
 
-double Bank::free_level(const Account& account) const {
-    const Stores s = stores_of(account);
+double SharedQuota::free_level(const Account& account) const {
+    const BucketLayout s = stores_of(account);
     return s.free_burst - s.free_rate * std::max(0.0, account.free_v - clock());
 }
 
-double Bank::share_level(const Account& account) const {
-    const Stores s = stores_of(account);
+double SharedQuota::share_level(const Account& account) const {
+    const BucketLayout s = stores_of(account);
     return s.share_burst - s.share_rate * std::max(0.0, account.share_v - clock());
 }
 
 // 0, or so many s until `units` have room.
-double Bank::wait(const Account& account, double units) const {
-    const Stores s = stores_of(account);
+double SharedQuota::wait(const Account& account, double units) const {
+    const BucketLayout s = stores_of(account);
     const double free = time_until(units, free_level(account), s.free_rate);
-    if (free == 0 || account.doors.spread <= 1) return free;
+    if (free == 0 || account.doors.count <= 1) return free;
     if (sharing(account)) return std::min(free, time_until(units, share_level(account), s.share_rate));
     const double unit = factor(account);
     if (account.v != kNever) {
@@ -90,7 +90,8 @@
     return news + units <= s.credit + kRound || news == 0 ? 0 : std::min(free, kBlocked);
 }
 
-double Bank::look(double now, std::uint64_t customer, unsigned plan_number, Doors doors, double units) {
+double SharedQuota::retry_after_s(double now, std::uint64_t customer, unsigned plan_number,
+                                  IngressSet doors, double units) {
     advance(now);
     if (plan_number >= settings_.plans.size() || units <= 0) return 0;
     const PlanQuota& quota = settings_.plans[plan_number];
@@ -102,12 +103,13 @@
     const bool known = at != accounts_.end() && at->second.plan == plan_number && at->second.doors == doors;
     const Account& account = known ? at->second : fresh;
     if (known && now_ - account.known_at > kRereadEvery) reread(customer, at->second);
-    if (quota.max_out > 0 && account.out + 1 > std::max(1.0, std::floor(quota.max_out / doors.spread)))
+    if (quota.max_in_flight > 0 &&
+        account.out + 1 > std::max(1.0, std::floor(quota.max_in_flight / doors.count)))
         return kPlainWait;
     return quota.rate > 0 ? wait(account, units) : 0;
 }
 
-Account& Bank::account(std::uint64_t customer, unsigned plan_number, Doors doors) {
+Account& SharedQuota::account(std::uint64_t customer, unsigned plan_number, IngressSet doors) {
     auto [at, made] = accounts_.try_emplace(customer);
     Account& account = at->second;
     if (!made && account.plan == plan_number && account.doors == doors) return account;
@@ -121,7 +123,7 @@
 }
 
 // One whose stores are full again is no loss; of those that are not the one that was used longest ago goes.
-void Bank::forget_some() {
+void SharedQuota::forget_some() {
     const double now = clock();
     std::uint64_t coldest = 0;
     double used_at = 0;
@@ -147,14 +149,15 @@
     if (found) accounts_.erase(coldest);
 }
 
-void Bank::take(double now, std::uint64_t customer, unsigned plan_number, Doors doors, double units) {
+void SharedQuota::consume(double now, std::uint64_t customer, unsigned plan_number, IngressSet doors,
+                          double units) {
     advance(now);
     if (plan_number >= settings_.plans.size()) return;
     Account& one = account(customer, plan_number, doors);
     ++one.out;
     one.used_at = clock();
     if (plan(one).rate <= 0 || units <= 0) return;
-    if (free_level(one) >= units - kRound || doors.spread <= 1)
+    if (free_level(one) >= units - kRound || doors.count <= 1)
         one.free_v = std::max(one.free_v, clock()) + units / stores_of(one).free_rate;
     else if (sharing(one))
         take_share(customer, one, units);
@@ -163,7 +166,7 @@
     set_due();
 }
 
-void Bank::take_share(std::uint64_t customer, Account& account, double units) {
+void SharedQuota::take_share(std::uint64_t customer, Account& account, double units) {
     account.share_v = std::max(account.share_v, clock()) + units / stores_of(account).share_rate;
     // Until the others can have noticed and left this ingress its share, it owes what it passes.
     const CounterPart& part = parts_[account.part];
@@ -173,13 +176,13 @@
     account.tally += units;
 }
 
-void Bank::take_charged(std::uint64_t customer, Account& account, double units) {
+void SharedQuota::take_charged(std::uint64_t customer, Account& account, double units) {
     if (account.unreported == 0) account.since = clock();
     account.unreported += units;
     report_if_due(customer, account);
 }
 
-void Bank::ended(std::uint64_t customer) {
+void SharedQuota::release(std::uint64_t customer) {
     const auto at = accounts_.find(customer);
     if (at != accounts_.end() && at->second.out > 0) --at->second.out;
 }
--- a/src/quota/bucket_layout.cpp
+++ b/src/quota/bucket_layout.cpp
@@ -4,11 +4,11 @@
 
 namespace slatejunction::quota {
 
-Stores stores(const Settings& settings, const PlanQuota& plan, unsigned spread) {
+BucketLayout bucket_layout(const Settings& settings, const PlanQuota& plan, unsigned spread) {
     const double ingresses = std::max(1U, spread);
     const double free = spread <= 1 ? 1 : settings.free_part;
     const double free_units = std::min(settings.free_units, plan.burst);
-    Stores s{};
+    BucketLayout s{};
     s.rate = plan.rate * (1 - free);
     s.burst = plan.burst * (1 - free);
     s.free_rate = plan.rate * free / ingresses;
@@ -22,7 +22,7 @@
 
 StatedError stated_error(const Settings& settings, const PlanQuota& plan, unsigned spread,
                          unsigned cut_off) {
-    const Stores s = stores(settings, plan, spread);
+    const BucketLayout s = bucket_layout(settings, plan, spread);
     StatedError error;
     if (spread <= 1) {
         error.restarted = s.free_burst;
--- a/src/quota/bucket_layout.hpp
+++ b/src/quota/bucket_layout.hpp
@@ -7,7 +7,7 @@
 
 /// The stores that one plan's quota is kept in, for a customer with so many ingresses. Rates are units a
 /// second, bursts and the credit units.
-struct Stores {
+struct BucketLayout {
     double rate, burst;               ///< on the counter
     double free_rate, free_burst;     ///< of this ingress alone
     double share_rate, share_burst;   ///< of this ingress, while the counter is lost
@@ -15,7 +15,7 @@
 };
 
 /// `spread`: the ingresses that the customer's requests come through. With one of them all is free.
-Stores stores(const Settings& settings, const PlanQuota& plan, unsigned spread);
+BucketLayout bucket_layout(const Settings& settings, const PlanQuota& plan, unsigned spread);
 
 /// What may be sent on for one customer in any window of t seconds beyond burst + rate * t, in units.
 struct StatedError {
--- a/src/quota/counter_incarnation.hpp
+++ b/src/quota/counter_incarnation.hpp
@@ -27,28 +27,28 @@
 // that is lost costs kSentinelAgain more.
 double sentinel_within_s(double call_s, double way_s);
 
-struct SentinelMessage {
+struct IncarnationMessage {
     enum class Kind { found = 1, epoch } kind = Kind::found;
     unsigned part = 0;
     std::uint64_t epoch = 0;   // as the sender has it
 };
-std::string write(const SentinelMessage& message);
-bool read(std::string_view bytes, SentinelMessage& message);   // false: it is none
+std::string write(const IncarnationMessage& message);
+bool read(std::string_view bytes, IncarnationMessage& message);   // false: it is none
 
-class Sentinel {
+class CounterIncarnation {
   public:
-    explicit Sentinel(unsigned parts) : parts_(parts) {}
+    explicit CounterIncarnation(unsigned parts) : parts_(parts) {}
 
     // This ingress conducts from now on, or no longer.
-    void on_conducts(double now, bool on);
+    void on_leadership_change(double now, bool on);
     // The bank here has found that the part lost what it held, for sure (not that its own check had aged).
     void on_lost(double now, unsigned part);
     // The name of that generation held `total`; a read.
     void on_read(double now, unsigned part, std::int64_t generation, double total);
-    void on_message(double now, const SentinelMessage& message);
+    void on_message(double now, const IncarnationMessage& message);
     // Times are of the counter's generations (s, Unix).
-    void wake(double now);
-    double due() const { return due_; }
+    void on_timer(double now);
+    double next_deadline() const { return due_; }
 
     // Reads (by 0) and settings (by 1) of the name. A setting is an act: whether it may begin is asked
     // right before.
@@ -58,11 +58,11 @@
         double by = 0;
     };
     std::vector<Add> take_adds() { return std::exchange(adds_, {}); }
-    struct Post {
+    struct OutgoingMessage {
         bool all = false;   // to all; else to the conductor
-        SentinelMessage message;
+        IncarnationMessage message;
     };
-    std::vector<Post> take_posts() { return std::exchange(posts_, {}); }
+    std::vector<OutgoingMessage> take_outgoing() { return std::exchange(posts_, {}); }
     // Parts of which all stores are to count as empty, as others have found it.
     std::vector<unsigned> take_lost() { return std::exchange(lost_, {}); }
 
@@ -90,7 +90,7 @@
     bool conducts_ = false;
     double due_ = 0;
     std::vector<Add> adds_;
-    std::vector<Post> posts_;
+    std::vector<OutgoingMessage> posts_;
     std::vector<unsigned> lost_;
     std::uint64_t raised_ = 0, not_so_ = 0;
 };
--- a/src/quota/counter_protocol.cpp
+++ b/src/quota/counter_protocol.cpp
@@ -32,13 +32,13 @@
     return good ? value : std::numeric_limits<double>::quiet_NaN();
 }
 
-class Http final : public Wire {
+class Http final : public CounterProtocol {
   public:
     explicit Http(std::string host) : host_(std::move(host)) {}
 
-    void write(const Call& call, std::string& out) const override {
+    void write(const CounterCall& call, std::string& out) const override {
         out += "POST /counters/" + call.name + "?by=" + decimal(call.by) +
-               "&expire_ms=" + std::to_string(call.life_ms) + " HTTP/1.1\r\nHost: " + host_ +
+               "&expire_ms=" + std::to_string(call.ttl_ms) + " HTTP/1.1\r\nHost: " + host_ +
                "\r\nContent-Length: 0\r\n\r\n";
     }
 
@@ -60,7 +60,7 @@
     bool look(std::vector<Reply>& replies) {
         for (;;) {
             const http::Step step = parser_.feed(buffer_);
-            if (step == http::Step::more) return !parser_.unframed();
+            if (step == http::Step::more) return !parser_.ends_with_connection();
             if (step != http::Step::done) return false;
             const int status = parser_.head().status;
             if (status == 200)
@@ -84,11 +84,11 @@
     bool ending_ = false;
 };
 
-class Resp final : public Wire {
+class Resp final : public CounterProtocol {
   public:
-    void write(const Call& call, std::string& out) const override {
+    void write(const CounterCall& call, std::string& out) const override {
         command(out, {"MULTI"});
-        command(out, {"SET", call.name, "0", "PX", std::to_string(call.life_ms), "NX"});
+        command(out, {"SET", call.name, "0", "PX", std::to_string(call.ttl_ms), "NX"});
         command(out, {"INCRBYFLOAT", call.name, decimal(call.by)});
         command(out, {"EXEC"});
     }
@@ -185,7 +185,9 @@
 
 }   // namespace
 
-std::unique_ptr<Wire> http_wire(std::string host) { return std::make_unique<Http>(std::move(host)); }
-std::unique_ptr<Wire> resp_wire() { return std::make_unique<Resp>(); }
+std::unique_ptr<CounterProtocol> http_counter_protocol(std::string host) {
+    return std::make_unique<Http>(std::move(host));
+}
+std::unique_ptr<CounterProtocol> resp_counter_protocol() { return std::make_unique<Resp>(); }
 
 }   // namespace slatejunction::quota
--- a/src/quota/counter_protocol.hpp
+++ b/src/quota/counter_protocol.hpp
@@ -23,17 +23,17 @@
     double total = 0;   // NaN: what came is no number
 };
 
-class Wire {
+class CounterProtocol {
   public:
-    virtual ~Wire() = default;
-    virtual void write(const Call& call, std::string& out) const = 0;
+    virtual ~CounterProtocol() = default;
+    virtual void write(const CounterCall& call, std::string& out) const = 0;
     // Takes what has come; appends a reply for each call that is answered. False: it is no such protocol,
     // and the connection is of no use any more.
     virtual bool feed(std::string_view bytes, std::vector<Reply>& replies) = 0;
     virtual bool ending() const { return false; }   // the other side has said that it ends the connection
 };
 
-std::unique_ptr<Wire> http_wire(std::string host);
-std::unique_ptr<Wire> resp_wire();
+std::unique_ptr<CounterProtocol> http_counter_protocol(std::string host);
+std::unique_ptr<CounterProtocol> resp_counter_protocol();
 
 }   // namespace slatejunction::quota
--- a/src/quota/counter_state.cpp
+++ b/src/quota/counter_state.cpp
@@ -16,7 +16,7 @@
 
 }   // namespace
 
-void Bank::want_check(unsigned number) {
+void SharedQuota::want_check(unsigned number) {
     CounterPart& part = parts_[number];
     part.check_wanted = true;
     if (part.checking) return;
@@ -30,10 +30,10 @@
     pending.by = 1;
     pending.generation = part.check_generation;
     pending.number = ++part.checks;
-    send(pending, check_name(settings_.number, nonce_, part.check_generation), kNameLifeMs);
+    send(pending, check_name(settings_.ingress_index, nonce_, part.check_generation), kNameLifeMs);
 }
 
-void Bank::on_check(const Pending& pending, double total) {
+void SharedQuota::on_check(const Pending& pending, double total) {
     CounterPart& part = parts_[pending.part];
     part.checking = false;
     const std::int64_t generation = generation_of(clock());
@@ -55,7 +55,7 @@
 }
 
 // The customers whose answers came before that check was sent; the others wait for the next one.
-void Bank::believe_checked(unsigned number, std::uint64_t check) {
+void SharedQuota::believe_checked(unsigned number, std::uint64_t check) {
     CounterPart& part = parts_[number];
     std::vector<std::uint64_t> later;
     std::vector<std::uint64_t> all;
@@ -72,14 +72,14 @@
 }
 
 // All customers' stores of that part count as empty from now on.
-void Bank::empty(unsigned number) {
+void SharedQuota::empty(unsigned number) {
     CounterPart& part = parts_[number];
     ++part.epoch;
     ++empties_;
     part.floor_at = clock();
 }
 
-void Bank::emptied(double now, unsigned number) {
+void SharedQuota::on_counter_lost(double now, unsigned number) {
     advance(now);
     empty(number);
     // Its own check would only tell the same again: it begins anew, at once.
@@ -88,7 +88,7 @@
     set_due();
 }
 
-void Bank::add_sentinel(double now, unsigned number, std::int64_t generation, double by) {
+void SharedQuota::add_incarnation(double now, unsigned number, std::int64_t generation, double by) {
     advance(now);
     if (parts_[number].lost) return;
     Pending pending;
@@ -100,16 +100,16 @@
 }
 
 // The total has a digit for each ingress, which is 0 when its beat has died.
-void Bank::on_beat(unsigned number, double total) {
+void SharedQuota::on_beat(unsigned number, double total) {
     CounterPart& part = parts_[number];
     part.beat_out = false;
     part.beat_total = total;
     auto digits = static_cast<std::uint64_t>(total + 0.5);
-    for (unsigned i = 0; i < settings_.ingresses; ++i, digits /= kBeatBase)
+    for (unsigned i = 0; i < settings_.ingress_count; ++i, digits /= kBeatBase)
         if (digits % kBeatBase != 0) part.beat_at[i] = now_;
 }
 
-void Bank::heard(unsigned number) {
+void SharedQuota::heard(unsigned number) {
     CounterPart& part = parts_[number];
     part.failures = 0;
     part.silent_since = part.owed > 0 ? now_ : 0;
@@ -121,26 +121,26 @@
         if (account.part == number) report_if_due(customer, account);
 }
 
-void Bank::failed(unsigned number) {
+void SharedQuota::failed(unsigned number) {
     CounterPart& part = parts_[number];
     part.silent_since = part.owed > 0 ? now_ : 0;
     if (++part.failures >= kLostFailures && !part.lost) lose(number);
 }
 
 // From here on a share of what was known.
-void Bank::lose(unsigned number) {
+void SharedQuota::lose(unsigned number) {
     CounterPart& part = parts_[number];
     part.lost = true;
     part.lost_at = part.next_probe = now_;
     for (auto& [customer, account] : accounts_) {
         if (account.part != number || account.v == kNever) continue;
-        const Stores s = stores_of(account);
-        const double share = std::clamp(level(account), 0.0, s.burst) / account.doors.spread;
+        const BucketLayout s = stores_of(account);
+        const double share = std::clamp(level(account), 0.0, s.burst) / account.doors.count;
         account.share_v = std::max(account.share_v, clock() + (s.share_burst - share) / s.share_rate);
     }
 }
 
-void Bank::wake_part(unsigned number) {
+void SharedQuota::wake_part(unsigned number) {
     CounterPart& part = parts_[number];
     if (!part.lost && part.silent_since > 0 && now_ - part.silent_since >= kLostAfter) lose(number);
     const double jitter = 1 + kJitter * (static_cast<double>(random_() >> 11) * 0x1p-53 - 0.5);
@@ -150,13 +150,13 @@
         part.checking = false;   // the one that is out may never be answered
         return want_check(number);
     }
-    const bool beat_due = settings_.ingresses > 1 && now_ >= part.next_beat;
+    const bool beat_due = settings_.ingress_count > 1 && now_ >= part.next_beat;
     if (beat_due && !beat(number, jitter)) return;
     if (!part.checking && !part.suspects.empty()) want_check(number);
 }
 
 // False when the last one has not ended.
-bool Bank::beat(unsigned number, double jitter) {
+bool SharedQuota::beat(unsigned number, double jitter) {
     CounterPart& part = parts_[number];
     part.next_beat = now_ + kBeatEvery * jitter;
     // So that an older state is found out, and each generation has its check.
@@ -168,7 +168,7 @@
     Pending pending;
     pending.purpose = Purpose::beat;
     pending.part = number;
-    const double digit = std::pow(double{kBeatBase}, settings_.number);
+    const double digit = std::pow(double{kBeatBase}, settings_.ingress_index);
     const bool there = static_cast<std::uint64_t>(part.beat_total / digit + 1e-6) % kBeatBase != 0;
     pending.by = there ? 0 : digit;
     send(pending, beat_name(number), static_cast<std::uint32_t>(kBeatLife * 1000));
--- a/src/quota/driver.cpp
+++ b/src/quota/driver.cpp
@@ -21,9 +21,10 @@
     Link(Driver& driver, std::size_t part)
         : driver_(driver),
           part_(part),
-          wire_(driver.options_.protocol == 0 ? http_wire(driver.parts_[part]) : resp_wire()) {}
+          wire_(driver.options_.protocol == 0 ? http_counter_protocol(driver.parts_[part])
+                                              : resp_counter_protocol()) {}
 
-    void call(const Call& one) {
+    void call(const CounterCall& one) {
         if (written_.empty() && waiting_.empty()) heard_at = net::now();
         wire_->write(one, out_);
         waiting_.push_back(one.id);
@@ -42,7 +43,7 @@
         dialling = false;
         flush();
     }
-    std::span<char> space() override { return room_; }
+    std::span<char> receive_buffer() override { return room_; }
     void on_bytes(std::size_t size) override {
         const auto keep = shared_from_this();
         std::vector<Reply> replies;
@@ -53,9 +54,9 @@
             const std::uint64_t id = written_.front();
             written_.pop_front();
             if (reply.added)
-                driver_.bank_.answered(driver_.now(), id, reply.total);
+                driver_.bank_.on_reply(driver_.now(), id, reply.total);
             else
-                driver_.bank_.refused(driver_.now(), id);
+                driver_.bank_.on_rejected(driver_.now(), id);
         }
         if (!good || wire_->ending()) return on_end(good);
         driver_.pump();
@@ -70,8 +71,8 @@
         dialling = false;
         if (driver_.links_[part_].get() == this) driver_.links_[part_].reset();
         const double now = driver_.now();
-        for (const std::uint64_t id : std::exchange(written_, {})) driver_.bank_.maybe(now, id);
-        for (const std::uint64_t id : std::exchange(waiting_, {})) driver_.bank_.refused(now, id);
+        for (const std::uint64_t id : std::exchange(written_, {})) driver_.bank_.on_unknown_result(now, id);
+        for (const std::uint64_t id : std::exchange(waiting_, {})) driver_.bank_.on_rejected(now, id);
     }
     bool silent(double now) const {
         return !(written_.empty() && waiting_.empty()) && now - heard_at > kSilentMost;
@@ -83,7 +84,7 @@
     Driver& driver_;
     const std::size_t part_;
     net::Stream stream{*this};
-    std::unique_ptr<Wire> wire_;
+    std::unique_ptr<CounterProtocol> wire_;
     std::string out_;
     std::deque<std::uint64_t> written_, waiting_;   // calls
     double heard_at = 0;
@@ -131,30 +132,30 @@
     return options == options_;
 }
 
-double Driver::look(std::uint64_t customer, unsigned plan, Doors doors, double units) {
-    const double wait = bank_.look(now(), customer, plan, doors, units);
+double Driver::retry_after_s(std::uint64_t customer, unsigned plan, IngressSet doors, double units) {
+    const double wait = bank_.retry_after_s(now(), customer, plan, doors, units);
     if (bank_.has_calls()) pump();
     return wait;
 }
 
-void Driver::take(std::uint64_t customer, unsigned plan, Doors doors, double units) {
-    bank_.take(now(), customer, plan, doors, units);
-    if (bank_.has_calls() || bank_.due() - unix_at_zero_ < armed_for_) pump();
+void Driver::consume(std::uint64_t customer, unsigned plan, IngressSet doors, double units) {
+    bank_.consume(now(), customer, plan, doors, units);
+    if (bank_.has_calls() || bank_.next_deadline() - unix_at_zero_ < armed_for_) pump();
 }
 
-void Driver::with_fleet(Ways ways) {
+void Driver::join_fleet(FleetCallbacks ways) {
     ways_ = std::move(ways);
     sentinel_.emplace(static_cast<unsigned>(parts_.size()));
     seen_.assign(parts_.size(), -1);
 }
 
-void Driver::on_conducts(bool on) {
-    sentinel_->on_conducts(now(), on);
+void Driver::on_leadership_change(bool on) {
+    sentinel_->on_leadership_change(now(), on);
     pump();
 }
 
-void Driver::hear(std::string_view body) {
-    SentinelMessage message;
+void Driver::on_message(std::string_view body) {
+    IncarnationMessage message;
     if (!read(body, message)) return;
     sentinel_->on_message(now(), message);
     pump();
@@ -162,24 +163,24 @@
 
 // What the bank has found and read goes to the sentinel, what that wants to the bank.
 void Driver::pump_sentinel() {
-    for (const unsigned part : bank_.take_found()) sentinel_->on_lost(now(), part);
-    for (const auto& one : bank_.take_sentinels()) {
+    for (const unsigned part : bank_.take_found_losses()) sentinel_->on_lost(now(), part);
+    for (const auto& one : bank_.take_incarnations()) {
         sentinel_->on_read(now(), one.part, one.generation, one.total);
         if (one.total < 0.5 || std::exchange(seen_[one.part], one.generation) == one.generation) continue;
         const std::pair<std::string_view, std::string> fields[] = {
             {"part", std::to_string(one.part)}, {"generation", std::to_string(one.generation)}};
         log_.event("sentinel_seen", fields);
     }
-    for (const unsigned part : sentinel_->take_lost()) bank_.emptied(now(), part);
+    for (const unsigned part : sentinel_->take_lost()) bank_.on_counter_lost(now(), part);
     for (const auto& add : sentinel_->take_adds())
-        if (add.by == 0 || ways_.permit()) bank_.add_sentinel(now(), add.part, add.generation, add.by);
-    for (const auto& post : sentinel_->take_posts()) ways_.say(post.all, write(post.message));
+        if (add.by == 0 || ways_.permit()) bank_.add_incarnation(now(), add.part, add.generation, add.by);
+    for (const auto& post : sentinel_->take_outgoing()) ways_.send(post.all, write(post.message));
 }
 
 void Driver::pump() {
     if (sentinel_) pump_sentinel();
     // A call that fails at once may bring others: those of the next wake-up, so that this ends.
-    for (const Call& call : bank_.take_calls()) {
+    for (const CounterCall& call : bank_.take_calls()) {
         ++calls_;
         auto& link = links_[call.part];
         if (!link) {
@@ -187,7 +188,7 @@
             link->dialling = true;
             if (!link->stream.dial(addresses_[call.part].get())) {
                 link.reset();
-                bank_.refused(now(), call.id);
+                bank_.on_rejected(now(), call.id);
                 continue;
             }
         }
@@ -195,8 +196,8 @@
     }
     for (std::size_t part = 0; part < links_.size(); ++part)
         if (const auto link = links_[part]) link->flush();
-    double next = bank_.due() - unix_at_zero_;
-    if (sentinel_) next = std::min(next, sentinel_->due() - unix_at_zero_);
+    double next = bank_.next_deadline() - unix_at_zero_;
+    if (sentinel_) next = std::min(next, sentinel_->next_deadline() - unix_at_zero_);
     for (const auto& link : links_)
         if (link) next = std::min(next, link->silent_due());
     armed_for_ = next;
@@ -207,8 +208,8 @@
 void Driver::due() {
     for (std::size_t part = 0; part < links_.size(); ++part)
         if (const auto link = links_[part]; link && link->silent(net::now())) link->lose();
-    if (bank_.due() <= now()) bank_.wake(now());
-    if (sentinel_ && sentinel_->due() <= now()) sentinel_->wake(now());
+    if (bank_.next_deadline() <= now()) bank_.on_timer(now());
+    if (sentinel_ && sentinel_->next_deadline() <= now()) sentinel_->on_timer(now());
     pump();
 }
 
@@ -225,8 +226,8 @@
             log_.write(Log::Level::info, net::now(), "quota: the counter at %s answers again",
                        parts_[part].c_str());
     }
-    if (bank_.empties() == told_empties_) return;
-    told_empties_ = bank_.empties();
+    if (bank_.counter_losses() == told_empties_) return;
+    told_empties_ = bank_.counter_losses();
     log_.event("counter_emptied", {});
     log_.write(Log::Level::warning, net::now(),
                "quota: the counter has lost what it held; customers' stores count as empty from now on");
--- a/src/quota/driver.hpp
+++ b/src/quota/driver.hpp
@@ -26,24 +26,24 @@
     ~Driver();
     void start();
     // The sentinel's way to the others; before start(). Lives longer.
-    struct Ways {
-        std::function<bool()> permit;                                 // an act of the conductor's may begin
-        std::function<void(bool all, const std::string& body)> say;   // else to the conductor
+    struct FleetCallbacks {
+        std::function<bool()> permit;   // an act of the conductor's may begin
+        std::function<void(bool all, const std::string& body)> send;   // else to the conductor
     };
-    void with_fleet(Ways ways);
-    void on_conducts(bool on);
-    void hear(std::string_view body);
-    const Sentinel* sentinel() const { return sentinel_ ? &*sentinel_ : nullptr; }
+    void join_fleet(FleetCallbacks ways);
+    void on_leadership_change(bool on);
+    void on_message(std::string_view body);
+    const CounterIncarnation* incarnation() const { return sentinel_ ? &*sentinel_ : nullptr; }
     // Moves to other addresses or the other protocol; what is out at the old ones may or may not have been
     // added. What else has changed waits for the next start. False: there is a change of that kind.
     bool reload(const Options& options);
 
     // See Bank; `plan`: its number in the settings.
-    double look(std::uint64_t customer, unsigned plan, Doors doors, double units);
-    void take(std::uint64_t customer, unsigned plan, Doors doors, double units);
-    void ended(std::uint64_t customer) { bank_.ended(customer); }
+    double retry_after_s(std::uint64_t customer, unsigned plan, IngressSet doors, double units);
+    void consume(std::uint64_t customer, unsigned plan, IngressSet doors, double units);
+    void release(std::uint64_t customer) { bank_.release(customer); }
 
-    const Bank& bank() const { return bank_; }
+    const SharedQuota& shared_quota() const { return bank_; }
     std::uint64_t calls() const { return calls_; }
 
   private:
@@ -58,9 +58,9 @@
     Options options_;
     std::vector<std::string> parts_;
     std::vector<net::Address> addresses_;
-    Bank bank_;
-    std::optional<Sentinel> sentinel_;
-    Ways ways_;
+    SharedQuota bank_;
+    std::optional<CounterIncarnation> sentinel_;
+    FleetCallbacks ways_;
     std::vector<std::int64_t> seen_;   // by part: the generation in which the sentinel was last seen first
     net::Timers& timers_;
     Log& log_;
--- a/src/quota/plan.hpp
+++ b/src/quota/plan.hpp
@@ -28,28 +28,28 @@
 
 struct PlanQuota {
     std::string name;
-    double rate = 0;      ///< units a second
-    double burst = 0;     ///< units
-    double max_out = 0;   ///< attempts out over all ingresses; 0: not limited
+    double rate = 0;            ///< units a second
+    double burst = 0;           ///< units
+    double max_in_flight = 0;   ///< attempts out over all ingresses; 0: not limited
 };
 
 struct Settings {
     std::vector<PlanQuota> plans;
-    unsigned number = 0, ingresses = 1;   ///< this one of how many, from 0
-    unsigned parts = 1;                   ///< of the counter
-    double credit = 4;                    ///< k: units that an ingress may have passed and not reported
-    double free_part = 0.3;               ///< of each rate, split evenly
-    double free_units = 2;                ///< the free part's burst at least
-    double largest = 1;                   ///< units of the largest request
+    unsigned ingress_index = 0, ingress_count = 1;   ///< this one of how many, from 0
+    unsigned parts = 1;                              ///< of the counter
+    double credit = 4;        ///< k: units that an ingress may have passed and not reported
+    double free_part = 0.3;   ///< of each rate, split evenly
+    double free_units = 2;    ///< the free part's burst at least
+    double largest = 1;       ///< units of the largest request
     double calls_per_s = 200;
     double skew_s = 0.05;   ///< between any two ingresses' clocks, at most
     std::size_t customers_most = 100'000;
 };
 
 /// The ingresses that a customer's requests come through: `spread` from `first` on, counted round.
-struct Doors {
-    unsigned first = 0, spread = 1;
-    bool operator==(const Doors&) const = default;
+struct IngressSet {
+    unsigned first = 0, count = 1;
+    bool operator==(const IngressSet&) const = default;
 };
 
 }   // namespace slatejunction::quota
--- a/src/quota/reports.cpp
+++ b/src/quota/reports.cpp
@@ -22,7 +22,7 @@
 }   // namespace
 
 // A name that was read while it was lifted twice says for long that nothing may pass.
-void Bank::reread(std::uint64_t customer, Account& account) {
+void SharedQuota::reread(std::uint64_t customer, Account& account) {
     if (account.v == kNever || account.calling || account.suspect || account.queued ||
         account.unreported > 0 || sharing(account) || level(account) >= settings_.largest ||
         calls_left_ < 1)
@@ -33,10 +33,10 @@
 }
 
 // At once near the quota, only at the credit far from it.
-bool Bank::report_wanted(const Account& account) const {
+bool SharedQuota::report_wanted(const Account& account) const {
     if (account.tally > 0) return true;
     if (account.unreported <= 0) return false;
-    const Stores s = stores_of(account);
+    const BucketLayout s = stores_of(account);
     const double full = std::clamp(level(account) / s.burst, 0.0, 1.0);
     const double held = account.v == kNever ? 0
                         : account.only      ? s.credit   // nobody else needs the news
@@ -45,7 +45,7 @@
     return !room_for_more;
 }
 
-void Bank::report_if_due(std::uint64_t customer, Account& account) {
+void SharedQuota::report_if_due(std::uint64_t customer, Account& account) {
     if (account.calling || account.suspect || account.queued || parts_[account.part].lost) return;
     if (!report_wanted(account)) return;
     if (calls_left_ < 1) {
@@ -63,7 +63,7 @@
 // those of others. It is lifted blindly only where the others can't have done so meanwhile, as a name that
 // is lifted twice looks like an empty store to all who read it before the second takes its part back. Else
 // it is read first.
-void Bank::report_news(std::uint64_t customer, Account& account) {
+void SharedQuota::report_news(std::uint64_t customer, Account& account) {
     const bool tally = account.tally > 0;
     const double units = tally ? account.tally : account.unreported;
     const double since = tally ? account.tally_since : account.since;
@@ -84,7 +84,7 @@
         account.unreported = 0;
 }
 
-void Bank::report(std::uint64_t customer, Account& account, double units, double lift, double by) {
+void SharedQuota::report(std::uint64_t customer, Account& account, double units, double lift, double by) {
     account.calling = true;
     account.in_flight += units;
     parts_[account.part].reported = true;
@@ -99,7 +99,7 @@
 }
 
 // As many of those that waited as the budget of calls has room for.
-void Bank::report_queued() {
+void SharedQuota::report_queued() {
     for (std::size_t left = waiting_.size(); left > 0 && calls_left_ >= 1; --left) {
         const std::uint64_t customer = waiting_.front();
         waiting_.pop_front();
@@ -110,7 +110,7 @@
     }
 }
 
-Answer Bank::answer_to(const Pending& pending, double total) const {
+Answer SharedQuota::answer_to(const Pending& pending, double total) const {
     Answer answer;
     answer.total = start_of(pending.generation) + total;
     answer.before =
@@ -124,7 +124,7 @@
     return answer;
 }
 
-void Bank::on_report(const Pending& pending, double total) {
+void SharedQuota::on_report(const Pending& pending, double total) {
     const auto at = accounts_.find(pending.customer);
     if (at == accounts_.end()) return;
     Account& account = at->second;
@@ -143,11 +143,11 @@
 }
 
 // A check has come back since: the counter holds what it should, or is known not to.
-void Bank::believe(std::uint64_t customer, Account& account) {
+void SharedQuota::believe(std::uint64_t customer, Account& account) {
     account.suspect = false;
     const Answer answer = account.held;
-    const Stores s = stores_of(account);
-    const double ingresses = account.doors.spread;
+    const BucketLayout s = stores_of(account);
+    const double ingresses = account.doors.count;
     const double full_after = s.burst / s.rate + ingresses * s.credit / s.rate;
     // The first of a generation, early in it: the last one's name still matters, as others may have
     // reported there after this ingress did.
@@ -158,7 +158,7 @@
 }
 
 // Reads the customer's name of the generation before the answer that is held.
-void Bank::read_before(std::uint64_t customer, const Account& account) {
+void SharedQuota::read_before(std::uint64_t customer, const Account& account) {
     Pending pending;
     pending.purpose = Purpose::before;
     pending.customer = customer;
@@ -167,7 +167,7 @@
     send(pending, customer_name(customer, pending.generation), kReadLifeMs);
 }
 
-void Bank::on_before(const Pending& pending, double total) {
+void SharedQuota::on_before(const Pending& pending, double total) {
     const auto at = accounts_.find(pending.customer);
     if (at == accounts_.end() || !at->second.suspect) return;
     at->second.suspect = false;
@@ -177,8 +177,8 @@
 }
 
 // V without the units of the report.
-double Bank::base_of(const Account& account, const Answer& answer) const {
-    const Stores s = stores_of(account);
+double SharedQuota::base_of(const Account& account, const Answer& answer) const {
+    const BucketLayout s = stores_of(account);
     const CounterPart& part = parts_[account.part];
     const double base = std::max(answer.before, answer.lift);
     // What others had reported is lost with what the counter held, so the store counts as empty since then.
@@ -189,7 +189,7 @@
 
 // `ahead`: s by which a V lies beyond what a clock as slow as this one can have made. Once may be a name
 // that was lifted twice; a clock that is ahead is so again a little later.
-void Bank::follow_faster_clock(double ahead) {
+void SharedQuota::follow_faster_clock(double ahead) {
     const bool counts = ahead > 0 && now_ - ahead_at_ > kAheadAgain;
     if (!counts) return;
     if (now_ - ahead_at_ < kAheadFor) offset_ += std::min(ahead, kSlew * (now_ - ahead_at_));
@@ -197,10 +197,10 @@
 }
 
 // Takes an answer as the customer's new state, and puts the name right where it is not as it should be.
-void Bank::settle(std::uint64_t customer, Account& account, Answer answer) {
-    const Stores s = stores_of(account);
+void SharedQuota::settle(std::uint64_t customer, Account& account, Answer answer) {
+    const BucketLayout s = stores_of(account);
     const CounterPart& part = parts_[account.part];
-    const double ingresses = account.doors.spread;
+    const double ingresses = account.doors.count;
     const double unit = factor(account);
     const double base = base_of(account, answer);
     const double empty = clock() + s.burst / s.rate;   // V of an empty store
--- a/src/quota/settings.cpp
+++ b/src/quota/settings.cpp
@@ -59,26 +59,27 @@
 Settings settings_of(const Options& options, const slatejunction::Settings& platform, std::string& fault) {
     Settings made;
     for (const slatejunction::Plan& plan : platform.plans)
-        made.plans.push_back({plan.name, plan.rate, plan.burst, plan.max_out});
-    made.ingresses = static_cast<unsigned>(std::max(1.0, platform.balancers));
-    made.number = static_cast<unsigned>(platform.my_number);
+        made.plans.push_back({plan.name, plan.rate, plan.burst, plan.max_in_flight});
+    made.ingress_count = static_cast<unsigned>(std::max(1.0, platform.ingress_count));
+    made.ingress_index = static_cast<unsigned>(platform.ingress_index);
     made.parts = static_cast<unsigned>(std::max<std::size_t>(1, options.parts().size()));
     made.credit = options.credit;
     made.free_part = options.free_part;
     made.free_units = options.free_units;
-    made.largest = platform.largest_units > 0 ? platform.largest_units : 1;
+    made.largest = platform.max_request_units > 0 ? platform.max_request_units : 1;
     made.calls_per_s = options.calls_per_s;
     made.skew_s = options.skew_ms / 1000;
     made.customers_most = static_cast<std::size_t>(options.customers_max);
-    if (made.ingresses > kIngressesMost)
+    if (made.ingress_count > kIngressesMost)
         fault = "counter: quotas are kept for at most " + std::to_string(kIngressesMost) +
-                " ingresses, not " + std::to_string(made.ingresses);
-    if (made.number >= made.ingresses) fault = "counter: MyNumber is none of the ingresses'";
+                " ingresses, not " + std::to_string(made.ingress_count);
+    if (made.ingress_index >= made.ingress_count) fault = "counter: MyNumber is none of the ingresses'";
     if (options.error_units <= 0 || !fault.empty()) return made;
     const auto worst = [&](std::string* plan_name) {
         double most = 0;
         for (const PlanQuota& plan : made.plans) {
-            const double error = plan.rate > 0 ? stated_error(made, plan, made.ingresses, 0).healthy : 0;
+            const double error =
+                plan.rate > 0 ? stated_error(made, plan, made.ingress_count, 0).healthy : 0;
             if (error <= most) continue;
             most = error;
             if (plan_name) *plan_name = plan.name;
@@ -108,7 +109,7 @@
     std::vector<std::string> all;
     for (const PlanQuota& plan : settings.plans) {
         if (plan.rate <= 0) continue;
-        const auto error = stated_error(settings, plan, settings.ingresses, 1);
+        const auto error = stated_error(settings, plan, settings.ingress_count, 1);
         char text[320];
         std::snprintf(
             text, sizeof text,
@@ -123,7 +124,7 @@
 }
 
 slatejunction::Settings without_quotas(slatejunction::Settings platform) {
-    for (slatejunction::Plan& plan : platform.plans) plan.rate = plan.burst = plan.max_out = 0;
+    for (slatejunction::Plan& plan : platform.plans) plan.rate = plan.burst = plan.max_in_flight = 0;
     return platform;
 }
 
--- a/src/quota/shared_quota.cpp
+++ b/src/quota/shared_quota.cpp
@@ -18,25 +18,26 @@
 
 }   // namespace
 
-Bank::Bank(Settings settings, std::uint64_t seed) : settings_(std::move(settings)), random_(seed) {
-    if (settings_.ingresses < 1 || settings_.ingresses > kIngressesMost)
+SharedQuota::SharedQuota(Settings settings, std::uint64_t seed)
+    : settings_(std::move(settings)), random_(seed) {
+    if (settings_.ingress_count < 1 || settings_.ingress_count > kIngressesMost)
         throw std::invalid_argument("1 to " + std::to_string(kIngressesMost) + " ingresses");
-    if (settings_.number >= settings_.ingresses)
+    if (settings_.ingress_index >= settings_.ingress_count)
         throw std::invalid_argument("a number beyond the ingresses");
     if (settings_.parts < 1) throw std::invalid_argument("a counter of no parts");
     nonce_ = random_() >> 24;
     parts_.resize(settings_.parts);
-    for (CounterPart& part : parts_) part.beat_at.assign(settings_.ingresses, kNever);
+    for (CounterPart& part : parts_) part.beat_at.assign(settings_.ingress_count, kNever);
 }
 
-void Bank::advance(double now) {
+void SharedQuota::advance(double now) {
     if (std::isfinite(now) && now > now_) {
         if (now_ == 0) {
             calls_at_ = now;
             calls_left_ = settings_.calls_per_s * kCallsBurst;
             for (CounterPart& part : parts_) {
                 part.next_beat = now;
-                part.beat_at.assign(settings_.ingresses, now);
+                part.beat_at.assign(settings_.ingress_count, now);
             }
         }
         now_ = now;
@@ -46,13 +47,13 @@
     calls_at_ = now_;
 }
 
-std::vector<Call> Bank::take_calls() {
-    std::vector<Call> all;
+std::vector<CounterCall> SharedQuota::take_calls() {
+    std::vector<CounterCall> all;
     all.swap(calls_);
     return all;
 }
 
-std::uint64_t Bank::send(Pending pending, std::string name, std::uint32_t life_ms) {
+std::uint64_t SharedQuota::send(Pending pending, std::string name, std::uint32_t life_ms) {
     CounterPart& part = parts_[pending.part];
     if (part.owed++ == 0) part.silent_since = now_;
     const std::uint64_t id = ++numbers_;
@@ -61,7 +62,7 @@
     return id;
 }
 
-void Bank::answered(double now, std::uint64_t call, double total) {
+void SharedQuota::on_reply(double now, std::uint64_t call, double total) {
     advance(now);
     const auto at = pending_.find(call);
     if (at == pending_.end()) return;
@@ -70,7 +71,7 @@
     const double most = holds_time(pending.purpose)
                             ? now_ + offset_ - start_of(pending.generation) + kImplausible + kGeneration
                             : kImplausibleCount;
-    if (!std::isfinite(total) || total < -kExact || total > most) return maybe(now, call);
+    if (!std::isfinite(total) || total < -kExact || total > most) return on_unknown_result(now, call);
     pending_.erase(at);
     --parts_[pending.part].owed;
     heard(pending.part);
@@ -78,7 +79,7 @@
     set_due();
 }
 
-void Bank::take_answer(const Pending& pending, double total) {
+void SharedQuota::take_answer(const Pending& pending, double total) {
     switch (pending.purpose) {
         case Purpose::report:
             return on_report(pending, total);
@@ -94,7 +95,7 @@
     }
 }
 
-void Bank::refused(double now, std::uint64_t call) {
+void SharedQuota::on_rejected(double now, std::uint64_t call) {
     advance(now);
     const auto at = pending_.find(call);
     if (at == pending_.end()) return;
@@ -116,7 +117,7 @@
 }
 
 // All of a report that was not done is to be reported again.
-void Bank::take_back(const Pending& pending, Account& account) {
+void SharedQuota::take_back(const Pending& pending, Account& account) {
     account.calling = false;
     account.in_flight = std::max(0.0, account.in_flight - pending.units);
     double& units = pending.tally ? account.tally : account.unreported;
@@ -128,25 +129,25 @@
 
 // As if nothing had been added: what was is counted twice then, to the customer's loss, never to the
 // fleet's.
-void Bank::maybe(double now, std::uint64_t call) {
+void SharedQuota::on_unknown_result(double now, std::uint64_t call) {
     const auto at = pending_.find(call);
     if (at == pending_.end()) return;
-    refused(now, call);
+    on_rejected(now, call);
 }
 
-void Bank::wake(double now) {
+void SharedQuota::on_timer(double now) {
     advance(now);
     for (unsigned number = 0; number < parts_.size(); ++number) wake_part(number);
     report_queued();
     set_due();
 }
 
-void Bank::set_due() {
+void SharedQuota::set_due() {
     due_ = now_ + kBeatEvery;
     for (const CounterPart& part : parts_) {
         if (part.lost)
             due_ = std::min(due_, part.next_probe);
-        else if (settings_.ingresses > 1)
+        else if (settings_.ingress_count > 1)
             due_ = std::min(due_, part.next_beat);
         if (!part.lost && part.silent_since > 0) due_ = std::min(due_, part.silent_since + kLostAfter);
     }
--- a/src/quota/shared_quota.hpp
+++ b/src/quota/shared_quota.hpp
@@ -24,56 +24,56 @@
 namespace slatejunction::quota {
 
 // Adds `by` to `name` of that part; a new name lives `life_ms`. Calls of one part reach it in their order.
-struct Call {
+struct CounterCall {
     std::uint64_t id = 0;
     unsigned part = 0;
     std::string name;
     double by = 0;
-    std::uint32_t life_ms = 60'000;
+    std::uint32_t ttl_ms = 60'000;
 };
 
-class Bank {
+class SharedQuota {
   public:
     // Throws std::invalid_argument for more ingresses than kIngressesMost, a number beyond them, no parts.
-    Bank(Settings settings, std::uint64_t seed);
+    SharedQuota(Settings settings, std::uint64_t seed);
 
     // Whether a request of `units` may be sent on: 0, or so many s until it may. Draws nothing. Times are s
     // on a clock that all ingresses read, but for the skew; an earlier one than before is taken as that.
-    double look(double now, std::uint64_t customer, unsigned plan, Doors doors, double units);
+    double retry_after_s(double now, std::uint64_t customer, unsigned plan, IngressSet doors, double units);
     // Its first attempt is sent. An attempt counts as out until ended().
-    void take(double now, std::uint64_t customer, unsigned plan, Doors doors, double units);
-    void ended(std::uint64_t customer);
+    void consume(double now, std::uint64_t customer, unsigned plan, IngressSet doors, double units);
+    void release(std::uint64_t customer);
 
     // How a call ended. `refused`: nothing was added; `maybe`: it may have been, and no answer will come.
     // An answer that comes late is as good as any.
-    void answered(double now, std::uint64_t call, double total);
-    void refused(double now, std::uint64_t call);
-    void maybe(double now, std::uint64_t call);
+    void on_reply(double now, std::uint64_t call, double total);
+    void on_rejected(double now, std::uint64_t call);
+    void on_unknown_result(double now, std::uint64_t call);
 
     // The part has lost what it held, as others have found: as if this one's check had told it.
-    void emptied(double now, unsigned part);
+    void on_counter_lost(double now, unsigned part);
     // Parts whose loss this one's check has told for sure (it was not too old to tell), since the last
     // call.
-    std::vector<unsigned> take_found() { return std::exchange(found_, {}); }
+    std::vector<unsigned> take_found_losses() { return std::exchange(found_, {}); }
     // Adds to the fleet's own name of that part, see sentinel.hpp; what it holds comes by take_sentinels().
-    void add_sentinel(double now, unsigned part, std::int64_t generation, double by);
-    struct SentinelRead {
+    void add_incarnation(double now, unsigned part, std::int64_t generation, double by);
+    struct IncarnationRead {
         unsigned part = 0;
         std::int64_t generation = 0;
         double total = 0;
     };
-    std::vector<SentinelRead> take_sentinels() { return std::exchange(sentinels_, {}); }
+    std::vector<IncarnationRead> take_incarnations() { return std::exchange(sentinels_, {}); }
 
     // To be called when due() has come; it is never in the past for long.
-    void wake(double now);
-    double due() const { return due_; }
+    void on_timer(double now);
+    double next_deadline() const { return due_; }
     // Calls to be made, in their order.
-    std::vector<Call> take_calls();
+    std::vector<CounterCall> take_calls();
     bool has_calls() const { return !calls_.empty(); }
 
     bool lost(unsigned part) const { return parts_[part].lost; }
     std::size_t customers() const { return accounts_.size(); }
-    std::uint64_t empties() const { return empties_; }   // times that a part had lost what it held
+    std::uint64_t counter_losses() const { return empties_; }   // times that a part had lost what it held
     // Units that the customer's store has room for, as far as this ingress knows.
     double level(std::uint64_t customer) const;
 
@@ -89,14 +89,14 @@
     // admission.cpp: what a customer's stores have room for.
     unsigned part_of(std::uint64_t customer) const;   // of the counter
     const PlanQuota& plan(const Account& account) const { return settings_.plans[account.plan]; }
-    Stores stores_of(const Account& account) const;
+    BucketLayout stores_of(const Account& account) const;
     double factor(const Account& account) const;
     bool sharing(const Account& account) const;   // it keeps to its share
     double level(const Account& account) const;
     double free_level(const Account& account) const;
     double share_level(const Account& account) const;
     double wait(const Account& account, double units) const;
-    Account& account(std::uint64_t customer, unsigned plan, Doors doors);
+    Account& account(std::uint64_t customer, unsigned plan, IngressSet doors);
     void forget_some();
     void take_share(std::uint64_t customer, Account& account, double units);
     void take_charged(std::uint64_t customer, Account& account, double units);
@@ -137,9 +137,9 @@
     std::unordered_map<std::uint64_t, Account> accounts_;
     std::unordered_map<std::uint64_t, Pending> pending_;
     std::vector<CounterPart> parts_;
-    std::vector<Call> calls_;
+    std::vector<CounterCall> calls_;
     std::vector<unsigned> found_;
-    std::vector<SentinelRead> sentinels_;
+    std::vector<IncarnationRead> sentinels_;
     std::deque<std::uint64_t> waiting_;   // customers that could not report: no budget
 };
 
--- a/src/remotewrite/backlog.cpp
+++ b/src/remotewrite/backlog.cpp
@@ -112,7 +112,7 @@
 
 }   // namespace
 
-Backlog::Backlog(const std::string& path, Sender& sender, storage::Journal::Writer writer)
+Backlog::Backlog(const std::string& path, Sender& sender, storage::SegmentedLog::Writer writer)
     : directory_(path), sender_(sender) {
     std::map<std::uint64_t, Frame> left;                                         // by number
     std::map<std::string, std::shared_ptr<const Layout>, std::less<>> layouts;   // equal ones once
@@ -132,8 +132,8 @@
             done = std::max(done, In(payload).get<std::uint64_t>());
         }
     };
-    journal_ =
-        std::make_unique<storage::Journal>(path, "backlog", kSegment, visit, found_, std::move(writer));
+    journal_ = std::make_unique<storage::SegmentedLog>(path, "backlog", kSegment, visit, found_,
+                                                       std::move(writer));
     std::vector<std::uint64_t> old;
     for (const auto& [number, size] : journal_->segments()) old.push_back(number);
     for (auto& [number, frame] : left) {
--- a/src/remotewrite/backlog.hpp
+++ b/src/remotewrite/backlog.hpp
@@ -23,16 +23,16 @@
 
     // Opens the folder, gives the sender what an earlier process left and begins a segment with it. Throws
     // storage::Error for a folder that can't be used or is another process's.
-    Backlog(const std::string& path, Sender& sender, storage::Journal::Writer writer = {});
+    Backlog(const std::string& path, Sender& sender, storage::SegmentedLog::Writer writer = {});
 
     // One slice of bringing the folder after the sender. True: it holds all that waits.
     bool follow();
     // The folder can't be written: what waits is in memory alone. Told to the operator by who asks.
     bool failing() const { return failing_; }
-    const std::string& why() const { return journal_->why(); }
+    const std::string& why() const { return journal_->last_error(); }
     std::size_t bytes() const { return journal_->bytes(); }
     std::size_t restored() const { return restored_; }
-    const storage::Journal::Found& found() const { return found_; }
+    const storage::SegmentedLog::Found& found() const { return found_; }
 
   private:
     enum Type : std::uint32_t { kLayout = 1, kFrame = 2, kDone = 3 };
@@ -43,10 +43,10 @@
     bool compact();
     bool failed();
 
-    storage::Directory directory_;
+    storage::StateDirectory directory_;
     Sender& sender_;
-    storage::Journal::Found found_;
-    std::unique_ptr<storage::Journal> journal_;
+    storage::SegmentedLog::Found found_;
+    std::unique_ptr<storage::SegmentedLog> journal_;
     std::unordered_map<std::uint64_t, Segment> frames_of_;
     std::shared_ptr<const Layout> layout_;   // the one that the newest segment knows
     std::uint64_t written_ = 0, done_ = 0;   // frames below written_ lie in the folder
--- a/src/rollout/driver.cpp
+++ b/src/rollout/driver.cpp
@@ -40,27 +40,27 @@
 
 // Home. -----------------------------------------------------------------------------------------------
 
-Home::Home(const std::string& directory, const Options& options)
+RolloutStorage::RolloutStorage(const std::string& directory, const Options& options)
     : path_(folder_of(directory)), lock_(path_) {
     if (!options.follows()) {
-        replica_ = std::make_unique<ReplicaFiles>(path_);
+        replica_ = std::make_unique<ReplicaFileStorage>(path_);
         return;
     }
-    follower_ = std::make_unique<FollowerFiles>(path_);
+    follower_ = std::make_unique<FollowerFileStorage>(path_);
     stored_ = follower_->take_stored();
     version_ = stored_.log.last();
     state_ = stored_.log.state_at(version_.number);
 }
 
-const std::vector<std::string>& Home::set_aside() const {
+const std::vector<std::string>& RolloutStorage::set_aside() const {
     return follower_ ? follower_->file().set_aside() : replica_->file().set_aside();
 }
 
 // Driver. ---------------------------------------------------------------------------------------------
 
 Driver::Driver(const Options& options, const std::string& name, std::vector<std::string> replicas,
-               std::uint64_t process, std::uint64_t seed, const std::vector<membership::Key>& keys,
-               std::unique_ptr<Home> home, Ways ways, net::Timers& timers, Logger& log)
+               std::uint64_t process, std::uint64_t seed, const std::vector<membership::AuthKey>& keys,
+               std::unique_ptr<RolloutStorage> home, Callbacks ways, net::Timers& timers, Logger& log)
     : options_(options),
       name_(name),
       ways_(std::move(ways)),
@@ -68,7 +68,7 @@
       home_(std::move(home)),
       endpoint_(
           [&] {
-              Endpoint::Settings settings{name, options.listen, {}};
+              Transport::Settings settings{name, options.listen, {}};
               for (const ParentAddress& one : parents_of(options))
                   settings.parents[one.parent.name] = one.address;
               return settings;
@@ -86,7 +86,7 @@
         tell_in_force("begins_with", home_->version(), home_->state());
         follower_ = std::make_unique<Follower>(follower_of(options, name), std::move(home_->stored_),
                                                *home_->follower_, ways_.check, seed ^ process);
-        if (options.feeds()) feeder_ = std::make_unique<Feeder>(feeder_of(options), follower_->log());
+        if (options.feeds()) feeder_ = std::make_unique<Publisher>(feeder_of(options), follower_->log());
         return;
     }
     ReplicaSettings settings;
@@ -97,8 +97,8 @@
         log_.write(Logger::Level::warning, net::now(),
                    "rollout: nothing whole is kept here; this control machine counts in no majority until "
                    "it has caught up");
-    source_ = std::make_unique<Source>(source_of(options, replicas), seed ^ process);
-    feeder_ = std::make_unique<Feeder>(feeder_of(options), replica_->log());
+    source_ = std::make_unique<Leader>(source_of(options, replicas), seed ^ process);
+    feeder_ = std::make_unique<Publisher>(feeder_of(options), replica_->log());
     committed_told_ = replica_->committed();
     const std::pair<std::string_view, std::string> fields[] = {
         {"number", std::to_string(committed_told_)},
@@ -124,7 +124,7 @@
 
 // What comes in. --------------------------------------------------------------------------------------
 
-void Driver::hear(const std::string& from, std::string_view body) {
+void Driver::on_replica_message(const std::string& from, std::string_view body) {
     const auto message = decode(body);
     if (!message || stopped_ || !replica_) return;
     deliver(from, *message);
@@ -135,7 +135,7 @@
 void Driver::deliver(const std::string& from, const Message& message) {
     const double now = net::now();
     // Parts of a snapshot go either way: to a source that reads, else to a replica that is far behind.
-    const bool reads = source_->stage() == Source::Stage::fetching;
+    const bool reads = source_->stage() == Leader::Stage::fetching;
     const bool part = std::holds_alternative<SnapshotPart>(message);
     if (!part || !reads) replica_->receive(now, from, message);
     if (!part || reads) source_->receive(now, from, message);
@@ -160,10 +160,10 @@
     return !replica_->disk_failed() && now - std::max(replica_->heard_at(), started_) < kCutOff;
 }
 
-void Driver::on_conducts(bool on) {
+void Driver::on_leadership_change(bool on) {
     if (!source_ || stopped_) return;
     conducts_ = on;
-    if (!on && std::exchange(held_, 0) != 0) source_->lose();
+    if (!on && std::exchange(held_, 0) != 0) source_->end_term();
     pump();
 }
 
@@ -174,8 +174,8 @@
 }
 
 void Driver::propose(const std::string& key, const std::optional<std::string>& value,
-                     std::function<void(const Answer&)> answer) {
-    if (!source_ || stopped_) return answer({0, ProposeError::not_source});
+                     std::function<void(const ProposeResult&)> answer) {
+    if (!source_ || stopped_) return answer({0, ProposeError::not_leader});
     if (waiting_.size() >= kWaitingMost) return answer({0, ProposeError::backlog_full});
     const double now = net::now();
     const Proposed made = source_->propose(now, key, value);
@@ -190,19 +190,19 @@
 void Driver::wake() {
     if (stopped_) return;
     const double now = net::now();
-    if (follower_ && follower_->due() <= now) follower_->wake(now);
+    if (follower_ && follower_->next_deadline() <= now) follower_->on_timer(now);
     if (replica_ && replica_->due() <= now) replica_->wake(now);
-    if (source_ && source_->due() <= now) source_->wake(now);
-    if (feeder_ && feeder_->due() <= now) feeder_->wake(now);
+    if (source_ && source_->next_deadline() <= now) source_->on_timer(now);
+    if (feeder_ && feeder_->next_deadline() <= now) feeder_->on_timer(now);
     if (now >= tell_at_) tell_above(now);
     pump();
 }
 
 double Driver::due() const {
     double next = tell_at_;
-    if (follower_) next = std::min(next, follower_->due());
-    if (replica_) next = std::min({next, replica_->due(), source_->due()});
-    if (feeder_) next = std::min(next, feeder_->due());
+    if (follower_) next = std::min(next, follower_->next_deadline());
+    if (replica_) next = std::min({next, replica_->due(), source_->next_deadline()});
+    if (feeder_) next = std::min(next, feeder_->next_deadline());
     if (!waiting_.empty()) next = std::min(next, waiting_.front().until);
     return next;
 }
@@ -210,17 +210,17 @@
 // The number changes while the lease is held where another's was seen: the source begins anew under it.
 void Driver::hold() {
     if (!conducts_) return;
-    const std::uint64_t number = ways_.number();
+    const std::uint64_t number = ways_.fencing_token();
     if (number == 0 || number == held_) return;
     held_ = number;
-    source_->hold(net::now(), number, replica_->log());
+    source_->begin_term(net::now(), number, replica_->log());
 }
 
-void Driver::route(const Post& post) {
+void Driver::route(const OutgoingMessage& post) {
     if (post.to == name_)
         own_.emplace_back(name_, post.body);
     else
-        ways_.say(post.to, *post.body);
+        ways_.send_to_replica(post.to, *post.body);
 }
 
 void Driver::pump() {
@@ -245,13 +245,13 @@
 bool Driver::pump_control() {
     hold();
     bool more = false;
-    for (const Post& post : source_->take_posts()) route(post);
-    for (const Post& post : replica_->take_posts()) route(post);
+    for (const OutgoingMessage& post : source_->take_outgoing()) route(post);
+    for (const OutgoingMessage& post : replica_->take_posts()) route(post);
     for (const auto& [from, body] : std::exchange(own_, {})) {
         more = true;
         if (const auto message = decode(*body)) deliver(from, *message);
     }
-    for (const SourceEvent& event : source_->take_events()) told(event);
+    for (const LeaderEvent& event : source_->take_events()) told(event);
     if (replica_->changes() != std::exchange(replica_changes_, replica_->changes())) {
         tell_committed();
         feeder_->advance(net::now(), replica_->committed(), replica_->staging());
@@ -270,7 +270,7 @@
 }
 
 bool Driver::pump_follower() {
-    for (const Post& post : follower_->take_posts()) endpoint_.send(post.to, post.body);
+    for (const OutgoingMessage& post : follower_->take_outgoing()) endpoint_.send(post.to, post.body);
     for (const InForce& one : follower_->take_in_force()) {
         ways_.in_force(follower_->state(), one.changes);
         tell_version(one.version);
@@ -284,7 +284,7 @@
                                                                    {"reason", follower_->reason()}};
         log_.event("refuses", fields);
     }
-    const bool diverged = follower_->trouble() == Trouble::diverged;
+    const bool diverged = follower_->fault() == FollowerFault::diverged;
     if (diverged && !std::exchange(told_diverged_, true))
         log_.write(Logger::Level::error, net::now(),
                    "rollout: what is in force here (version %llu) is of another sequence than what %s has",
@@ -303,7 +303,7 @@
             feeder_->advance(now, last, fed_staging_);
         }
     }
-    for (const Post& post : feeder_->take_posts()) endpoint_.send(post.to, post.body);
+    for (const OutgoingMessage& post : feeder_->take_outgoing()) endpoint_.send(post.to, post.body);
     if (feeder_->urgent() == std::exchange(urgent_, feeder_->urgent())) return;
     tell_above(now);
     if (follower_) follower_->report_now(now);
@@ -313,20 +313,20 @@
 void Driver::tell_above(double now) {
     tell_at_ = now + kTellEvery;
     if (follower_) return follower_->set_subtree(feeder_->report(now));
-    if (!replica_->source().empty()) {
-        const Post post{replica_->source(), body_of(Told{feeder_->report(now)})};
+    if (!replica_->leader().empty()) {
+        const OutgoingMessage post{replica_->leader(), body_of(FollowerReport{feeder_->report(now)})};
         route(post);
     }
-    if (conducts()) measure_everywhere(now);
+    if (is_leader()) measure_everywhere(now);
 }
 
 Report Driver::children() const { return feeder_ ? feeder_->report(net::now()) : Report{}; }
 
-Report Driver::fleet() const { return conducts() ? source_->fleet(net::now()) : children(); }
+Report Driver::fleet() const { return is_leader() ? source_->fleet(net::now()) : children(); }
 
 void Driver::measure_everywhere(double now) {
     if (proposed_.empty()) return;
-    const std::uint64_t number = everywhere(source_->fleet(now));
+    const std::uint64_t number = in_force_everywhere(source_->fleet(now));
     while (!proposed_.empty() && proposed_.front().second <= number) {
         everywhere_s_ = now - proposed_.front().first;
         proposed_.pop_front();
@@ -336,23 +336,23 @@
 // What is told. ---------------------------------------------------------------------------------------
 
 void Driver::answer_waiting(double now) {
-    const bool lost = !conducts();
+    const bool lost = !is_leader();
     while (!waiting_.empty()) {
         Waiting& one = waiting_.front();
         const bool committed = source_->committed() >= one.number && !lost;
         if (!committed && !lost && now < one.until) break;
         const auto answer = std::move(one.answer);
-        const Answer said{one.number, ProposeError::none, !committed};
+        const ProposeResult said{one.number, ProposeError::none, !committed};
         waiting_.pop_front();
         answer(said);
     }
     if (lost) proposed_.clear();
 }
 
-void Driver::told(const SourceEvent& event) {
-    using What = SourceEvent::What;
-    ++event_counts_[static_cast<std::size_t>(event.what)];
-    const char* const what = kWhat[static_cast<std::size_t>(event.what)];
+void Driver::told(const LeaderEvent& event) {
+    using What = LeaderEvent::Kind;
+    ++event_counts_[static_cast<std::size_t>(event.kind)];
+    const char* const what = kWhat[static_cast<std::size_t>(event.kind)];
     const std::pair<std::string_view, std::string> fields[] = {{"number", std::to_string(event.number)},
                                                                {"term", std::to_string(source_->term())},
                                                                {"name", event.name},
@@ -360,7 +360,7 @@
     log_.event(std::string("source_") + what, fields);
     const double now = net::now();
     const auto number = wide(event.number);
-    switch (event.what) {
+    switch (event.kind) {
         case What::ready:
             log_.write(Logger::Level::info, now, "rollout: this is the source from number %llu on", number);
             break;
@@ -430,7 +430,7 @@
 
 // Once, until it can be written again.
 void Driver::tell_disk() {
-    const bool failed = follower_ ? follower_->trouble() == Trouble::disk : replica_->disk_failed();
+    const bool failed = follower_ ? follower_->fault() == FollowerFault::disk : replica_->disk_failed();
     if (failed == std::exchange(told_disk_, failed)) return;
     if (failed)
         log_.write(Logger::Level::error, net::now(),
