--- a/src/rollout/driver.hpp
+++ b/src/rollout/driver.hpp
@@ -28,10 +28,10 @@
 
 // The folder of a rollout, of this process alone, and what it holds: made before everything else, as what
 // was in force is in force again before the process serves.
-class Home {
+class RolloutStorage {
   public:
     // In the existing folder `directory`. Throws storage::Error when it can't be used.
-    Home(const std::string& directory, const Options& options);
+    RolloutStorage(const std::string& directory, const Options& options);
 
     const State& state() const { return state_; }   // of the version that was in force; a follower's
     const Version& version() const { return version_; }
@@ -40,9 +40,9 @@
   private:
     friend class Driver;
     const std::string path_;
-    storage::Directory lock_;
-    std::unique_ptr<FollowerFiles> follower_;   // one of the two
-    std::unique_ptr<ReplicaFiles> replica_;
+    storage::StateDirectory lock_;
+    std::unique_ptr<FollowerFileStorage> follower_;   // one of the two
+    std::unique_ptr<ReplicaFileStorage> replica_;
     FollowerStored stored_;
     State state_;
     Version version_;
@@ -50,18 +50,18 @@
 
 class Driver {
   public:
-    struct Ways {
+    struct Callbacks {
         // Of a follower: whether a state can be used, and one that is in force now.
         Check check;
         std::function<void(const State& state, const Changes& changes)> in_force;
         // Of a control machine: to another one (false: it was not sent); the fencing number while this
         // process holds the lease, else 0.
-        std::function<bool(const std::string& to, std::string_view body)> say;
-        std::function<std::uint64_t()> number;
+        std::function<bool(const std::string& to, std::string_view body)> send_to_replica;
+        std::function<std::uint64_t()> fencing_token;
     };
     // Whoever waits for a change: its number once it is committed, or why not. `number` with `later`: it is
     // not known yet whether it will be.
-    struct Answer {
+    struct ProposeResult {
         std::uint64_t number = 0;
         ProposeError error = ProposeError::none;
         bool later = false;
@@ -69,32 +69,33 @@
 
     // `replicas`: the control machines by name, this one too; none where this is none.
     Driver(const Options& options, const std::string& name, std::vector<std::string> replicas,
-           std::uint64_t process, std::uint64_t seed, const std::vector<membership::Key>& keys,
-           std::unique_ptr<Home> home, Ways ways, net::Timers& timers, Logger& log);
+           std::uint64_t process, std::uint64_t seed, const std::vector<membership::AuthKey>& keys,
+           std::unique_ptr<RolloutStorage> home, Callbacks ways, net::Timers& timers, Logger& log);
 
     void start();
     void stop();
-    void set_keys(const std::vector<membership::Key>& keys) { endpoint_.set_keys(keys); }
-    void hear(const std::string& from, std::string_view body);   // from another control machine
-    void on_conducts(bool on);
+    void set_keys(const std::vector<membership::AuthKey>& keys) { endpoint_.set_keys(keys); }
+    void on_replica_message(const std::string& from,
+                            std::string_view body);   // from another control machine
+    void on_leadership_change(bool on);
     void recheck();   // what the consumer's check rests on has changed
     // Answered once, after at most kProposeMost.
     void propose(const std::string& key, const std::optional<std::string>& value,
-                 std::function<void(const Answer&)> answer);
+                 std::function<void(const ProposeResult&)> answer);
 
     const Follower* follower() const { return follower_.get(); }   // null: a control machine
     const Replica* replica() const { return replica_.get(); }      // null: none
-    const Source* source() const { return source_.get(); }         // the same
-    const Feeder* feeder() const { return feeder_.get(); }         // null: no children
-    const Endpoint& endpoint() const { return endpoint_; }
-    bool conducts() const { return source_ && source_->stage() == Source::Stage::ready; }
+    const Leader* leader() const { return source_.get(); }         // the same
+    const Publisher* publisher() const { return feeder_.get(); }   // null: no children
+    const Transport& transport() const { return endpoint_; }
+    bool is_leader() const { return source_ && source_->stage() == Leader::Stage::ready; }
     Report children() const;   // below this process; empty without any
     Report fleet() const;      // as far as this process knows: all, where it conducts
     // s from the proposal of the last change that is known to be in force everywhere until that was known;
     // 0: none yet.
-    double last_everywhere_s() const { return everywhere_s_; }
+    double last_propagation_s() const { return everywhere_s_; }
     const std::string& disk_why() const;
-    std::uint64_t events_of(SourceEvent::What what) const {
+    std::uint64_t events_of(LeaderEvent::Kind what) const {
         return event_counts_[static_cast<std::size_t>(what)];
     }
 
@@ -105,19 +106,19 @@
     struct Waiting {
         std::uint64_t number = 0;
         double until = 0;
-        std::function<void(const Answer&)> answer;
+        std::function<void(const ProposeResult&)> answer;
     };
     void wake();
     void pump();
     bool pump_control();
     bool pump_follower();
     void pump_feeder();
-    void route(const Post& post);
+    void route(const OutgoingMessage& post);
     void deliver(const std::string& from, const Message& message);
     void heard_child_or_parent(const std::string& from, std::uint64_t process, std::string_view body);
     bool may_feed(double now) const;
     void hold();
-    void told(const SourceEvent& event);
+    void told(const LeaderEvent& event);
     void tell_committed();
     void tell_version(const Version& version);
     void tell_in_force(const char* event, const Version& version, const State& state);
@@ -129,14 +130,14 @@
 
     const Options options_;
     const std::string name_;
-    const Ways ways_;
+    const Callbacks ways_;
     Logger& log_;
-    std::unique_ptr<Home> home_;
+    std::unique_ptr<RolloutStorage> home_;
     std::unique_ptr<Follower> follower_;
     std::unique_ptr<Replica> replica_;
-    std::unique_ptr<Source> source_;
-    std::unique_ptr<Feeder> feeder_;
-    Endpoint endpoint_;
+    std::unique_ptr<Leader> source_;
+    std::unique_ptr<Publisher> feeder_;
+    Transport endpoint_;
     net::Timer timer_;
     bool conducts_ = false;
     std::uint64_t held_ = 0;                         // the fencing number that the source was told of
--- a/src/rollout/file_storage.cpp
+++ b/src/rollout/file_storage.cpp
@@ -56,11 +56,11 @@
 
 // The log's file. -------------------------------------------------------------------------------------
 
-LogFile::LogFile(std::string directory, std::string name, storage::Journal::Writer writer)
+LogFile::LogFile(std::string directory, std::string name, storage::SegmentedLog::Writer writer)
     : directory_(std::move(directory)), name_(std::move(name)) {
     load();
-    storage::Journal::Found found;
-    journal_ = std::make_unique<storage::Journal>(
+    storage::SegmentedLog::Found found;
+    journal_ = std::make_unique<storage::SegmentedLog>(
         directory_, name_, kSegmentBytes,
         [this](std::uint64_t segment, std::uint32_t type, std::string_view payload) {
             if (segment < first_segment_ || stopped_) return;
@@ -77,7 +77,7 @@
 
 void LogFile::load() {
     std::string broken;
-    const auto body = storage::take_whole(directory_, name_ + ".log", kLogMagic, broken);
+    const auto body = storage::read_checked_file(directory_, name_ + ".log", kLogMagic, broken);
     if (!broken.empty()) set_aside_.push_back(broken);
     if (!body) return;
     kept::Snapshot snapshot;
@@ -112,14 +112,14 @@
     if (journal_->open()) return true;
     const storage::File folder(::open(directory_.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
     if (journal_->begin() && folder && ::fsync(folder.get()) == 0) return true;
-    why_ = journal_->why();
+    why_ = journal_->last_error();
     return false;
 }
 
 bool LogFile::put(std::uint32_t type, const std::string& payload) {
     if (!ready()) return false;
     if (journal_->append(type, payload)) return true;
-    why_ = journal_->why();
+    why_ = journal_->last_error();
     return false;
 }
 
@@ -140,7 +140,7 @@
 // new one with those from there on.
 bool LogFile::replace(const Log& log, std::uint64_t committed) {
     if (!journal_->begin()) {
-        why_ = journal_->why();
+        why_ = journal_->last_error();
         return false;
     }
     kept::Snapshot snapshot;
@@ -156,7 +156,8 @@
         write(log.record(number), *snapshot.add_record());
     snapshot.set_committed(committed);
     snapshot.set_segment(journal_->newest());
-    if (!storage::put_whole(directory_, name_ + ".log", kLogMagic, snapshot.SerializeAsString(), why_))
+    if (!storage::write_checked_file(directory_, name_ + ".log", kLogMagic, snapshot.SerializeAsString(),
+                                     why_))
         return false;
     founded_ = true;
     while (journal_->segments().begin()->first < journal_->newest())
@@ -166,19 +167,19 @@
 
 // Homes. ----------------------------------------------------------------------------------------------
 
-FollowerFiles::FollowerFiles(const std::string& directory, storage::Journal::Writer writer)
+FollowerFileStorage::FollowerFileStorage(const std::string& directory, storage::SegmentedLog::Writer writer)
     : file_(directory, "follower", std::move(writer)) {
     file_.mend();   // where that fails, so does what is kept next
 }
 
-bool FollowerFiles::append(const std::vector<Record>& records) { return file_.append(records); }
+bool FollowerFileStorage::append(const std::vector<Record>& records) { return file_.append(records); }
 
-bool FollowerFiles::replace(const Log& log) { return file_.replace(log, 0); }
+bool FollowerFileStorage::replace(const Log& log) { return file_.replace(log, 0); }
 
-ReplicaFiles::ReplicaFiles(const std::string& directory, storage::Journal::Writer writer)
+ReplicaFileStorage::ReplicaFileStorage(const std::string& directory, storage::SegmentedLog::Writer writer)
     : directory_(directory), file_(directory, "replica", writer ? std::move(writer) : write_through) {
     std::string broken;
-    const auto body = storage::take_whole(directory_, kPromiseFile, kPromiseMagic, broken);
+    const auto body = storage::read_checked_file(directory_, kPromiseFile, kPromiseMagic, broken);
     kept::Promise promise;
     if (body && promise.ParseFromString(*body)) {
         promised_ = promise.term();
@@ -189,16 +190,17 @@
     file_.mend();
 }
 
-ReplicaStored ReplicaFiles::take_stored() {
+ReplicaStored ReplicaFileStorage::take_stored() {
     return {remembers_, promised_, file_.committed(), file_.take_log()};
 }
 
-bool ReplicaFiles::keep_promise(std::uint64_t term, bool remembers) {
+bool ReplicaFileStorage::keep_promise(std::uint64_t term, bool remembers) {
     if (remembers && !file_.founded()) return false;
     kept::Promise promise;
     promise.set_term(term);
     promise.set_remembers(remembers);
-    return storage::put_whole(directory_, kPromiseFile, kPromiseMagic, promise.SerializeAsString(), why_);
+    return storage::write_checked_file(directory_, kPromiseFile, kPromiseMagic, promise.SerializeAsString(),
+                                       why_);
 }
 
 }   // namespace slatejunction::rollout
--- a/src/rollout/file_storage.hpp
+++ b/src/rollout/file_storage.hpp
@@ -23,7 +23,7 @@
   public:
     // Throws storage::Error for a directory or file that can't be read, or of another version. `writer`: as
     // storage::Journal's.
-    LogFile(std::string directory, std::string name, storage::Journal::Writer writer = {});
+    LogFile(std::string directory, std::string name, storage::SegmentedLog::Writer writer = {});
 
     Log take_log() { return std::move(log_); }   // as it was found, once
     std::uint64_t committed() const { return committed_; }
@@ -53,14 +53,14 @@
     std::uint64_t committed_ = 0, first_segment_ = 0;
     bool damaged_ = false, stopped_ = false, founded_ = false;
     std::vector<std::string> set_aside_;
-    std::unique_ptr<storage::Journal> journal_;
+    std::unique_ptr<storage::SegmentedLog> journal_;
     std::string why_;
 };
 
 // What a follower has in force.
-class FollowerFiles final : public FollowerHome {
+class FollowerFileStorage final : public FollowerStorage {
   public:
-    explicit FollowerFiles(const std::string& directory, storage::Journal::Writer writer = {});
+    explicit FollowerFileStorage(const std::string& directory, storage::SegmentedLog::Writer writer = {});
     FollowerStored take_stored() { return {file_.take_log()}; }
     bool append(const std::vector<Record>& records) override;
     bool replace(const Log& log) override;
@@ -71,9 +71,9 @@
 };
 
 // What a replica has promised and taken.
-class ReplicaFiles final : public ReplicaHome {
+class ReplicaFileStorage final : public ReplicaStorage {
   public:
-    explicit ReplicaFiles(const std::string& directory, storage::Journal::Writer writer = {});
+    explicit ReplicaFileStorage(const std::string& directory, storage::SegmentedLog::Writer writer = {});
     ReplicaStored take_stored();
     bool keep_promise(std::uint64_t term, bool remembers) override;
     bool append(const std::vector<Record>& records) override { return file_.append(records); }
--- a/src/rollout/follower.cpp
+++ b/src/rollout/follower.cpp
@@ -37,8 +37,8 @@
     return names;
 }
 
-Follower::Follower(const FollowerSettings& settings, FollowerStored stored, FollowerHome& home, Check check,
-                   std::uint64_t seed)
+Follower::Follower(const FollowerSettings& settings, FollowerStored stored, FollowerStorage& home,
+                   Check check, std::uint64_t seed)
     : settings_(settings),
       home_(home),
       check_(std::move(check)),
@@ -58,10 +58,10 @@
 
 void Follower::start(double now) { pull_at_ = now + drawn(0, settings_.first_s); }
 
-Trouble Follower::trouble() const {
-    if (diverged_) return Trouble::diverged;
-    if (disk_failed_) return Trouble::disk;
-    return refused_ != 0 || whole_refused_ ? Trouble::refused : Trouble::none;
+FollowerFault Follower::fault() const {
+    if (diverged_) return FollowerFault::diverged;
+    if (disk_failed_) return FollowerFault::disk;
+    return refused_ != 0 || whole_refused_ ? FollowerFault::refused : FollowerFault::none;
 }
 
 // --- asking
@@ -72,8 +72,8 @@
     pull.have = log_.last();
     pull.in_force = in_force_.number;
     pull.refused = refused_;
-    pull.trouble = trouble();
-    if (pull.trouble == Trouble::refused) pull.reason = reason_.substr(0, kReasonMost);
+    pull.trouble = fault();
+    if (pull.trouble == FollowerFault::refused) pull.reason = reason_.substr(0, kReasonMost);
     if (subtree_) {
         pull.subtree = subtree_;
         fit(*pull.subtree, kSubtreeBytes);
@@ -440,7 +440,7 @@
 
 // --- time
 
-void Follower::wake(double now) {
+void Follower::on_timer(double now) {
     if (now >= prepare_at_) prepare(now);
     if (const auto ask = taker_.ask(now)) posts_.push_back({taking_from_, body_of(*ask)});
     if (now >= leave_at_) leave(now);
@@ -452,7 +452,7 @@
     if (now >= pull_at_) pull(now);
 }
 
-double Follower::due() const {
+double Follower::next_deadline() const {
     return std::min({pull_at_, move_at_, prepare_at_, leave_at_, home_at_, taker_.due()});
 }
 
--- a/src/rollout/follower.hpp
+++ b/src/rollout/follower.hpp
@@ -61,7 +61,7 @@
     Changes changes;
 };
 
-struct FollowerTally {
+struct FollowerCounts {
     std::uint64_t pulls = 0, records = 0, gaps = 0, moves = 0;
     std::uint64_t versions = 0, checks = 0, refusals = 0, disk_failures = 0;
     std::uint64_t snapshots = 0, broken_snapshots = 0, snapshots_refused = 0;
@@ -70,15 +70,15 @@
 class Follower {
   public:
     // What `stored` holds is in force at once, without a check. `home` lives longer.
-    Follower(const FollowerSettings& settings, FollowerStored stored, FollowerHome& home, Check check,
+    Follower(const FollowerSettings& settings, FollowerStored stored, FollowerStorage& home, Check check,
              std::uint64_t seed);
 
     void start(double now);
     // Offer, SnapshotPart of a parent; others are passed over.
     void receive(double now, const std::string& from, const Message& message);
-    void wake(double now);
-    double due() const;   // s
-    std::vector<Post> take_posts() { return std::exchange(posts_, {}); }
+    void on_timer(double now);
+    double next_deadline() const;   // s
+    std::vector<OutgoingMessage> take_outgoing() { return std::exchange(posts_, {}); }
     std::vector<InForce> take_in_force() { return std::exchange(in_force_events_, {}); }
     // What the check rests on has changed (the operator's own file): what was refused is tried again.
     void recheck(double now);
@@ -90,12 +90,12 @@
     const State& state() const { return state_; }   // of the version in force
     const Log& log() const { return log_; }         // what it holds, for a relay's feeder
     const Staging& staging() const { return staging_; }
-    Trouble trouble() const;
+    FollowerFault fault() const;
     std::uint64_t refused() const { return refused_; }   // 0: none
     const std::string& reason() const { return reason_; }
     const std::string& parent() const { return order_[at_]; }
     double heard_at() const { return heard_at_; }   // s; from any parent; -1e18: never
-    const FollowerTally& tally() const { return tally_; }
+    const FollowerCounts& tally() const { return tally_; }
 
   private:
     struct Leaving {   // a parent that is to be told
@@ -132,7 +132,7 @@
     double drawn(double from, double to);
 
     const FollowerSettings settings_;
-    FollowerHome& home_;
+    FollowerStorage& home_;
     const Check check_;
     std::mt19937_64 random_;
     const std::vector<std::string> order_;
@@ -159,9 +159,9 @@
     std::string taking_from_;
     std::optional<Report> subtree_;
     std::size_t since_compact_ = 0;
-    std::vector<Post> posts_;
+    std::vector<OutgoingMessage> posts_;
     std::vector<InForce> in_force_events_;
-    FollowerTally tally_;
+    FollowerCounts tally_;
 };
 
 }   // namespace slatejunction::rollout
--- a/src/rollout/leader.cpp
+++ b/src/rollout/leader.cpp
@@ -20,10 +20,10 @@
 
 }   // namespace
 
-Source::Source(const SourceSettings& settings, std::uint64_t seed) : settings_(settings), random_(seed) {}
+Leader::Leader(const LeaderSettings& settings, std::uint64_t seed) : settings_(settings), random_(seed) {}
 
-void Source::hold(double now, std::uint64_t fencing, const Log& own) {
-    lose();
+void Leader::begin_term(double now, std::uint64_t fencing, const Log& own) {
+    end_term();
     fencing_ = fencing;
     nonce_ = random_();
     log_ = own;
@@ -31,7 +31,7 @@
     begin(now);
 }
 
-void Source::lose() {
+void Leader::end_term() {
     stage_ = Stage::off;
     term_ = round_ = fencing_ = 0;
     committed_ = known_committed_ = 0;
@@ -50,7 +50,7 @@
 
 // --- reading
 
-void Source::begin(double now) {
+void Leader::begin(double now) {
     if (round_ >= kRoundsMost) return fence();
     ++round_;
     term_ = term_of(fencing_, round_);
@@ -67,15 +67,15 @@
     again_at_ = now + settings_.retry_s;
 }
 
-void Source::fence() {
+void Leader::fence() {
     if (stage_ == Stage::fenced) return;
     stage_ = Stage::fenced;
     again_at_ = stage_at_ = 1e18;
-    events_.push_back({SourceEvent::What::fenced, 0, {}, {}});
+    events_.push_back({LeaderEvent::Kind::fenced, 0, {}, {}});
 }
 
 // Whether a higher term was promised to somebody; the reading begins anew, or ends.
-bool Source::fenced_by(double now, std::uint64_t promised) {
+bool Leader::fenced_by(double now, std::uint64_t promised) {
     if (promised <= term_) return false;
     if (fencing_of(promised) > fencing_) {
         fence();
@@ -87,7 +87,7 @@
     return true;
 }
 
-void Source::on(double now, const std::string& from, const Promise& message) {
+void Leader::on(double now, const std::string& from, const Promise& message) {
     Peer& peer = peers_[from];
     if (fenced_by(now, message.promised) || message.term != term_) return;
     if (stage_ != Stage::preparing) return;
@@ -104,7 +104,7 @@
 
 // A majority of those that remember, or all there are: then nothing is anywhere else.
 template <class Has>
-bool Source::enough(Has has) const {
+bool Leader::enough(Has has) const {
     std::size_t all = 0, remember = 0;
     for (const auto& [name, peer] : peers_) {
         all += has(peer);
@@ -113,14 +113,14 @@
     return remember >= majority() || all == peers_.size();
 }
 
-void Source::inspect(double now) {
+void Leader::inspect(double now) {
     again_at_ = now + settings_.retry_s;
     if (++tries_ > kInspectsMost + round_) return begin(now);   // patience grows, for links that are slow
     for (auto& [name, peer] : peers_)
         if (peer.promised && !peer.holding) post(name, Inspect{term_});
 }
 
-void Source::on(double now, const std::string& from, const Holding& message) {
+void Leader::on(double now, const std::string& from, const Holding& message) {
     if (stage_ != Stage::inspecting || message.term != term_) return;
     Peer& peer = peers_[from];
     if (!peer.promised) return;
@@ -132,7 +132,7 @@
 }
 
 // Adopts the log that is ahead of all others.
-void Source::choose(double now) {
+void Leader::choose(double now) {
     std::size_t remember = 0;
     bool any = false;
     for (const auto& [name, peer] : peers_) {
@@ -140,7 +140,7 @@
         remember += peer.remembers;
         any = any || peer.remembers || peer.holding->last.number > 0;
     }
-    if (remember < majority() && any) events_.push_back({SourceEvent::What::majority_lost, 0, {}, {}});
+    if (remember < majority() && any) events_.push_back({LeaderEvent::Kind::majority_lost, 0, {}, {}});
     best_.clear();
     std::uint64_t term = log_.last_term(), number = log_.last().number;
     for (const auto& [name, peer] : peers_) {
@@ -163,12 +163,12 @@
     fetch(now);
 }
 
-void Source::fetch(double now) {
+void Leader::fetch(double now) {
     again_at_ = now + settings_.retry_s;
     post(best_, Fetch{term_, fetch_after_});
 }
 
-void Source::on(double now, const std::string& from, const Fetched& message) {
+void Leader::on(double now, const std::string& from, const Fetched& message) {
     if (stage_ != Stage::fetching || message.term != term_ || from != best_) return;
     tries_ = 0;
     const Version wanted = peers_[best_].holding->last;
@@ -199,7 +199,7 @@
     if (message.end) fetch(now);
 }
 
-void Source::on(double now, const std::string& from, const SnapshotPart& message) {
+void Leader::on(double now, const std::string& from, const SnapshotPart& message) {
     if (stage_ != Stage::fetching || from != best_) return;
     tries_ = 0;
     taker_.receive(now, message);
@@ -212,7 +212,7 @@
     fetch(now);
 }
 
-void Source::become_ready(double now) {
+void Leader::become_ready(double now) {
     stage_ = Stage::ready;
     again_at_ = 1e18;
     committed_ = std::max(committed_, std::min(known_committed_, log_.last().number));
@@ -223,7 +223,7 @@
         peer.probe = peer.holding && log_.knows(peer.holding->last.number) ? peer.holding->last.number
                                                                            : log_.last().number;
     }
-    events_.push_back({SourceEvent::What::ready, committed_, {}, {}});
+    events_.push_back({LeaderEvent::Kind::ready, committed_, {}, {}});
     // What is adopted counts once a record of this term that follows it has a majority.
     if (log_.last().number > committed_)
         append(now, {0, 0, Kind::none, {}, {}, 0});
@@ -234,11 +234,11 @@
 
 // --- replication
 
-void Source::replicate_all(double now) {
+void Leader::replicate_all(double now) {
     for (auto& [name, peer] : peers_) replicate(now, name, peer);
 }
 
-void Source::replicate(double now, const std::string& name, Peer& peer) {
+void Leader::replicate(double now, const std::string& name, Peer& peer) {
     if (now < peer.full_until) {
         peer.again_at = peer.full_until;
         return;
@@ -264,7 +264,7 @@
     if (!peer.probing) peer.sent = at;
 }
 
-void Source::give_snapshot(const std::string& name) {
+void Leader::give_snapshot(const std::string& name) {
     if (!given_ || given_->version().number < log_.base().number)
         given_.emplace(log_.version(committed_), log_.term(committed_), log_.state_at(committed_));
     post(name, given_->part(0, staging_));
@@ -272,14 +272,14 @@
     post(name, Append{term_, given_->version(), {}, committed_, staging_, false});
 }
 
-void Source::on(double, const std::string& from, const PartPull& message) {
+void Leader::on(double, const std::string& from, const PartPull& message) {
     if (stage_ != Stage::ready || !given_) return;
     if (given_->version() != message.version) return post(from, given_->part(0, staging_));
     for (std::uint32_t i = 0; i < std::min(message.count, SnapshotTaker::kWindow); ++i)
         if (message.from + i < given_->parts()) post(from, given_->part(message.from + i, staging_));
 }
 
-void Source::on(double now, const std::string& from, const Appended& message) {
+void Leader::on(double now, const std::string& from, const Appended& message) {
     if (fenced_by(now, message.promised) || stage_ != Stage::ready || message.term != term_) return;
     Peer& peer = peers_[from];
     if (peer.process != message.process) {
@@ -295,7 +295,7 @@
     if (!message.remembers) peer.lost = message.process;
     if (was_learner && message.remembers) {
         peer.admitting = false;
-        events_.push_back({SourceEvent::What::admitted, 0, from, {}});
+        events_.push_back({LeaderEvent::Kind::admitted, 0, from, {}});
     }
     if (!message.matches) return probe(now, from, peer, message);
     if (!log_.holds(message.last)) return;
@@ -316,7 +316,7 @@
 }
 
 // What a replica has does not fit: looks further back.
-void Source::probe(double now, const std::string& from, Peer& peer, const Appended& message) {
+void Leader::probe(double now, const std::string& from, Peer& peer, const Appended& message) {
     if (message.disk_failed) {
         peer.full_until = now + settings_.retry_s;
         peer.sent = peer.matched;
@@ -326,7 +326,7 @@
     // Committed here and there, and not the same.
     if (next <= message.committed && next <= committed_ && log_.knows(next) &&
         message.last.number == next && !log_.holds(message.last)) {
-        if (!peer.diverged) events_.push_back({SourceEvent::What::diverged, 0, from, {}});
+        if (!peer.diverged) events_.push_back({LeaderEvent::Kind::diverged, 0, from, {}});
         peer.diverged = true;
         return;
     }
@@ -336,7 +336,7 @@
     if (progress) replicate(now, from, peer);
 }
 
-void Source::commit(double now) {
+void Leader::commit(double now) {
     std::vector<std::uint64_t> matched;
     for (const auto& [name, peer] : peers_) matched.push_back(peer.remembers ? peer.matched : 0);
     std::sort(matched.rbegin(), matched.rend());
@@ -344,14 +344,14 @@
     if (number <= committed_ || log_.record(number).term != term_) return;
     committed_ = number;
     commits_.emplace_back(now, number);
-    events_.push_back({SourceEvent::What::committed, number, {}, {}});
+    events_.push_back({LeaderEvent::Kind::committed, number, {}, {}});
     log_.trim(settings_.records_kept, settings_.bytes_kept, std::min(committed_, staging_.cleared));
     replicate_all(now);
     stage(now);
 }
 
 // For a replica that has everything and still does not count a reading is begun that began after its loss.
-void Source::readmit(double now) {
+void Leader::readmit(double now) {
     if (stage_ != Stage::ready || now < readmit_at_) return;
     const bool wanted = std::any_of(peers_.begin(), peers_.end(), [&](const auto& one) {
         const Peer& peer = one.second;
@@ -365,7 +365,7 @@
 
 // --- changes
 
-bool Source::append(double now, Record record) {
+bool Leader::append(double now, Record record) {
     record.number = log_.last().number + 1;
     record.term = term_;
     if (!log_.push(record)) return false;
@@ -373,8 +373,8 @@
     return true;
 }
 
-Proposed Source::propose(double now, const std::string& key, const std::optional<std::string>& value) {
-    if (stage_ == Stage::off || stage_ == Stage::fenced) return {0, ProposeError::not_source};
+Proposed Leader::propose(double now, const std::string& key, const std::optional<std::string>& value) {
+    if (stage_ == Stage::off || stage_ == Stage::fenced) return {0, ProposeError::not_leader};
     if (stage_ != Stage::ready) return {0, ProposeError::not_ready};
     if (key.empty() || key.size() > kKeyMost || (value && value->size() > kValueMost))
         return {0, ProposeError::too_large};
@@ -386,30 +386,30 @@
 
 // --- staging
 
-void Source::on(double now, const std::string& from, const Told& message) {
+void Leader::on(double now, const std::string& from, const FollowerReport& message) {
     told_[from] = {now, message.report};
     stage(now);
 }
 
-Report Source::fleet(double now) const {
+Report Leader::fleet(double now) const {
     Report all;
     for (const auto& [name, told] : told_)
         if (now - told.at <= settings_.silence_s) add(all, told.report);
     return all;
 }
 
-void Source::refuse(double now, const Refusal& refusal) {
+void Leader::refuse(double now, const Refusal& refusal) {
     if (refusal.number > committed_ || !refused_.insert(refusal.number).second) return;
-    events_.push_back({SourceEvent::What::refused, refusal.number, refusal.name, refusal.reason});
+    events_.push_back({LeaderEvent::Kind::refused, refusal.number, refusal.name, refusal.reason});
     if (log_.reverted_by(refusal.number) != 0) return;   // by the source before
     const auto revert = log_.revert_of(refusal.number);
     const bool made = revert && append(now, *revert);
     events_.push_back(
-        {made ? SourceEvent::What::reverted : SourceEvent::What::irrevertible, refusal.number, {}, {}});
+        {made ? LeaderEvent::Kind::reverted : LeaderEvent::Kind::irrevertible, refusal.number, {}, {}});
 }
 
 // Who the canaries are now, and since when each has what in force.
-void Source::choose_canaries(double now, const Report& fleet) {
+void Leader::choose_canaries(double now, const Report& fleet) {
     const std::size_t count = std::min(settings_.canaries, fleet.canaries.size());
     std::map<std::string, Canary> kept;
     std::uint64_t below = 0;
@@ -431,7 +431,7 @@
 }
 
 // When this number, committed at `at`, may be cleared by what the canaries say.
-double Source::clear_at(double at, std::uint64_t number) const {
+double Leader::clear_at(double at, std::uint64_t number) const {
     const double waited = at + settings_.canary_wait_s;
     if (canaries_.empty()) return waited;
     double when = at;
@@ -444,7 +444,7 @@
     return std::min(when, waited + settings_.canary_s);
 }
 
-void Source::stage(double now) {
+void Leader::stage(double now) {
     if (stage_ != Stage::ready) return;
     const Report fleet = this->fleet(now);
     const Staging before = staging_;
@@ -464,14 +464,14 @@
     }
     if (cleared > staging_.cleared) {
         staging_.cleared = cleared;
-        events_.push_back({SourceEvent::What::cleared, cleared, {}, {}});
+        events_.push_back({LeaderEvent::Kind::cleared, cleared, {}, {}});
     }
     while (!commits_.empty() && commits_.front().second <= staging_.cleared) commits_.pop_front();
     if (staging_ != before) replicate_all(now);
 }
 
 // Since when a majority has taken this source's appends.
-double Source::heard_by_majority() const {
+double Leader::heard_by_majority() const {
     std::vector<double> times;
     for (const auto& [name, peer] : peers_) times.push_back(peer.heard_at);
     std::sort(times.rbegin(), times.rend());
@@ -480,14 +480,14 @@
 
 // --- time
 
-void Source::receive(double now, const std::string& from, const Message& message) {
+void Leader::receive(double now, const std::string& from, const Message& message) {
     if (stage_ == Stage::off || stage_ == Stage::fenced) return;
-    const bool told = std::holds_alternative<Told>(message);
+    const bool told = std::holds_alternative<FollowerReport>(message);
     if (!told && !peers_.contains(from)) return;
     std::visit([&](const auto& one) { on(now, from, one); }, message);
 }
 
-void Source::wake(double now) {
+void Leader::on_timer(double now) {
     if (stage_ == Stage::off || stage_ == Stage::fenced) return;
     if (const auto ask = taker_.ask(now)) post(best_, *ask);
     if (now >= again_at_) retry(now);
@@ -502,7 +502,7 @@
 }
 
 // Of the reading.
-void Source::retry(double now) {
+void Leader::retry(double now) {
     again_at_ = now + settings_.retry_s;
     if (stage_ == Stage::preparing)
         for (const auto& [name, peer] : peers_)
@@ -514,7 +514,7 @@
     if (!taker_.active()) fetch(now);
 }
 
-double Source::due() const {
+double Leader::next_deadline() const {
     if (stage_ == Stage::off || stage_ == Stage::fenced) return 1e18;
     double next = std::min({again_at_, taker_.due(), stage_at_});
     if (stage_ != Stage::ready) return next;
--- a/src/rollout/leader.hpp
+++ b/src/rollout/leader.hpp
@@ -31,7 +31,7 @@
 
 namespace slatejunction::rollout {
 
-struct SourceSettings {
+struct LeaderSettings {
     std::vector<std::string> replicas;   // names of all, the source's own machine's too
     std::size_t canaries = 5;            // kCanariesMost at most
     double canary_s = 1;                 // in force at the canaries, until cleared
@@ -43,7 +43,7 @@
     std::size_t records_kept = kRecordsKept, bytes_kept = kBytesKept;
 };
 
-enum class ProposeError { none, not_source, not_ready, too_large, backlog_full };
+enum class ProposeError { none, not_leader, not_ready, too_large, backlog_full };
 inline constexpr const char* kProposeErrors[] = {"none", "not_source", "not_ready", "too_large",
                                                  "backlog_full"};
 struct Proposed {
@@ -52,8 +52,8 @@
 };
 
 // What an operator may want to know of.
-struct SourceEvent {
-    enum class What {
+struct LeaderEvent {
+    enum class Kind {
         ready,           // number: the last committed
         committed,       // number
         cleared,         // number
@@ -64,27 +64,27 @@
         majority_lost,   // fewer than a majority remembered: what they had forgotten may be missing
         admitted,        // name: a replica that had lost its disk counts again
         diverged         // name: a replica whose committed records differ from what the others have
-    } what = What::ready;
+    } kind = Kind::ready;
     std::uint64_t number = 0;
     std::string name, reason;
 };
 
-class Source {
+class Leader {
   public:
     enum class Stage { off, preparing, inspecting, fetching, ready, fenced };
 
-    Source(const SourceSettings& settings, std::uint64_t seed);
+    Leader(const LeaderSettings& settings, std::uint64_t seed);
 
     // The lease is held under this fencing number from now on. `own`: what this machine's replica has.
-    void hold(double now, std::uint64_t fencing, const Log& own);
-    void lose();
+    void begin_term(double now, std::uint64_t fencing, const Log& own);
+    void end_term();
 
     // Promise, Holding, Fetched, Appended, SnapshotPart, PartPull of replicas, Told of control machines.
     void receive(double now, const std::string& from, const Message& message);
-    void wake(double now);
-    double due() const;   // s
-    std::vector<Post> take_posts() { return std::exchange(posts_, {}); }
-    std::vector<SourceEvent> take_events() { return std::exchange(events_, {}); }
+    void on_timer(double now);
+    double next_deadline() const;   // s
+    std::vector<OutgoingMessage> take_outgoing() { return std::exchange(posts_, {}); }
+    std::vector<LeaderEvent> take_events() { return std::exchange(events_, {}); }
 
     // A change to be rolled out; none: the key is erased. The number is its place in the sequence; it is
     // durable and will be rolled out once committed() has reached it under this source.
@@ -129,7 +129,7 @@
     void on(double now, const std::string& from, const Appended& message);
     void on(double now, const std::string& from, const SnapshotPart& message);
     void on(double now, const std::string& from, const PartPull& message);
-    void on(double now, const std::string& from, const Told& message);
+    void on(double now, const std::string& from, const FollowerReport& message);
     template <class Other>
     void on(double, const std::string&, const Other&) {}
     void fence();
@@ -156,7 +156,7 @@
     std::size_t majority() const { return settings_.replicas.size() / 2 + 1; }
     void post(const std::string& to, const Message& message) { posts_.push_back({to, body_of(message)}); }
 
-    const SourceSettings settings_;
+    const LeaderSettings settings_;
     std::mt19937_64 random_;   // of waits only
     Stage stage_ = Stage::off;
     std::uint64_t fencing_ = 0, round_ = 0, term_ = 0, nonce_ = 0;
@@ -176,8 +176,8 @@
     std::map<std::string, Canary> canaries_;
     std::deque<std::pair<double, std::uint64_t>> commits_;   // when, number: those not cleared
     std::set<std::uint64_t> refused_;                        // told already
-    std::vector<Post> posts_;
-    std::vector<SourceEvent> events_;
+    std::vector<OutgoingMessage> posts_;
+    std::vector<LeaderEvent> events_;
 };
 
 }   // namespace slatejunction::rollout
--- a/src/rollout/message.cpp
+++ b/src/rollout/message.cpp
@@ -27,7 +27,7 @@
 void write(const Standing& from, wire::Standing& to) {
     to.set_name(from.name);
     to.set_in_force(from.in_force);
-    to.set_trouble(static_cast<std::uint32_t>(from.trouble));
+    to.set_trouble(static_cast<std::uint32_t>(from.fault));
 }
 void write(const Report& from, wire::Report& to) {
     to.set_counted(from.counted);
@@ -172,8 +172,9 @@
     return true;
 }
 bool read(const wire::Standing& in, Standing& out) {
-    if (!is_name(in.name()) || in.trouble() > static_cast<std::uint32_t>(Trouble::refused)) return false;
-    out = {in.name(), in.in_force(), static_cast<Trouble>(in.trouble())};
+    if (!is_name(in.name()) || in.trouble() > static_cast<std::uint32_t>(FollowerFault::refused))
+        return false;
+    out = {in.name(), in.in_force(), static_cast<FollowerFault>(in.trouble())};
     return true;
 }
 template <class Repeated>
@@ -202,13 +203,14 @@
 }
 
 bool read(const wire::Pull& in, Pull& out) {
-    if (!is_name(in.name()) || in.trouble() > static_cast<std::uint32_t>(Trouble::refused)) return false;
+    if (!is_name(in.name()) || in.trouble() > static_cast<std::uint32_t>(FollowerFault::refused))
+        return false;
     out.name = in.name();
     out.have = read(in.have());
     out.in_force = in.in_force();
     out.refused = in.refused();
     out.reason = printable(in.reason());
-    out.trouble = static_cast<Trouble>(in.trouble());
+    out.trouble = static_cast<FollowerFault>(in.trouble());
     out.leaving = in.leaving();
     if (in.has_subtree()) return read(in.subtree(), out.subtree.emplace());
     return true;
@@ -302,7 +304,7 @@
     void operator()(const Fetched& one) { write(one, *out.mutable_fetched()); }
     void operator()(const Append& one) { write(one, *out.mutable_append()); }
     void operator()(const Appended& one) { write(one, *out.mutable_appended()); }
-    void operator()(const Told& one) { write(one.report, *out.mutable_told()->mutable_report()); }
+    void operator()(const FollowerReport& one) { write(one.report, *out.mutable_told()->mutable_report()); }
 };
 
 // Tag and length of a field of up to 16,383 bytes.
@@ -353,7 +355,7 @@
         case wire::Message::kAppended:
             return typed<Appended>(in.appended());
         case wire::Message::kTold: {
-            Told told;
+            FollowerReport told;
             if (!read(in.told().report(), told.report)) return {};
             return Message(std::move(told));
         }
--- a/src/rollout/message.hpp
+++ b/src/rollout/message.hpp
@@ -37,7 +37,7 @@
     std::uint64_t in_force = 0;   // <= have.number
     std::uint64_t refused = 0;    // a number that it can't use; 0: none
     std::string reason;           // of the refusal
-    Trouble trouble = Trouble::none;
+    FollowerFault trouble = FollowerFault::none;
     bool leaving = false;            // it has another parent now
     std::optional<Report> subtree;   // of a relay: all below it
     bool operator==(const Pull&) const = default;
@@ -130,13 +130,13 @@
     bool operator==(const Appended&) const = default;
 };
 // A control machine tells the source of the followers that it feeds.
-struct Told {
+struct FollowerReport {
     Report report;
-    bool operator==(const Told&) const = default;
+    bool operator==(const FollowerReport&) const = default;
 };
 
 using Message = std::variant<Pull, Offer, PartPull, SnapshotPart, Prepare, Promise, Inspect, Holding, Fetch,
-                             Fetched, Append, Appended, Told>;
+                             Fetched, Append, Appended, FollowerReport>;
 
 // At most kBodyMost bytes where records() or parts were filled by the helpers below.
 std::string encode(const Message& message);
@@ -154,7 +154,7 @@
 using Body = std::shared_ptr<const std::string>;
 inline Body body_of(const Message& message) { return std::make_shared<const std::string>(encode(message)); }
 // To be sent to the node of this name (its process that was heard last). Several posts share one body.
-struct Post {
+struct OutgoingMessage {
     std::string to;
     Body body;
 };
--- a/src/rollout/publisher.cpp
+++ b/src/rollout/publisher.cpp
@@ -21,10 +21,10 @@
 
 }   // namespace
 
-Feeder::Feeder(const FeederSettings& settings, const Log& log)
+Publisher::Publisher(const PublisherSettings& settings, const Log& log)
     : settings_(settings), log_(log), tokens_(settings.bytes_per_s * kBudgetBurst) {}
 
-void Feeder::advance(double now, std::uint64_t committed, const Staging& staging) {
+void Publisher::advance(double now, std::uint64_t committed, const Staging& staging) {
     const Staging before = staging_;
     const std::uint64_t had = committed_;
     committed_ = std::max(committed_, committed);
@@ -36,16 +36,17 @@
 }
 
 // A version that a child may have in force.
-std::uint64_t Feeder::limit(const Child& child) const {
+std::uint64_t Publisher::limit(const Child& child) const {
     if (child.hash >= staging_.canary_below) return staging_.cleared;
     return std::max(staging_.cleared, log_.whole_at_most(committed_, committed_));
 }
 
-void Feeder::receive(double now, const std::string& from, std::uint64_t process, const Message& message) {
+void Publisher::receive(double now, const std::string& from, std::uint64_t process,
+                        const Message& message) {
     std::visit([&](const auto& one) { on(now, from, process, one); }, message);
 }
 
-void Feeder::on(double now, const std::string& from, std::uint64_t process, const Pull& pull) {
+void Publisher::on(double now, const std::string& from, std::uint64_t process, const Pull& pull) {
     ++tally_.pulls;
     auto at = children_.find(from);
     if (pull.leaving) {
@@ -81,7 +82,7 @@
     answer(now, from, child, pull);
 }
 
-void Feeder::answer(double now, const std::string& from, Child& child, const Pull& pull) {
+void Publisher::answer(double now, const std::string& from, Child& child, const Pull& pull) {
     child.following = false;
     child.sent = pull.have.number;
     if (pull.have.number < log_.base().number) return offer_snapshot(now, from);
@@ -107,7 +108,7 @@
     child.following = reached == end;
 }
 
-Offer Feeder::idle(std::uint64_t most) const {
+Offer Publisher::idle(std::uint64_t most) const {
     Offer offer;
     offer.staging = staging_;
     offer.limit = most;
@@ -115,8 +116,8 @@
 }
 
 // Records after `from` up to `end`, as many as one answer may have; `reached`: the last one.
-std::vector<Body> Feeder::batches(std::uint64_t from, std::uint64_t end, std::uint64_t most,
-                                  std::uint64_t& reached) const {
+std::vector<Body> Publisher::batches(std::uint64_t from, std::uint64_t end, std::uint64_t most,
+                                     std::uint64_t& reached) const {
     std::vector<Body> bodies;
     std::size_t bytes = 0;
     std::uint64_t at = from;
@@ -133,7 +134,7 @@
     return bodies;
 }
 
-void Feeder::push(double now) {
+void Publisher::push(double now) {
     push_at_ = 1e18;
     struct Batch {
         std::vector<Body> bodies;
@@ -162,7 +163,7 @@
     }
 }
 
-std::shared_ptr<const Snapshot> Feeder::newest(double now) {
+std::shared_ptr<const Snapshot> Publisher::newest(double now) {
     const bool old = snapshots_.empty() || now - snapshots_.back().first >= settings_.snapshot_every_s;
     const std::uint64_t number = staging_.cleared;
     const bool known = number <= committed_ && log_.knows(number) && number > 0;
@@ -177,13 +178,13 @@
     return snapshots_.back().second;
 }
 
-void Feeder::offer_snapshot(double now, const std::string& from) {
+void Publisher::offer_snapshot(double now, const std::string& from) {
     const auto snapshot = newest(now);
     if (!snapshot || !spend(now, kBodyAbout)) return send(from, body_of(idle(0)));
     send(from, body_of(snapshot->part(0, staging_)));
 }
 
-void Feeder::on(double now, const std::string& from, std::uint64_t process, const PartPull& pull) {
+void Publisher::on(double now, const std::string& from, std::uint64_t process, const PartPull& pull) {
     const auto at = children_.find(from);
     if (at == children_.end() || at->second.process != process) return;
     at->second.heard_at = now;
@@ -198,7 +199,7 @@
     }
 }
 
-bool Feeder::spend(double now, std::size_t bytes) {
+bool Publisher::spend(double now, std::size_t bytes) {
     const double most = settings_.bytes_per_s * kBudgetBurst;
     tokens_ = std::min(most, tokens_ + (now - tokens_at_) * settings_.bytes_per_s);
     tokens_at_ = now;
@@ -210,14 +211,14 @@
     return true;
 }
 
-bool Feeder::behind(double now, const Child& child) const {
+bool Publisher::behind(double now, const Child& child) const {
     const auto lacks = [&](const auto& one) {
         return one.first + settings_.behind_s <= now && child.standing.in_force < one.second;
     };
     return std::any_of(cleared_.begin(), cleared_.end(), lacks);
 }
 
-Report Feeder::report(double now) const {
+Report Publisher::report(double now) const {
     Report all;
     for (const auto& [name, child] : children_) {
         if (now - child.heard_at > settings_.silence_s) {
@@ -230,20 +231,20 @@
     return all;
 }
 
-void Feeder::forget(double now, double silent_s) {
+void Publisher::forget(double now, double silent_s) {
     std::erase_if(children_, [&](const auto& one) { return now - one.second.heard_at > silent_s; });
 }
 
-void Feeder::wake(double now) {
+void Publisher::on_timer(double now) {
     if (now >= push_at_) push(now);
     if (now < forget_at_) return;
     forget_at_ = now + kForgetEvery;
     forget(now, settings_.remember_s);
 }
 
-double Feeder::due() const { return std::min(push_at_, forget_at_); }
+double Publisher::next_deadline() const { return std::min(push_at_, forget_at_); }
 
-void Feeder::send(const std::string& to, Body body) {
+void Publisher::send(const std::string& to, Body body) {
     tally_.posts_bytes += body->size();
     posts_.push_back({to, std::move(body)});
 }
--- a/src/rollout/publisher.hpp
+++ b/src/rollout/publisher.hpp
@@ -21,7 +21,7 @@
 
 namespace slatejunction::rollout {
 
-struct FeederSettings {
+struct PublisherSettings {
     double batch_s = 0.1;                // new records wait so long for others
     double silence_s = 4;                // a child not heard of for so long is silent
     double remember_s = 86'400;          // a silent child is named for so long
@@ -34,7 +34,7 @@
     double snapshot_every_s = 10;       // a new one is made at most so often
 };
 
-struct FeederTally {
+struct PublisherCounts {
     std::uint64_t pulls = 0, pushes = 0, posts_bytes = 0;
     std::uint64_t encoded = 0;       // batches that were encoded; the others shared a body
     std::uint64_t snapshots = 0;     // that were cut
@@ -43,24 +43,24 @@
     std::uint64_t diverged = 0;      // pulls with a version of another sequence
 };
 
-class Feeder {
+class Publisher {
   public:
     // `log` lives longer. It may only grow at its end, and drop what advance() was not told of.
-    Feeder(const FeederSettings& settings, const Log& log);
+    Publisher(const PublisherSettings& settings, const Log& log);
 
     // Records up to `committed` may be given to canaries, those up to staging.cleared to all.
     void advance(double now, std::uint64_t committed, const Staging& staging);
     // Pull, PartPull of a child; `process` tells two lives of one name apart.
     void receive(double now, const std::string& from, std::uint64_t process, const Message& message);
-    void wake(double now);
-    double due() const;   // s
-    std::vector<Post> take_posts() { return std::exchange(posts_, {}); }
+    void on_timer(double now);
+    double next_deadline() const;   // s
+    std::vector<OutgoingMessage> take_outgoing() { return std::exchange(posts_, {}); }
 
     Report report(double now) const;
     // Goes up when a canary's standing or a refusal changed: the report is wanted above at once then.
     std::uint64_t urgent() const { return urgent_; }
     std::size_t children() const { return children_.size(); }   // silent ones too
-    const FeederTally& tally() const { return tally_; }
+    const PublisherCounts& tally() const { return tally_; }
 
   private:
     struct Child {
@@ -90,7 +90,7 @@
     void forget(double now, double silent_s);
     void send(const std::string& to, Body body);
 
-    const FeederSettings settings_;
+    const PublisherSettings settings_;
     const Log& log_;
     std::uint64_t committed_ = 0;
     Staging staging_;
@@ -100,8 +100,8 @@
     std::deque<std::pair<double, std::shared_ptr<const Snapshot>>> snapshots_;   // made when
     double tokens_ = 0, tokens_at_ = 0;
     std::uint64_t urgent_ = 0;
-    std::vector<Post> posts_;
-    FeederTally tally_;
+    std::vector<OutgoingMessage> posts_;
+    PublisherCounts tally_;
 };
 
 }   // namespace slatejunction::rollout
--- a/src/rollout/record.cpp
+++ b/src/rollout/record.cpp
@@ -25,7 +25,7 @@
     put_number(bytes, record.reverts);
     put_text(bytes, record.key);
     put_text(bytes, record.value);
-    return {record.number, storage::check_of(bytes.data(), bytes.size(), previous.chain)};
+    return {record.number, storage::checksum(bytes.data(), bytes.size(), previous.chain)};
 }
 
 bool valid(const Record& record) {
@@ -64,6 +64,6 @@
 
 std::size_t size_of(const Record& record) { return 64 + record.key.size() + record.value.size(); }
 
-std::uint64_t hash_of(std::string_view name) { return storage::check_of(name.data(), name.size()); }
+std::uint64_t hash_of(std::string_view name) { return storage::checksum(name.data(), name.size()); }
 
 }   // namespace slatejunction::rollout
--- a/src/rollout/replica.cpp
+++ b/src/rollout/replica.cpp
@@ -12,7 +12,7 @@
 }   // namespace
 
 Replica::Replica(const ReplicaSettings& settings, std::uint64_t process, ReplicaStored stored,
-                 ReplicaHome& home)
+                 ReplicaStorage& home)
     : settings_(settings),
       process_(process),
       home_(home),
--- a/src/rollout/replica.hpp
+++ b/src/rollout/replica.hpp
@@ -32,20 +32,20 @@
   public:
     // `process`: drawn for this life, never 0. `home` lives longer.
     Replica(const ReplicaSettings& settings, std::uint64_t process, ReplicaStored stored,
-            ReplicaHome& home);
+            ReplicaStorage& home);
 
     // Prepare, Inspect, Fetch, Append, SnapshotPart, PartPull of a source; others are passed over.
     void receive(double now, const std::string& from, const Message& message);
     void wake(double now);
     double due() const { return taker_.due(); }   // s
-    std::vector<Post> take_posts() { return std::exchange(posts_, {}); }
+    std::vector<OutgoingMessage> take_posts() { return std::exchange(posts_, {}); }
 
     const Log& log() const { return log_; }
     std::uint64_t committed() const { return committed_; }   // never falls
     const Staging& staging() const { return staging_; }
     std::uint64_t promised() const { return promised_; }
     bool remembers() const { return remembers_; }
-    const std::string& source() const { return source_; }   // whose append was taken last; empty: nobody's
+    const std::string& leader() const { return source_; }   // whose append was taken last; empty: nobody's
     double heard_at() const { return heard_at_; }           // s; when that was
     bool disk_failed() const { return disk_failed_; }       // the last thing to keep could not be kept
     // Committed records here differ from a source's: it takes nothing of it.
@@ -73,7 +73,7 @@
 
     const ReplicaSettings settings_;
     const std::uint64_t process_;
-    ReplicaHome& home_;
+    ReplicaStorage& home_;
     bool remembers_;
     std::uint64_t promised_, committed_;
     std::uint64_t promised_to_ = 0;   // the nonce of the Prepare, since this process began
@@ -87,7 +87,7 @@
     SnapshotTaker taker_;
     std::string taking_from_;
     std::optional<Snapshot> given_;   // to a source that is far behind
-    std::vector<Post> posts_;
+    std::vector<OutgoingMessage> posts_;
 };
 
 }   // namespace slatejunction::rollout
--- a/src/rollout/report.hpp
+++ b/src/rollout/report.hpp
@@ -16,13 +16,13 @@
 inline constexpr std::size_t kReportBytes = 800;   // of a report in a message; names are left out beyond
 
 // Why a follower stays where it is.
-enum class Trouble : std::uint32_t { none = 0, disk = 1, diverged = 2, refused = 3 };
-inline constexpr const char* kTroubles[] = {"none", "disk", "diverged", "refused"};
+enum class FollowerFault : std::uint32_t { none = 0, disk = 1, diverged = 2, refused = 3 };
+inline constexpr const char* kFollowerFaults[] = {"none", "disk", "diverged", "refused"};
 
 struct Standing {
     std::string name;
     std::uint64_t in_force = 0;
-    Trouble trouble = Trouble::none;
+    FollowerFault fault = FollowerFault::none;
     bool operator==(const Standing&) const = default;
 };
 
@@ -54,6 +54,8 @@
 void fit(Report& report, std::size_t bytes);
 
 // The highest number that every counted follower has in force; 0: none is counted.
-inline std::uint64_t everywhere(const Report& report) { return report.counted > 0 ? report.lowest : 0; }
+inline std::uint64_t in_force_everywhere(const Report& report) {
+    return report.counted > 0 ? report.lowest : 0;
+}
 
 }   // namespace slatejunction::rollout
--- a/src/rollout/settings.cpp
+++ b/src/rollout/settings.cpp
@@ -108,14 +108,14 @@
     return made;
 }
 
-FeederSettings feeder_of(const Options& options) {
-    FeederSettings made;
+PublisherSettings feeder_of(const Options& options) {
+    PublisherSettings made;
     made.bytes_per_s = options.bytes_per_s;
     return made;
 }
 
-SourceSettings source_of(const Options& options, const std::vector<std::string>& replicas) {
-    SourceSettings made;
+LeaderSettings source_of(const Options& options, const std::vector<std::string>& replicas) {
+    LeaderSettings made;
     made.replicas = replicas;
     made.canaries = static_cast<std::size_t>(options.canaries);
     made.canary_s = options.canary_s;
@@ -129,7 +129,7 @@
 }
 
 std::string load_keys(const Options& options, const std::string& otherwise,
-                      std::vector<membership::Key>& keys) {
+                      std::vector<membership::AuthKey>& keys) {
     membership::Options file;
     file.key_file = options.key_file.empty() ? otherwise : options.key_file;
     return membership::load_keys(file, keys);
@@ -140,8 +140,8 @@
     return datagrams / (2 * static_cast<double>(std::max<std::size_t>(replicas, 2) - 1));
 }
 
-std::vector<std::string> stated(const Options& options, const lease::Times& times, std::size_t replicas,
-                                double interval_s) {
+std::vector<std::string> stated(const Options& options, const lease::LeaseTimes& times,
+                                std::size_t replicas, double interval_s) {
     const BoundTimes bound = times_of(options);
     std::vector<std::string> all;
     char text[400];
@@ -156,7 +156,7 @@
         text, sizeof text,
         "rollout: within %.1f s where the source dies in between (a majority of the %zu control "
         "machines up); at most %.0f changes a second at [peers] interval_s = %g",
-        in_force_after_death_s(bound, lease::gap_s(times, kRoundTrip, static_cast<int>(replicas))),
+        in_force_after_death_s(bound, lease::max_vacancy_s(times, kRoundTrip, static_cast<int>(replicas))),
         replicas, changes_per_s(replicas, interval_s), interval_s);
     all.emplace_back(text);
     return all;
--- a/src/rollout/settings.hpp
+++ b/src/rollout/settings.hpp
@@ -46,20 +46,20 @@
 // Parents in the section's order. Without a fault: the section has been checked.
 std::vector<ParentAddress> parents_of(const Options& options);
 FollowerSettings follower_of(const Options& options, const std::string& name);
-FeederSettings feeder_of(const Options& options);
-SourceSettings source_of(const Options& options, const std::vector<std::string>& replicas);
+PublisherSettings feeder_of(const Options& options);
+LeaderSettings source_of(const Options& options, const std::vector<std::string>& replicas);
 // The times of the bound under these options.
 BoundTimes times_of(const Options& options);
 // The keys of key_file, or of `otherwise` where it is empty; "key_file: why" when there are none to be had.
 std::string load_keys(const Options& options, const std::string& otherwise,
-                      std::vector<membership::Key>& keys);
+                      std::vector<membership::AuthKey>& keys);
 
 // Changes a second that the control machines can carry among themselves: `interval_s` of [peers], which
 // bounds their datagrams; each change is an append and a commit for each of the other replicas.
 double changes_per_s(std::size_t replicas, double interval_s);
 
 // What is promised, for check-config. `replicas`: control machines; 0: not known here.
-std::vector<std::string> stated(const Options& options, const lease::Times& times, std::size_t replicas,
-                                double interval_s);
+std::vector<std::string> stated(const Options& options, const lease::LeaseTimes& times,
+                                std::size_t replicas, double interval_s);
 
 }   // namespace slatejunction::rollout
--- a/src/rollout/snapshot.cpp
+++ b/src/rollout/snapshot.cpp
@@ -9,15 +9,15 @@
 
 void mix(std::uint64_t& check, std::string_view bytes) {
     const std::uint64_t size = bytes.size();
-    check = storage::check_of(&size, sizeof size, check);
-    check = storage::check_of(bytes.data(), bytes.size(), check);
+    check = storage::checksum(&size, sizeof size, check);
+    check = storage::checksum(bytes.data(), bytes.size(), check);
 }
 
 }   // namespace
 
 std::uint64_t check_of(const Version& version, std::uint64_t term, const State& state) {
     const std::uint64_t head[] = {version.number, version.chain, term, state.size()};
-    std::uint64_t check = storage::check_of(head, sizeof head);
+    std::uint64_t check = storage::checksum(head, sizeof head);
     for (const auto& [key, value] : state) {
         mix(check, key);
         mix(check, value);
--- a/src/rollout/storage.hpp
+++ b/src/rollout/storage.hpp
@@ -22,9 +22,9 @@
     Log log;
 };
 
-class ReplicaHome {
+class ReplicaStorage {
   public:
-    virtual ~ReplicaHome() = default;
+    virtual ~ReplicaStorage() = default;
     // Before a promise is told, and before an admitted replica says that it remembers.
     virtual bool keep_promise(std::uint64_t term, bool remembers) = 0;
     // Before an append is answered. The records follow the last one kept.
@@ -43,9 +43,9 @@
     Log log;   // last() is what was in force; a relay's keeps records before it
 };
 
-class FollowerHome {
+class FollowerStorage {
   public:
-    virtual ~FollowerHome() = default;
+    virtual ~FollowerStorage() = default;
     // Before a version is in force: the records from the version in force to the next one. All or none of
     // them may be found again: a restart begins with whole versions only.
     virtual bool append(const std::vector<Record>& records) = 0;
--- a/src/rollout/transport.cpp
+++ b/src/rollout/transport.cpp
@@ -25,8 +25,9 @@
 
 }   // namespace
 
-Endpoint::Endpoint(const Settings& settings, std::uint64_t process,
-                   const std::vector<membership::Key>& keys, Heard heard, net::Timers& timers, Logger& log)
+Transport::Transport(const Settings& settings, std::uint64_t process,
+                     const std::vector<membership::AuthKey>& keys, Heard heard, net::Timers& timers,
+                     Logger& log)
     : settings_(settings),
       seal_(keys, process),
       heard_(std::move(heard)),
@@ -37,9 +38,9 @@
         parents_[name].address = net::parse_address(address);
 }
 
-void Endpoint::start() { bind(); }
+void Transport::start() { bind(); }
 
-void Endpoint::bind() {
+void Transport::bind() {
     // Without children any port of the family by which the parents are reached.
     GSocketFamily family = G_SOCKET_FAMILY_IPV4;
     for (const auto& [name, parent] : parents_) family = g_socket_address_get_family(parent.address.get());
@@ -59,12 +60,12 @@
     bind_timer_.arm(net::now() + kBindAgain);
 }
 
-void Endpoint::stop() {
+void Transport::stop() {
     bind_timer_.disarm();
     socket_.stop();
 }
 
-std::string Endpoint::datagram(std::uint32_t kind, std::string_view body) const {
+std::string Transport::datagram(std::uint32_t kind, std::string_view body) const {
     kept::Datagram made;
     made.set_kind(kind);
     made.set_name(settings_.name);
@@ -72,7 +73,7 @@
     return made.SerializeAsString();
 }
 
-void Endpoint::count(bool sent, std::size_t bytes) {
+void Transport::count(bool sent, std::size_t bytes) {
     if (!sent) {
         ++tally_.unsent;
         return;
@@ -81,12 +82,12 @@
     tally_.sent_bytes += bytes;
 }
 
-void Endpoint::post(Parent& parent, std::uint64_t process, const std::string& payload) {
-    const std::string bytes = seal_.close(process, payload);
+void Transport::post(Parent& parent, std::uint64_t process, const std::string& payload) {
+    const std::string bytes = seal_.seal(process, payload);
     count(socket_.send(parent.address.get(), bytes), bytes.size());
 }
 
-void Endpoint::send(const std::string& to, const Body& body) {
+void Transport::send(const std::string& to, const Body& body) {
     if (const auto at = parents_.find(to); at != parents_.end()) {
         Parent& parent = at->second;
         parent.last = body;
@@ -97,20 +98,20 @@
     }
     const auto at = children_.find(to);
     if (at == children_.end()) return count(false, 0);
-    const std::string bytes = seal_.close(at->second.process, datagram(carried, *body));
+    const std::string bytes = seal_.seal(at->second.process, datagram(carried, *body));
     count(socket_.send(at->second.at, bytes), bytes.size());
 }
 
-void Endpoint::taken(std::string_view bytes, const net::Sender& from) {
+void Transport::taken(std::string_view bytes, const net::Sender& from) {
     std::uint64_t process = 0;
     std::string_view payload;
-    const membership::Opened opened = seal_.open(bytes, process, payload);
-    if (opened == membership::Opened::stranger) {
+    const membership::OpenResult opened = seal_.open(bytes, process, payload);
+    if (opened == membership::OpenResult::unknown_sender) {
         // For nobody or for an earlier process, perhaps old: it only learns who is here.
-        const std::string answer = seal_.close(process, datagram(here_is, {}));
+        const std::string answer = seal_.seal(process, datagram(here_is, {}));
         return count(socket_.send(from, answer), answer.size());
     }
-    if (opened != membership::Opened::fresh) return;
+    if (opened != membership::OpenResult::fresh) return;
     kept::Datagram said;
     if (!said.ParseFromArray(payload.data(), static_cast<int>(payload.size())) || !plain(said.name())) {
         ++tally_.unreadable;
@@ -123,7 +124,7 @@
 }
 
 // Tells of a parent's process: what it was to hear last goes out again.
-void Endpoint::here(std::uint64_t process, const std::string& name) {
+void Transport::here(std::uint64_t process, const std::string& name) {
     const auto at = parents_.find(name);
     if (at == parents_.end()) {
         if (!parents_.empty() && !std::exchange(parents_.begin()->second.told_name, true))
@@ -139,7 +140,7 @@
         post(parent, process, datagram(carried, *parent.last));
 }
 
-void Endpoint::remember(const std::string& name, std::uint64_t process, const net::Sender& from) {
+void Transport::remember(const std::string& name, std::uint64_t process, const net::Sender& from) {
     if (settings_.listen.empty()) return;
     if (children_.size() >= kChildrenMost && !children_.contains(name)) {
         const auto oldest = std::min_element(
--- a/src/rollout/transport.hpp
+++ b/src/rollout/transport.hpp
@@ -24,7 +24,7 @@
 
 using Logger = slatejunction::Log;   // `Log` is that of the changes here
 
-class Endpoint {
+class Transport {
   public:
     static constexpr std::size_t kChildrenMost = 8'192;   // whose addresses are remembered
 
@@ -33,7 +33,7 @@
         std::string listen;                           // ADDRESS:PORT; empty: any port, no children
         std::map<std::string, std::string> parents;   // addresses by name
     };
-    struct Tally {
+    struct Counts {
         std::uint64_t sent = 0, sent_bytes = 0;   // datagrams, with what sealing adds
         std::uint64_t unsent = 0;                 // the system took them not, or nobody is known there
         std::uint64_t hellos = 0, unreadable = 0;
@@ -41,17 +41,17 @@
     // `heard`: from whom, its process, the message's bytes.
     using Heard = std::function<void(const std::string&, std::uint64_t, std::string_view)>;
 
-    Endpoint(const Settings& settings, std::uint64_t process, const std::vector<membership::Key>& keys,
-             Heard heard, net::Timers& timers, Logger& log);
+    Transport(const Settings& settings, std::uint64_t process, const std::vector<membership::AuthKey>& keys,
+              Heard heard, net::Timers& timers, Logger& log);
     // Binds; while the address is held by another process it is tried again.
     void start();
     void stop();
     void send(const std::string& to, const Body& body);
-    void set_keys(const std::vector<membership::Key>& keys) { seal_.set_keys(keys); }
+    void set_keys(const std::vector<membership::AuthKey>& keys) { seal_.set_keys(keys); }
 
     bool parent(const std::string& name) const { return parents_.contains(name); }
-    const Tally& tally() const { return tally_; }
-    const membership::Seal& seal() const { return seal_; }
+    const Counts& tally() const { return tally_; }
+    const membership::DatagramAuth& seal() const { return seal_; }
 
   private:
     struct Parent {
@@ -75,7 +75,7 @@
     void count(bool sent, std::size_t bytes);
 
     const Settings settings_;
-    membership::Seal seal_;
+    membership::DatagramAuth seal_;
     const Heard heard_;
     Logger& log_;
     std::map<std::string, Parent> parents_;
@@ -83,7 +83,7 @@
     net::Datagrams socket_;
     net::Timer bind_timer_;
     bool told_held_ = false;
-    Tally tally_;
+    Counts tally_;
 };
 
 }   // namespace slatejunction::rollout
--- a/src/rules/bucket_storage.cpp
+++ b/src/rules/bucket_storage.cpp
@@ -35,7 +35,7 @@
     std::ifstream in("/proc/sys/kernel/random/boot_id");
     std::string text;
     std::getline(in, text);
-    return text.empty() ? 0 : storage::check_of(text.data(), text.size());
+    return text.empty() ? 0 : storage::checksum(text.data(), text.size());
 }
 
 // A record: the bytes of the definition's size, the definition, Unix ms, of kKeysOfBoot the boot and its
@@ -60,14 +60,15 @@
 
 }   // namespace
 
-Keeper::Keeper(const std::string& directory, std::function<Rules*()> rules, net::Timers& timers, Log& log)
+BucketStorage::BucketStorage(const std::string& directory, std::function<Rules*()> rules,
+                             net::Timers& timers, Log& log)
     : rules_(std::move(rules)), log_(log), timer_(timers, [this] { tick(); }) {
     std::map<std::string, Found> found;   // by definition and key; later records go before earlier ones
     const auto visit = [&](std::uint64_t, std::uint32_t type, std::string_view payload) {
         read_record(type, payload, found);
     };
-    storage::Journal::Found state;
-    journal_ = std::make_unique<storage::Journal>(directory, "limits", kSegment, visit, state);
+    storage::SegmentedLog::Found state;
+    journal_ = std::make_unique<storage::SegmentedLog>(directory, "limits", kSegment, visit, state);
     const double now = net::now();
     for (const std::string& path : state.broken)
         log_.write(Log::Level::error, now, "limits: a broken file was put aside as %s", path.c_str());
@@ -75,20 +76,20 @@
     restore(found);
 }
 
-Keeper::Stamp Keeper::Stamp::now() {
+BucketStorage::Stamp BucketStorage::Stamp::now() {
     static const std::uint64_t boot = boot_id();
     return {wall_clock_ms(), static_cast<std::int64_t>(1e3 * lease::boot_s()), boot};
 }
 
 // Within one boot the wall clock is not asked. A clock that has stepped back makes no store fuller.
-double Keeper::Stamp::age_s(const Stamp& now) const {
+double BucketStorage::Stamp::age_s(const Stamp& now) const {
     const bool same_boot = boot != 0 && boot == now.boot;
     const std::int64_t ms = same_boot ? now.boot_ms - boot_ms : now.unix_ms - unix_ms;
     return static_cast<double>(std::max<std::int64_t>(0, ms)) / 1e3;
 }
 
-void Keeper::read_record(std::uint32_t type, std::string_view payload,
-                         std::map<std::string, Found>& found) const {
+void BucketStorage::read_record(std::uint32_t type, std::string_view payload,
+                                std::map<std::string, Found>& found) const {
     std::uint32_t size = 0;
     Stamp at;
     if ((type != kKeys && type != kKeysOfBoot) || !get(payload, size) || payload.size() < size) return;
@@ -103,7 +104,7 @@
     }
 }
 
-void Keeper::restore(const std::map<std::string, Found>& found) {
+void BucketStorage::restore(const std::map<std::string, Found>& found) {
     Rules* const rules = rules_();
     if (!rules) return;
     const double now = net::now();
@@ -125,9 +126,9 @@
                    restored);
 }
 
-void Keeper::start() { timer_.arm(net::now() + kTick); }
+void BucketStorage::start() { timer_.arm(net::now() + kTick); }
 
-bool Keeper::begin_round() {
+bool BucketStorage::begin_round() {
     limit_ = slot_ = 0;
     round_began_ = net::now();
     for (const auto& [number, size] : journal_->segments())
@@ -136,7 +137,7 @@
 }
 
 // A part of the round. Once it is whole the rounds before it go.
-bool Keeper::step() {
+bool BucketStorage::step() {
     Rules* const rules = rules_();
     const std::size_t count = rules ? rules->settings().limits.size() : 0;
     if (limit_ >= count) {
@@ -162,13 +163,13 @@
     return true;
 }
 
-void Keeper::tick() {
+void BucketStorage::tick() {
     const double now = net::now();
     timer_.arm(now + kTick);
     if (!writing_ && now - round_began_ >= kEvery && !begin_round()) {
         if (!std::exchange(failing_, true))
             log_.write(Log::Level::error, now, "limits: the state directory can't be written: %s",
-                       journal_->why().c_str());
+                       journal_->last_error().c_str());
         return;
     }
     if (!writing_) return;
@@ -176,7 +177,7 @@
     step();
 }
 
-void Keeper::stop() {
+void BucketStorage::stop() {
     timer_.disarm();
     if (begin_round())
         while (step()) {
--- a/src/rules/bucket_storage.hpp
+++ b/src/rules/bucket_storage.hpp
@@ -16,14 +16,15 @@
 
 namespace slatejunction::rules {
 
-class Keeper {
+class BucketStorage {
   public:
     static constexpr double kEvery = 5;    // s
     static constexpr double kTick = 0.1;   // s
 
     // `rules`: those in force, or null. Takes what an earlier process left for limits of the same
     // definition. Throws storage::Error when the directory can't be read.
-    Keeper(const std::string& directory, std::function<Rules*()> rules, net::Timers& timers, Log& log);
+    BucketStorage(const std::string& directory, std::function<Rules*()> rules, net::Timers& timers,
+                  Log& log);
     void start();
     // Writes all that is left of this round and a whole one; the program ends.
     void stop();
@@ -51,7 +52,7 @@
     const std::function<Rules*()> rules_;
     Log& log_;
     net::Timer timer_;
-    std::unique_ptr<storage::Journal> journal_;
+    std::unique_ptr<storage::SegmentedLog> journal_;
     std::vector<std::uint64_t> older_;   // segments of rounds before this one
     std::size_t limit_ = 0, slot_ = 0;   // what is written next
     double round_began_ = -1e18;
--- a/src/rules/command.cpp
+++ b/src/rules/command.cpp
@@ -328,10 +328,10 @@
 
     void take_provider(const std::string& path, const Json& json) {
         has_provider_ = true;
-        const std::map<std::string_view, std::string_view ProviderFacts::*> texts{
-            {"id", &ProviderFacts::id},
-            {"locality", &ProviderFacts::locality},
-            {"flavor", &ProviderFacts::flavor}};
+        const std::map<std::string_view, std::string_view BackendFacts::*> texts{
+            {"id", &BackendFacts::id},
+            {"locality", &BackendFacts::locality},
+            {"flavor", &BackendFacts::flavor}};
         for (const auto& member : json.GetObject()) {
             const std::string name(view(member.name)), field = "provider." + name;
             const Json& value = member.value;
@@ -352,11 +352,11 @@
     expr::Arena arena_;
     std::vector<http::Field> fields_;
     RequestFacts request_;
-    ProviderFacts provider_;
+    BackendFacts provider_;
     GatewayFacts gateway_;
     bool has_request_ = false, has_provider_ = false;
     std::vector<Value> values_;
-    Source source_;
+    RuleVariables source_;
 };
 
 std::string type_name(const expr::Program& program, const Value& value) {
--- a/src/rules/condition_index.cpp
+++ b/src/rules/condition_index.cpp
@@ -21,7 +21,7 @@
 
 }   // namespace
 
-Matcher::Demand Matcher::demand_of(const expr::Program& program) {
+ConditionIndex::Demand ConditionIndex::demand_of(const expr::Program& program) {
     const Tree& tree = program.tree;
     std::vector<NodeId> parts{tree.root};
     const Node& root = tree[tree.root];
@@ -56,11 +56,11 @@
     return demand;
 }
 
-Matcher::Matcher(const std::vector<const expr::Program*>& conditions) {
+ConditionIndex::ConditionIndex(const std::vector<const expr::Program*>& conditions) {
     for (const expr::Program* one : conditions) demands_.push_back(one ? demand_of(*one) : Demand());
 }
 
-void Matcher::fill(Group& group, std::string_view service_class, std::string_view plan) const {
+void ConditionIndex::fill(Group& group, std::string_view service_class, std::string_view plan) const {
     const auto has = [](const std::vector<std::string>& words, std::string_view word) {
         return words.empty() || std::find(words.begin(), words.end(), word) != words.end();
     };
@@ -81,8 +81,8 @@
     for (const auto& [path, numbers] : group.paths) group.few.emplace_back(path, &numbers);
 }
 
-const std::vector<std::uint32_t>& Matcher::by_path(std::size_t pair, std::string_view service_class,
-                                                   std::string_view plan, std::string_view path) {
+const std::vector<std::uint32_t>& ConditionIndex::by_path(std::size_t pair, std::string_view service_class,
+                                                          std::string_view plan, std::string_view path) {
     if (pair >= groups_.size()) groups_.resize(pair + 1);
     if (!groups_[pair]) {
         groups_[pair] = std::make_unique<Group>();
--- a/src/rules/condition_index.hpp
+++ b/src/rules/condition_index.hpp
@@ -18,11 +18,11 @@
 
 namespace slatejunction::rules {
 
-class Matcher {
+class ConditionIndex {
   public:
     // `conditions` in the order in which they are to be tried; null: always
     // holds. Only read here.
-    explicit Matcher(const std::vector<const expr::Program*>& conditions);
+    explicit ConditionIndex(const std::vector<const expr::Program*>& conditions);
 
     // Numbers of the conditions that can hold, in their order. Valid until the
     // next call. `pair` stands for the class and plan, the same in each call
--- a/src/rules/fast_conditions.cpp
+++ b/src/rules/fast_conditions.cpp
@@ -14,22 +14,22 @@
 using expr::NodeId;
 using expr::Tree;
 
-constexpr std::array<std::pair<std::string_view, Name>, 11> kFields{{
-    {"method", Name::request_method},
-    {"path", Name::request_path},
-    {"query", Name::request_query},
-    {"headers", Name::request_headers},
-    {"class", Name::request_class},
-    {"plan", Name::request_plan},
-    {"customer", Name::request_customer},
-    {"units", Name::request_units},
-    {"deadline_ms", Name::request_deadline_ms},
-    {"retry", Name::request_retry},
-    {"id", Name::request_id},
+constexpr std::array<std::pair<std::string_view, VariableId>, 11> kFields{{
+    {"method", VariableId::request_method},
+    {"path", VariableId::request_path},
+    {"query", VariableId::request_query},
+    {"headers", VariableId::request_headers},
+    {"class", VariableId::request_class},
+    {"plan", VariableId::request_plan},
+    {"customer", VariableId::request_customer},
+    {"units", VariableId::request_units},
+    {"deadline_ms", VariableId::request_deadline_ms},
+    {"retry", VariableId::request_retry},
+    {"id", VariableId::request_id},
 }};
 
 // What request.NAME is.
-std::optional<Name> field_of(const Tree& tree, NodeId id) {
+std::optional<VariableId> field_of(const Tree& tree, NodeId id) {
     const Node& node = tree[id];
     if (node.kind != Node::Kind::select) return {};
     const Node& of = tree[node.kids[0]];
@@ -39,14 +39,14 @@
     return {};
 }
 
-bool is_text(Name name) {
+bool is_text(VariableId name) {
     switch (name) {
-        case Name::request_method:
-        case Name::request_path:
-        case Name::request_query:
-        case Name::request_class:
-        case Name::request_plan:
-        case Name::request_id:
+        case VariableId::request_method:
+        case VariableId::request_path:
+        case VariableId::request_query:
+        case VariableId::request_class:
+        case VariableId::request_plan:
+        case VariableId::request_id:
             return true;
         default:
             return false;
@@ -65,7 +65,7 @@
 // request.headers["x"], with x in lower case.
 std::optional<std::string_view> header_of(const Tree& tree, NodeId id) {
     const Node& node = tree[id];
-    if (!is_call(node, "_[_]", 2) || field_of(tree, node.kids[0]) != Name::request_headers) return {};
+    if (!is_call(node, "_[_]", 2) || field_of(tree, node.kids[0]) != VariableId::request_headers) return {};
     const Node& key = tree[node.kids[1]];
     if (key.kind != Node::Kind::text || !is_lower(key.name)) return {};
     return key.name;
@@ -85,28 +85,28 @@
     key += text;
 }
 
-std::size_t bound_of(Name text, HeadBounds bounds) {
-    if (text == Name::request_method) return kMethodMost;
-    return text == Name::request_class || text == Name::request_plan ? kWordMost : bounds.bytes;
+std::size_t bound_of(VariableId text, HeadBounds bounds) {
+    if (text == VariableId::request_method) return kMethodMost;
+    return text == VariableId::request_class || text == VariableId::request_plan ? kWordMost : bounds.bytes;
 }
 
-std::int64_t integer_of(const RequestFacts& facts, Name name) {
-    return name == Name::request_customer ? facts.customer : facts.deadline_ms;
+std::int64_t integer_of(const RequestFacts& facts, VariableId name) {
+    return name == VariableId::request_customer ? facts.customer : facts.deadline_ms;
 }
 
 }   // namespace
 
-std::string_view text_of(const RequestFacts& facts, Name text) {
+std::string_view text_of(const RequestFacts& facts, VariableId text) {
     switch (text) {
-        case Name::request_method:
+        case VariableId::request_method:
             return facts.method;
-        case Name::request_path:
+        case VariableId::request_path:
             return facts.path;
-        case Name::request_query:
+        case VariableId::request_query:
             return facts.query;
-        case Name::request_class:
+        case VariableId::request_class:
             return facts.service_class;
-        case Name::request_plan:
+        case VariableId::request_plan:
             return facts.plan;
         default:
             return facts.id;
@@ -135,7 +135,7 @@
 
 // The request. ----------------------------------------------------------------------------------------
 
-std::uint32_t View::watch(std::string_view lower) {
+std::uint32_t RequestView::watch(std::string_view lower) {
     const auto at = std::find(names_.begin(), names_.end(), lower);
     if (at == names_.end()) {
         names_.emplace_back(lower);
@@ -146,13 +146,13 @@
     return static_cast<std::uint32_t>(at - names_.begin());
 }
 
-void View::begin(const RequestFacts& facts) {
+void RequestView::begin(const RequestFacts& facts) {
     facts_ = &facts;
     looked_ = false;
     known_ = 0;
 }
 
-void View::look() {
+void RequestView::look() {
     looked_ = true;
     for (Header& one : headers_) one.found = Header::Found::absent;
     std::size_t bytes = 0;
@@ -160,7 +160,7 @@
         bytes += field.name.size() + field.value.size() + 2;
         if ((sizes_ >> std::min<std::size_t>(63, field.name.size()) & 1) == 0) continue;
         for (std::size_t i = 0; i < names_.size(); ++i) {
-            if (!http::same_word(field.name, names_[i])) continue;
+            if (!http::equals_ignore_case(field.name, names_[i])) continue;
             headers_[i].found =
                 headers_[i].found == Header::Found::absent ? Header::Found::once : Header::Found::more;
             headers_[i].value = field.value;
@@ -170,7 +170,7 @@
     over_ = facts_->headers.size() > bounds_.fields || bytes > bounds_.bytes;
 }
 
-bool View::plain(Name text) {
+bool RequestView::plain(VariableId text) {
     const std::uint32_t bit = 1U << static_cast<unsigned>(text);
     if ((known_ & bit) == 0) {
         known_ |= bit;
@@ -183,7 +183,7 @@
 
 // Conditions. -----------------------------------------------------------------------------------------
 
-Condition::Condition(const expr::Program& program, const std::vector<NodeId>& known, View& view) {
+Condition::Condition(const expr::Program& program, const std::vector<NodeId>& known, RequestView& view) {
     const Tree& tree = program.tree;
     const Node& root = tree[tree.root];
     const std::vector<NodeId> parts =
@@ -199,9 +199,9 @@
     }
 }
 
-bool Condition::read(const Tree& tree, NodeId id, View& view, Test& test) {
+bool Condition::read(const Tree& tree, NodeId id, RequestView& view, Test& test) {
     const Node& node = tree[id];
-    if (field_of(tree, id) == Name::request_retry) return test.what = What::retry, true;
+    if (field_of(tree, id) == VariableId::request_retry) return test.what = What::retry, true;
     if (is_call(node, "!_", 1)) {
         if (!read(tree, node.kids[0], view, test)) return false;
         test.wanted = !test.wanted;
@@ -210,7 +210,8 @@
     if (node.kind != Node::Kind::call || node.kids.size() != 2) return false;
     const Node &left = tree[node.kids[0]], &right = tree[node.kids[1]];
     if (is_call(node, "@in", 2) && left.kind == Node::Kind::text) {
-        if (field_of(tree, node.kids[1]) != Name::request_headers || !is_lower(left.name)) return false;
+        if (field_of(tree, node.kids[1]) != VariableId::request_headers || !is_lower(left.name))
+            return false;
         test.what = What::has_header;
         test.header = view.watch(left.name);
         return true;
@@ -246,10 +247,10 @@
         test.real = right.real;
         if (right.kind == Node::Kind::real) {
             test.what = What::real;
-            return !bucket && *field == Name::request_units;
+            return !bucket && *field == VariableId::request_units;
         }
         test.what = bucket ? What::bucket : What::integer;
-        return *field == Name::request_customer || *field == Name::request_deadline_ms;
+        return *field == VariableId::request_customer || *field == VariableId::request_deadline_ms;
     }
     if (right.kind == Node::Kind::text) {
         test.texts = {right.name};
@@ -275,8 +276,8 @@
     return true;
 }
 
-inline Condition::Held Condition::look(const Test& test, View& view) {
-    const auto held = [](bool yes) { return yes ? Held::yes : Held::no; };
+inline Condition::TestResult Condition::evaluate(const Test& test, RequestView& view) {
+    const auto held = [](bool yes) { return yes ? TestResult::yes : TestResult::no; };
     const auto ordered = [&](auto a, auto b) {
         switch (test.op) {
             case Op::equal:
@@ -309,16 +310,19 @@
     const RequestFacts& facts = view.facts();
     switch (test.what) {
         case What::text:
-            return view.plain(test.name) ? held(words(text_of(facts, test.name))) : Held::ask;
+            return view.plain(test.name) ? held(words(text_of(facts, test.name)))
+                                         : TestResult::needs_evaluator;
         case What::header: {
-            const View::Header& header = view.header(test.header);
-            if (view.over_bound() || header.found == View::Header::Found::more) return Held::ask;
-            if (header.found == View::Header::Found::absent) return Held::missing;
-            return expr::ascii(header.value) ? held(words(header.value)) : Held::ask;
+            const RequestView::Header& header = view.header(test.header);
+            if (view.over_bound() || header.found == RequestView::Header::Found::more)
+                return TestResult::needs_evaluator;
+            if (header.found == RequestView::Header::Found::absent) return TestResult::missing;
+            return expr::ascii(header.value) ? held(words(header.value)) : TestResult::needs_evaluator;
         }
         case What::has_header:
-            if (view.over_bound()) return Held::ask;
-            return held((view.header(test.header).found != View::Header::Found::absent) == test.wanted);
+            if (view.over_bound()) return TestResult::needs_evaluator;
+            return held((view.header(test.header).found != RequestView::Header::Found::absent) ==
+                        test.wanted);
         case What::integer:
             return ordered(integer_of(facts, test.name), test.integer);
         case What::bucket: {
@@ -334,22 +338,22 @@
         case What::retry:
             return held(facts.retry == test.wanted);
     }
-    return Held::ask;
+    return TestResult::needs_evaluator;
 }
 
-Condition::Held Condition::look(View& view) const {
-    Held all = whole_ ? Held::yes : Held::ask;
+Condition::TestResult Condition::evaluate(RequestView& view) const {
+    TestResult all = whole_ ? TestResult::yes : TestResult::needs_evaluator;
     for (const Test& test : tests_) {
-        const Held one = look(test, view);
-        if (one == Held::no) return one;
-        if (one != Held::yes && all != Held::ask) all = one;
+        const TestResult one = evaluate(test, view);
+        if (one == TestResult::no) return one;
+        if (one != TestResult::yes && all != TestResult::needs_evaluator) all = one;
     }
     return all;
 }
 
 // Keys and values. ------------------------------------------------------------------------------------
 
-Direct::Direct(const expr::Program& program, View& view) {
+DirectKey::DirectKey(const expr::Program& program, RequestView& view) {
     const Tree& tree = program.tree;
     const Node& root = tree[tree.root];
     list_ = root.kind == Node::Kind::list;
@@ -363,7 +367,7 @@
     }
 }
 
-bool Direct::read(const Tree& tree, NodeId id, View& view, Part& part) {
+bool DirectKey::read(const Tree& tree, NodeId id, RequestView& view, Part& part) {
     if (const auto name = header_of(tree, id)) {
         part.is_text = part.of_header = true;
         part.header = view.watch(*name);
@@ -373,18 +377,19 @@
     if (!field) return false;
     part.name = *field;
     part.is_text = is_text(*field);
-    return part.is_text || *field == Name::request_customer || *field == Name::request_deadline_ms;
+    return part.is_text || *field == VariableId::request_customer ||
+           *field == VariableId::request_deadline_ms;
 }
 
-std::string_view Direct::text(const Part& part, View& view) {
+std::string_view DirectKey::text(const Part& part, RequestView& view) {
     if (!part.of_header)
         return view.plain(part.name) ? text_of(view.facts(), part.name) : std::string_view();
-    const View::Header& header = view.header(part.header);
-    const bool known = header.found == View::Header::Found::once && !view.over_bound();
+    const RequestView::Header& header = view.header(part.header);
+    const bool known = header.found == RequestView::Header::Found::once && !view.over_bound();
     return known && expr::ascii(header.value) ? header.value : std::string_view();
 }
 
-bool Direct::key(View& view, std::string& key) const {
+bool DirectKey::key(RequestView& view, std::string& key) const {
     if (list_) {
         append_kind(key, expr::Kind::list);
         append_number(key, parts_.size());
@@ -402,7 +407,7 @@
     return true;
 }
 
-std::string_view Direct::text(View& view) const {
+std::string_view DirectKey::text(RequestView& view) const {
     return parts_.size() == 1 && !list_ && parts_[0].is_text ? text(parts_[0], view) : std::string_view();
 }
 
--- a/src/rules/fast_conditions.hpp
+++ b/src/rules/fast_conditions.hpp
@@ -25,7 +25,7 @@
 
 // The request as shortcuts see it. Headers that some shortcut names are found in one pass over the fields,
 // when the first of them is asked for.
-class View {
+class RequestView {
   public:
     struct Header {
         enum class Found : std::uint8_t { absent, once, more } found = Found::absent;
@@ -44,7 +44,7 @@
         return over_;
     }
     // Whether it is plain ASCII and within its bound.
-    bool plain(Name text);
+    bool plain(VariableId text);
 
   private:
     void look();
@@ -58,7 +58,7 @@
     std::uint32_t known_ = 0, plain_ = 0;   // texts, as bits of Name
 };
 
-std::string_view text_of(const RequestFacts& facts, Name text);
+std::string_view text_of(const RequestFacts& facts, VariableId text);
 
 // The bytes that a key is hashed by: each value behind its kind, texts behind their size, so that no two
 // keys of different form are the same bytes.
@@ -66,16 +66,16 @@
 
 class Condition {
   public:
-    enum class Held : std::uint8_t {
+    enum class TestResult : std::uint8_t {
         no,
         yes,
-        missing,   // an error: a header that is not there
-        ask,       // the evaluator
+        missing,           // an error: a header that is not there
+        needs_evaluator,   // the evaluator
     };
     Condition() = default;   // asks
     // `known`: parts that always hold when it is looked at.
-    Condition(const expr::Program& program, const std::vector<expr::NodeId>& known, View& view);
-    Held look(View& view) const;
+    Condition(const expr::Program& program, const std::vector<expr::NodeId>& known, RequestView& view);
+    TestResult evaluate(RequestView& view) const;
     std::size_t parts() const { return tests_.size(); }   // that are looked at: its cost in units
     bool always() const { return whole_ && tests_.empty(); }
 
@@ -86,38 +86,38 @@
         What what = What::retry;
         Op op = Op::equal;
         bool wanted = true;   // of has_header and retry
-        Name name = Name::request_method;
+        VariableId name = VariableId::request_method;
         std::uint32_t header = 0;
         std::int64_t integer = 0, buckets = 1;
         double real = 0;
         std::vector<std::string> texts;
     };
-    static bool read(const expr::Tree& tree, expr::NodeId id, View& view, Test& test);
-    static Held look(const Test& test, View& view);
+    static bool read(const expr::Tree& tree, expr::NodeId id, RequestView& view, Test& test);
+    static TestResult evaluate(const Test& test, RequestView& view);
 
     std::vector<Test> tests_;
     bool whole_ = false;
 };
 
-class Direct {
+class DirectKey {
   public:
-    Direct() = default;   // has nothing
-    Direct(const expr::Program& program, View& view);
+    DirectKey() = default;   // has nothing
+    DirectKey(const expr::Program& program, RequestView& view);
     explicit operator bool() const { return !parts_.empty(); }
     std::size_t parts() const { return parts_.size(); }
     // The key's bytes at the end of `key`. False, and whatever in it: the evaluator is to be asked.
-    bool key(View& view, std::string& key) const;
+    bool key(RequestView& view, std::string& key) const;
     // Of a single text. A null pointer: the evaluator is to be asked.
-    std::string_view text(View& view) const;
+    std::string_view text(RequestView& view) const;
 
   private:
     struct Part {
         bool is_text = false, of_header = false;
-        Name name = Name::request_method;
+        VariableId name = VariableId::request_method;
         std::uint32_t header = 0;
     };
-    static bool read(const expr::Tree& tree, expr::NodeId id, View& view, Part& part);
-    static std::string_view text(const Part& part, View& view);
+    static bool read(const expr::Tree& tree, expr::NodeId id, RequestView& view, Part& part);
+    static std::string_view text(const Part& part, RequestView& view);
 
     std::vector<Part> parts_;
     bool list_ = false;
--- a/src/rules/limiter.cpp
+++ b/src/rules/limiter.cpp
@@ -107,7 +107,7 @@
     return best;
 }
 
-double Limiter::look(double now, const KeyHash& key, double count_of, Ticket& ticket) {
+double Limiter::retry_after_s(double now, const KeyHash& key, double count_of, Ticket& ticket) {
     count(key);
     ticket.key = key;
     ticket.slot = find(key);
@@ -126,11 +126,12 @@
         if (wait <= 1e-6 / limits_.rate) wait = 0;
     }
     // Until one of those that are open ends, if they ended evenly.
-    if (limits_.max_out > 0 && slot.out >= limits_.max_out) wait = std::max(wait, hold_ / limits_.max_out);
+    if (limits_.max_in_flight > 0 && slot.out >= limits_.max_in_flight)
+        wait = std::max(wait, hold_ / limits_.max_in_flight);
     return wait > 0 ? std::max(wait, kSoonest) : 0;
 }
 
-void Limiter::take(double now, Ticket& ticket, double count_of) {
+void Limiter::consume(double now, Ticket& ticket, double count_of) {
     if (ticket.slot == kNone || slots_[ticket.slot].key != ticket.key) return;
     Slot& slot = slots_[ticket.slot];
     if (limits_.rate > 0)
--- a/src/rules/limiter.hpp
+++ b/src/rules/limiter.hpp
@@ -24,9 +24,9 @@
 class Limiter {
   public:
     struct Limits {
-        double rate = 0;             // a second; 0: not limited
-        double burst = 1;            // the store's size
-        std::uint32_t max_out = 0;   // 0: not limited
+        double rate = 0;                   // a second; 0: not limited
+        double burst = 1;                  // the store's size
+        std::uint32_t max_in_flight = 0;   // 0: not limited
         std::size_t keys_max = 10'000;
         bool operator==(const Limits&) const = default;
     };
@@ -43,15 +43,15 @@
 
     // Asks for `count` (over the burst: all of it) at `now` (s, any clock that does not step back). 0:
     // there is room; else so many seconds until there is. Nothing is drawn yet.
-    double look(double now, const KeyHash& key, double count, Ticket& ticket);
+    double retry_after_s(double now, const KeyHash& key, double count, Ticket& ticket);
     // Draws what was asked for; the request is open until release().
-    void take(double now, Ticket& ticket, double count);
+    void consume(double now, Ticket& ticket, double count);
     void release(double now, Ticket& ticket);
 
     const Limits& limits() const { return limits_; }
     std::size_t keys() const { return held_; }
     std::uint64_t forgotten() const { return forgotten_; }   // keys whose store was not full
-    std::uint64_t passed() const { return passed_; }         // asks of keys that are not held
+    std::uint64_t untracked() const { return passed_; }      // asks of keys that are not held
     std::size_t bytes() const;                               // of memory
 
     // A held key's state, for snapshots: its store is full again `full_in_s` from now.
--- a/src/rules/rules.cpp
+++ b/src/rules/rules.cpp
@@ -80,7 +80,7 @@
         Route& route = routes_.emplace_back();
         route.place = place;
         route.when = load("route " + one.name, "when", one.when, of_request, condition);
-        route.spill = static_cast<slatejunction::Spill>(one.spill);
+        route.spill = static_cast<slatejunction::SubsetFallback>(one.spill);
         const auto subset =
             std::find_if(settings_.subsets.begin(), settings_.subsets.end(),
                          [&](const SubsetSettings& each) { return each.name == one.subset; });
@@ -109,10 +109,10 @@
         counts_.push_back({section});
     }
     if (faults.size() > before) return false;
-    route_matcher_ = Matcher(pointers(routes_));
-    limit_matcher_ = Matcher(pointers(limits_));
-    tag_matcher_ = Matcher(pointers(tags_));
-    const auto shorten = [&](auto& rules, const Matcher& matcher) {
+    route_matcher_ = ConditionIndex(pointers(routes_));
+    limit_matcher_ = ConditionIndex(pointers(limits_));
+    tag_matcher_ = ConditionIndex(pointers(tags_));
+    const auto shorten = [&](auto& rules, const ConditionIndex& matcher) {
         for (std::size_t i = 0; i < rules.size(); ++i)
             rules[i].condition =
                 Condition(rules[i].when, matcher.known(static_cast<std::uint32_t>(i)), view_);
@@ -120,8 +120,8 @@
     shorten(routes_, route_matcher_);
     shorten(limits_, limit_matcher_);
     shorten(tags_, tag_matcher_);
-    for (Limit& one : limits_) one.direct = Direct(one.key, view_);
-    for (Tag& one : tags_) one.direct = Direct(one.value, view_);
+    for (Limit& one : limits_) one.direct = DirectKey(one.key, view_);
+    for (Tag& one : tags_) one.direct = DirectKey(one.value, view_);
     return true;
 }
 
@@ -158,11 +158,11 @@
 
 inline bool Rules::holds(const Condition& condition, const expr::Program& when, std::size_t rule) {
     if (condition.always()) return ++counts_[rule].matches, true;
-    const Condition::Held held = condition.look(view_);
+    const Condition::TestResult held = condition.evaluate(view_);
     spent_ += condition.parts();
-    if (held == Condition::Held::ask) return holds(when, rule);
-    if (held == Condition::Held::missing) error(rule, "no such key");
-    if (held != Condition::Held::yes) return false;
+    if (held == Condition::TestResult::needs_evaluator) return holds(when, rule);
+    if (held == Condition::TestResult::missing) error(rule, "no such key");
+    if (held != Condition::TestResult::yes) return false;
     ++counts_[rule].matches;
     return true;
 }
@@ -177,13 +177,13 @@
     }
     if (pairs_.size() >= kPairsMost) {
         pairs_.clear();
-        for (Matcher* one : {&route_matcher_, &limit_matcher_, &tag_matcher_}) one->forget();
+        for (ConditionIndex* one : {&route_matcher_, &limit_matcher_, &tag_matcher_}) one->forget();
     }
     pairs_.emplace_back(service_class, plan);
     return pairs_.size() - 1;
 }
 
-void Rules::judge(double now, const RequestFacts& request, Verdict& verdict) {
+void Rules::evaluate(double now, const RequestFacts& request, RequestVerdict& verdict) {
     verdict.clear();
     view_.begin(request);
     source_.begin(&request, nullptr);
@@ -195,7 +195,7 @@
         if (!holds(route.condition, route.when, route_rule(route.place))) continue;
         verdict.route = route.place;
         verdict.subset = route.subset;
-        verdict.spill = route.spill;
+        verdict.subset_fallback = route.spill;
         break;
     }
     if (!limits_.empty()) find_limits(now, pair, request, verdict);
@@ -215,7 +215,7 @@
     return true;
 }
 
-void Rules::share(SharedLimits* shared) {
+void Rules::set_fleet_rate_limits(FleetRateLimits* shared) {
     shared_ = shared;
     for (std::size_t i = 0; shared && i < limits_.size(); ++i)
         if (limits_[i].shared != 0) shared->define(limits_[i].shared, settings_.limits[i]);
@@ -229,27 +229,28 @@
     return number == 0 ? 1 : number;
 }
 
-void Rules::find_limits(double now, std::size_t pair, const RequestFacts& request, Verdict& verdict) {
+void Rules::find_limits(double now, std::size_t pair, const RequestFacts& request,
+                        RequestVerdict& verdict) {
     for (const std::uint32_t number :
          limit_matcher_.candidates(pair, request.service_class, request.plan, request.path)) {
         Limit& limit = limits_[number];
         const std::size_t rule = limit_rule(number);
         if (!holds(limit.condition, limit.when, rule)) continue;
         if (!key_of(limit, rule)) continue;
-        Verdict::Hit& hit = verdict.hits.emplace_back();
+        RequestVerdict::Hit& hit = verdict.hits.emplace_back();
         hit.limiter = limit.limiter;
         hit.count = settings_.limits[number].count == 1 ? request.units : 1;
         const KeyHash key = hash_key(key_);
         if (shared_ && limit.shared != 0) hit.shared = limit.shared, hit.key = key.low;
-        const double wait = hit.shared != 0 ? shared_->look(now, hit.shared, hit.key, hit.count)
-                                            : limit.limiter->look(now, key, hit.count, hit.ticket);
-        if (wait <= verdict.over_limit_s) continue;
-        verdict.over_limit_s = wait;
-        verdict.over = number;
+        const double wait = hit.shared != 0 ? shared_->retry_after_s(now, hit.shared, hit.key, hit.count)
+                                            : limit.limiter->retry_after_s(now, key, hit.count, hit.ticket);
+        if (wait <= verdict.rate_limit_retry_after_s) continue;
+        verdict.rate_limit_retry_after_s = wait;
+        verdict.limit_exceeded = number;
     }
 }
 
-void Rules::find_tags(std::size_t pair, const RequestFacts& request, Verdict& verdict) {
+void Rules::find_tags(std::size_t pair, const RequestFacts& request, RequestVerdict& verdict) {
     for (const std::uint32_t number :
          tag_matcher_.candidates(pair, request.service_class, request.plan, request.path)) {
         const Tag& tag = tags_[number];
@@ -265,27 +266,27 @@
     }
 }
 
-void Rules::sent(double now, Verdict& verdict, bool spilled) {
-    for (Verdict::Hit& hit : verdict.hits)
+void Rules::on_first_attempt(double now, RequestVerdict& verdict, bool spilled) {
+    for (RequestVerdict::Hit& hit : verdict.hits)
         if (hit.shared != 0)
-            shared_->take(now, hit.shared, hit.key, hit.count);
+            shared_->consume(now, hit.shared, hit.key, hit.count);
         else
-            hit.limiter->take(now, hit.ticket, hit.count);
-    if (spilled && verdict.route != Verdict::kNone && verdict.route < routes_.size())
-        ++counts_[route_rule(verdict.route)].spills;
+            hit.limiter->consume(now, hit.ticket, hit.count);
+    if (spilled && verdict.route != RequestVerdict::kNone && verdict.route < routes_.size())
+        ++counts_[route_rule(verdict.route)].fallbacks;
 }
 
-void Rules::refused(const Verdict& verdict) {
-    if (verdict.over < limits_.size()) ++counts_[limit_rule(verdict.over)].refusals;
+void Rules::on_rejected(const RequestVerdict& verdict) {
+    if (verdict.limit_exceeded < limits_.size()) ++counts_[limit_rule(verdict.limit_exceeded)].rejections;
 }
 
-void Rules::ended(double now, Verdict& verdict) {
-    for (Verdict::Hit& hit : verdict.hits)
+void Rules::on_request_end(double now, RequestVerdict& verdict) {
+    for (RequestVerdict::Hit& hit : verdict.hits)
         if (hit.shared == 0) hit.limiter->release(now, hit.ticket);
     verdict.hits.clear();
 }
 
-std::uint64_t Rules::subsets_of(const ProviderFacts& provider) {
+std::uint64_t Rules::subsets_of(const BackendFacts& provider) {
     std::uint64_t bits = 0;
     source_.begin(nullptr, &provider);
     evaluator_.reset();
@@ -297,33 +298,33 @@
 // The fleet.
 // --------------------------------------------------------------------------------------------
 
-std::uint64_t Fleet::match(double now, const slatejunction::ListEntry& entry, Rules* rules) {
+std::uint64_t EndpointSubsets::match(double now, const slatejunction::Endpoint& entry, Rules* rules) {
     if (!rules) return 0;
-    ProviderFacts facts;
-    facts.id = entry.server;
+    BackendFacts facts;
+    facts.id = entry.backend;
     facts.locality = entry.zone;
-    facts.flavor = entry.kind;
+    facts.flavor = entry.flavor;
     facts.cell = entry.cell;
     facts.size = entry.capacity_hint;
-    facts.age_s = entry.born_s > 0 ? std::max(0.0, now - entry.born_s) : 0;
+    facts.age_s = entry.started_at_s > 0 ? std::max(0.0, now - entry.started_at_s) : 0;
     return rules->subsets_of(facts);
 }
 
-void Fleet::update(double now, slatejunction::ListUpdate& list, Rules* rules) {
-    if (list.kind == slatejunction::ListKind::lost) return;
-    if (list.kind != slatejunction::ListKind::changes) known_.clear();
-    for (const slatejunction::ListEntry& entry : list.entries) {
-        if (entry.state == slatejunction::ServerState::in)
-            known_[entry.server] = {entry, match(now, entry, rules)};
+void EndpointSubsets::update(double now, slatejunction::EndpointUpdate& list, Rules* rules) {
+    if (list.kind == slatejunction::EndpointUpdateKind::watch_lost) return;
+    if (list.kind != slatejunction::EndpointUpdateKind::delta) known_.clear();
+    for (const slatejunction::Endpoint& entry : list.endpoints) {
+        if (entry.state == slatejunction::EndpointState::serving)
+            known_[entry.backend] = {entry, match(now, entry, rules)};
         else
-            known_.erase(entry.server);
+            known_.erase(entry.backend);
     }
-    settle(rules, list, list.entries.size());
+    settle(rules, list, list.endpoints.size());
 }
 
-slatejunction::ListUpdate Fleet::reload(double now, Rules* rules) {
+slatejunction::EndpointUpdate EndpointSubsets::reload(double now, Rules* rules) {
     for (auto& [id, known] : known_) known.matched = match(now, known.entry, rules);
-    slatejunction::ListUpdate list;
+    slatejunction::EndpointUpdate list;
     settle(rules, list, 0);
     return list;
 }
@@ -331,7 +332,7 @@
 // Leaves out the subsets that are under their least, tells the entries that are
 // in the list and adds the others that have changed, in the order of their
 // names.
-void Fleet::settle(Rules* rules, slatejunction::ListUpdate& list, std::size_t told) {
+void EndpointSubsets::settle(Rules* rules, slatejunction::EndpointUpdate& list, std::size_t told) {
     const std::size_t count = rules ? rules->subset_count() : 0;
     counts_.assign(count, 0);
     for (const auto& [id, known] : known_)
@@ -349,15 +350,15 @@
         changed.push_back(&known);
     }
     for (std::size_t i = 0; i < told; ++i)
-        if (const auto at = known_.find(list.entries[i].server);
-            at != known_.end() && list.entries[i].state == slatejunction::ServerState::in)
-            list.entries[i].subsets = at->second.entry.subsets;
+        if (const auto at = known_.find(list.endpoints[i].backend);
+            at != known_.end() && list.endpoints[i].state == slatejunction::EndpointState::serving)
+            list.endpoints[i].subsets = at->second.entry.subsets;
     std::sort(changed.begin(), changed.end(),
-              [](const Known* a, const Known* b) { return a->entry.server < b->entry.server; });
+              [](const Known* a, const Known* b) { return a->entry.backend < b->entry.backend; });
     std::unordered_set<std::string> names;   // copied, as the list grows
-    for (std::size_t i = 0; i < told; ++i) names.insert(list.entries[i].server);
+    for (std::size_t i = 0; i < told; ++i) names.insert(list.endpoints[i].backend);
     for (const Known* one : changed)
-        if (!names.contains(one->entry.server)) list.entries.push_back(one->entry);
+        if (!names.contains(one->entry.backend)) list.endpoints.push_back(one->entry);
 }
 
 }   // namespace slatejunction::rules
--- a/src/rules/rules.hpp
+++ b/src/rules/rules.hpp
@@ -25,16 +25,16 @@
 
 // Limits that are kept for the whole fleet, elsewhere (src/fleet_rate_limit). Numbers are of their
 // definitions.
-class SharedLimits {
+class FleetRateLimits {
   public:
-    virtual ~SharedLimits() = default;
+    virtual ~FleetRateLimits() = default;
     virtual void define(std::uint32_t limit, const LimitSettings& settings) = 0;   // before any other call
     // As Limiter::look() and take().
-    virtual double look(double now, std::uint32_t limit, std::uint64_t key, double count) = 0;
-    virtual void take(double now, std::uint32_t limit, std::uint64_t key, double count) = 0;
+    virtual double retry_after_s(double now, std::uint32_t limit, std::uint64_t key, double count) = 0;
+    virtual void consume(double now, std::uint32_t limit, std::uint64_t key, double count) = 0;
 };
 
-struct Verdict {
+struct RequestVerdict {
     static constexpr std::size_t kNone = ~std::size_t{0};
     struct Hit {
         std::shared_ptr<Limiter> limiter;
@@ -44,16 +44,16 @@
         std::uint64_t key = 0;
     };
     std::uint64_t subset = 0;   // as in slatejunction::Request
-    slatejunction::Spill spill = slatejunction::Spill::never;
-    double over_limit_s = 0;                   // of the limit that has room last
-    std::size_t route = kNone, over = kNone;   // their numbers
+    slatejunction::SubsetFallback subset_fallback = slatejunction::SubsetFallback::never;
+    double rate_limit_retry_after_s = 0;                 // of the limit that has room last
+    std::size_t route = kNone, limit_exceeded = kNone;   // their numbers
     std::vector<Hit> hits;
     std::vector<std::pair<std::size_t, std::string>> tags;   // number, value
     void clear() {                                           // keeps the memory
         subset = 0;
-        spill = slatejunction::Spill::never;
-        over_limit_s = 0;
-        route = over = kNone;
+        subset_fallback = slatejunction::SubsetFallback::never;
+        rate_limit_retry_after_s = 0;
+        route = limit_exceeded = kNone;
         hits.clear();
         tags.clear();
     }
@@ -63,8 +63,8 @@
 struct RuleCount {
     std::string name;   // "route NAME"
     std::uint64_t matches = 0, errors = 0;
-    std::uint64_t spills = 0;     // of a route: requests sent to the whole fleet instead
-    std::uint64_t refusals = 0;   // of a limit
+    std::uint64_t fallbacks = 0;    // of a route: requests sent to the whole fleet instead
+    std::uint64_t rejections = 0;   // of a limit
 };
 
 class Rules {
@@ -80,25 +80,25 @@
     void adopt(const Rules& other);
 
     // Where limits over the fleet are kept; without, each is kept here alone. Lives longer.
-    void share(SharedLimits* shared);
+    void set_fleet_rate_limits(FleetRateLimits* shared);
     static std::uint32_t number_of(const LimitSettings& limit);   // the same wherever it is defined so
 
     // `now` in s, of one clock for all calls. Draws nothing from any limit.
-    void judge(double now, const RequestFacts& request, Verdict& verdict);
-    Verdict judge(double now, const RequestFacts& request) {
-        Verdict verdict;
-        judge(now, request, verdict);
+    void evaluate(double now, const RequestFacts& request, RequestVerdict& verdict);
+    RequestVerdict evaluate(double now, const RequestFacts& request) {
+        RequestVerdict verdict;
+        evaluate(now, request, verdict);
         return verdict;
     }
     // The request's first attempt is sent: its limits are drawn.
-    void sent(double now, Verdict& verdict, bool spilled);
+    void on_first_attempt(double now, RequestVerdict& verdict, bool spilled);
     // It was refused by the limit that verdict.over names.
-    void refused(const Verdict& verdict);
+    void on_rejected(const RequestVerdict& verdict);
     // It is over, or was never sent.
-    static void ended(double now, Verdict& verdict);
+    static void on_request_end(double now, RequestVerdict& verdict);
 
     // The subsets, as bits, of one provider; nothing of `least`.
-    std::uint64_t subsets_of(const ProviderFacts& provider);
+    std::uint64_t subsets_of(const BackendFacts& provider);
     std::size_t subset_count() const { return subsets_.size(); }
     const SubsetSettings& subset(std::size_t number) const { return settings_.subsets[number]; }
     const Settings& settings() const { return settings_; }
@@ -106,27 +106,27 @@
     const std::vector<RuleCount>& counts() const { return counts_; }   // subsets, routes, limits, tags
     const Limiter& limiter(std::size_t limit) const { return *limits_[limit].limiter; }
     Limiter& limiter(std::size_t limit) { return *limits_[limit].limiter; }
-    std::uint64_t spent() const { return spent_; }   // units of cost
+    std::uint64_t evaluation_cost() const { return spent_; }   // units of cost
 
   private:
     struct Limit {
         expr::Program when, key;
         Condition condition;
-        Direct direct;
+        DirectKey direct;
         std::shared_ptr<Limiter> limiter;
         std::uint32_t shared = 0;
     };
     struct Tag {
         expr::Program when, value;
         Condition condition;
-        Direct direct;
+        DirectKey direct;
     };
     struct Route {
         expr::Program when;
         Condition condition;
         std::size_t place = 0;   // in the settings
         std::uint64_t subset = 0;
-        slatejunction::Spill spill = slatejunction::Spill::never;
+        slatejunction::SubsetFallback spill = slatejunction::SubsetFallback::never;
     };
     Rules(const Settings& settings, const GatewayFacts& gateway, ErrorHost on_error);
     bool compile_all(std::vector<std::string>& faults);
@@ -135,8 +135,8 @@
     bool key_of(const Limit& limit, std::size_t rule);   // into key_; false: an error
     expr::Value value(const expr::Program& program, std::size_t rule);
     void error(std::size_t rule, std::string_view why);
-    void find_limits(double now, std::size_t pair, const RequestFacts& request, Verdict& verdict);
-    void find_tags(std::size_t pair, const RequestFacts& request, Verdict& verdict);
+    void find_limits(double now, std::size_t pair, const RequestFacts& request, RequestVerdict& verdict);
+    void find_tags(std::size_t pair, const RequestFacts& request, RequestVerdict& verdict);
     std::size_t pair_of(std::string_view service_class, std::string_view plan);
     std::size_t route_rule(std::size_t place) const { return subsets_.size() + place; }
     std::size_t limit_rule(std::size_t limit) const { return route_rule(routes_.size()) + limit; }
@@ -145,15 +145,15 @@
     const Settings settings_;
     const GatewayFacts gateway_;
     ErrorHost on_error_;
-    SharedLimits* shared_ = nullptr;
+    FleetRateLimits* shared_ = nullptr;
     std::vector<expr::Program> subsets_;
     std::vector<Route> routes_;   // in their order
     std::vector<Limit> limits_;
     std::vector<Tag> tags_;
     std::vector<RuleCount> counts_;
-    Matcher route_matcher_, limit_matcher_, tag_matcher_;
-    View view_;
-    Source source_;
+    ConditionIndex route_matcher_, limit_matcher_, tag_matcher_;
+    RequestView view_;
+    RuleVariables source_;
     expr::Evaluator evaluator_;
     std::string key_;
     std::vector<std::pair<std::string, std::string>> pairs_;   // classes and plans that have come
@@ -163,23 +163,23 @@
 // The providers as the directory lists them, with the subsets that the rules
 // give them. Brings the lists on their way to the module after the rules: a
 // subset that falls under its `least` has no provider at all.
-class Fleet {
+class EndpointSubsets {
   public:
     // Sets the subsets of the list's entries and adds those of other providers
     // whose subsets have changed with it.
-    void update(double now, slatejunction::ListUpdate& list,
+    void update(double now, slatejunction::EndpointUpdate& list,
                 Rules* rules);   // null: no subsets
     // All providers whose subsets are others under these rules.
-    slatejunction::ListUpdate reload(double now, Rules* rules);
+    slatejunction::EndpointUpdate reload(double now, Rules* rules);
     std::size_t ready(std::size_t subset) const { return subset < counts_.size() ? counts_[subset] : 0; }
 
   private:
     struct Known {
-        slatejunction::ListEntry entry;
+        slatejunction::Endpoint entry;
         std::uint64_t matched = 0;   // the entry's subsets are these, less those under their least
     };
-    void settle(Rules* rules, slatejunction::ListUpdate& list, std::size_t told);
-    static std::uint64_t match(double now, const slatejunction::ListEntry& entry, Rules* rules);
+    void settle(Rules* rules, slatejunction::EndpointUpdate& list, std::size_t told);
+    static std::uint64_t match(double now, const slatejunction::Endpoint& entry, Rules* rules);
 
     std::unordered_map<std::string, Known> known_;   // those that are ready
     std::vector<std::size_t> counts_;                // ready providers by subset
--- a/src/rules/variables.cpp
+++ b/src/rules/variables.cpp
@@ -93,20 +93,20 @@
     return {std::move(all)};
 }
 
-void Source::begin(const RequestFacts* request, const ProviderFacts* provider) {
+void RuleVariables::begin(const RequestFacts* request, const BackendFacts* provider) {
     request_ = request;
     provider_ = provider;
     known_ = 0;
     asked_ = 0;
 }
 
-Value Source::text(std::string_view text, std::size_t most, Units& spent) const {
+Value RuleVariables::text(std::string_view text, std::size_t most, Units& spent) const {
     if (text.size() > most) return Value::error("a text over its bound");
     spent = text_cost(text.size());
     return expr::valid_utf8(text) ? Value::text(text) : Value::error("not UTF-8");
 }
 
-Value Source::headers(expr::Arena& arena, Units& spent) {
+Value RuleVariables::headers(expr::Arena& arena, Units& spent) {
     const auto fields = request_->headers;
     std::size_t bytes = 0;
     for (const http::Field& field : fields) bytes += field.name.size() + field.value.size() + 2;
@@ -138,7 +138,7 @@
     return Value::map(pairs.first(count));
 }
 
-Value Source::load(std::uint32_t number, expr::Arena& arena, Units& spent) {
+Value RuleVariables::load(std::uint32_t number, expr::Arena& arena, Units& spent) {
     const std::uint32_t bit = 1U << number;
     if ((known_ & bit) == 0) {
         values_[number] = read(number, arena, spent);
@@ -149,9 +149,11 @@
 
 // A header by its name, without the map: unless it comes twice, which the map
 // joins.
-Value Source::field(std::uint32_t number, const Value& key, bool has, expr::Arena& arena, Units& spent) {
+Value RuleVariables::field(std::uint32_t number, const Value& key, bool has, expr::Arena& arena,
+                           Units& spent) {
     const auto whole = [&] { return Variables::field(number, key, has, arena, spent); };
-    if (static_cast<Name>(number) != Name::request_headers || !request_ || (known_ & 1U << number) != 0)
+    if (static_cast<VariableId>(number) != VariableId::request_headers || !request_ ||
+        (known_ & 1U << number) != 0)
         return whole();
     if (++asked_ > kAskedMost) return whole();
     const http::Field* found = nullptr;
@@ -160,7 +162,7 @@
         bytes += field.name.size() + field.value.size() + 2;
         if (field.name.size() != key.size()) continue;
         equal_bytes += key.size();
-        if (!http::same_word(field.name, key.view())) continue;
+        if (!http::equals_ignore_case(field.name, key.view())) continue;
         if (found) return whole();
         found = &field;
     }
@@ -172,49 +174,49 @@
     return expr::valid_utf8(found->value) ? Value::text(found->value) : Value::error("not UTF-8");
 }
 
-Value Source::read(std::uint32_t number, expr::Arena& arena, Units& spent) {
-    const auto name = static_cast<Name>(number);
+Value RuleVariables::read(std::uint32_t number, expr::Arena& arena, Units& spent) {
+    const auto name = static_cast<VariableId>(number);
     if (number >= kRequestNames && !provider_) return Value::error("no provider is known here");
-    if (number < static_cast<std::uint32_t>(Name::gateway_name) && !request_)
+    if (number < static_cast<std::uint32_t>(VariableId::gateway_name) && !request_)
         return Value::error("no request is known here");
     switch (name) {
-        case Name::request_method:
+        case VariableId::request_method:
             return text(request_->method, kMethodMost, spent);
-        case Name::request_path:
+        case VariableId::request_path:
             return text(request_->path, bounds_.bytes, spent);
-        case Name::request_query:
+        case VariableId::request_query:
             return text(request_->query, bounds_.bytes, spent);
-        case Name::request_headers:
+        case VariableId::request_headers:
             return headers(arena, spent);
-        case Name::request_class:
+        case VariableId::request_class:
             return text(request_->service_class, kWordMost, spent);
-        case Name::request_plan:
+        case VariableId::request_plan:
             return text(request_->plan, kWordMost, spent);
-        case Name::request_customer:
+        case VariableId::request_customer:
             return Value::integer(request_->customer);
-        case Name::request_units:
+        case VariableId::request_units:
             return Value::real(request_->units);
-        case Name::request_deadline_ms:
+        case VariableId::request_deadline_ms:
             return Value::integer(request_->deadline_ms);
-        case Name::request_retry:
+        case VariableId::request_retry:
             return Value::boolean(request_->retry);
-        case Name::request_id:
+        case VariableId::request_id:
             return text(request_->id, bounds_.bytes, spent);
-        case Name::gateway_name:
+        case VariableId::gateway_name:
             return text(gateway_.name, kWordMost, spent);
-        case Name::gateway_zone:
+        case VariableId::gateway_zone:
             return text(gateway_.zone, kWordMost, spent);
-        case Name::provider_id:
+        case VariableId::provider_id:
             return text(provider_->id, kWordMost, spent);
-        case Name::provider_locality:
+        case VariableId::provider_locality:
             return text(provider_->locality, kWordMost, spent);
-        case Name::provider_flavor:
+        case VariableId::provider_flavor:
             return text(provider_->flavor, kWordMost, spent);
-        case Name::provider_cell:
+        case VariableId::provider_cell:
             return Value::integer(provider_->cell);
-        case Name::provider_size:
+        case VariableId::provider_size:
             return Value::real(provider_->size);
-        case Name::provider_age_s:
+        case VariableId::provider_age_s:
             return Value::real(provider_->age_s);
     }
     return Value::error("an unknown variable");
--- a/src/rules/variables.hpp
+++ b/src/rules/variables.hpp
@@ -13,15 +13,15 @@
 
 // The most that a head may hold; by these every expression's bound is computed.
 struct HeadBounds {
-    std::size_t bytes = http::kHeadMost;
-    std::size_t fields = http::kFieldsMost;
+    std::size_t bytes = http::kMaxHeadBytes;
+    std::size_t fields = http::kMaxHeaderFields;
 };
 
 // Bytes: names of classes, plans, providers and the like; a method.
 inline constexpr std::size_t kWordMost = 256, kMethodMost = 32;
 
 // Their order here is that of the environments below.
-enum class Name : std::uint32_t {
+enum class VariableId : std::uint32_t {
     request_method,
     request_path,
     request_query,
@@ -59,7 +59,7 @@
     bool retry = false;
 };
 
-struct ProviderFacts {
+struct BackendFacts {
     std::string_view id, locality, flavor;
     std::int64_t cell = 0;
     double size = 0, age_s = 0;
@@ -74,11 +74,11 @@
 // values too. Each is read once a request; the headers become a map then, in
 // the evaluator's arena: begin() forgets it, and goes with the evaluator's
 // reset().
-class Source final : public expr::Variables {
+class RuleVariables final : public expr::Variables {
   public:
-    explicit Source(const GatewayFacts& gateway, HeadBounds bounds = {})
+    explicit RuleVariables(const GatewayFacts& gateway, HeadBounds bounds = {})
         : gateway_(gateway), bounds_(bounds) {}
-    void begin(const RequestFacts* request, const ProviderFacts* provider);
+    void begin(const RequestFacts* request, const BackendFacts* provider);
     expr::Value load(std::uint32_t number, expr::Arena& arena, expr::cost::Units& spent) override;
     expr::Value field(std::uint32_t number, const expr::Value& key, bool has, expr::Arena& arena,
                       expr::cost::Units& spent) override;
@@ -91,7 +91,7 @@
     const GatewayFacts& gateway_;
     const HeadBounds bounds_;
     const RequestFacts* request_ = nullptr;
-    const ProviderFacts* provider_ = nullptr;
+    const BackendFacts* provider_ = nullptr;
     std::array<expr::Value, kNames> values_;   // read so far
     int asked_ = 0;                            // headers by name, without the map
     std::uint32_t known_ = 0;                  // which, as bits
--- a/src/simulator_adapter.cpp
+++ b/src/simulator_adapter.cpp
@@ -83,10 +83,10 @@
             for (const std::string_view one : split(value, ',')) values.push_back(number(one, what));
         return values;
     }
-    sj::Outcome outcome() {
+    sj::AttemptResult outcome() {
         const int code = integer<int>("Result");
         if (code < 0 || code > 7) throw BadLine("Result is not a known outcome");
-        return static_cast<sj::Outcome>(code);
+        return static_cast<sj::AttemptResult>(code);
     }
 
   private:
@@ -130,17 +130,17 @@
     std::map<std::string, std::string> values_;
 };
 
-sj::Effect effect_of(const std::string& name) {
-    if (name == "pure") return sj::Effect::pure;
-    if (name == "token") return sj::Effect::token;
-    if (name == "side_effect") return sj::Effect::side_effect;
+sj::Idempotency effect_of(const std::string& name) {
+    if (name == "pure") return sj::Idempotency::idempotent;
+    if (name == "token") return sj::Idempotency::idempotency_key;
+    if (name == "side_effect") return sj::Idempotency::not_idempotent;
     throw BadLine("an unknown Effect: '" + name + "'");
 }
 
-sj::Group group_of(const std::string& name) {
-    if (name == "zone") return sj::Group::zone;
-    if (name == "cell") return sj::Group::cell;
-    return sj::Group::all;
+sj::IdempotencyScope group_of(const std::string& name) {
+    if (name == "zone") return sj::IdempotencyScope::zone;
+    if (name == "cell") return sj::IdempotencyScope::cell;
+    return sj::IdempotencyScope::all;
 }
 
 sj::Settings settings_of(const Config& config) {
@@ -151,14 +151,14 @@
         sj::ServiceClass c;
         c.name = config.text(at + "Name");
         if (c.name.empty()) throw BadLine("setting " + at + "Name is missing");
-        c.aim_s = config.needed(at + "AimS");
+        c.latency_objective_s = config.needed(at + "AimS");
         c.deadline_s = config.real(at + "DeadlineS");
-        c.effect = effect_of(config.text(at + "Effect"));
-        c.group = group_of(config.text(at + "Group"));
-        c.window_s = config.real(at + "WindowS");
-        c.stream = config.flag(at + "Stream");
-        c.worth = config.real(at + "Worth");
-        c.late_worth = config.real(at + "LateWorth");
+        c.idempotency = effect_of(config.text(at + "Effect"));
+        c.idempotency_scope = group_of(config.text(at + "Group"));
+        c.idempotency_window_s = config.real(at + "WindowS");
+        c.streaming = config.flag(at + "Stream");
+        c.priority_weight = config.real(at + "Worth");
+        c.late_priority_weight = config.real(at + "LateWorth");
         s.classes.push_back(std::move(c));
     }
     const auto plans = static_cast<int>(config.real("Contracts.count"));
@@ -168,68 +168,68 @@
         p.name = config.text(at + "Name");
         p.rate = config.real(at + "UnitsPerS");
         p.burst = config.real(at + "Depth");
-        p.ceiling_rate = config.real(at + "CeilingRate");
-        p.ceiling_burst = config.real(at + "HardBurst");
-        p.ceiling_slack = config.real(at + "Tolerance");
-        p.max_out = config.real(at + "MaxOut");
-        p.price = config.real(at + "Price");
-        p.over_worth = config.real(at + "ExtraWorth");
-        p.over_cost = config.real(at + "OverCost");
+        p.hard_limit_rate = config.real(at + "CeilingRate");
+        p.hard_limit_burst = config.real(at + "HardBurst");
+        p.hard_limit_slack = config.real(at + "Tolerance");
+        p.max_in_flight = config.real(at + "MaxOut");
+        p.plan_weight = config.real(at + "Price");
+        p.over_quota_weight = config.real(at + "ExtraWorth");
+        p.over_quota_penalty = config.real(at + "OverCost");
         s.plans.push_back(std::move(p));
     }
     const std::string how = config.text("Telemetry.How");
     if (how == "inline" || how == "on_probe")
         for (const std::string_view field : split(config.text("Telemetry.Fields"), ','))
             s.report_fields.emplace_back(field);
-    s.reports_on_probe_only = how == "on_probe";
+    s.reports_on_health_check_only = how == "on_probe";
     s.zone = config.text("Zone");
-    s.discovery =
-        config.text("Discovery") == "subscribe" ? sj::Discovery::subscribe : sj::Discovery::automatic;
-    s.my_number = static_cast<std::int64_t>(config.real("MyNumber"));
-    s.balancers = config.needed("Balancers");
+    s.discovery = config.text("Discovery") == "subscribe" ? sj::DiscoveryMode::subscribe
+                                                          : sj::DiscoveryMode::automatic;
+    s.ingress_index = static_cast<std::int64_t>(config.real("MyNumber"));
+    s.ingress_count = config.needed("Balancers");
     s.meter_period_s = config.real("FamilyInfo.MeterPeriodS");
-    s.largest_units = config.real("FamilyInfo.UnitsTop");
-    s.attempts_cap = config.needed("Limits.AttemptsCap");
-    s.parallel_tries = config.flag("Limits.ParallelTries");
-    s.cancel = config.flag("Limits.Cancel");
-    s.probes = config.flag("Limits.Probes");
+    s.max_request_units = config.real("FamilyInfo.UnitsTop");
+    s.max_attempts = config.needed("Limits.AttemptsCap");
+    s.hedging_allowed = config.flag("Limits.ParallelTries");
+    s.cancellation_allowed = config.flag("Limits.Cancel");
+    s.health_checks_allowed = config.flag("Limits.Probes");
     s.retry_after = config.flag("Limits.RetryAfter");
     s.max_retry_after_s = config.real("Limits.MaxRetryAfterS");
-    s.quantum_s = config.real("QuantumS");
-    s.ask_within_s = config.real("Rules.AskWithinS");
-    s.cold_from = config.real("Rules.ColdFrom");
-    s.warm_within_s = config.real("Rules.WarmWithinS");
-    s.fall_multiple = config.real("Rules.FallMultiple");
-    s.fall_s = config.real("Rules.FallS");
+    s.tick_interval_s = config.real("QuantumS");
+    s.watch_retry_within_s = config.real("Rules.AskWithinS");
+    s.slow_start_min_capacity = config.real("Rules.ColdFrom");
+    s.slow_start_window_s = config.real("Rules.WarmWithinS");
+    s.overload_multiple = config.real("Rules.FallMultiple");
+    s.overload_window_s = config.real("Rules.FallS");
     return s;
 }
 
-sj::ListEntry entry_of(Fields f) {
-    sj::ListEntry e;
+sj::Endpoint entry_of(Fields f) {
+    sj::Endpoint e;
     const std::string state = f.word("StageState");
     if (state == "IN")
-        e.state = sj::ServerState::in;
+        e.state = sj::EndpointState::serving;
     else if (state == "LAME")
-        e.state = sj::ServerState::lame;
+        e.state = sj::EndpointState::draining;
     else if (state == "OUT")
-        e.state = sj::ServerState::out;
+        e.state = sj::EndpointState::removed;
     else
         throw BadLine("an unknown StageState: '" + state + "'");
-    e.server = f.word("Server");
-    if (e.state == sj::ServerState::out) return e;
-    e.kind = f.word("GenerationHw");
+    e.backend = f.word("Server");
+    if (e.state == sj::EndpointState::removed) return e;
+    e.flavor = f.word("GenerationHw");
     e.zone = f.word("Az");
     e.capacity_hint = f.real_or_0("CapacityHint");
     e.cell = static_cast<std::int64_t>(f.real_or_0("UnitGroup"));
-    e.born_s = f.real_or_0("BornS");
+    e.started_at_s = f.real_or_0("BornS");
     return e;
 }
 
-sj::ListKind list_kind(const std::string& form) {
-    if (form == "incr") return sj::ListKind::changes;
-    if (form == "total") return sj::ListKind::total;
-    if (form == "warm_copy") return sj::ListKind::warm_copy;
-    if (form == "lost") return sj::ListKind::lost;
+sj::EndpointUpdateKind list_kind(const std::string& form) {
+    if (form == "incr") return sj::EndpointUpdateKind::delta;
+    if (form == "total") return sj::EndpointUpdateKind::snapshot;
+    if (form == "warm_copy") return sj::EndpointUpdateKind::cached_snapshot;
+    if (form == "lost") return sj::EndpointUpdateKind::watch_lost;
     throw BadLine("an unknown Form: '" + form + "'");
 }
 
@@ -308,40 +308,40 @@
             r.units = f.real("CostUnits");
             f.real_or_0("Base");
             r.customer = f.integer<std::uint64_t>("Customer");
-            r.due_s = f.real("DueS");
+            r.deadline_at_s = f.real("DueS");
             const double bits = f.real_or_0("Bits");
-            r.repeat = bits >= 0 && bits < 1024 && (static_cast<int>(bits) & 2) != 0;
-            r.doors = f.real_or_0("Doors");
+            r.is_client_retry = bits >= 0 && bits < 1024 && (static_cast<int>(bits) & 2) != 0;
+            r.ingress_count = f.real_or_0("Doors");
             give(who, gateway, r);
         } else if (name == "ATTEMPT_END") {
-            sj::AttemptEnd e;
+            sj::AttemptEnded e;
             e.id = f.word("Job");
             e.attempt = f.integer<std::int64_t>("SeqNo");
             f.text("Server");
-            e.outcome = f.outcome();
-            e.took_s = f.real("TookS");
-            e.ended = f.flag("NoMore");
+            e.result = f.outcome();
+            e.duration_s = f.real("TookS");
+            e.request_ended = f.flag("NoMore");
             e.quota_use = f.real_or_0("QuotaUse");
-            e.charged = f.real_or_0("Charged");
+            e.charged_units = f.real_or_0("Charged");
             e.report = f.row("Telemetry");
             give(who, gateway, e);
         } else if (name == "FIRST") {
-            sj::StreamBegun b;
+            sj::StreamStarted b;
             b.id = f.word("Job");
             f.text("Server");
             b.attempt = f.integer<std::int64_t>("SeqNo");
             give(who, gateway, b);
         } else if (name == "CHECK_RESULT") {
-            sj::ProbeEnd p;
-            p.server = f.word("Server");
-            p.outcome = f.outcome();
-            p.took_s = f.real("TookS");
+            sj::HealthCheckEnded p;
+            p.backend = f.word("Server");
+            p.result = f.outcome();
+            p.duration_s = f.real("TookS");
             p.report = f.row("Telemetry");
             give(who, gateway, p);
         } else if (name == "TICK_DUE") {
-            give(who, gateway, sj::TimerDue{f.integer<std::uint64_t>("Tag")});
+            give(who, gateway, sj::TimerFired{f.integer<std::uint64_t>("Tag")});
         } else if (name == "CLIENT_GONE") {
-            give(who, gateway, sj::ClientGone{f.word("Job")});
+            give(who, gateway, sj::ClientDisconnected{f.word("Job")});
         }
     }
 
@@ -356,7 +356,7 @@
         if (!list_) throw BadLine("a list entry outside a list");
         --list_->left;
         try {
-            list_->update.entries.push_back(entry_of(Fields(parts, 1)));
+            list_->update.endpoints.push_back(entry_of(Fields(parts, 1)));
         } catch (const std::exception& fault) {
             list_->broken = true;
             complain(fault.what());
@@ -371,8 +371,8 @@
         List list = std::move(*list_);
         list_.reset();
         if (list.left > 0) complain(fault);
-        const bool whole_list = list.update.kind == sj::ListKind::total;
-        if ((list.left > 0 || list.broken) && whole_list) list.update.kind = sj::ListKind::changes;
+        const bool whole_list = list.update.kind == sj::EndpointUpdateKind::snapshot;
+        if ((list.left > 0 || list.broken) && whole_list) list.update.kind = sj::EndpointUpdateKind::delta;
         const auto at = gateways_.find(list.who);
         if (at != gateways_.end()) give(list.who, at->second, list.update);
     }
@@ -396,32 +396,32 @@
     }
 
     void write(std::int64_t who, const sj::Action& action) {
-        if (std::holds_alternative<sj::Admitted>(action)) return;   // the wire has no word for it
+        if (std::holds_alternative<sj::AdmittedFraction>(action)) return;   // the wire has no word for it
         std::visit(
             [&](const auto& a) {
                 using T = std::decay_t<decltype(a)>;
-                if constexpr (std::is_same_v<T, sj::Send>) {
+                if constexpr (std::is_same_v<T, sj::StartAttempt>) {
                     head("DISPATCH", who, a.id);
-                    reply_.append(1, '\t').append(a.server).append(1, '\t');
-                    put(a.allow_s);
-                } else if constexpr (std::is_same_v<T, sj::CallOff>) {
+                    reply_.append(1, '\t').append(a.backend).append(1, '\t');
+                    put(a.timeout_s);
+                } else if constexpr (std::is_same_v<T, sj::CancelAttempt>) {
                     head("CALL_OFF", who, a.id);
                     reply_.append(1, '\t').append(std::to_string(a.attempt));
-                } else if constexpr (std::is_same_v<T, sj::Refuse>) {
+                } else if constexpr (std::is_same_v<T, sj::RejectRequest>) {
                     head("REFUSE", who, a.id);
                     reply_.append(1, '\t');
                     put(a.retry_after_s);
-                } else if constexpr (std::is_same_v<T, sj::Abort>) {
+                } else if constexpr (std::is_same_v<T, sj::FailRequest>) {
                     head("ABORT", who, a.id);
                 } else if constexpr (std::is_same_v<T, sj::SetTimer>) {
                     head("SET_TIMER", who, "");
-                    put_time(a.due_s);
+                    put_time(a.fire_at_s);
                     reply_.append(1, '\t').append(std::to_string(a.tag));
-                } else if constexpr (std::is_same_v<T, sj::Probe>) {
-                    head("SAMPLE", who, a.server);
-                } else if constexpr (std::is_same_v<T, sj::Listen>) {
-                    head("LISTEN", who, a.on ? "1" : "0");
-                } else if constexpr (std::is_same_v<T, sj::Note>) {
+                } else if constexpr (std::is_same_v<T, sj::StartHealthCheck>) {
+                    head("SAMPLE", who, a.backend);
+                } else if constexpr (std::is_same_v<T, sj::WatchEndpoints>) {
+                    head("LISTEN", who, a.enabled ? "1" : "0");
+                } else if constexpr (std::is_same_v<T, sj::LogMessage>) {
                     head("DEBUG", who, a.text);
                 }
             },
@@ -439,7 +439,7 @@
         std::int64_t who = 0;
         std::int64_t left = 0;
         bool broken = false;
-        sj::ListUpdate update;
+        sj::EndpointUpdate update;
     };
 
     std::map<std::int64_t, sj::Gateway> gateways_;
--- a/src/storage/persistent_counters.cpp
+++ b/src/storage/persistent_counters.cpp
@@ -57,7 +57,7 @@
 
 }   // namespace
 
-struct Cells::Redo {
+struct PersistentCounters::Redo {
     struct Entry {
         std::uint64_t cell, bits;
     };
@@ -66,9 +66,11 @@
     Entry entries[kChangesMost];
 };
 
-Cells::Cells(std::size_t count, std::int64_t now_ms) : count_(count), values_(count), created_ms_(now_ms) {}
+PersistentCounters::PersistentCounters(std::size_t count, std::int64_t now_ms)
+    : count_(count), values_(count), created_ms_(now_ms) {}
 
-Cells::Cells(const std::string& path, const std::vector<std::string>& names, std::int64_t now_ms)
+PersistentCounters::PersistentCounters(const std::string& path, const std::vector<std::string>& names,
+                                       std::int64_t now_ms)
     : count_(names.size()), created_ms_(now_ms) {
     std::vector<std::pair<std::string, double>> old;
     if (::access(path.c_str(), F_OK) == 0 && !load(path, old)) {
@@ -109,19 +111,19 @@
                   count_,
                   all.size(),
                   static_cast<std::uint64_t>(created_ms_),
-                  check_of(all.data(), all.size()),
+                  checksum(all.data(), all.size()),
                   0};
-    header.prefix_check = check_of(&header, kPrefix);
-    header.check = check_of(&header, kHeaderChecked);
+    header.prefix_check = checksum(&header, kPrefix);
+    header.check = checksum(&header, kHeaderChecked);
     std::memcpy(base_, &header, sizeof header);
     if (std::rename(fresh.c_str(), path.c_str()) != 0) throw Error(path + " can't be made: " + why());
 }
 
-Cells::~Cells() {
+PersistentCounters::~PersistentCounters() {
     if (base_) ::munmap(base_, size_);
 }
 
-Cells::Cells(Cells&& other) noexcept
+PersistentCounters::PersistentCounters(PersistentCounters&& other) noexcept
     : count_(other.count_),
       values_(std::move(other.values_)),
       base_(std::exchange(other.base_, nullptr)),
@@ -132,7 +134,7 @@
       broken_(std::move(other.broken_)),
       dropped_(other.dropped_) {}
 
-void Cells::map(const std::string& path, std::size_t size) {
+void PersistentCounters::map(const std::string& path, std::size_t size) {
     const File file(::open(path.c_str(), O_RDWR | O_CLOEXEC));
     void* at = file ? ::mmap(nullptr, size, PROT_READ | PROT_WRITE, MAP_SHARED, file.get(), 0) : MAP_FAILED;
     if (at == MAP_FAILED) throw Error(path + " can't be mapped: " + why());
@@ -142,7 +144,8 @@
     figures_ = reinterpret_cast<Figure*>(base_ + sizeof(Header) + sizeof(Redo));
 }
 
-bool Cells::load(const std::string& path, std::vector<std::pair<std::string, double>>& values) {
+bool PersistentCounters::load(const std::string& path,
+                              std::vector<std::pair<std::string, double>>& values) {
     std::ifstream in(path, std::ios::binary);
     std::stringstream all;
     all << in.rdbuf();
@@ -151,17 +154,17 @@
     Header header{};
     if (bytes.size() < kPrefix + 8) return false;
     std::memcpy(&header, bytes.data(), std::min(bytes.size(), sizeof header));
-    if (header.magic != kMagic || header.prefix_check != check_of(bytes.data(), kPrefix)) return false;
+    if (header.magic != kMagic || header.prefix_check != checksum(bytes.data(), kPrefix)) return false;
     if (header.version != kVersion)
         throw Error(path + " has version " + std::to_string(header.version) + "; this program knows " +
                     std::to_string(kVersion));
-    if (bytes.size() < sizeof header + sizeof(Redo) || header.check != check_of(&header, kHeaderChecked))
+    if (bytes.size() < sizeof header + sizeof(Redo) || header.check != checksum(&header, kHeaderChecked))
         return false;
     if (header.count > bytes.size() / sizeof(Figure) || header.names_size > bytes.size()) return false;
     const std::size_t figures_at = sizeof header + sizeof(Redo);
     const std::size_t names_at = figures_at + header.count * sizeof(Figure);
     if (bytes.size() != names_at + header.names_size) return false;
-    if (header.names_check != check_of(bytes.data() + names_at, header.names_size)) return false;
+    if (header.names_check != checksum(bytes.data() + names_at, header.names_size)) return false;
     created_ms_ = static_cast<std::int64_t>(header.created_ms);   // the checks below depend on it
 
     std::vector<Figure> figures(header.count);
@@ -192,23 +195,27 @@
     return at == bytes.size();
 }
 
-std::vector<std::pair<std::string, double>> Cells::read(const std::string& path) {
-    Cells reader(0, 0);
+std::vector<std::pair<std::string, double>> PersistentCounters::read(const std::string& path) {
+    PersistentCounters reader(0, 0);
     std::vector<std::pair<std::string, double>> values;
     if (!reader.load(path, values)) throw Error(path + " is broken");
     return values;
 }
 
-std::uint64_t Cells::check(std::uint64_t cell, std::uint64_t bits) const {
+std::uint64_t PersistentCounters::check(std::uint64_t cell, std::uint64_t bits) const {
     const std::uint64_t both[2] = {cell, bits};
     return XXH3_64bits_withSeed(both, sizeof both, static_cast<std::uint64_t>(created_ms_));
 }
 
-void Cells::put(std::uint64_t cell, std::uint64_t bits) { figures_[cell] = {bits, check(cell, bits)}; }
+void PersistentCounters::put(std::uint64_t cell, std::uint64_t bits) {
+    figures_[cell] = {bits, check(cell, bits)};
+}
 
-double Cells::of_file(std::size_t cell) const { return std::bit_cast<double>(figures_[cell].bits); }
+double PersistentCounters::of_file(std::size_t cell) const {
+    return std::bit_cast<double>(figures_[cell].bits);
+}
 
-void Cells::apply(std::span<const Change> changes) {
+void PersistentCounters::apply(std::span<const Change> changes) {
     if (!figures_) {
         for (const Change& change : changes) values_[change.cell] += change.by;
         return;
@@ -228,7 +235,7 @@
     in_order();
 }
 
-void Cells::set(std::uint32_t cell, double value) {
+void PersistentCounters::set(std::uint32_t cell, double value) {
     const Change change{cell, value - get(cell)};
     apply({&change, 1});
 }
--- a/src/storage/persistent_counters.hpp
+++ b/src/storage/persistent_counters.hpp
@@ -18,7 +18,7 @@
 
 namespace slatejunction::storage {
 
-class Cells {
+class PersistentCounters {
   public:
     struct Change {
         std::uint32_t cell = 0;
@@ -27,15 +27,15 @@
     static constexpr std::size_t kChangesMost = 64;   // in one update
 
     // In memory only, all 0.
-    Cells(std::size_t count, std::int64_t now_ms);
+    PersistentCounters(std::size_t count, std::int64_t now_ms);
     // In the file `path`, which is made where it is not there. `names` are distinct and give each figure
     // its place; figures of names that the file knows go on, others begin at 0, and names that are gone are
     // dropped. Throws Error for a file of another version, which is left alone, and when the file can't be
     // made (no room, no permission). A file cut or changed anywhere is set aside: see broken().
-    Cells(const std::string& path, const std::vector<std::string>& names, std::int64_t now_ms);
-    ~Cells();
-    Cells(Cells&&) noexcept;
-    Cells& operator=(Cells&&) = delete;
+    PersistentCounters(const std::string& path, const std::vector<std::string>& names, std::int64_t now_ms);
+    ~PersistentCounters();
+    PersistentCounters(PersistentCounters&&) noexcept;
+    PersistentCounters& operator=(PersistentCounters&&) = delete;
 
     // What a file holds, by name, without changing it. Throws Error when it can't be read, is broken or of
     // another version.
--- a/src/storage/segmented_log.cpp
+++ b/src/storage/segmented_log.cpp
@@ -30,14 +30,14 @@
 
 std::uint64_t check_record(std::uint64_t number, std::uint32_t type, std::string_view payload) {
     const std::uint32_t both[2] = {static_cast<std::uint32_t>(payload.size()), type};
-    return check_of(payload.data(), payload.size(), check_of(both, sizeof both, number));
+    return checksum(payload.data(), payload.size(), checksum(both, sizeof both, number));
 }
 
 }   // namespace
 
-Journal::Journal(std::string path, std::string name, std::size_t segment_bytes,
-                 const std::function<void(std::uint64_t, std::uint32_t, std::string_view)>& visit,
-                 Found& found, Writer writer)
+SegmentedLog::SegmentedLog(std::string path, std::string name, std::size_t segment_bytes,
+                           const std::function<void(std::uint64_t, std::uint32_t, std::string_view)>& visit,
+                           Found& found, Writer writer)
     : path_(std::move(path)),
       name_(std::move(name)),
       segment_bytes_(segment_bytes),
@@ -62,7 +62,7 @@
         std::memcpy(&header, bytes.data(), std::min(bytes.size(), sizeof header));
         newest_ = std::max(newest_, number);
         if (bytes.size() < sizeof header || header.magic != kMagic ||
-            header.check != check_of(&header, 16)) {
+            header.check != checksum(&header, 16)) {
             found.broken.push_back(set_aside(path_of(number)));
             at = segments_.erase(at);
             continue;
@@ -87,23 +87,24 @@
     }
 }
 
-std::string Journal::path_of(std::uint64_t number) const {
+std::string SegmentedLog::path_of(std::uint64_t number) const {
     return path_ + "/" + name_ + "-" + std::to_string(number);
 }
 
-std::string Journal::header() {
+std::string SegmentedLog::header() {
     Header header{kMagic, kVersion, 0};
-    header.check = check_of(&header, 16);
+    header.check = checksum(&header, 16);
     return {reinterpret_cast<const char*>(&header), sizeof header};
 }
 
-void Journal::frame(std::string& out, std::uint64_t number, std::uint32_t type, std::string_view payload) {
+void SegmentedLog::frame(std::string& out, std::uint64_t number, std::uint32_t type,
+                         std::string_view payload) {
     const Frame one{static_cast<std::uint32_t>(payload.size()), type, check_record(number, type, payload)};
     out.append(reinterpret_cast<const char*>(&one), sizeof one);
     out += payload;
 }
 
-bool Journal::put(int fd, std::string_view bytes) {
+bool SegmentedLog::put(int fd, std::string_view bytes) {
     while (!bytes.empty()) {
         const std::int64_t done =
             writer_ ? writer_(fd, bytes.data(), bytes.size()) : ::write(fd, bytes.data(), bytes.size());
@@ -117,7 +118,7 @@
     return true;
 }
 
-bool Journal::begin() {
+bool SegmentedLog::begin() {
     const std::uint64_t number = newest_ + 1;
     File file(::open(path_of(number).c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_APPEND | O_CLOEXEC, 0600));
     if (!file) {
@@ -135,7 +136,7 @@
     return true;
 }
 
-bool Journal::append(std::uint32_t type, std::string_view payload) {
+bool SegmentedLog::append(std::uint32_t type, std::string_view payload) {
     if (!file_) return false;
     std::string bytes;
     frame(bytes, newest_, type, payload);
@@ -148,7 +149,7 @@
     return true;
 }
 
-bool Journal::replace(std::uint64_t number, const std::vector<Record>& records) {
+bool SegmentedLog::replace(std::uint64_t number, const std::vector<Record>& records) {
     if (number == newest_ || !segments_.contains(number)) return false;
     std::string bytes = header();
     for (const Record& one : records) frame(bytes, number, one.type, one.payload);
@@ -163,13 +164,13 @@
     return true;
 }
 
-void Journal::drop(std::uint64_t number) {
+void SegmentedLog::drop(std::uint64_t number) {
     if (number == newest_ && file_) file_ = File();
     ::unlink(path_of(number).c_str());
     segments_.erase(number);
 }
 
-std::size_t Journal::bytes() const {
+std::size_t SegmentedLog::bytes() const {
     std::size_t all = 0;
     for (const auto& [number, size] : segments_) all += size;
     return all;
--- a/src/storage/segmented_log.hpp
+++ b/src/storage/segmented_log.hpp
@@ -22,7 +22,7 @@
     std::string payload;
 };
 
-class Journal {
+class SegmentedLog {
   public:
     // As ::write; another one for tests of a disk that is full.
     using Writer = std::function<std::int64_t(int fd, const void* data, std::size_t size)>;
@@ -33,9 +33,9 @@
 
     // Segments NAME-NUMBER in the folder `path`. `visit` is called for each whole record, oldest first,
     // with the number of its segment. Throws Error for a folder that can't be read and for another version.
-    Journal(std::string path, std::string name, std::size_t segment_bytes,
-            const std::function<void(std::uint64_t, std::uint32_t, std::string_view)>& visit, Found& found,
-            Writer writer = {});
+    SegmentedLog(std::string path, std::string name, std::size_t segment_bytes,
+                 const std::function<void(std::uint64_t, std::uint32_t, std::string_view)>& visit,
+                 Found& found, Writer writer = {});
 
     // False: the disk is full or failing. Nothing of the record is left then, and it may be tried again.
     bool append(std::uint32_t type, std::string_view payload);
@@ -50,7 +50,7 @@
     std::uint64_t newest() const { return newest_; }
     const std::map<std::uint64_t, std::size_t>& segments() const { return segments_; }   // sizes, bytes
     std::size_t bytes() const;
-    const std::string& why() const { return why_; }   // of the last failure
+    const std::string& last_error() const { return why_; }   // of the last failure
 
   private:
     std::string path_of(std::uint64_t number) const;
--- a/src/storage/state_directory.cpp
+++ b/src/storage/state_directory.cpp
@@ -23,7 +23,7 @@
     if (fd_ >= 0) ::close(fd_);
 }
 
-Directory::Directory(std::string path) : path_(std::move(path)) {
+StateDirectory::StateDirectory(std::string path) : path_(std::move(path)) {
     lock_ = File(::open(file("lock").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600));
     if (!lock_) throw Error(path_ + " can't be written: " + std::strerror(errno));
     if (::flock(lock_.get(), LOCK_EX | LOCK_NB) != 0)
@@ -35,11 +35,11 @@
 constexpr std::size_t kMagic = 8, kHead = kMagic + 8;   // bytes; behind the magic the check
 }   // namespace
 
-bool put_whole(const std::string& directory, const std::string& name, const char* magic,
-               const std::string& body, std::string& why) {
+bool write_checked_file(const std::string& directory, const std::string& name, const char* magic,
+                        const std::string& body, std::string& why) {
     const std::string path = directory + "/" + name, fresh = path + "~";
     std::string bytes(magic, kMagic);
-    const std::uint64_t check = check_of(body.data(), body.size());
+    const std::uint64_t check = checksum(body.data(), body.size());
     bytes.append(reinterpret_cast<const char*>(&check), sizeof check);
     bytes += body;
     const File file(::open(fresh.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600));
@@ -53,8 +53,8 @@
     return good;
 }
 
-std::optional<std::string> take_whole(const std::string& directory, const std::string& name,
-                                      const char* magic, std::string& broken) {
+std::optional<std::string> read_checked_file(const std::string& directory, const std::string& name,
+                                             const char* magic, std::string& broken) {
     const std::string path = directory + "/" + name;
     std::ifstream in(path, std::ios::binary);
     if (!in) {
@@ -65,7 +65,7 @@
     std::uint64_t check = 0;
     if (bytes.size() >= kHead) std::memcpy(&check, bytes.data() + kMagic, sizeof check);
     if (bytes.size() < kHead || std::memcmp(bytes.data(), magic, kMagic) != 0 ||
-        check != check_of(bytes.data() + kHead, bytes.size() - kHead)) {
+        check != checksum(bytes.data() + kHead, bytes.size() - kHead)) {
         broken = set_aside(path);
         return {};
     }
@@ -82,7 +82,7 @@
     }
 }
 
-std::uint64_t check_of(const void* data, std::size_t size, std::uint64_t seed) {
+std::uint64_t checksum(const void* data, std::size_t size, std::uint64_t seed) {
     return XXH64(data, size, seed);
 }
 
--- a/src/storage/state_directory.hpp
+++ b/src/storage/state_directory.hpp
@@ -30,9 +30,9 @@
 
 // An existing directory, locked (flock) for as long as this lives, also by a process that is killed.
 // Throws Error when it is no directory, can't be written, or another process holds it.
-class Directory {
+class StateDirectory {
   public:
-    explicit Directory(std::string path);
+    explicit StateDirectory(std::string path);
     std::string file(const std::string& name) const { return path_ + "/" + name; }
     const std::string& path() const { return path_; }
 
@@ -44,17 +44,17 @@
 // A small file that is whole or not there: `magic` (8 bytes, with the version), a check of what follows,
 // the body. put_whole() leaves the old or the new one, also where a machine loses power; false: `why`
 // tells, and the old one stands.
-bool put_whole(const std::string& directory, const std::string& name, const char* magic,
-               const std::string& body, std::string& why);
+bool write_checked_file(const std::string& directory, const std::string& name, const char* magic,
+                        const std::string& body, std::string& why);
 // What stands there; nothing: no file. Throws Error when it can't be read. One that is broken is set aside,
 // and `broken` tells where.
-std::optional<std::string> take_whole(const std::string& directory, const std::string& name,
-                                      const char* magic, std::string& broken);
+std::optional<std::string> read_checked_file(const std::string& directory, const std::string& name,
+                                             const char* magic, std::string& broken);
 
 // Gives a broken file another name beside it, which it returns: "NAME.broken-N" with the first free N.
 std::string set_aside(const std::string& path);
 
 // XXH64 of the bytes.
-std::uint64_t check_of(const void* data, std::size_t size, std::uint64_t seed = 0);
+std::uint64_t checksum(const void* data, std::size_t size, std::uint64_t seed = 0);
 
 }   // namespace slatejunction::storage
--- a/src/telemetry/telemetry.cpp
+++ b/src/telemetry/telemetry.cpp
@@ -132,17 +132,17 @@
     const auto set = [&](Id id, auto value, std::size_t label = 0) {
         m.set(id, static_cast<double>(value), label);
     };
-    set(Id::open_requests, g.open);
+    set(Id::open_requests, g.open_requests);
     set(Id::quota_report_age, now - quota_report_at_);
-    set(Id::providers, g.ready, 0);
-    set(Id::providers, g.draining, 1);
-    set(Id::directory_age, now - (g.directory_heard_at > 0 ? g.directory_heard_at : started_));
-    set(Id::connections, g.consumers, 0);
-    set(Id::connections, g.calls, 1);
-    set(Id::bytes_held, g.consumer_bytes, 0);
-    set(Id::bytes_held, g.provider_bytes, 1);
-    set(Id::bytes_budget, g.consumer_budget, 0);
-    set(Id::bytes_budget, g.provider_budget, 1);
+    set(Id::providers, g.serving_backends, 0);
+    set(Id::providers, g.draining_backends, 1);
+    set(Id::directory_age, now - (g.last_discovery_answer_at > 0 ? g.last_discovery_answer_at : started_));
+    set(Id::connections, g.client_connections, 0);
+    set(Id::connections, g.backend_connections, 1);
+    set(Id::bytes_held, g.client_bytes, 0);
+    set(Id::bytes_held, g.backend_bytes, 1);
+    set(Id::bytes_budget, g.client_bytes_limit, 0);
+    set(Id::bytes_budget, g.backend_bytes_limit, 1);
     set(Id::descriptors, g.descriptors);
     set(Id::descriptors_limit, g.descriptors_limit);
     set(Id::resident, resident_bytes());
@@ -234,29 +234,29 @@
     driver_->finish(std::min(kStopMost, most_s), std::move(done));
 }
 
-void Telemetry::on_finish(const ingress::Finish& f) {
-    const client::Invocation& i = f.invocation;
-    metrics::Finished finished;
+void Telemetry::on_request_end(const ingress::RequestSummary& f) {
+    const client::ClientRequest& i = f.request;
+    metrics::FinishedRequest finished;
     finished.service_class = measures_->find_class(i.service_class);
     finished.plan = measures_->find_plan(i.plan);
-    finished.ending = static_cast<metrics::Ending>(f.how);
-    finished.reason = f.refusal;
+    finished.result = static_cast<metrics::RequestResult>(f.result);
+    finished.reason = f.reject_reason_index;
     finished.seconds = f.seconds;
     finished.units = i.units;
     const double worth = measures_->finished(finished);
     for (const auto& [number, value] : f.tags) count_tag(number, value);
-    if (!log_.wants_record(f.how == ingress::Finish::How::served)) return;
+    if (!log_.wants_record(f.result == ingress::RequestSummary::Result::served)) return;
     RequestRecord record;
     record.id = i.request_id;
     record.service_class = i.service_class;
     record.plan = i.plan;
-    record.outcome = metrics::kEndings[static_cast<std::size_t>(f.how)];
+    record.result = metrics::kEndings[static_cast<std::size_t>(f.result)];
     record.reason = f.reason;
-    record.provider = f.provider;
+    record.backend = f.backend;
     record.customer = i.customer;
     record.attempts = f.attempts;
     record.seconds = f.seconds;
-    record.worth = worth;
+    record.earned_weight = worth;
     std::vector<std::pair<std::string_view, std::string_view>> tags;
     for (const auto& [number, value] : f.tags)
         if (number < options_.rules.tags.size()) tags.emplace_back(options_.rules.tags[number].name, value);
@@ -277,11 +277,11 @@
     }
 }
 
-void Telemetry::on_attempt(slatejunction::Outcome outcome) {
+void Telemetry::on_attempt_end(slatejunction::AttemptResult outcome) {
     measures_->add(Id::attempts, static_cast<std::size_t>(outcome));
 }
 void Telemetry::on_quota_report() { quota_report_at_ = net::now(); }
-void Telemetry::on_admitted(double fraction) { measures_->set(Id::admitted_fraction, fraction); }
-void Telemetry::on_bad() { measures_->add(Id::bad_requests); }
+void Telemetry::on_admitted_fraction(double fraction) { measures_->set(Id::admitted_fraction, fraction); }
+void Telemetry::on_bad_request() { measures_->add(Id::bad_requests); }
 
 }   // namespace slatejunction::telemetry
--- a/src/telemetry/telemetry.hpp
+++ b/src/telemetry/telemetry.hpp
@@ -18,7 +18,7 @@
 
 namespace slatejunction::telemetry {
 
-class Telemetry final : public ingress::Observer {
+class Telemetry final : public ingress::RequestObserver {
   public:
     // Throws storage::Error when the state directory can't be used.
     Telemetry(const operator_config::Options& options, const config::Config& config, std::string version,
@@ -36,11 +36,11 @@
     // The last samples: calls `done` once they have been taken, after `most_s` or kStopMost at the latest.
     void stop(double most_s, std::function<void()> done);
 
-    void on_finish(const ingress::Finish& finish) override;
-    void on_attempt(slatejunction::Outcome outcome) override;
+    void on_request_end(const ingress::RequestSummary& finish) override;
+    void on_attempt_end(slatejunction::AttemptResult outcome) override;
     void on_quota_report() override;
-    void on_admitted(double fraction) override;
-    void on_bad() override;
+    void on_admitted_fraction(double fraction) override;
+    void on_bad_request() override;
 
     const metrics::Measures::Shape& shape() const { return shape_; }
     const metrics::Measures& measures() const { return *measures_; }
@@ -57,7 +57,7 @@
     const std::string name_, version_;
     const std::uint64_t seed_;
     Log& log_;
-    std::optional<storage::Directory> directory_;
+    std::optional<storage::StateDirectory> directory_;
     std::optional<metrics::Measures> measures_;
     net::Timers& timers_;
     net::Timer timer_;
--- a/tests/admin/operator_overrides_test.cpp
+++ b/tests/admin/operator_overrides_test.cpp
@@ -8,22 +8,22 @@
 #include <set>
 
 namespace sj = slatejunction;
-using sj::ListKind;
-using sj::ServerState;
+using sj::EndpointState;
+using sj::EndpointUpdateKind;
 using sj::admin::OperatorOverrides;
-using sj::admin::Verdict;
+using sj::admin::OverrideResult;
 
 namespace {
 
-sj::discovery::Listing listing(ListKind kind,
-                               std::initializer_list<std::pair<const char*, ServerState>> entries) {
-    sj::discovery::Listing list;
+sj::discovery::EndpointList listing(EndpointUpdateKind kind,
+                                    std::initializer_list<std::pair<const char*, EndpointState>> entries) {
+    sj::discovery::EndpointList list;
     list.update.kind = kind;
     for (const auto& [id, state] : entries) {
-        sj::ListEntry entry;
-        entry.server = id;
+        sj::Endpoint entry;
+        entry.backend = id;
         entry.state = state;
-        list.update.entries.push_back(entry);
+        list.update.endpoints.push_back(entry);
         list.addresses.push_back("127.0.0.1:1");
     }
     return list;
@@ -31,21 +31,22 @@
 
 // What the module knows from what it is told, and what the directory says.
 struct Checker {
-    std::map<std::string, ServerState> told, listed;
+    std::map<std::string, EndpointState> told, listed;
     std::set<std::string> suspended, ever;
 
-    void see(const sj::discovery::Listing& as_told, const sj::discovery::Listing& as_listed) {
+    void see(const sj::discovery::EndpointList& as_told, const sj::discovery::EndpointList& as_listed) {
         apply(told, as_told);
         apply(listed, as_listed);
-        for (const auto& entry : as_listed.update.entries) ever.insert(entry.server);
+        for (const auto& entry : as_listed.update.endpoints) ever.insert(entry.backend);
     }
-    static void apply(std::map<std::string, ServerState>& states, const sj::discovery::Listing& list) {
-        if (list.update.kind != ListKind::changes) states.clear();
-        for (const auto& entry : list.update.entries) states[entry.server] = entry.state;
+    static void apply(std::map<std::string, EndpointState>& states,
+                      const sj::discovery::EndpointList& list) {
+        if (list.update.kind != EndpointUpdateKind::delta) states.clear();
+        for (const auto& entry : list.update.endpoints) states[entry.backend] = entry.state;
     }
-    static bool in(const std::map<std::string, ServerState>& states, const std::string& id) {
+    static bool in(const std::map<std::string, EndpointState>& states, const std::string& id) {
         const auto at = states.find(id);
-        return at != states.end() && at->second == ServerState::in;
+        return at != states.end() && at->second == EndpointState::serving;
     }
     // The first id that is told otherwise than it has to be; empty: none.
     std::string wrong() const {
@@ -64,33 +65,33 @@
     Checker checker;
     for (int step = 0; step < 60; ++step) {
         const std::string id = "s-" + std::to_string(pick(6));
-        sj::discovery::Listing change;
+        sj::discovery::EndpointList change;
         switch (pick(6)) {
             case 0:
             case 1: {
-                sj::discovery::Listing list;
+                sj::discovery::EndpointList list;
                 const int kind = pick(3);
-                list.update.kind = kind == 0   ? ListKind::total
-                                   : kind == 1 ? ListKind::changes
-                                               : ListKind::warm_copy;
+                list.update.kind = kind == 0   ? EndpointUpdateKind::snapshot
+                                   : kind == 1 ? EndpointUpdateKind::delta
+                                               : EndpointUpdateKind::cached_snapshot;
                 for (int i = 0; i < 6; ++i) {
                     if (pick(2) == 0) continue;
-                    sj::ListEntry entry;
-                    entry.server = "s-" + std::to_string(i);
-                    entry.state =
-                        static_cast<ServerState>(list.update.kind == ListKind::changes ? pick(3) : pick(2));
-                    entry.born_s = pick(3);
-                    list.update.entries.push_back(entry);
+                    sj::Endpoint entry;
+                    entry.backend = "s-" + std::to_string(i);
+                    entry.state = static_cast<EndpointState>(
+                        list.update.kind == EndpointUpdateKind::delta ? pick(3) : pick(2));
+                    entry.started_at_s = pick(3);
+                    list.update.endpoints.push_back(entry);
                     list.addresses.push_back("127.0.0.1:" + std::to_string(1 + pick(3)));
                 }
-                const sj::discovery::Listing as_listed = list;
-                sj::discovery::Listing spoilt = list;
-                now->lay_over(list);
+                const sj::discovery::EndpointList as_listed = list;
+                sj::discovery::EndpointList spoilt = list;
+                now->apply_to(list);
                 checker.see(spoil == 1 && kind == 0 ? spoilt : list, as_listed);
                 break;
             }
             case 2:
-                if (now->suspend(id, change) == Verdict::done) {
+                if (now->suspend(id, change) == OverrideResult::done) {
                     checker.suspended.insert(id);
                     if (spoil == 2) change = {};
                     Checker::apply(checker.told, change);
@@ -99,7 +100,7 @@
                 }
                 break;
             case 3:
-                if (now->resume(id, change) == Verdict::done) {
+                if (now->resume(id, change) == OverrideResult::done) {
                     if (!checker.ever.contains(id)) return "a yes for " + id + ", which never was listed";
                     checker.suspended.erase(id);
                     Checker::apply(checker.told, change);
@@ -111,21 +112,21 @@
                 if (now == &other || pick(4) > 0) break;
                 // Another process takes over: it has the last whole list and what it is handed.
                 {
-                    sj::discovery::Listing whole;
-                    whole.update.kind = ListKind::total;
+                    sj::discovery::EndpointList whole;
+                    whole.update.kind = EndpointUpdateKind::snapshot;
                     for (const auto& [at, state] : checker.listed) {
-                        if (state == ServerState::out) continue;
-                        sj::ListEntry entry;
-                        entry.server = at;
+                        if (state == EndpointState::removed) continue;
+                        sj::Endpoint entry;
+                        entry.backend = at;
                         entry.state = state;
-                        whole.update.entries.push_back(entry);
+                        whole.update.endpoints.push_back(entry);
                         whole.addresses.push_back("127.0.0.1:1");
                     }
-                    const sj::discovery::Listing as_listed = whole;
+                    const sj::discovery::EndpointList as_listed = whole;
                     for (const std::string& at : one.ever_listed()) other.remember(at);
                     if (spoil != 3)
-                        for (const std::string& at : one.suspended()) other.impose(at, change);
-                    other.lay_over(whole);
+                        for (const std::string& at : one.suspended()) other.adopt_suspension(at, change);
+                    other.apply_to(whole);
                     now = &other;
                     checker.see(whole, as_listed);
                 }
@@ -159,58 +160,59 @@
 
 TEST_CASE("a resumed provider comes back as it is listed now: restarted, and at its new address") {
     OperatorOverrides operations;
-    auto first = listing(ListKind::warm_copy, {{"a", ServerState::in}});
-    operations.lay_over(first);
-    sj::discovery::Listing change;
-    REQUIRE(operations.suspend("a", change) == Verdict::done);
-    REQUIRE(change.update.entries.at(0).state == ServerState::lame);
-    auto moved = listing(ListKind::changes, {{"a", ServerState::in}});
-    moved.update.entries[0].born_s = 7;
+    auto first = listing(EndpointUpdateKind::cached_snapshot, {{"a", EndpointState::serving}});
+    operations.apply_to(first);
+    sj::discovery::EndpointList change;
+    REQUIRE(operations.suspend("a", change) == OverrideResult::done);
+    REQUIRE(change.update.endpoints.at(0).state == EndpointState::draining);
+    auto moved = listing(EndpointUpdateKind::delta, {{"a", EndpointState::serving}});
+    moved.update.endpoints[0].started_at_s = 7;
     moved.addresses[0] = "127.0.0.1:2";
-    operations.lay_over(moved);
-    REQUIRE(moved.update.entries[0].state == ServerState::lame);
+    operations.apply_to(moved);
+    REQUIRE(moved.update.endpoints[0].state == EndpointState::draining);
     change = {};
-    REQUIRE(operations.resume("a", change) == Verdict::done);
-    REQUIRE(change.update.entries.at(0).state == ServerState::in);
-    REQUIRE(change.update.entries.at(0).born_s == 7);
+    REQUIRE(operations.resume("a", change) == OverrideResult::done);
+    REQUIRE(change.update.endpoints.at(0).state == EndpointState::serving);
+    REQUIRE(change.update.endpoints.at(0).started_at_s == 7);
     REQUIRE(change.addresses.at(0) == "127.0.0.1:2");
-    REQUIRE(operations.suspend("never", change) == Verdict::never_listed);
-    REQUIRE(operations.resume("never", change) == Verdict::never_listed);
+    REQUIRE(operations.suspend("never", change) == OverrideResult::never_listed);
+    REQUIRE(operations.resume("never", change) == OverrideResult::never_listed);
 }
 
 TEST_CASE("ids that are gone are forgotten beyond a bound, suspended ones never") {
     OperatorOverrides operations;
-    auto first = listing(ListKind::total, {{"kept", ServerState::in}});
-    operations.lay_over(first);
-    sj::discovery::Listing change;
-    REQUIRE(operations.suspend("kept", change) == Verdict::done);
+    auto first = listing(EndpointUpdateKind::snapshot, {{"kept", EndpointState::serving}});
+    operations.apply_to(first);
+    sj::discovery::EndpointList change;
+    REQUIRE(operations.suspend("kept", change) == OverrideResult::done);
     for (std::size_t i = 0; i < sj::admin::kGoneMost + 500; ++i) {
         const std::string id = "x" + std::to_string(i);
-        auto comes = listing(ListKind::total, {{id.c_str(), ServerState::in}});
-        operations.lay_over(comes);
+        auto comes = listing(EndpointUpdateKind::snapshot, {{id.c_str(), EndpointState::serving}});
+        operations.apply_to(comes);
     }
     REQUIRE(operations.ever_listed().size() <= sj::admin::kGoneMost + 3);
-    REQUIRE(operations.suspend("x0", change) == Verdict::never_listed);
-    auto back = listing(ListKind::total, {{"kept", ServerState::in}});
-    operations.lay_over(back);
-    REQUIRE(back.update.entries[0].state == ServerState::lame);
+    REQUIRE(operations.suspend("x0", change) == OverrideResult::never_listed);
+    auto back = listing(EndpointUpdateKind::snapshot, {{"kept", EndpointState::serving}});
+    operations.apply_to(back);
+    REQUIRE(back.update.endpoints[0].state == EndpointState::draining);
     REQUIRE(operations.suspended("kept"));
 }
 
 TEST_CASE("as many may be suspended as are remembered, and a no is given to more") {
     OperatorOverrides operations;
-    sj::discovery::Listing all, change;
-    all.update.kind = ListKind::total;
+    sj::discovery::EndpointList all, change;
+    all.update.kind = EndpointUpdateKind::snapshot;
     for (std::size_t i = 0; i <= sj::admin::kSuspendedMost; ++i) {
-        sj::ListEntry entry;
-        entry.server = std::to_string(i);
-        all.update.entries.push_back(entry);
+        sj::Endpoint entry;
+        entry.backend = std::to_string(i);
+        all.update.endpoints.push_back(entry);
         all.addresses.push_back("127.0.0.1:1");
     }
-    operations.lay_over(all);
+    operations.apply_to(all);
     for (std::size_t i = 0; i < sj::admin::kSuspendedMost; ++i)
-        REQUIRE(operations.suspend(std::to_string(i), change) == Verdict::done);
-    REQUIRE(operations.suspend(std::to_string(sj::admin::kSuspendedMost), change) == Verdict::too_many);
-    REQUIRE(operations.resume("0", change) == Verdict::done);
-    REQUIRE(operations.suspend(std::to_string(sj::admin::kSuspendedMost), change) == Verdict::done);
+        REQUIRE(operations.suspend(std::to_string(i), change) == OverrideResult::done);
+    REQUIRE(operations.suspend(std::to_string(sj::admin::kSuspendedMost), change) ==
+            OverrideResult::too_many);
+    REQUIRE(operations.resume("0", change) == OverrideResult::done);
+    REQUIRE(operations.suspend(std::to_string(sj::admin::kSuspendedMost), change) == OverrideResult::done);
 }
--- a/tests/config/config_test.cpp
+++ b/tests/config/config_test.cpp
@@ -23,7 +23,7 @@
            more_settings + "}" + more + "}";
 }
 
-Config taken(const std::string& json) { return sj::config::read(json, sj::discovery::UnixClock()); }
+Config taken(const std::string& json) { return sj::config::read(json, sj::discovery::UnixTimeConverter()); }
 
 std::string fault(const std::string& json) {
     try {
@@ -52,10 +52,10 @@
         request.service_class = c.name;
         request.plan = config.settings.plans.empty() ? "" : config.settings.plans[0].name;
         request.units = 1;
-        request.due_s = 3;
+        request.deadline_at_s = 3;
         gateway.handle(1.1, request, actions);
     }
-    gateway.handle(4, sj::TimerDue{0}, actions);
+    gateway.handle(4, sj::TimerFired{0}, actions);
 }
 
 }   // namespace
@@ -72,9 +72,9 @@
             REQUIRE(std::abs(config.settings.max_retry_after_s) <= sj::config::kFigureMost);
             REQUIRE(config.memory_mb <= sj::config::kFigureMost);
             REQUIRE(config.sockets >= 64);
-            REQUIRE(static_cast<double>(config.max_open) <= sj::config::kFigureMost);
+            REQUIRE(static_cast<double>(config.max_open_requests) <= sj::config::kFigureMost);
             REQUIRE_FALSE(config.settings.classes.empty());
-            REQUIRE(config.known.addresses.size() == config.known.update.entries.size());
+            REQUIRE(config.known.addresses.size() == config.known.update.endpoints.size());
             decide(config);
         } catch (const Bad& told) {
             ++bad;
@@ -90,9 +90,9 @@
     const Config config = taken(file(
         kClass, R"(,"MyNumber":-1e308)", R"(,"limits":{"memory_mb":1e300,"sockets":1e300})",
         R"("AttemptsCap":3,"MaxRetryAfterS":1e308,"MaxOpen":1e308,"DialTimeoutS":1e300,"KeepaliveS":1e300)"));
-    CHECK(config.settings.my_number == -1'000'000'000'000'000);
+    CHECK(config.settings.ingress_index == -1'000'000'000'000'000);
     CHECK(config.settings.max_retry_after_s == 1e15);
-    CHECK(config.max_open == 1'000'000'000'000'000);
+    CHECK(config.max_open_requests == 1'000'000'000'000'000);
     CHECK(config.memory_mb == 1e15);
     CHECK(config.sockets == 1'000'000);
     CHECK(warns(config, "settings.MyNumber is out of range and taken as -1e15"));
@@ -110,7 +110,7 @@
     const std::string member = R"({"id":"s","host_port":"127.0.0.1:9","phase":"Ready","cell":1e300})";
     for (const char* none : {"[]", "7", "\"x\"", "{}", R"({"members":{}})"}) {
         const Config config = with(none);
-        CHECK(config.known.update.entries.empty());
+        CHECK(config.known.update.endpoints.empty());
         CHECK_FALSE(config.known.revision);
         CHECK(warns(config, "known is not a list of the directory and was left out"));
     }
@@ -118,10 +118,10 @@
     const Config whole = with(R"({"revision":4,"complete":true,"members":[)" + member + "]}");
     CHECK(whole.warnings.empty());
     CHECK(whole.known.revision == 4);
-    CHECK(whole.known.update.entries.at(0).cell == 0);
+    CHECK(whole.known.update.endpoints.at(0).cell == 0);
     const Config torn = with(R"({"members":[)" + member + R"(,7,{"id":"t"}]})");
-    CHECK(torn.known.update.entries.size() == 1);
-    CHECK(torn.known.update.kind == sj::ListKind::warm_copy);
+    CHECK(torn.known.update.endpoints.size() == 1);
+    CHECK(torn.known.update.kind == sj::EndpointUpdateKind::cached_snapshot);
     CHECK_FALSE(torn.known.revision);
     CHECK(warns(torn, "known.revision is missing"));
     CHECK(warns(torn, "known.members: 2 entries that can't be read were left out"));
--- a/tests/expr/expr_test.cpp
+++ b/tests/expr/expr_test.cpp
@@ -584,7 +584,7 @@
 
 TEST_CASE("a request's variables: headers in lower case, twice the same joined, odd bytes told") {
     const rules::GatewayFacts gateway{"n0", "z1"};
-    rules::Source source(gateway);
+    rules::RuleVariables source(gateway);
     const std::vector<http::Field> fields{
         {"X-Desk", "storm"}, {"Accept", "a"}, {"accept", "b"}, {"X-Odd", "\xff"}};
     rules::RequestFacts request;
@@ -611,7 +611,7 @@
     std::vector<http::Field> many(49, {"A", "b"});
     request.headers = many;
     CHECK(value("size(request.headers)") == "error: a head over its bound");
-    rules::ProviderFacts provider;
+    rules::BackendFacts provider;
     provider.flavor = "large";
     provider.cell = 3;
     source.begin(nullptr, &provider);
--- a/tests/fleet/limits_test.cpp
+++ b/tests/fleet/limits_test.cpp
@@ -15,7 +15,7 @@
 struct Store {
     double sum = 0, worst = 0;
     Clock::time_point last = Clock::now();
-    void pass(const slatejunction::fleet_rate_limit::Spec& spec) {
+    void pass(const slatejunction::fleet_rate_limit::LimitSpec& spec) {
         const auto now = Clock::now();
         sum = std::max(0.0, sum - spec.rate * std::chrono::duration<double>(now - last).count()) + 1;
         last = now;
@@ -27,7 +27,7 @@
 
 TEST_CASE("three ingresses keep one limit for all, also when its owner is killed and when one is cut off",
           "[fleet][limits]") {
-    const slatejunction::fleet_rate_limit::Spec spec{5, 12, 1};
+    const slatejunction::fleet_rate_limit::LimitSpec spec{5, 12, 1};
     rig::Plan plan;
     plan.announce_s = 0;
     plan.providers = 1;
@@ -37,8 +37,8 @@
     for (std::size_t i = 0; i < 3; ++i)
         REQUIRE(wait_for(
             [&] { return fleet.request(i, "w" + std::to_string(i)).starts_with("HTTP/1.1 200"); }));
-    const auto bound = slatejunction::fleet_rate_limit::bound(
-        spec, 2, 3, 1, slatejunction::membership::known_within_s(3, plan.interval_s));
+    const auto bound = slatejunction::fleet_rate_limit::error_bound(
+        spec, 2, 3, 1, slatejunction::membership::detection_bound_s(3, plan.interval_s));
     Store store;
     store.sum = 3;
     int id = 0, refused = 0;
--- a/tests/fleet/measure_test.cpp
+++ b/tests/fleet/measure_test.cpp
@@ -84,8 +84,8 @@
     rig::Plan plan;
     plan.ingresses = 5;
     plan.drift = 0.02;
-    const slatejunction::lease::Times times{plan.lives_s, plan.drift, plan.margin_s, plan.act_s};
-    const double stated = slatejunction::lease::gap_s(times, 0.02, 5);
+    const slatejunction::lease::LeaseTimes times{plan.lives_s, plan.drift, plan.margin_s, plan.act_s};
+    const double stated = slatejunction::lease::max_vacancy_s(times, 0.02, 5);
     std::printf("| fault | times | p50 s | worst s | stated s |\n|---|---|---|---|---|\n");
     for (const char* fault : {"kill", "cut", "stop"}) {
         rig::Fleet fleet(plan);
--- a/tests/fleet/rollout_test.cpp
+++ b/tests/fleet/rollout_test.cpp
@@ -260,7 +260,7 @@
 
 namespace {
 
-struct Outcome {
+struct AttemptResult {
     std::string story;
     std::size_t proposed = 0, committed = 0, versions = 0, restarts = 0, judged = 0;
     std::vector<std::string> breaches, late;
@@ -284,7 +284,7 @@
 }
 
 // 12 processes, faults for some seconds, then as long without any as the bound takes.
-Outcome play(std::uint64_t seed, double seconds) {
+AttemptResult play(std::uint64_t seed, double seconds) {
     std::mt19937_64 random(seed);
     rig::Plan plan = plan_of(random() % 2 == 0 ? 3 : 5, 0);
     plan.ingresses = 12;
@@ -292,7 +292,7 @@
     for (std::size_t i = plan.control; i < plan.ingresses; i += 2)
         plan.more_of[i] = "[subset north]\nproviders = provider.id.startsWith(\"n\")\n";
     rig::Fleet fleet(plan);
-    Outcome out;
+    AttemptResult out;
     fleet.wait_source();
     std::atomic<bool> over = false, calm = false;
     std::array<std::atomic<bool>, 12> away{};
@@ -400,7 +400,7 @@
     const std::uint64_t first = rig::setting("ROLLOUT_SEED", 1), count = rig::setting("ROLLOUT_COUNT", 2);
     const auto seconds = static_cast<double>(rig::setting("ROLLOUT_SECONDS", 8));
     for (std::uint64_t seed = first; seed < first + count; ++seed) {
-        const Outcome out = play(seed, seconds);
+        const AttemptResult out = play(seed, seconds);
         INFO("seed " << seed << "; again: ROLLOUT_SEED=" << seed
                      << " slatejunction_fleet_tests \"[rollout_schedule]\"" << out.story);
         for (const std::string& one : out.breaches) UNSCOPED_INFO(one);
--- a/tests/fleet/schedule_test.cpp
+++ b/tests/fleet/schedule_test.cpp
@@ -32,19 +32,19 @@
     return plan;
 }
 
-struct Outcome {
+struct AttemptResult {
     records::Verdict verdict;
     std::string story;
 };
 
-Outcome play(std::uint64_t seed, double seconds) {
+AttemptResult play(std::uint64_t seed, double seconds) {
     rig::Fleet fleet(plan_of(seed));
     std::mt19937_64 random(seed * 31 + 1);
     const auto upto = [&](std::size_t most) { return static_cast<std::size_t>(random() % (most + 1)); };
     const auto draw = [&](double from, double to) {
         return std::uniform_real_distribution<double>(from, to)(random);
     };
-    Outcome out;
+    AttemptResult out;
     std::set<std::size_t> down, stopped;
     const auto tell = [&](const std::string& what) { out.story += "\n  " + what; };
     fleet.wait_holder();
@@ -140,7 +140,7 @@
     const std::uint64_t first = rig::setting("FLEET_SEED", 1), count = rig::setting("FLEET_COUNT", 6);
     const auto seconds = static_cast<double>(rig::setting("FLEET_SECONDS", 5));
     for (std::uint64_t seed = first; seed < first + count; ++seed) {
-        const Outcome out = play(seed, seconds);
+        const AttemptResult out = play(seed, seconds);
         INFO("seed " << seed << "; again: FLEET_SEED=" << seed
                      << " slatejunction_fleet_tests \"[schedule]\"" << out.story);
         for (const std::string& one : out.verdict.breaches) UNSCOPED_INFO(one);
--- a/tests/fleet_counters/fleet_counters_test.cpp
+++ b/tests/fleet_counters/fleet_counters_test.cpp
@@ -8,9 +8,9 @@
 
 using namespace slatejunction;
 using namespace slatejunction::fleet_counters;
-using lease::NoteKeeper;
-using lease::NoteMessage;
-using NoteKind = lease::NoteMessage::Kind;
+using lease::RegisterAcceptor;
+using lease::RegisterMessage;
+using NoteKind = lease::RegisterMessage::Kind;
 
 namespace {
 
@@ -19,8 +19,9 @@
     values[served] = value;
     return values;
 }
-NoteMessage ask(NoteKind kind, std::uint64_t number, std::uint64_t sequence = 0, std::string text = {}) {
-    NoteMessage made{kind, "sums", number, 1, {number, sequence, std::move(text)}, false, 1};
+RegisterMessage ask(NoteKind kind, std::uint64_t number, std::uint64_t sequence = 0,
+                    std::string text = {}) {
+    RegisterMessage made{kind, "sums", number, 1, {number, sequence, std::move(text)}, false, 1};
     if (kind == NoteKind::read) made.note = {};
     return made;
 }
@@ -44,8 +45,8 @@
 }
 
 TEST_CASE("a voter shuts out writes under lower numbers, and says what it has forgotten", "[sums]") {
-    NoteKeeper keeper(true, {});
-    NoteMessage answer;
+    RegisterAcceptor keeper(true, {});
+    RegisterMessage answer;
     REQUIRE(keeper.receive(ask(NoteKind::read, 5), answer));
     CHECK(answer.kind == NoteKind::found);
     CHECK(answer.knows);
@@ -59,7 +60,7 @@
     CHECK_FALSE(keeper.receive(ask(NoteKind::write, 5, 2, "c"), answer));
     REQUIRE(keeper.receive(ask(NoteKind::read, 6), answer));
     CHECK(answer.note.text == "b");
-    NoteKeeper forgot(false, {});
+    RegisterAcceptor forgot(false, {});
     REQUIRE(forgot.receive(ask(NoteKind::read, 6), answer));
     CHECK_FALSE(answer.knows);
     REQUIRE(forgot.receive(ask(NoteKind::write, 6, 1, "c"), answer));
@@ -70,32 +71,32 @@
 
 TEST_CASE("notes outlive the process in a file, and a broken one is put aside", "[sums]") {
     Folder folder;
-    const NoteKeeper::All all{{"sums", {7, {6, 3, std::string("a\0b", 3)}}}};
+    const RegisterAcceptor::Registers all{{"sums", {7, {6, 3, std::string("a\0b", 3)}}}};
     {
-        lease::NotesHome home(folder.path());
-        CHECK(home.kept() == nullptr);
-        REQUIRE(home.keep(all));
+        lease::FileRegisterStorage home(folder.path());
+        CHECK(home.restored() == nullptr);
+        REQUIRE(home.save(all));
     }
     {
-        lease::NotesHome home(folder.path());
-        REQUIRE(home.kept());
-        CHECK(*home.kept() == all);
+        lease::FileRegisterStorage home(folder.path());
+        REQUIRE(home.restored());
+        CHECK(*home.restored() == all);
     }
     std::string bytes = folder.read("notes");
     bytes[bytes.size() - 2] ^= 1;
     folder.write("notes", bytes);
-    lease::NotesHome home(folder.path());
-    CHECK(home.kept() == nullptr);
-    CHECK(home.broken() == folder.file("notes") + ".broken-1");
-    CHECK_FALSE(lease::NotesHome("/nowhere").keep(all));
+    lease::FileRegisterStorage home(folder.path());
+    CHECK(home.restored() == nullptr);
+    CHECK(home.quarantined_path() == folder.file("notes") + ".broken-1");
+    CHECK_FALSE(lease::FileRegisterStorage("/nowhere").save(all));
 }
 
 TEST_CASE("a teller keeps what is not counted, and leaves out what it can't be sure of", "[sums]") {
-    Teller teller(9);
+    Reporter teller(9);
     CHECK_FALSE(teller.report());
-    teller.cut(10, of(3));
-    teller.cut(10, of(4));   // the wall clock was set back
-    teller.cut(11, of(5));
+    teller.record_period(10, of(3));
+    teller.record_period(10, of(4));   // the wall clock was set back
+    teller.record_period(11, of(5));
     auto report = teller.report();
     REQUIRE(report);
     REQUIRE(report->cuts.size() == 3);
@@ -104,18 +105,18 @@
     Report back;
     REQUIRE(read(write(*report), back));
     CHECK(back.cuts[2].values == report->cuts[2].values);
-    teller.counted(8, 11);   // another process's
+    teller.acknowledge(8, 11);   // another process's
     CHECK(teller.waiting() == 2);
-    teller.counted(9, 10);
+    teller.acknowledge(9, 10);
     report = teller.report();
     REQUIRE(report->cuts.size() == 2);
     CHECK(report->cuts[0].values[served] == 3);
     // Nobody answers any more: half of the time after which it is forgotten it leaves that out.
     for (std::uint64_t period = 12; period < 10 + kForget / 2; ++period)
-        teller.cut(period, of(6)), teller.report();
-    CHECK(teller.left_out() == 0);
-    for (std::uint64_t period = 12; period <= 11 + kForget; ++period) teller.cut(period, of(6));
-    CHECK(teller.left_out() == 3);
+        teller.record_period(period, of(6)), teller.report();
+    CHECK(teller.dropped_requests() == 0);
+    for (std::uint64_t period = 12; period <= 11 + kForget; ++period) teller.record_period(period, of(6));
+    CHECK(teller.dropped_requests() == 3);
     CHECK(teller.report()->cuts[0].values[served] == 6);
 }
 
@@ -131,15 +132,15 @@
 
 TEST_CASE("three hundred processes fit into the notes", "[sums]") {
     // The largest page: as many entries as are taken, each the longest.
-    const lease::Voters voters{{"n0"}, {}, 1};
-    Collector collector({1, 0.1}, {1, 0.05, 0.02, 0.1}, voters, 1);
-    NoteKeeper keeper(true, {});
+    const lease::AcceptorSet voters{{"n0"}, {}, 1};
+    Aggregator collector({1, 0.1}, {1, 0.05, 0.02, 0.1}, voters, 1);
+    RegisterAcceptor keeper(true, {});
     std::size_t longest = 0;
     const auto settle = [&](double now) {
         for (bool more = true; more;) {
             more = false;
             for (const auto& post : collector.take_posts()) {
-                NoteMessage answer;
+                RegisterMessage answer;
                 longest = std::max(longest, post.message.note.text.size());
                 if (keeper.receive(post.message, answer))
                     collector.on_note(now, now, "n0", answer), more = true;
@@ -155,8 +156,8 @@
     for (double now = 1000.5; now < 1010; now += 0.5) collector.wake(now, now), settle(now);
     CHECK(collector.done() >= 1005);
     CHECK(collector.turned_away() > 0);
-    CHECK(longest <= lease::kNoteMost);
-    CHECK(longest > lease::kNoteMost / 2);
+    CHECK(longest <= lease::kMaxValueBytes);
+    CHECK(longest > lease::kMaxValueBytes / 2);
 }
 
 TEST_CASE("[fleet_sums] wants leases and a receiver", "[sums]") {
@@ -177,5 +178,5 @@
     CHECK(fault(fleet + "[remote_write]\nurl = http://127.0.0.1:1/w\n[fleet_sums]\nevery_s = 0.1\n")
               .find("every_s") != std::string::npos);
     CHECK(fault(fleet + "[remote_write]\nurl = http://127.0.0.1:1/w\n[fleet_sums]\nevery_s = 15\n") == "");
-    CHECK(options.sums.on());
+    CHECK(options.fleet_counters.on());
 }
--- a/tests/fleet_counters/world.hpp
+++ b/tests/fleet_counters/world.hpp
@@ -88,13 +88,13 @@
 
   private:
     static constexpr double kEvery = 0.5, kStart = 1000;   // s; the wall clock at 0
-    const lease::Times times_{1, 0.05, 0.02, 0.1};
+    const lease::LeaseTimes times_{1, 0.05, 0.02, 0.1};
 
     struct Node {
         std::uint64_t process = 0;
-        std::unique_ptr<fleet_counters::Teller> teller;
-        std::unique_ptr<fleet_counters::Collector> collector;
-        std::unique_ptr<lease::NoteKeeper> keeper;
+        std::unique_ptr<fleet_counters::Reporter> teller;
+        std::unique_ptr<fleet_counters::Aggregator> collector;
+        std::unique_ptr<lease::RegisterAcceptor> keeper;
         double votes_from = 0, stopped_until = 0;
         fleet_counters::Values values{};
         std::uint64_t period = 0;
@@ -120,15 +120,16 @@
         Node& node = nodes_[i];
         const bool first = node.process == 0;
         node.process = ++processes_;
-        node.teller = std::make_unique<fleet_counters::Teller>(node.process);
+        node.teller = std::make_unique<fleet_counters::Reporter>(node.process);
         node.values = {};
-        node.collector = std::make_unique<fleet_counters::Collector>(fleet_counters::Settings{kEvery, 0.15},
-                                                                     times_, voters_, random_());
+        node.collector = std::make_unique<fleet_counters::Aggregator>(
+            fleet_counters::Settings{kEvery, 0.15}, times_, voters_, random_());
         node.waiting.clear();
         if (i >= plan_.voters) return;
         const bool knows = first || plan_.remembers;
-        node.keeper = std::make_unique<lease::NoteKeeper>(
-            knows, first || !plan_.remembers ? lease::NoteKeeper::All{} : node.keeper->kept());
+        node.keeper = std::make_unique<lease::RegisterAcceptor>(
+            knows,
+            first || !plan_.remembers ? lease::RegisterAcceptor::Registers{} : node.keeper->registers());
         node.votes_from = knows ? events_.now() : events_.now() + lease::amnesia_s(times_);
     }
     void kill() {
@@ -165,7 +166,7 @@
             if (!calm_ && random_() % 3 == 0)
                 for (std::uint64_t& value : node.values) value += random_() % 5;
             const auto period = static_cast<std::uint64_t>(unix_s() / kEvery);
-            if (period > node.period) node.teller->cut(node.period = period, node.values);
+            if (period > node.period) node.teller->record_period(node.period = period, node.values);
             if (random_() % 4 == 0) tell(i);
             if (node.collector->due(events_.now(), unix_s()) <= events_.now())
                 node.collector->wake(events_.now(), unix_s());
@@ -203,9 +204,9 @@
         call(node);
         pump(to);
     }
-    void ask(std::size_t i, std::size_t voter, const lease::NoteMessage& message) {
+    void ask(std::size_t i, std::size_t voter, const lease::RegisterMessage& message) {
         send(i, voter, [this, i, voter, message](Node& to) {
-            lease::NoteMessage answer;
+            lease::RegisterMessage answer;
             if (!to.keeper || events_.now() < to.votes_from || !to.keeper->receive(message, answer)) return;
             send(voter, i, [this, voter, answer](Node& asker) {
                 asker.collector->on_note(events_.now(), unix_s(), name(voter), answer);
@@ -219,7 +220,7 @@
             for (auto& post : posts) ask(i, number_of(post.to), post.message);
         for (auto& answer : node.collector->take_answers())
             send(i, number_of(answer.to), [report = answer.report](Node& to) {
-                to.teller->counted(report.process, report.counted);
+                to.teller->acknowledge(report.process, report.counted);
             });
         for (const fleet_counters::Row& row : node.collector->take_rows()) write_row(i, row);
     }
@@ -248,7 +249,7 @@
     void count(const Node& node) {
         result_.anew += node.collector->anew();
         result_.skipped += node.collector->skipped();
-        left_out_ += node.teller->left_out();
+        left_out_ += node.teller->dropped_requests();
     }
     void judge() {
         for (const Node& node : nodes_) count(node);
@@ -282,7 +283,7 @@
 
     Plan plan_;
     std::mt19937_64 random_;
-    lease::Voters voters_;
+    lease::AcceptorSet voters_;
     std::vector<Node> nodes_;
     Events events_;
     std::map<std::uint64_t, fleet_counters::Values> values_;   // what the receiver has, by period
