--- a/tests/fleet_rate_limit/rate_limit_node_test.cpp
+++ b/tests/fleet_rate_limit/rate_limit_node_test.cpp
@@ -33,24 +33,24 @@
 }
 
 TEST_CASE("floods of new keys take no lasting memory and forget no key that is asked for", "[fleetlimit]") {
-    Room room({"n0", {"n0"}, 2, 1000}, 1);
+    RateLimitNode room({"n0", {"n0"}, 2, 1000}, 1);
     room.define(1, {1, 5, 1});
     double now = 0;
     for (std::uint64_t key = 0; key < 20'000; ++key) {
-        room.take(now, 1, 1'000'000 + key, 1);
-        if (key % 100 == 0) room.take(now, 1, 7, 0.1);
+        room.consume(now, 1, 1'000'000 + key, 1);
+        if (key % 100 == 0) room.consume(now, 1, 7, 0.1);
         now += 1e-4;
     }
-    CHECK(room.stores() <= 1000);
-    CHECK(room.look(now, 1, 7, 5) > 0);
+    CHECK(room.owned_buckets() <= 1000);
+    CHECK(room.retry_after_s(now, 1, 7, 5) > 0);
 }
 
 TEST_CASE("owners are spread evenly, and a death moves its keys alone", "[fleetlimit]") {
     std::vector<std::string> all;
     for (int i = 0; i < 10; ++i) all.push_back("n" + std::to_string(i));
-    Room room({"n0", all, 2, 1000}, 1);
+    RateLimitNode room({"n0", all, 2, 1000}, 1);
     room.define(1, {1, 5, 1});
-    room.set_there(0, all);
+    room.set_alive_members(0, all);
     std::map<std::string, int> count;
     std::vector<std::string> before;
     for (std::uint64_t key = 0; key < 10'000; ++key)
@@ -58,31 +58,31 @@
     for (const auto& [name, keys] : count) CHECK(std::abs(keys - 1000) < 150);
     std::vector<std::string> less(all);
     less.erase(less.begin() + 3);
-    room.set_there(1, less);
+    room.set_alive_members(1, less);
     for (std::uint64_t key = 0; key < 10'000; ++key)
         if (before[key] != "n3") REQUIRE(room.owner(1, key) == before[key]);
 }
 
 TEST_CASE("who stood still gives nothing from its old stores", "[fleetlimit]") {
-    Room room({"n0", {"n0", "n1"}, 2, 1000}, 1);
+    RateLimitNode room({"n0", {"n0", "n1"}, 2, 1000}, 1);
     room.define(1, {1, 5, 1});
-    room.set_there(0, {"n0", "n1"});
+    room.set_alive_members(0, {"n0", "n1"});
     std::uint64_t own = 0;
     while (room.owner(1, own) != "n0") ++own;
-    room.take(0, 1, own, 1);
-    for (double now = 0; now < 3; now += kNoticeEvery) room.wake(now);
-    CHECK(room.doubts() == 0);
-    CHECK(room.look(3, 1, own, 1) == 0);
-    CHECK(room.look(3 + 2 * kStoodStill, 1, own, 1) > 0);
-    CHECK(room.doubts() == 1);
+    room.consume(0, 1, own, 1);
+    for (double now = 0; now < 3; now += kNoticeEvery) room.on_timer(now);
+    CHECK(room.process_pauses() == 0);
+    CHECK(room.retry_after_s(3, 1, own, 1) == 0);
+    CHECK(room.retry_after_s(3 + 2 * kStoodStill, 1, own, 1) > 0);
+    CHECK(room.process_pauses() == 1);
 }
 
 TEST_CASE("what is no report changes nothing", "[fleetlimit]") {
-    Room room({"n0", {"n0", "n1"}, 2, 1000}, 1);
+    RateLimitNode room({"n0", {"n0", "n1"}, 2, 1000}, 1);
     room.define(1, {1, 5, 1});
     room.receive(0, "n1", 9, "noise");
     room.receive(0, "n1", 9, "");
     CHECK(room.unreadable() == 2);
-    CHECK(room.take_posts().empty());
-    CHECK(room.look(0, 2, 5, 100) == 0);   // a limit that is not known limits nothing
+    CHECK(room.take_outgoing().empty());
+    CHECK(room.retry_after_s(0, 2, 5, 100) == 0);   // a limit that is not known limits nothing
 }
--- a/tests/fleet_rate_limit/world.hpp
+++ b/tests/fleet_rate_limit/world.hpp
@@ -20,7 +20,7 @@
 
 struct Plan {
     std::size_t ingresses = 3, keys = 4;
-    Spec spec{4, 12, 1};
+    LimitSpec spec{4, 12, 1};
     double credit = 2, load = 1.3;   // of the rate, asked of each key
     double loss = 0, twice = 0, delay_most = 0.003, known_s = 2, length = 60;
     enum class Fault { none, cut, split, kill, stop, restart } fault = Fault::none;
@@ -44,7 +44,8 @@
         over_.resize(plan.keys);
     }
     Result run() {
-        const Bound stated = bound(plan_.spec, plan_.credit, plan_.ingresses, apart(), plan_.known_s);
+        const ErrorBound stated =
+            error_bound(plan_.spec, plan_.credit, plan_.ingresses, apart(), plan_.known_s);
         result_.stated = stated.healthy;
         if (plan_.fault != Plan::Fault::none) schedule_faults();
         using Fault = Plan::Fault;
@@ -63,7 +64,7 @@
 
   private:
     struct Node {
-        std::unique_ptr<Room> room;
+        std::unique_ptr<RateLimitNode> room;
         std::uint64_t process = 0;
         double stopped_until = 0, armed = 1e18;
     };
@@ -77,7 +78,8 @@
         Node& node = nodes_[i];
         node.process = ++processes_;
         node.armed = 1e18;
-        node.room = std::make_unique<Room>(Settings{name(i), names_, plan_.credit, 1000}, random_());
+        node.room =
+            std::make_unique<RateLimitNode>(Settings{name(i), names_, plan_.credit, 1000}, random_());
         node.room->define(1, plan_.spec);
         tell_there(i);
     }
@@ -87,7 +89,7 @@
         for (std::size_t j = 0; j < nodes_.size(); ++j)
             if (j == i || (!down_.contains(j) && side(j) == side(i))) there.push_back(name(j));
         std::sort(there.begin(), there.end());
-        if (nodes_[i].room) nodes_[i].room->set_there(events_.now(), there);
+        if (nodes_[i].room) nodes_[i].room->set_alive_members(events_.now(), there);
         pump(i);
     }
     int side(std::size_t i) const { return away_.contains(i) ? 1 : 0; }
@@ -133,14 +135,14 @@
         ++result_.asked;
         double& full_at = stores_[key];
         const double room = plan_.spec.burst - std::max(0.0, full_at - events_.now()) * plan_.spec.rate;
-        const double wait_s = node.room->look(events_.now(), 1, key, 1);
+        const double wait_s = node.room->retry_after_s(events_.now(), 1, key, 1);
         digest_.add(events_.now(), i, key, wait_s);
         if (wait_s > 0) {
             result_.with_room += room >= 1;
             return;
         }
         ++result_.passed;
-        node.room->take(events_.now(), 1, key, 1);
+        node.room->consume(events_.now(), 1, key, 1);
         pump(i);
         full_at = std::max(full_at, events_.now()) + 1 / plan_.spec.rate;
         // The most that was sent beyond rate * t in any window that ends now.
@@ -152,14 +154,14 @@
     void pump(std::size_t i) {
         Node& node = nodes_[i];
         if (!node.room) return;
-        if (node.room->due() <= events_.now() && events_.now() >= node.stopped_until)
-            node.room->wake(events_.now());
-        for (const auto& post : node.room->take_posts()) {
+        if (node.room->next_deadline() <= events_.now() && events_.now() >= node.stopped_until)
+            node.room->on_timer(events_.now());
+        for (const auto& post : node.room->take_outgoing()) {
             digest_.add(events_.now(), i, post.to, post.body);
             send(i, std::stoul(post.to.substr(1)), post.body);
         }
-        const double due = node.room->due();
-        digest_.add(due, node.room->doubts(), node.room->forgotten(), node.room->unreadable());
+        const double due = node.room->next_deadline();
+        digest_.add(due, node.room->process_pauses(), node.room->forgotten(), node.room->unreadable());
         if (due > 1e17 || (node.armed <= due && node.armed > events_.now())) return;
         node.armed = std::max(due, events_.now() + 1e-4);
         events_.at(node.armed, [this, i, process = node.process, time = node.armed] {
--- a/tests/fuzz/http_targets.hpp
+++ b/tests/fuzz/http_targets.hpp
@@ -32,7 +32,7 @@
                 rest.feed(in, part);
                 body += part;
             }
-            buffer.drop_front(buffer.view().size() - in.size());
+            buffer.consume(buffer.view().size() - in.size());
             if (rest.state() == BodyReader::State::bad) return over(" bad"), told;
             if (rest.state() == BodyReader::State::done) {
                 reading_rest = false;
@@ -51,7 +51,7 @@
                 body = parser.body();
                 reading_rest = step == Step::rest_follows;
                 if (reading_rest) rest = parser.rest();
-                buffer.drop_front(parser.used());
+                buffer.consume(parser.used());
                 parser.reset();
                 if (!reading_rest) over(" whole");
                 continue;
--- a/tests/gateway/cold_fleet_test.cpp
+++ b/tests/gateway/cold_fleet_test.cpp
@@ -31,7 +31,7 @@
         std::vector<double> sent;   // since its start
     };
     World(sj::Settings s, const Case& c, std::uint64_t seed) : settings(std::move(s)), is(c), random(seed) {
-        settings.balancers = static_cast<double>(is.gateways);
+        settings.ingress_count = static_cast<double>(is.gateways);
         events.run_until(100);
         for (std::size_t i = 0; i < is.servers; ++i) {
             Server one;
@@ -49,17 +49,18 @@
 
     double chance() { return std::uniform_real_distribution<double>()(random); }
     double warmth(const Server& s, double at) const {
-        const double from = settings.cold_from;
-        return std::min(1.0, from + (1 - from) * (at - s.born) / settings.warm_within_s);
+        const double from = settings.slow_start_min_capacity;
+        return std::min(1.0, from + (1 - from) * (at - s.born) / settings.slow_start_window_s);
     }
     double now() const { return events.now(); }
 
     void begin(std::size_t i) {
-        settings.my_number = static_cast<std::int64_t>(i);
+        settings.ingress_index = static_cast<std::int64_t>(i);
         gateways[i] = std::make_unique<Driver>(settings, random(), now());
-        sj::ListUpdate list{sj::ListKind::total, {}};
+        sj::EndpointUpdate list{sj::EndpointUpdateKind::snapshot, {}};
         for (const Server& s : servers)
-            list.entries.push_back(Driver::entry(s.id, sj::ServerState::in, std::max(0.0, s.born)));
+            list.endpoints.push_back(
+                Driver::entry(s.id, sj::EndpointState::serving, std::max(0.0, s.born)));
         gateways[i]->give(list);
         tick(i, gateways[i].get());
     }
@@ -91,19 +92,20 @@
             s.sent.push_back(now());
             const double work = -std::log(1 - chance()) / (is.rate * s.speed * warmth(s, now()));
             const double wait = std::max(0.0, s.free_at - now());
-            const sj::Outcome outcome = wait > 1 ? sj::Outcome::full : sj::Outcome::ok;
+            const sj::AttemptResult outcome =
+                wait > 1 ? sj::AttemptResult::rejected : sj::AttemptResult::ok;
             double took = 0.002;
-            if (outcome == sj::Outcome::ok) s.free_at = now() + wait + work, took += wait + work;
+            if (outcome == sj::AttemptResult::ok) s.free_at = now() + wait + work, took += wait + work;
             Driver* alive = &d;
             events.at(now() + took, [this, i, alive, out, outcome] {
                 if (gateways[i].get() != alive) return;
                 alive->run_to(now());
-                sj::AttemptEnd e;
+                sj::AttemptEnded e;
                 e.id = out.id;
                 e.attempt = out.attempt;
-                e.outcome = outcome;
-                e.took_s = now() - out.at;
-                e.ended = outcome == sj::Outcome::ok;
+                e.result = outcome;
+                e.duration_s = now() - out.at;
+                e.request_ended = outcome == sj::AttemptResult::ok;
                 alive->give(e);
                 take(i);
             });
@@ -118,23 +120,23 @@
         events.at(now() + std::exponential_distribution<double>(is.load * total)(random),
                   [this] { come(); });
     }
-    void tell(const std::vector<sj::ListEntry>& entries) {
+    void tell(const std::vector<sj::Endpoint>& entries) {
         for (std::size_t i = 0; i < gateways.size(); ++i) {
             events.at(now() + is.late * chance(), [this, i, entries] {
                 gateways[i]->run_to(now());
-                gateways[i]->give(sj::ListUpdate{sj::ListKind::changes, entries});
+                gateways[i]->give(sj::EndpointUpdate{sj::EndpointUpdateKind::delta, entries});
                 take(i);
             });
         }
     }
     void release() {
         const auto all = static_cast<std::size_t>(is.part * static_cast<double>(is.servers));
-        std::vector<sj::ListEntry> in;
+        std::vector<sj::Endpoint> in;
         for (std::size_t i = 0; i < all; ++i) {
             Server& s = servers[i];
             s.born = s.free_at = now();
             s.sent.clear();
-            in.push_back(Driver::entry(s.id, sj::ServerState::in, now()));
+            in.push_back(Driver::entry(s.id, sj::EndpointState::serving, now()));
         }
         tell(in);
         events.run_until(now() + 1);
@@ -151,10 +153,11 @@
         for (const Server& s : servers) {
             if (s.born < 0) continue;
             for (std::size_t from = 0, to = 0; to < s.sent.size(); ++to) {
-                while (s.sent[to] - s.sent[from] > settings.fall_s) ++from;
+                while (s.sent[to] - s.sent[from] > settings.overload_window_s) ++from;
                 // As little as it can be: its capacity when the span began.
-                const double n = settings.fall_multiple * is.rate * s.speed * settings.fall_s *
-                                 warmth(s, std::max(s.born, s.sent[to] - settings.fall_s));
+                const double n = settings.overload_multiple * is.rate * s.speed *
+                                 settings.overload_window_s *
+                                 warmth(s, std::max(s.born, s.sent[to] - settings.overload_window_s));
                 const auto got = static_cast<double>(to - from + 1);
                 result.over = std::max(result.over, (got - n) / (2 * std::sqrt(n) + 2));
                 result.of_budget = std::max(result.of_budget, got / n);
@@ -183,9 +186,9 @@
         double got = 0;
         for (std::uint64_t seed = 1; seed <= 6; ++seed) {
             sj::Settings s = plain_settings();
-            s.fall_multiple = multiple;
-            s.cold_from = 0.15;
-            s.parallel_tries = true;
+            s.overload_multiple = multiple;
+            s.slow_start_min_capacity = 0.15;
+            s.hedging_allowed = true;
             World::Case c;
             c.gateways = GetParam();
             c.uneven = 6;
--- a/tests/gateway/decision_draw.hpp
+++ b/tests/gateway/decision_draw.hpp
@@ -66,55 +66,55 @@
     kinds
 };
 
-inline Kind digest(Digest& d, const sj::Send& a) {
+inline Kind digest(Digest& d, const sj::StartAttempt& a) {
     d.add(std::uint64_t{1});
     d.add(a.id);
-    d.add(a.server);
-    d.add(a.allow_s);
-    d.add(std::uint64_t{a.spilled});
-    d.add(a.begin_by_s);
+    d.add(a.backend);
+    d.add(a.timeout_s);
+    d.add(std::uint64_t{a.used_fallback});
+    d.add(a.start_by_s);
     return Kind::send;
 }
-inline Kind digest(Digest& d, const sj::CallOff& a) {
+inline Kind digest(Digest& d, const sj::CancelAttempt& a) {
     d.add(std::uint64_t{2});
     d.add(a.id);
     d.add(static_cast<std::uint64_t>(a.attempt));
     return Kind::call_off;
 }
-inline Kind digest(Digest& d, const sj::Refuse& a) {
+inline Kind digest(Digest& d, const sj::RejectRequest& a) {
     d.add(std::uint64_t{3});
     d.add(a.id);
     d.add(a.retry_after_s);
     d.add(static_cast<std::uint64_t>(a.reason));
     return Kind::refuse;
 }
-inline Kind digest(Digest& d, const sj::Abort& a) {
+inline Kind digest(Digest& d, const sj::FailRequest& a) {
     d.add(std::uint64_t{4});
     d.add(a.id);
     return Kind::abort;
 }
 inline Kind digest(Digest& d, const sj::SetTimer& a) {
     d.add(std::uint64_t{5});
-    d.add(a.due_s);
+    d.add(a.fire_at_s);
     d.add(a.tag);
     return Kind::set_timer;
 }
-inline Kind digest(Digest& d, const sj::Probe& a) {
+inline Kind digest(Digest& d, const sj::StartHealthCheck& a) {
     d.add(std::uint64_t{6});
-    d.add(a.server);
+    d.add(a.backend);
     return Kind::probe;
 }
-inline Kind digest(Digest& d, const sj::Listen& a) {
+inline Kind digest(Digest& d, const sj::WatchEndpoints& a) {
     d.add(std::uint64_t{7});
-    d.add(std::uint64_t{a.on});
+    d.add(std::uint64_t{a.enabled});
     return Kind::listen;
 }
-inline Kind digest(Digest& d, const sj::Note& a) {
+inline Kind digest(Digest& d, const sj::LogMessage& a) {
     d.add(std::uint64_t{8});
     d.add(a.text);
     return Kind::note;
 }
-inline Kind digest(Digest& d, const sj::Admitted& a) {
+inline Kind digest(Digest& d, const sj::AdmittedFraction& a) {
     d.add(std::uint64_t{9});
     d.add(a.fraction);
     d.add(a.subset);
@@ -122,18 +122,20 @@
 }
 
 inline sj::ServiceClass draw_class(Draw& d, std::uint64_t number) {
-    static const sj::Effect effects[] = {sj::Effect::pure, sj::Effect::token, sj::Effect::side_effect};
-    static const sj::Group groups[] = {sj::Group::all, sj::Group::zone, sj::Group::cell};
+    static const sj::Idempotency effects[] = {sj::Idempotency::idempotent, sj::Idempotency::idempotency_key,
+                                              sj::Idempotency::not_idempotent};
+    static const sj::IdempotencyScope groups[] = {sj::IdempotencyScope::all, sj::IdempotencyScope::zone,
+                                                  sj::IdempotencyScope::cell};
     sj::ServiceClass c;
     c.name = "class" + std::to_string(number);
-    c.aim_s = d.between(0.1, 1.0);
+    c.latency_objective_s = d.between(0.1, 1.0);
     c.deadline_s = d.between(1, 4);
-    c.effect = effects[number % 3];
-    c.group = groups[(number / 3 + d.below(2)) % 3];
-    c.window_s = d.between(0.3, 3.0);
-    c.stream = d.chance(0.2);
-    c.worth = d.between(0.05, 4.0);
-    c.late_worth = d.between(0, 0.2);
+    c.idempotency = effects[number % 3];
+    c.idempotency_scope = groups[(number / 3 + d.below(2)) % 3];
+    c.idempotency_window_s = d.between(0.3, 3.0);
+    c.streaming = d.chance(0.2);
+    c.priority_weight = d.between(0.05, 4.0);
+    c.late_priority_weight = d.between(0, 0.2);
     return c;
 }
 
@@ -143,16 +145,16 @@
     if (number % 2 == 1) {
         p.rate = d.chance(0.35) ? d.between(0.005, 0.2) : d.between(4, 25);   // few tries or many
         p.burst = d.between(2, 40);
-        p.over_worth = d.between(0, 0.5);
-        p.over_cost = d.between(0.2, 1.5);
+        p.over_quota_weight = d.between(0, 0.5);
+        p.over_quota_penalty = d.between(0.2, 1.5);
     }
     if (number == 2 || (number == 3 && d.chance(0.5))) {
-        p.ceiling_rate = d.between(5, 40);
-        p.ceiling_burst = d.between(4, 60);
-        p.ceiling_slack = d.between(0, 5);
+        p.hard_limit_rate = d.between(5, 40);
+        p.hard_limit_burst = d.between(4, 60);
+        p.hard_limit_slack = d.between(0, 5);
     }
-    if (number == 3 || d.chance(0.1)) p.max_out = static_cast<double>(2 + d.below(8));
-    p.price = d.chance(0.2) ? 0 : d.between(0.3, 3);
+    if (number == 3 || d.chance(0.1)) p.max_in_flight = static_cast<double>(2 + d.below(8));
+    p.plan_weight = d.chance(0.2) ? 0 : d.between(0.3, 3);
     return p;
 }
 
@@ -163,24 +165,24 @@
     for (std::uint64_t i = 0; i < 4; ++i) s.plans.push_back(draw_plan(d, i));
     s.report_fields = {"queue", "busy"};
     s.zone = "zone0";
-    s.discovery = seed % 3 == 0 ? sj::Discovery::subscribe : sj::Discovery::automatic;
-    s.my_number = static_cast<std::int64_t>(d.below(4));
-    s.parallel_tries = (seed & 1) != 0;
-    s.cancel = (seed & 2) != 0;
-    s.balancers = static_cast<double>(1 + d.below(6));
+    s.discovery = seed % 3 == 0 ? sj::DiscoveryMode::subscribe : sj::DiscoveryMode::automatic;
+    s.ingress_index = static_cast<std::int64_t>(d.below(4));
+    s.hedging_allowed = (seed & 1) != 0;
+    s.cancellation_allowed = (seed & 2) != 0;
+    s.ingress_count = static_cast<double>(1 + d.below(6));
     s.meter_period_s = seed % 5 == 0 ? 0 : d.between(0.3, 1.5);
-    s.largest_units = 8;
-    s.attempts_cap = static_cast<double>(1 + d.below(5));
-    s.probes = d.chance(0.5);
-    s.reports_on_probe_only = d.chance(0.5);
+    s.max_request_units = 8;
+    s.max_attempts = static_cast<double>(1 + d.below(5));
+    s.health_checks_allowed = d.chance(0.5);
+    s.reports_on_health_check_only = d.chance(0.5);
     s.retry_after = d.chance(0.5);
     s.max_retry_after_s = d.chance(0.3) ? 0 : d.between(0.02, 0.3);
-    s.quantum_s = d.between(0, 0.01);
-    s.ask_within_s = d.between(0.2, 8);
-    s.cold_from = d.between(0.05, 0.6);
-    s.warm_within_s = seed % 7 == 0 ? 0 : d.between(2, 20);
-    s.fall_multiple = d.between(0.5, 4);
-    s.fall_s = d.between(0.5, 5);
+    s.tick_interval_s = d.between(0, 0.01);
+    s.watch_retry_within_s = d.between(0.2, 8);
+    s.slow_start_min_capacity = d.between(0.05, 0.6);
+    s.slow_start_window_s = seed % 7 == 0 ? 0 : d.between(2, 20);
+    s.overload_multiple = d.between(0.5, 4);
+    s.overload_window_s = d.between(0.5, 5);
     return s;
 }
 
--- a/tests/gateway/decision_world.hpp
+++ b/tests/gateway/decision_world.hpp
@@ -43,7 +43,7 @@
             queue_.erase(first);
             perform(item);
         }
-        digest_.add(static_cast<std::uint64_t>(gateway_.open()));
+        digest_.add(static_cast<std::uint64_t>(gateway_.open_requests()));
         return digest_.value();
     }
 
@@ -54,11 +54,11 @@
         Task task = Task::timer;
         std::uint64_t number = 0;   // timer tag, attempt number, or customer of a client's repeat
         std::string id;
-        sj::Outcome outcome = sj::Outcome::ok;
+        sj::AttemptResult outcome = sj::AttemptResult::ok;
         bool repeat = false;
     };
     struct Backend {
-        sj::ListEntry entry;
+        sj::Endpoint entry;
         double pace = 0.2;   // parts of a class's aim
         double slow = 1;
         double room = 8;
@@ -82,7 +82,9 @@
     };
 
     void at(double time, Item item) { queue_.emplace(time, std::move(item)); }
-    void after(double delay, Task task) { at(now_ + delay, Item{task, 0, {}, sj::Outcome::ok, false}); }
+    void after(double delay, Task task) {
+        at(now_ + delay, Item{task, 0, {}, sj::AttemptResult::ok, false});
+    }
 
     void begin() {
         backends_.resize(2 + draw_.below(18));
@@ -90,27 +92,27 @@
         rate_ = draw_.between(8, 90);
         calm_ = draw_.between(0, 0.8);
         ask(0, false);   // before Start
-        give(sj::TimerDue{0});
+        give(sj::TimerFired{0});
         give(sj::Start{});
-        list(sj::ListKind::total);
+        list(sj::EndpointUpdateKind::snapshot);
         for (const Task task : {Task::arrival, Task::directory, Task::weather, Task::bad})
             after(0.01, task);
         const std::uint64_t waiting =
             draw_.chance(0.6) ? draw_.below(120) : 0;   // through an earlier outage
         for (std::uint64_t i = 0; i < waiting; ++i) {
             const double time = now_ + draw_.between(0.01, 0.3);   // drawn first, on every compiler
-            at(time, Item{Task::arrival, draw_.below(24), {}, sj::Outcome::ok, true});
+            at(time, Item{Task::arrival, draw_.below(24), {}, sj::AttemptResult::ok, true});
         }
     }
 
     void make_backend(std::size_t number) {
         Backend& b = backends_[number];
-        b.entry.server = "b" + std::to_string(number);
-        b.entry.kind = "std";
+        b.entry.backend = "b" + std::to_string(number);
+        b.entry.flavor = "std";
         b.entry.zone = "zone" + std::to_string(draw_.below(2));
         b.entry.cell = static_cast<std::int64_t>(draw_.below(3));
         b.entry.capacity_hint = draw_.chance(0.3) ? 0 : draw_.between(0.5, 4);
-        b.entry.born_s = 0;
+        b.entry.started_at_s = 0;
         b.entry.subsets = draw_.below(16);
         b.pace = draw_.between(0.03, 0.25);
         b.room = draw_.between(4, 20);
@@ -136,35 +138,37 @@
         for (const sj::Action& a : actions) std::visit([this](const auto& one) { carry_out(one); }, a);
     }
 
-    void carry_out(const sj::Send& a) {
+    void carry_out(const sj::StartAttempt& a) {
         const auto found = clients_.find(a.id);
         if (found == clients_.end()) return;
         Client& c = found->second;
-        Backend& b = backend(a.server);
+        Backend& b = backend(a.backend);
         const std::uint64_t number = c.attempts++;
-        c.out[number] = Out{a.server, now_, b.mode == Mode::stale};
+        c.out[number] = Out{a.backend, now_, b.mode == Mode::stale};
         b.open += 1;
         meter(c.request.customer).units += 1;
         answer(c, b, number);
     }
-    void carry_out(const sj::CallOff& a) {
+    void carry_out(const sj::CancelAttempt& a) {
         const double delay = draw_.between(0, 0.03);
-        const auto outcome = draw_.chance(0.15) ? sj::Outcome::moot : sj::Outcome::cancelled;
+        const auto outcome =
+            draw_.chance(0.15) ? sj::AttemptResult::not_started : sj::AttemptResult::cancelled;
         at(now_ + delay,
            Item{Task::attempt_end, static_cast<std::uint64_t>(a.attempt), a.id, outcome, false});
     }
-    void carry_out(const sj::Refuse& a) {
+    void carry_out(const sj::RejectRequest& a) {
         ++coverage_.reasons[static_cast<std::size_t>(a.reason)];
         const auto found = clients_.find(a.id);
         if (found == clients_.end()) return;
         found->second.ended = true;
         if (draw_.chance(0.25)) {
             const double wait = a.retry_after_s + draw_.between(0, 0.2);
-            at(now_ + wait, Item{Task::arrival, found->second.request.customer, {}, sj::Outcome::ok, true});
+            at(now_ + wait,
+               Item{Task::arrival, found->second.request.customer, {}, sj::AttemptResult::ok, true});
         }
         forget(a.id);
     }
-    void carry_out(const sj::Abort& a) {
+    void carry_out(const sj::FailRequest& a) {
         const auto found = clients_.find(a.id);
         if (found == clients_.end()) return;
         found->second.ended = true;
@@ -172,42 +176,44 @@
     }
     void carry_out(const sj::SetTimer& a) {
         const double late = draw_.chance(0.05) ? draw_.between(0, 0.004) : 0;
-        at(a.due_s + late, Item{Task::timer, a.tag, {}, sj::Outcome::ok, false});
+        at(a.fire_at_s + late, Item{Task::timer, a.tag, {}, sj::AttemptResult::ok, false});
     }
-    void carry_out(const sj::Listen&) { after(draw_.between(0, 0.4), Task::listed); }
-    void carry_out(const sj::Probe&) {}
-    void carry_out(const sj::Note&) {}
-    void carry_out(const sj::Admitted&) {}
+    void carry_out(const sj::WatchEndpoints&) { after(draw_.between(0, 0.4), Task::listed); }
+    void carry_out(const sj::StartHealthCheck&) {}
+    void carry_out(const sj::LogMessage&) {}
+    void carry_out(const sj::AdmittedFraction&) {}
 
     Backend& backend(const std::string& id) { return backends_[std::stoul(id.substr(1))]; }
 
     // Draws how and when an attempt will end.
     void answer(const Client& c, const Backend& b, std::uint64_t number) {
         const double held = 1 + b.open / b.room;
-        const double work = c.service->aim_s * b.pace * b.slow * held * draw_.between(0.3, 1.7);
-        Item end{Task::attempt_end, number, c.request.id, sj::Outcome::ok, false};
+        const double work =
+            c.service->latency_objective_s * b.pace * b.slow * held * draw_.between(0.3, 1.7);
+        Item end{Task::attempt_end, number, c.request.id, sj::AttemptResult::ok, false};
         double delay = work;
         const bool quick = b.mode == Mode::errors || b.mode == Mode::unreachable || b.mode == Mode::stale;
-        if (b.mode == Mode::errors) end.outcome = sj::Outcome::error;
-        if (b.mode == Mode::unreachable) end.outcome = sj::Outcome::connect_failed;
-        if (b.mode == Mode::stale) end.outcome = sj::Outcome::reset;
-        if (b.mode == Mode::full || b.open > 4 * b.room) end.outcome = sj::Outcome::full;
-        if (end.outcome == sj::Outcome::ok && draw_.chance(0.02)) {
-            static const sj::Outcome odd[] = {sj::Outcome::error,   sj::Outcome::full,
-                                              sj::Outcome::timeout, sj::Outcome::connect_failed,
-                                              sj::Outcome::reset,   sj::Outcome::moot};
+        if (b.mode == Mode::errors) end.outcome = sj::AttemptResult::error;
+        if (b.mode == Mode::unreachable) end.outcome = sj::AttemptResult::connect_failed;
+        if (b.mode == Mode::stale) end.outcome = sj::AttemptResult::reset;
+        if (b.mode == Mode::full || b.open > 4 * b.room) end.outcome = sj::AttemptResult::rejected;
+        if (end.outcome == sj::AttemptResult::ok && draw_.chance(0.02)) {
+            static const sj::AttemptResult odd[] = {
+                sj::AttemptResult::error,   sj::AttemptResult::rejected,
+                sj::AttemptResult::timeout, sj::AttemptResult::connect_failed,
+                sj::AttemptResult::reset,   sj::AttemptResult::not_started};
             end.outcome = odd[draw_.below(6)];
         }
-        if (quick || end.outcome == sj::Outcome::full) delay = draw_.between(0.0005, 0.02);
+        if (quick || end.outcome == sj::AttemptResult::rejected) delay = draw_.between(0.0005, 0.02);
         if (b.mode == Mode::hangs) delay = 1e3;
-        const bool begins = c.service->stream && end.outcome == sj::Outcome::ok;
-        if (now_ + delay >= c.request.due_s) {
-            end.outcome = sj::Outcome::timeout;
-            at(std::max(now_, c.request.due_s) + draw_.between(0, 0.01), end);
+        const bool begins = c.service->streaming && end.outcome == sj::AttemptResult::ok;
+        if (now_ + delay >= c.request.deadline_at_s) {
+            end.outcome = sj::AttemptResult::timeout;
+            at(std::max(now_, c.request.deadline_at_s) + draw_.between(0, 0.01), end);
             return;
         }
         if (begins) {
-            at(now_ + delay, Item{Task::stream, number, c.request.id, sj::Outcome::ok, false});
+            at(now_ + delay, Item{Task::stream, number, c.request.id, sj::AttemptResult::ok, false});
             delay += draw_.between(0, draw_.chance(0.05) ? 4 : 0.1);
         }
         at(now_ + delay, end);
@@ -216,7 +222,7 @@
     void perform(const Item& item) {
         switch (item.task) {
             case Task::timer:
-                return give(sj::TimerDue{item.number});
+                return give(sj::TimerFired{item.number});
             case Task::arrival:
                 return arrive(item);
             case Task::attempt_end:
@@ -232,7 +238,8 @@
             case Task::bad:
                 return misbehave();
             case Task::listed:
-                return list(draw_.chance(0.3) ? sj::ListKind::lost : sj::ListKind::total);
+                return list(draw_.chance(0.3) ? sj::EndpointUpdateKind::watch_lost
+                                              : sj::EndpointUpdateKind::snapshot);
         }
     }
 
@@ -254,15 +261,16 @@
         r.units = static_cast<double>(1 + draw_.below(3));
         if (draw_.chance(0.01)) r.units = draw_.chance(0.5) ? -1 : std::numeric_limits<double>::quiet_NaN();
         r.customer = customer;
-        r.due_s = now_ + settings_.classes[service].deadline_s * draw_.between(0.2, 1);
-        r.doors = draw_.chance(0.1) ? 0 : settings_.balancers;
-        r.repeat = repeat;
+        r.deadline_at_s = now_ + settings_.classes[service].deadline_s * draw_.between(0.2, 1);
+        r.ingress_count = draw_.chance(0.1) ? 0 : settings_.ingress_count;
+        r.is_client_retry = repeat;
         if (draw_.chance(0.5)) r.subset = std::uint64_t{1} << draw_.below(draw_.chance(0.1) ? 6 : 4);
-        static const sj::Spill spills[] = {sj::Spill::never, sj::Spill::empty, sj::Spill::pressed};
-        r.spill = spills[draw_.below(3)];
-        if (draw_.chance(0.01)) r.over_limit_s = draw_.between(0.01, 2);
+        static const sj::SubsetFallback spills[] = {
+            sj::SubsetFallback::never, sj::SubsetFallback::when_empty, sj::SubsetFallback::when_overloaded};
+        r.subset_fallback = spills[draw_.below(3)];
+        if (draw_.chance(0.01)) r.rate_limit_retry_after_s = draw_.between(0.01, 2);
         if (draw_.chance(0.004)) r.service_class = "other";
-        if (draw_.chance(0.004)) r.due_s = now_ - draw_.between(0, 1);
+        if (draw_.chance(0.004)) r.deadline_at_s = now_ - draw_.between(0, 1);
         return r;
     }
 
@@ -275,7 +283,7 @@
         clients_.emplace(r.id, std::move(c));
         if (draw_.chance(0.06)) {
             const double stay = draw_.between(0, 1.5);
-            at(now_ + stay, Item{Task::departure, 0, r.id, sj::Outcome::ok, false});
+            at(now_ + stay, Item{Task::departure, 0, r.id, sj::AttemptResult::ok, false});
         }
         give(r);
     }
@@ -284,14 +292,14 @@
         const auto found = clients_.find(id);
         if (found == clients_.end()) return;
         found->second.ended = true;
-        give(sj::ClientGone{id});
+        give(sj::ClientDisconnected{id});
         forget(id);
     }
 
     void begin_stream(const Item& item) {
         const auto found = clients_.find(item.id);
         if (found == clients_.end() || found->second.out.count(item.number) == 0) return;
-        give(sj::StreamBegun{item.id, static_cast<std::int64_t>(item.number)});
+        give(sj::StreamStarted{item.id, static_cast<std::int64_t>(item.number)});
     }
 
     void end_attempt(const Item& item) {
@@ -300,22 +308,22 @@
         Client& c = found->second;
         const auto out = c.out.find(item.number);
         if (out == c.out.end()) return;
-        sj::AttemptEnd e;
+        sj::AttemptEnded e;
         e.id = item.id;
         e.attempt = static_cast<std::int64_t>(item.number);
-        e.outcome = item.outcome;
-        e.took_s = now_ - out->second.sent;
-        if (item.outcome == sj::Outcome::ok) c.ended = true;
-        e.ended = c.ended || draw_.chance(0.002);
-        c.ended = e.ended;
+        e.result = item.outcome;
+        e.duration_s = now_ - out->second.sent;
+        if (item.outcome == sj::AttemptResult::ok) c.ended = true;
+        e.request_ended = c.ended || draw_.chance(0.002);
+        c.ended = e.request_ended;
         e.quota_use = metered(c.request.customer);
-        e.charged = draw_.chance(0.1) ? c.request.units : 0;
+        e.charged_units = draw_.chance(0.1) ? c.request.units : 0;
         e.report = {static_cast<double>(draw_.below(9)), 0.5};
-        if (draw_.chance(0.1)) e.written_s = e.took_s * draw_.unit();
-        e.stale = out->second.stale && item.outcome == sj::Outcome::reset;
+        if (draw_.chance(0.1)) e.write_duration_s = e.duration_s * draw_.unit();
+        e.stale_connection = out->second.stale && item.outcome == sj::AttemptResult::reset;
         backend(out->second.backend).open -= 1;
         c.out.erase(out);
-        ++coverage_.outcomes[static_cast<std::size_t>(e.outcome)];
+        ++coverage_.outcomes[static_cast<std::size_t>(e.result)];
         give(e);
         if (draw_.chance(0.01)) give(e);   // a repeated outcome
         forget(item.id);
@@ -347,13 +355,13 @@
         return 1 + std::floor(200 * m.others * m.last / (plan.rate * settings_.meter_period_s));
     }
 
-    void list(sj::ListKind kind) {
-        sj::ListUpdate update;
+    void list(sj::EndpointUpdateKind kind) {
+        sj::EndpointUpdate update;
         update.kind = kind;
-        if (kind != sj::ListKind::lost)
+        if (kind != sj::EndpointUpdateKind::watch_lost)
             for (const Backend& b : backends_)
-                if (b.entry.state != sj::ServerState::out && !draw_.chance(0.04))
-                    update.entries.push_back(b.entry);
+                if (b.entry.state != sj::EndpointState::removed && !draw_.chance(0.04))
+                    update.endpoints.push_back(b.entry);
         ++coverage_.lists[static_cast<std::size_t>(kind)];
         give(update);
     }
@@ -361,29 +369,30 @@
     void change_directory() {
         after(draw_.between(0.2, 3), Task::directory);
         const std::uint64_t what = draw_.below(12);
-        if (what == 0) return list(sj::ListKind::warm_copy);
-        if (what == 1) return list(sj::ListKind::total);
-        if (what == 2 && draw_.chance(0.2)) return list(sj::ListKind::lost);
-        if (what == 3 && draw_.chance(0.1)) return give(sj::ListUpdate{sj::ListKind::total, {}});
-        sj::ListUpdate update;
-        update.kind = sj::ListKind::changes;
+        if (what == 0) return list(sj::EndpointUpdateKind::cached_snapshot);
+        if (what == 1) return list(sj::EndpointUpdateKind::snapshot);
+        if (what == 2 && draw_.chance(0.2)) return list(sj::EndpointUpdateKind::watch_lost);
+        if (what == 3 && draw_.chance(0.1))
+            return give(sj::EndpointUpdate{sj::EndpointUpdateKind::snapshot, {}});
+        sj::EndpointUpdate update;
+        update.kind = sj::EndpointUpdateKind::delta;
         for (std::uint64_t left = draw_.chance(0.7) ? 1 : 2 + draw_.below(2); left > 0; --left) {
             Backend& b = backends_[draw_.below(backends_.size())];
             change_entry(b.entry, what);
-            update.entries.push_back(b.entry);
+            update.endpoints.push_back(b.entry);
         }
         ++coverage_.lists[static_cast<std::size_t>(update.kind)];
         give(update);
     }
-    void change_entry(sj::ListEntry& entry, std::uint64_t what) {
-        if (entry.state == sj::ServerState::in) {
-            if (what < 8) entry.state = what < 6 ? sj::ServerState::lame : sj::ServerState::out;
+    void change_entry(sj::Endpoint& entry, std::uint64_t what) {
+        if (entry.state == sj::EndpointState::serving) {
+            if (what < 8) entry.state = what < 6 ? sj::EndpointState::draining : sj::EndpointState::removed;
             if (what == 8) entry.capacity_hint = draw_.between(0.5, 4);
             if (what == 9) entry.subsets = draw_.below(16);
-            if (what > 9) entry.born_s = now_;   // restarted in place
+            if (what > 9) entry.started_at_s = now_;   // restarted in place
         } else {
-            entry.state = sj::ServerState::in;
-            entry.born_s = draw_.chance(0.8) ? now_ : 0;
+            entry.state = sj::EndpointState::serving;
+            entry.started_at_s = draw_.chance(0.8) ? now_ : 0;
         }
     }
 
@@ -417,16 +426,16 @@
         after(draw_.between(0.1, 0.6), Task::bad);
         const std::string none = "nobody";
         const std::uint64_t what = draw_.below(10);
-        if (what == 0) return give(sj::ClientGone{none});
-        if (what == 1) return give(sj::TimerDue{1000000 + draw_.below(1000)});
-        if (what == 2) return give(sj::StreamBegun{none, 0});
-        if (what == 3) return give(sj::ProbeEnd{"b0", sj::Outcome::ok, 0.01, {1}});
+        if (what == 0) return give(sj::ClientDisconnected{none});
+        if (what == 1) return give(sj::TimerFired{1000000 + draw_.below(1000)});
+        if (what == 2) return give(sj::StreamStarted{none, 0});
+        if (what == 3) return give(sj::HealthCheckEnded{"b0", sj::AttemptResult::ok, 0.01, {1}});
         if (what == 4) return give(sj::Start{});
         if (what == 5) {
             now_ += draw_.chance(0.3) ? draw_.between(0.1, 1.5) : 0;   // the gateway stood still
             return;
         }
-        sj::AttemptEnd e;
+        sj::AttemptEnded e;
         e.id = none;
         if (what == 6 || clients_.empty()) return give(e);
         const auto some = static_cast<std::ptrdiff_t>(draw_.below(clients_.size()));
--- a/tests/gateway/fleet_test.cpp
+++ b/tests/gateway/fleet_test.cpp
@@ -13,12 +13,12 @@
 // Gateways that know nothing of each other; requests go to each in turn and are answered after 0.1 s.
 struct Fleet {
     Fleet(sj::Settings s, std::size_t count, int servers) : settings(std::move(s)) {
-        settings.balancers = static_cast<double>(count);
+        settings.ingress_count = static_cast<double>(count);
         for (int i = 0; i < servers; ++i) names.push_back("s" + std::to_string(100 + i) + ":1");
         for (std::size_t i = 0; i < count; ++i) gateways.push_back(start(i));
     }
     std::unique_ptr<Driver> start(std::size_t i) {
-        settings.my_number = static_cast<std::int64_t>(i);
+        settings.ingress_index = static_cast<std::int64_t>(i);
         auto d = std::make_unique<Driver>(settings, ++seed, now);
         d->list(names);
         return d;
@@ -44,7 +44,7 @@
         }
     }
     void answer(Driver& d) const {
-        while (!d.pending.empty() && now - d.pending[0].at >= 0.1) d.end(0, sj::Outcome::ok, told);
+        while (!d.pending.empty() && now - d.pending[0].at >= 0.1) d.end(0, sj::AttemptResult::ok, told);
     }
 
     sj::Settings settings;
@@ -68,7 +68,8 @@
     const double born = f.now;
     for (auto& d : f.gateways)
         for (int i = 0; i < cold; ++i)
-            d->change(Driver::entry(f.names[static_cast<std::size_t>(i)], sj::ServerState::in, born));
+            d->change(
+                Driver::entry(f.names[static_cast<std::size_t>(i)], sj::EndpointState::serving, born));
     f.run(6, rate, ask);
     std::size_t total = 0;
     for (int i = 0; i < cold; ++i) {
@@ -173,8 +174,8 @@
 Passed strangers(std::size_t doors, double dear) {
     sj::Settings s = plain_settings();
     s.plans = {{"plan", 0.8, 4}};
-    s.plans[0].over_cost = 0.8;
-    s.classes[0].worth = 2, s.classes[2].worth = 2 * dear;
+    s.plans[0].over_quota_penalty = 0.8;
+    s.classes[0].priority_weight = 2, s.classes[2].priority_weight = 2 * dear;
     s.meter_period_s = 2;
     Passed passed;
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
@@ -186,7 +187,7 @@
             d.ask("q" + std::to_string(i), write ? "write" : "read", 5, 1, i, static_cast<double>(doors));
             if (d.sends.size() > before)
                 (write ? passed.writes : passed.reads) += 1.0 / (write ? 1000 : 3000);
-            while (!d.pending.empty()) d.end(0, sj::Outcome::ok);
+            while (!d.pending.empty()) d.end(0, sj::AttemptResult::ok);
         }
     }
     return passed;
@@ -231,14 +232,14 @@
     }
     static sj::Settings settings() {
         sj::Settings s = plain_settings();
-        s.balancers = 400;
+        s.ingress_count = 400;
         s.plans = {{"plan"}, {"other"}};
         return s;
     }
     // Answers after 0.15 s as `outcome` says; a server of which it says `timeout` stays silent.
     void play(
         double seconds, double every,
-        const std::function<sj::Outcome(const std::string& server, const std::string& id)>& outcome,
+        const std::function<sj::AttemptResult(const std::string& server, const std::string& id)>& outcome,
         const std::function<const char*(int)>& plan = [](int) { return "plan"; }) {
         const double until = d.now + seconds;
         while (d.now < until) {
@@ -248,12 +249,12 @@
                 d.run_to(d.now + std::min(0.05, left));
                 for (std::size_t i = 0; i < d.pending.size();) {
                     const auto& p = d.pending[i];
-                    const sj::Outcome o = outcome(p.server, p.id);
+                    const sj::AttemptResult o = outcome(p.server, p.id);
                     const bool off = std::find(d.called_off.begin(), d.called_off.end(),
                                                std::pair{p.id, p.attempt}) != d.called_off.end();
                     if (off)
-                        d.end(i, sj::Outcome::cancelled);
-                    else if (d.now - p.at >= (o == sj::Outcome::timeout ? 5 : 0.15))
+                        d.end(i, sj::AttemptResult::cancelled);
+                    else if (d.now - p.at >= (o == sj::AttemptResult::timeout ? 5 : 0.15))
                         d.end(i, o);
                     else
                         ++i;
@@ -265,7 +266,7 @@
     std::vector<std::string> names;
     int ids = 0;
 };
-const auto kAllGood = [](const std::string&, const std::string&) { return sj::Outcome::ok; };
+const auto kAllGood = [](const std::string&, const std::string&) { return sj::AttemptResult::ok; };
 
 TEST_F(Sparse, StaysOpenWhileTheBackEndIsWell) {
     play(120, 1, kAllGood);
@@ -279,7 +280,7 @@
         static int ids = 0;
         for (; d.now < until; d.run_to(d.now + 0.05)) {
             for (std::size_t i = 0; i < d.pending.size();)
-                d.now - d.pending[i].at >= latency ? d.end(i, sj::Outcome::ok) : void(++i);
+                d.now - d.pending[i].at >= latency ? d.end(i, sj::AttemptResult::ok) : void(++i);
             if (std::fmod(d.now + 0.025, 0.5) >= 0.05) continue;
             const std::size_t before = d.sends.size();
             d.ask("q" + std::to_string(ids++));
@@ -301,11 +302,13 @@
 TEST_F(Sparse, LosesDeadServers) {
     play(20, 0.5, kAllGood);
     const auto dead = [&](const std::string& s) { return s < names[6]; };   // 6 of 20
-    play(20, 0.5,
-         [&](const auto& s, const auto&) { return dead(s) ? sj::Outcome::timeout : sj::Outcome::ok; });
+    play(20, 0.5, [&](const auto& s, const auto&) {
+        return dead(s) ? sj::AttemptResult::timeout : sj::AttemptResult::ok;
+    });
     const std::size_t from = d.sends.size();
-    play(60, 0.5,
-         [&](const auto& s, const auto&) { return dead(s) ? sj::Outcome::timeout : sj::Outcome::ok; });
+    play(60, 0.5, [&](const auto& s, const auto&) {
+        return dead(s) ? sj::AttemptResult::timeout : sj::AttemptResult::ok;
+    });
     std::size_t lost = 0;
     for (std::size_t i = from; i < d.sends.size(); ++i) lost += dead(d.sends[i].server);
     EXPECT_LT(static_cast<double>(lost), 0.2 * static_cast<double>(d.sends.size() - from))
@@ -323,9 +326,9 @@
         d.timers.erase(d.timers.begin());
     }
     d.now += 2;
-    for (const std::uint64_t tag : due) d.give(sj::TimerDue{tag});
+    for (const std::uint64_t tag : due) d.give(sj::TimerFired{tag});
     EXPECT_TRUE(d.called_off.empty()) << "their answers wait behind the timers";
-    while (!d.pending.empty()) d.end(0, sj::Outcome::ok);
+    while (!d.pending.empty()) d.end(0, sj::AttemptResult::ok);
     const std::size_t refused = d.refused.size();
     play(10, 0.25, kAllGood);
     EXPECT_LE(d.refused.size() - refused, 4u) << "of 40";
@@ -333,7 +336,8 @@
 
 TEST_F(Sparse, AServerThatTurnsOnePlanAwayKeepsServingTheRest) {
     const auto one = [&](const std::string& s, const std::string& id) {
-        return s < names[10] && id.starts_with("plan") ? sj::Outcome::full : sj::Outcome::ok;
+        return s < names[10] && id.starts_with("plan") ? sj::AttemptResult::rejected
+                                                       : sj::AttemptResult::ok;
     };
     play(120, 0.1, one, [](int i) { return i % 2 ? "plan" : "other"; });
     std::size_t full = 0, plan = 0, here = 0, other = 0;
@@ -348,9 +352,9 @@
 
 TEST_F(Sparse, SilenceEverywhereIsAQueueAndIsNotCalledOff) {
     play(20, 0.2, kAllGood);
-    play(20, 0.2, [](const auto&, const auto&) { return sj::Outcome::timeout; });
+    play(20, 0.2, [](const auto&, const auto&) { return sj::AttemptResult::timeout; });
     const std::size_t off = d.called_off.size(), refused = d.refused.size();
-    play(20, 0.2, [](const auto&, const auto&) { return sj::Outcome::timeout; });
+    play(20, 0.2, [](const auto&, const auto&) { return sj::AttemptResult::timeout; });
     EXPECT_LE(d.called_off.size() - off, 8u);
     EXPECT_GT(d.refused.size() - refused, 50u) << "of 100";
 }
@@ -359,8 +363,8 @@
     for (const double balancers : {0.0, 1.0, -3.0, 1e12, std::nan("")}) {
         sj::Settings s = plain_settings();
         s.plans = {{"plan", 10, 20, 20, 40, 4}, {"free"}, {"still", 0, 5}};
-        s.balancers = balancers;
-        s.my_number = 1 << 30;
+        s.ingress_count = balancers;
+        s.ingress_index = 1 << 30;
         s.meter_period_s = 0.5;
         s.report_fields = {"rif", "busy", "q", "unheard"};
         Driver d(s);
@@ -376,7 +380,7 @@
             while (!d.pending.empty()) {
                 const auto p = d.pending[0];
                 d.pending.erase(d.pending.begin());
-                sj::AttemptEnd e{p.id, p.attempt, sj::Outcome::ok, -1, true, 1e9, 0, {}};
+                sj::AttemptEnded e{p.id, p.attempt, sj::AttemptResult::ok, -1, true, 1e9, 0, {}};
                 e.report = {std::nan(""), -5, 1e300};
                 d.give(e);
                 ++served;
@@ -385,7 +389,7 @@
         }
         EXPECT_GT(served, 100u) << balancers;
         d.run_to(d.now + 20);
-        EXPECT_EQ(d.gateway.open(), 0u);
+        EXPECT_EQ(d.gateway.open_requests(), 0u);
     }
 }
 
--- a/tests/gateway/health_test.cpp
+++ b/tests/gateway/health_test.cpp
@@ -10,7 +10,7 @@
 // Asks `rate` times a second; `answer` says how an attempt on a server ends and after how long (below 0:
 // never).
 struct Answer {
-    sj::Outcome outcome;
+    sj::AttemptResult outcome;
     double after;
 };
 void play(Driver& d, double seconds, double rate, const std::function<Answer(const std::string&)>& answer,
@@ -24,9 +24,9 @@
             const Answer a = answer(d.pending[i].server);
             const std::pair<std::string, std::int64_t> name{d.pending[i].id, d.pending[i].attempt};
             if (std::find(d.called_off.begin(), d.called_off.end(), name) != d.called_off.end())
-                d.end(i, sj::Outcome::cancelled);
+                d.end(i, sj::AttemptResult::cancelled);
             else if (d.now - d.pending[i].at >= 5)
-                d.end(i, sj::Outcome::timeout);
+                d.end(i, sj::AttemptResult::timeout);
             else if (a.after >= 0 && d.now - d.pending[i].at >= a.after)
                 d.end(i, a.outcome);
             else
@@ -34,7 +34,7 @@
         }
     }
 }
-const Answer kGood{sj::Outcome::ok, 0.1};
+const Answer kGood{sj::AttemptResult::ok, 0.1};
 const std::vector<std::string> kFive{"a:1", "b:1", "c:1", "d:1", "e:1"};
 
 // One of five answers as `sick` says for 10 s: it may get `most` of 400 requests then, and is used again
@@ -56,15 +56,17 @@
 }
 
 TEST(Health, AServerThatFailsFastLosesItsTrafficAndGetsItBack) {
-    loses_and_gets_back({sj::Outcome::error, 0.01}, 20);
+    loses_and_gets_back({sj::AttemptResult::error, 0.01}, 20);
 }
 
-TEST(Health, ASilentServerLosesItsTrafficAndGetsItBack) { loses_and_gets_back({sj::Outcome::ok, -1}, 25); }
+TEST(Health, ASilentServerLosesItsTrafficAndGetsItBack) {
+    loses_and_gets_back({sj::AttemptResult::ok, -1}, 25);
+}
 
 TEST(Health, ASlowServerGetsLess) {
     Driver d(plain_settings());
     d.list(kFive);
-    play(d, 20, 40, [](const auto& s) { return s == "a:1" ? Answer{sj::Outcome::ok, 0.6} : kGood; });
+    play(d, 20, 40, [](const auto& s) { return s == "a:1" ? Answer{sj::AttemptResult::ok, 0.6} : kGood; });
     EXPECT_LT(d.sent_to("a:1") * 2, d.sent_to("b:1"));
     EXPECT_GT(d.sent_to("a:1"), 0u);
 }
@@ -75,7 +77,7 @@
     play(
         d, 10, 40,
         [](const auto& s) {
-            return s == "a:1" ? Answer{sj::Outcome::error, 0.01} : kGood;
+            return s == "a:1" ? Answer{sj::AttemptResult::error, 0.01} : kGood;
         },
         "write");
     EXPECT_LE(d.sent_to("a:1"), 4u);
@@ -84,9 +86,9 @@
 TEST(Health, AFleetThatAllFailsIsStillUsed) {
     Driver d(plain_settings());
     d.list(kFive);
-    play(d, 10, 40, [](const auto&) { return Answer{sj::Outcome::error, 0.01}; });
+    play(d, 10, 40, [](const auto&) { return Answer{sj::AttemptResult::error, 0.01}; });
     const std::size_t before = d.sends.size();
-    play(d, 2, 40, [](const auto&) { return Answer{sj::Outcome::error, 0.01}; });
+    play(d, 2, 40, [](const auto&) { return Answer{sj::AttemptResult::error, 0.01}; });
     EXPECT_GT(d.sends.size(), before + 10);
 }
 
@@ -95,7 +97,7 @@
     d.list({"a:1"});
     for (int i = 0; i < 10; ++i) {
         d.ask("r" + std::to_string(i));
-        while (!d.pending.empty()) d.end(0, sj::Outcome::error);
+        while (!d.pending.empty()) d.end(0, sj::AttemptResult::error);
     }
     const std::size_t before = d.sends.size();
     d.ask("last", "write");
@@ -109,7 +111,7 @@
     d.run_to(d.now + 2);
     ASSERT_EQ(d.called_off.size(), 1u) << "one at a time: called off, not doubled";
     EXPECT_EQ(d.sends.size(), 1u);
-    d.end(0, sj::Outcome::cancelled);
+    d.end(0, sj::AttemptResult::cancelled);
     ASSERT_EQ(d.sends.size(), 2u);
     EXPECT_NE(d.sends[0].server, d.sends[1].server);
 }
--- a/tests/gateway/load_test.cpp
+++ b/tests/gateway/load_test.cpp
@@ -30,7 +30,7 @@
         const double after = latency(lately);
         for (std::size_t i = 0; i < d.pending.size();)
             if (d.now - d.pending[i].at >= after)
-                d.end(i, sj::Outcome::ok);
+                d.end(i, sj::AttemptResult::ok);
             else
                 ++i;
     }
@@ -56,7 +56,7 @@
 // One in five is worth three times the others: they pass first, and no more pass in all for it.
 TEST(LoadWorth, UnderLoadWhatIsWorthMorePassesFirst) {
     sj::Settings s = plain_settings();
-    s.classes[0].worth = 2, s.classes[2].worth = 6;
+    s.classes[0].priority_weight = 2, s.classes[2].priority_weight = 6;
     Driver d(s);
     d.list({"a:1", "b:1", "c:1", "d:1"});
     const double share = admitted(
@@ -74,8 +74,8 @@
 TEST(LoadWorth, APriceThatIsNotFiniteCountsAsNone) {
     for (const double price : {-1.0, std::nan(""), HUGE_VAL}) {
         sj::Settings s = plain_settings();
-        s.classes[0].worth = 2;
-        s.plans[0].price = price;
+        s.classes[0].priority_weight = 2;
+        s.plans[0].plan_weight = price;
         Driver d(s);
         d.list({"a:1", "b:1", "c:1", "d:1"});
         admitted(d, 5, [](double) { return 0.1; });
@@ -101,12 +101,14 @@
     EXPECT_GE(d.fraction, 0.05);
     EXPECT_LT(d.fraction, 0.15);
     ASSERT_EQ(d.reasons.size(), d.refused.size());
-    const auto of = [&](sj::Reason reason) {
+    const auto of = [&](sj::RejectReason reason) {
         return std::count(d.reasons.begin(), d.reasons.end(), reason);
     };
-    EXPECT_GT(of(sj::Reason::fraction), 0);
-    EXPECT_GT(of(sj::Reason::open_work), 0);   // the first sign, before the fraction has moved
-    EXPECT_EQ(of(sj::Reason::fraction) + of(sj::Reason::open_work) + of(sj::Reason::attempts),
+    EXPECT_GT(of(sj::RejectReason::admitted_fraction), 0);
+    EXPECT_GT(of(sj::RejectReason::concurrency_limit),
+              0);   // the first sign, before the fraction has moved
+    EXPECT_EQ(of(sj::RejectReason::admitted_fraction) + of(sj::RejectReason::concurrency_limit) +
+                  of(sj::RejectReason::attempts_exhausted),
               static_cast<std::ptrdiff_t>(d.reasons.size()));
     admitted(d, 60, [](double) { return 0.1; });
     EXPECT_EQ(d.fraction, 1);
@@ -115,11 +117,12 @@
 TEST_F(Load, ARefusalForWantOfAServerAClassOrAttemptsSaysSo) {
     d.ask("unknown", "no such class");
     d.ask("errors");
-    while (!d.pending.empty()) d.end(0, sj::Outcome::error);
+    while (!d.pending.empty()) d.end(0, sj::AttemptResult::error);
     d.list({});
     d.ask("nowhere");
-    EXPECT_EQ(d.reasons, (std::vector<sj::Reason>{sj::Reason::malformed, sj::Reason::attempts,
-                                                  sj::Reason::no_provider}));
+    EXPECT_EQ(d.reasons, (std::vector<sj::RejectReason>{sj::RejectReason::malformed,
+                                                        sj::RejectReason::attempts_exhausted,
+                                                        sj::RejectReason::no_backend}));
 }
 
 TEST_F(Load, AFewSlowAnswersAreNoQueue) {   // one of 25 takes 3 s, the rest 0.1 s
@@ -128,7 +131,7 @@
         d.ask("s" + std::to_string(id++));
         for (std::size_t i = 0; i < d.pending.size();) {
             const bool slow = std::stoi(d.pending[i].id.substr(1)) % 25 == 0;
-            d.now - d.pending[i].at >= (slow ? 3.0 : 0.1) ? d.end(i, sj::Outcome::ok) : void(++i);
+            d.now - d.pending[i].at >= (slow ? 3.0 : 0.1) ? d.end(i, sj::AttemptResult::ok) : void(++i);
         }
     }
     EXPECT_LT(static_cast<double>(d.refused.size()), 0.05 * id);
--- a/tests/gateway/quota_test.cpp
+++ b/tests/gateway/quota_test.cpp
@@ -11,7 +11,7 @@
     sj::Settings s = plain_settings();
     s.plans = {{"plan", 10, 20}};
     s.meter_period_s = 0.5;
-    s.largest_units = 1;
+    s.max_request_units = 1;
     return s;
 }
 
@@ -37,7 +37,7 @@
             used = heard.front().second;
             heard.pop_front();
         }
-        while (!d.pending.empty()) d.end(0, sj::Outcome::ok, silent ? 0 : used);
+        while (!d.pending.empty()) d.end(0, sj::AttemptResult::ok, silent ? 0 : used);
         if (until - d.now > tail) mark = d.sends.size();
     }
     return d.sends.size() - mark;
@@ -48,7 +48,7 @@
     d.list({"a:1", "b:1"});
     metered(d, 20, 40, 30, 1);
     ASSERT_GT(d.reasons.size(), 100u);
-    for (const sj::Reason reason : d.reasons) EXPECT_EQ(reason, sj::Reason::quota);
+    for (const sj::RejectReason reason : d.reasons) EXPECT_EQ(reason, sj::RejectReason::quota);
 }
 
 TEST(Shares, ACustomerInsideItsQuotaIsNotRefused) {
@@ -80,7 +80,7 @@
     d.list({"a:1", "b:1"});
     for (int i = 0; i < 8; ++i) {   // 8 units at once, seen here only: the store holds 20
         d.ask("b" + std::to_string(i), "read", 5, 1, 1, 2);
-        if (!d.pending.empty()) d.end(0, sj::Outcome::ok);
+        if (!d.pending.empty()) d.end(0, sj::AttemptResult::ok);
     }
     EXPECT_LE(d.refused.size(), 1u);
 }
@@ -101,7 +101,7 @@
         d.list({"a:1", "b:1"});
         for (int i = 0; i < 60; ++i) {
             d.ask("r" + std::to_string(i), "read", 5, 0.1, 1, 2);
-            if (!d.pending.empty()) d.end(0, sj::Outcome::ok, i % 60 < repeats ? 301 : 0);
+            if (!d.pending.empty()) d.end(0, sj::AttemptResult::ok, i % 60 < repeats ? 301 : 0);
         }
         return d.refused.size();
     };
@@ -115,7 +115,7 @@
     d.list({"a:1", "b:1"});
     for (int i = 0; i < 6; ++i) d.ask("m" + std::to_string(i));
     EXPECT_EQ(d.sends.size(), 3u);
-    d.end(0, sj::Outcome::ok);
+    d.end(0, sj::AttemptResult::ok);
     d.ask("again");
     EXPECT_EQ(d.sends.size(), 4u);
 }
@@ -126,7 +126,8 @@
               2);
         d.run_to(d.now + 0.02);
         while (d.pending.size() > 3)
-            d.end(0, i % 5 ? sj::Outcome::ok : sj::Outcome::error, static_cast<double>(i % 400));
+            d.end(0, i % 5 ? sj::AttemptResult::ok : sj::AttemptResult::error,
+                  static_cast<double>(i % 400));
     };
     Driver alone(quota_settings(), 42), first(quota_settings(), 42), second(quota_settings(), 43);
     for (Driver* d : {&alone, &first, &second}) d->list({"a:1", "b:1", "c:1"});
--- a/tests/gateway/rules_test.cpp
+++ b/tests/gateway/rules_test.cpp
@@ -20,24 +20,25 @@
 
 TEST(Answer, NothingIsSentAfterIt) {
     sj::Settings s = plain_settings();
-    s.parallel_tries = true;
+    s.hedging_allowed = true;
     Driver d(s);
     d.list({"a:1", "b:1", "c:1"});
     d.ask("r", "read", 2.0);
     d.run_to(102.5);
     ASSERT_EQ(d.ended_at.count("r"), 1u);
     const std::size_t sent = d.sends.size();
-    while (!d.pending.empty()) d.end(0, sj::Outcome::connect_failed);
+    while (!d.pending.empty()) d.end(0, sj::AttemptResult::connect_failed);
     d.run_to(110);
     EXPECT_EQ(d.sends.size(), sent);
     EXPECT_EQ(d.refused.size() + d.aborted.size(), 1u);
-    EXPECT_EQ(d.gateway.open(), 0u);
+    EXPECT_EQ(d.gateway.open_requests(), 0u);
 }
 
 // A request given up on is answered in the same call, and a refusal says when to come back.
 TEST(Answer, ComesAtOnceWhenFurtherAttemptsAreUsedUp) {
-    for (const auto outcome : {sj::Outcome::error, sj::Outcome::full, sj::Outcome::connect_failed,
-                               sj::Outcome::reset, sj::Outcome::timeout}) {
+    for (const auto outcome :
+         {sj::AttemptResult::error, sj::AttemptResult::rejected, sj::AttemptResult::connect_failed,
+          sj::AttemptResult::reset, sj::AttemptResult::timeout}) {
         for (const char* cls : {"read", "key", "write"}) {
             Driver d(plain_settings());
             d.list({"a:1", "b:1", "c:1", "d:1"});
@@ -64,14 +65,14 @@
     d.run_to(d.now + 2);
     ASSERT_EQ(d.called_off.size(), 1u);
     d.list({});
-    d.end(0, sj::Outcome::cancelled);
+    d.end(0, sj::AttemptResult::cancelled);
     ASSERT_EQ(d.refused.size(), 1u) << "given up, yet no answer";
     EXPECT_GT(d.retry_after, 0);
 }
 
 TEST(Answer, AnAttemptThatCannotBeReplacedIsNotCalledOff) {
     sj::Settings s = plain_settings();
-    s.attempts_cap = 1;
+    s.max_attempts = 1;
     Driver d(s);
     d.list({"a:1", "b:1"});
     d.ask("r", "read", 5);
@@ -93,16 +94,17 @@
     Driver d(plain_settings());
     d.list({"a:1"});
     d.ask("r");
-    d.give(sj::ClientGone{"r"});
+    d.give(sj::ClientDisconnected{"r"});
     EXPECT_EQ(d.called_off.size(), 1u);
     d.ended_at["r"] = d.now;
-    d.end(0, sj::Outcome::cancelled);
-    EXPECT_EQ(d.gateway.open(), 0u);
+    d.end(0, sj::AttemptResult::cancelled);
+    EXPECT_EQ(d.gateway.open_requests(), 0u);
     EXPECT_TRUE(d.refused.empty() && d.aborted.empty());
 }
 
 TEST(Effect, AnUnsafeRequestThatMayHaveRunIsAbortedNotResent) {
-    for (const auto outcome : {sj::Outcome::error, sj::Outcome::reset, sj::Outcome::timeout}) {
+    for (const auto outcome :
+         {sj::AttemptResult::error, sj::AttemptResult::reset, sj::AttemptResult::timeout}) {
         Driver d(plain_settings());
         d.list({"a:1", "b:1"});
         d.ask("r", "write");
@@ -114,7 +116,7 @@
 }
 
 TEST(Effect, AnUnsafeRequestThatNeverRanIsResentElsewhere) {
-    for (const auto outcome : {sj::Outcome::full, sj::Outcome::connect_failed}) {
+    for (const auto outcome : {sj::AttemptResult::rejected, sj::AttemptResult::connect_failed}) {
         Driver d(plain_settings());
         d.list({"a:1", "b:1"});
         d.ask("r", "write");
@@ -126,18 +128,18 @@
 
 TEST(Effect, AKeyedRequestStaysInItsGroupAndWindow) {
     Driver d(plain_settings());
-    sj::ListEntry far = Driver::entry("b:1");
+    sj::Endpoint far = Driver::entry("b:1");
     far.zone = "y";
     d.list({"a:1"});
     d.change(far);
     d.ask("r", "key");
-    d.end(0, sj::Outcome::error);
+    d.end(0, sj::AttemptResult::error);
     for (const auto& send : d.sends) EXPECT_EQ(send.server, d.sends[0].server);
     EXPECT_TRUE(d.refused.empty());
 
     double begin_by = -1;   // of the further attempt: by the first's time, its window of 3 s and a margin
     for (const sj::Action& a : d.log)
-        if (const auto* send = std::get_if<sj::Send>(&a)) begin_by = send->begin_by_s;
+        if (const auto* send = std::get_if<sj::StartAttempt>(&a)) begin_by = send->start_by_s;
     ASSERT_EQ(d.sends.size(), 2u);
     EXPECT_GT(begin_by, d.sends[0].at + 2.9);
     EXPECT_LT(begin_by, d.sends[0].at + 3);
@@ -147,7 +149,7 @@
     late.ask("r", "key", 5.0);
     late.run_to(103.5);
     ASSERT_EQ(late.sends.size(), 1u);
-    late.end(0, sj::Outcome::error);
+    late.end(0, sj::AttemptResult::error);
     EXPECT_EQ(late.sends.size(), 1u) << "the window has passed";
     EXPECT_EQ(late.aborted.size(), 1u);
 }
@@ -158,7 +160,7 @@
     d.ask("r");
     for (int i = 0; i < 8 && !d.pending.empty(); ++i) {
         EXPECT_EQ(d.pending.size(), 1u);
-        d.end(0, sj::Outcome::error);
+        d.end(0, sj::AttemptResult::error);
     }
     EXPECT_EQ(d.sends.size(), 3u);
     EXPECT_EQ(d.refused.size() + d.aborted.size(), 1u);
@@ -167,8 +169,8 @@
 TEST(Drain, NothingNewGoesToAServerThatDrainsOrIsGone) {
     Driver d(plain_settings());
     d.list({"a:1", "b:1", "c:1"});
-    d.change(Driver::entry("a:1", sj::ServerState::lame));
-    d.list({"b:1", "a:1"}, sj::ListKind::lost);   // a failed call says nothing
+    d.change(Driver::entry("a:1", sj::EndpointState::draining));
+    d.list({"b:1", "a:1"}, sj::EndpointUpdateKind::watch_lost);   // a failed call says nothing
     for (int i = 0; i < 30; ++i) d.ask("x" + std::to_string(i));
     EXPECT_EQ(d.sent_to("a:1"), 0u);
     EXPECT_GT(d.sent_to("c:1"), 0u);
@@ -186,7 +188,7 @@
 
 TEST(Cold, AFreshServerTakesOnlyItsPartOfTheBudget) {
     sj::Settings s = plain_settings();
-    s.balancers = 3;
+    s.ingress_count = 3;
     Driver d(s);
     d.list({"a:1", "b:1", "c:1"});
     int id = 0;
@@ -195,11 +197,11 @@
         while (d.now < until) {
             d.ask("r" + std::to_string(id++));
             d.run_to(d.now + 1.0 / 30);
-            while (!d.pending.empty() && d.now - d.pending[0].at > 0.1) d.end(0, sj::Outcome::ok);
+            while (!d.pending.empty() && d.now - d.pending[0].at > 0.1) d.end(0, sj::AttemptResult::ok);
         }
     };
     for (int i = 0; i < 10; ++i) second();
-    d.change(Driver::entry("n:1", sj::ServerState::in, d.now));
+    d.change(Driver::entry("n:1", sj::EndpointState::serving, d.now));
     for (int i = 0; i < 2; ++i) second();
     // a warm server takes about 20 in that span; the new one starts at 0.2 of that, times 3 at most
     EXPECT_LE(d.sent_to("n:1"), 12u);
@@ -215,7 +217,7 @@
     for (int i = 0; i < 4000; ++i) {   // 10 s at 400 a second through one of two doors
         d.ask("r" + std::to_string(i), "read", 5, 1, 9, 2);
         d.run_to(d.now + 0.0025);
-        while (!d.pending.empty()) d.end(0, sj::Outcome::ok);
+        while (!d.pending.empty()) d.end(0, sj::AttemptResult::ok);
     }
     EXPECT_LE(d.sends.size(), 10 * 20 / 2 + 40 / 2);
     EXPECT_GE(d.sends.size(), 50u);
@@ -232,7 +234,7 @@
         for (int i = 0; i < 100; ++i) {
             d.ask("r" + std::to_string(i), "read", 5, 1, 9, 2);
             d.run_to(d.now + 0.01);
-            while (!d.pending.empty()) d.end(0, sj::Outcome::ok);
+            while (!d.pending.empty()) d.end(0, sj::AttemptResult::ok);
         }
         sent += d.sends.size();
         clock = d.now;
--- a/tests/hot_restart/restart_role_test.cpp
+++ b/tests/hot_restart/restart_role_test.cpp
@@ -10,19 +10,19 @@
 
 #include "hot_restart/restart_message.hpp"
 
-using slatejunction::hot_restart::Message;
-using slatejunction::hot_restart::Order;
+using slatejunction::hot_restart::OperatorOrder;
 using slatejunction::hot_restart::read;
-using slatejunction::hot_restart::Role;
+using slatejunction::hot_restart::RestartMessage;
+using slatejunction::hot_restart::RestartRole;
 using slatejunction::hot_restart::write;
 
 namespace {
 
 struct Process {
-    Role role;
+    RestartRole role;
     bool alive = true, stopping = false;
     bool listening = false;   // at the path
-    Role::State settled = Role::State::alone;
+    RestartRole::State settled = RestartRole::State::alone;
     int peer = -1;   // which process its link goes to; below 0: none
     enum class Word { taken, back, gone };
     std::deque<std::pair<int, Word>> inbox;   // who said it; what others than its peer say is not heard
@@ -60,7 +60,7 @@
         Process fresh;
         if (at >= 0) {
             Process& elder = all[static_cast<std::size_t>(at)];
-            if (!elder.role.heir_came()) return;   // busy: it asks again later
+            if (!elder.role.on_takeover_requested()) return;   // busy: it asks again later
             fresh.role.took_over();
             fresh.peer = at;
             if (elder.peer >= 0)   // one that has said that it ends
@@ -92,13 +92,13 @@
                 if (pick(4) == 0) die(one);
                 return;
             case 2:
-                if (one.role.leaves() && pick(2) == 0) die(one);   // its consumers are gone
+                if (one.role.draining() && pick(2) == 0) die(one);   // its consumers are gone
                 return;
             case 3:
                 if (pick(8) == 0 && !one.stopping) {
                     one.stopping = true;
                     one.role.end();
-                    if (!one.role.elder()) say(one, Process::Word::back);
+                    if (!one.role.is_old_process()) say(one, Process::Word::back);
                 }
                 return;
             default:
@@ -115,7 +115,7 @@
                 one.role.heir_took();
                 break;
             case Process::Word::back:
-                if (one.role.elder()) one.role.heir_back();
+                if (one.role.is_old_process()) one.role.heir_back();
                 break;
             case Process::Word::gone:
                 one.peer = -1;
@@ -171,20 +171,21 @@
 }
 
 TEST_CASE("messages between processes are read as they were written, noise is no message") {
-    Message message, got;
-    message.what = Message::What::state;
+    RestartMessage message, got;
+    message.kind = RestartMessage::Kind::state;
     message.listed = {"s-1", "a \"b\" \n c"};
     message.suspended = {"s-1"};
     message.drained = true;
-    message.use = {1, 2, 3, 4, 5};
+    message.resource_use = {1, 2, 3, 4, 5};
     std::string line = write(message);
     REQUIRE(line.back() == '\n');
     REQUIRE(line.find('\n') == line.size() - 1);
     REQUIRE(read(line, got));
     REQUIRE(got == message);
-    for (const auto what : {Order::What::suspend, Order::What::resume, Order::What::drain}) {
-        Message order;
-        order.what = Message::What::order;
+    for (const auto what :
+         {OperatorOrder::Kind::suspend, OperatorOrder::Kind::resume, OperatorOrder::Kind::drain}) {
+        RestartMessage order;
+        order.kind = RestartMessage::Kind::order;
         order.order = {what, "x"};
         order.number = 7;
         REQUIRE(read(write(order), got));
@@ -202,13 +203,13 @@
     for (int i = 0; i < 20000; ++i) {
         std::string spoilt = line;
         spoilt[random() % spoilt.size()] = static_cast<char>(random());
-        if (read(spoilt, got)) REQUIRE(got.what == Message::What::state);
+        if (read(spoilt, got)) REQUIRE(got.kind == RestartMessage::Kind::state);
     }
 }
 
 TEST_CASE("a state keeps within its line: ids listed are cut short, suspensions are not") {
-    Message message, got;
-    message.what = Message::What::state;
+    RestartMessage message, got;
+    message.kind = RestartMessage::Kind::state;
     for (int i = 0; i < 60000; ++i) message.listed.push_back("provider-number-" + std::to_string(i));
     for (int i = 0; i < 4096; ++i) message.suspended.push_back("provider-number-" + std::to_string(i));
     const std::string line = write(message);
--- a/tests/ingress/extensions_test.cpp
+++ b/tests/ingress/extensions_test.cpp
@@ -31,7 +31,7 @@
 }
 
 TEST_CASE("bad configuration names its field") {
-    const discovery::UnixClock clock;
+    const discovery::UnixTimeConverter clock;
     const auto fault = [&](const std::string& json) {
         try {
             config::read(json, clock);
@@ -55,7 +55,7 @@
 
 // Guards against a reload that the environment of the start undoes.
 TEST_CASE("a reload takes the directory from the file, and names its field") {
-    const auto load = [](const std::string& directory, config::Moment moment) {
+    const auto load = [](const std::string& directory, config::LoadTime moment) {
         char path[] = "/tmp/slatejunction-XXXXXX";
         ::close(::mkstemp(path));
         std::ofstream(path) << R"({"listen":"127.0.0.1:1","discovery":")" << directory
@@ -64,7 +64,7 @@
         ::setenv("NODE_DISCOVERY", "127.0.0.1:2", 1);
         std::string got;
         try {
-            got = config::load(path, discovery::UnixClock(), moment).directory;
+            got = config::load(path, discovery::UnixTimeConverter(), moment).discovery_address;
         } catch (const config::Bad& bad) {
             got = bad.what();
         }
@@ -72,9 +72,9 @@
         std::remove(path);
         return got;
     };
-    CHECK(load("127.0.0.1:3", config::Moment::start) == "127.0.0.1:2");
-    CHECK(load("127.0.0.1:3", config::Moment::reload) == "127.0.0.1:3");
-    CHECK(load("nowhere", config::Moment::reload) == "discovery is no address and port: 'nowhere'");
+    CHECK(load("127.0.0.1:3", config::LoadTime::start) == "127.0.0.1:2");
+    CHECK(load("127.0.0.1:3", config::LoadTime::reload) == "127.0.0.1:3");
+    CHECK(load("nowhere", config::LoadTime::reload) == "discovery is no address and port: 'nowhere'");
 }
 
 TEST_CASE(
@@ -89,7 +89,7 @@
         if (in_environment) ::setenv("NODE_ADMIN_ADDR", in_environment, 1);
         std::string got;
         try {
-            got = config::load(path, discovery::UnixClock()).admin;
+            got = config::load(path, discovery::UnixTimeConverter()).admin;
         } catch (const config::Bad& bad) {
             got = bad.what();
         }
@@ -105,11 +105,11 @@
 }
 
 TEST_CASE("a provider's start reads the same each time, and long ago stays long ago") {
-    const discovery::UnixClock clock;
-    CHECK(clock.monotonic(0) == 0);
+    const discovery::UnixTimeConverter clock;
+    CHECK(clock.to_monotonic_s(0) == 0);
     const double unix_ms = 1000.0 * static_cast<double>(std::time(nullptr));
-    CHECK(clock.monotonic(unix_ms) == clock.monotonic(unix_ms));
-    CHECK(std::abs(clock.monotonic(unix_ms) - net::now()) < 5);
+    CHECK(clock.to_monotonic_s(unix_ms) == clock.to_monotonic_s(unix_ms));
+    CHECK(std::abs(clock.to_monotonic_s(unix_ms) - net::now()) < 5);
 }
 
 // Guards against draws that come in runs: those go over the store while others are refused with room in it.
@@ -117,7 +117,7 @@
     sj::Settings settings = plain_settings();
     settings.meter_period_s = 2;
     settings.plans = {{"plan", 1, 2}};
-    settings.plans[0].over_cost = 1;
+    settings.plans[0].over_quota_penalty = 1;
     std::size_t passed = 0;
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         Driver d(settings, seed);
@@ -127,7 +127,7 @@
             d.run_to(d.now + 0.1);
             d.ask(std::to_string(i));
             if (d.pending.empty()) continue;
-            d.end(0, sj::Outcome::ok, 101);
+            d.end(0, sj::AttemptResult::ok, 101);
             if (i > 100) CHECK(i - last > 1);
             last = i;
             ++passed;
@@ -139,19 +139,19 @@
 namespace {
 
 // A session without a socket: what it is told and does is all there is to see.
-struct Bench : client::SessionHost, net::Transport {
-    std::uint64_t on_invocation(std::shared_ptr<client::Consumer>,
-                                std::shared_ptr<client::Invocation>) override {
+struct Bench : client::SessionController, net::Transport {
+    std::uint64_t on_request(std::shared_ptr<client::ResponseWriter>,
+                             std::shared_ptr<client::ClientRequest>) override {
         return ++taken;
     }
-    void on_left(std::uint64_t) override {}
+    void on_client_disconnected(std::uint64_t) override {}
     bool ready() const override { return true; }
     bool stopping() const override { return false; }
     const sj::Settings& settings() const override { return known; }
-    bool is_open(std::string_view) const override { return false; }
-    http::Budget& budget() override { return bytes; }
+    bool is_request_open(std::string_view) const override { return false; }
+    http::ByteBudget& budget() override { return bytes; }
     void on_bad_request(int, std::string_view) override {}
-    void on_accept_failed(const char*) override {}
+    void on_accept_error(const char*) override {}
     void on_closed(client::Session&) override { ended = true; }
     bool send(std::span<const std::string_view> parts) override {
         sent.clear();
@@ -164,7 +164,7 @@
     void drop(std::size_t most) override { dropping = most; }
     void close() override {}
     sj::Settings known;
-    http::Budget bytes{32 << 20};
+    http::ByteBudget bytes{32 << 20};
     std::string sent;           // last
     std::size_t dropping = 0;   // at most so much
     std::uint64_t taken = 0;
@@ -172,7 +172,7 @@
 };
 
 void feed(client::Session& session, std::string_view bytes) {
-    const auto room = session.space();
+    const auto room = session.receive_buffer();
     REQUIRE(room.size() >= bytes.size());
     bytes.copy(room.data(), bytes.size());
     session.on_bytes(bytes.size());
@@ -209,8 +209,8 @@
 TEST_CASE("values outside the protocol's form are named, and those at its edge pass") {
     sj::Settings known = plain_settings();
     known.plans = {{"plus", 1, 2}};
-    known.balancers = 4;
-    known.largest_units = 2;
+    known.ingress_count = 4;
+    known.max_request_units = 2;
     known.classes[0].deadline_s = 4;
     const auto fault = [&](std::string_view from, std::string_view to) {
         std::string text =
@@ -222,8 +222,8 @@
         buffer.commit(text.size());
         http::Parser parser(http::Parser::Kind::request);
         REQUIRE(parser.feed(buffer) == http::Step::done);
-        client::Invocation invocation;
-        return std::string(client::read_invocation(parser.head(), known, 0, invocation));
+        client::ClientRequest invocation;
+        return std::string(client::read_request(parser.head(), known, 0, invocation));
     };
     CHECK(fault("a1", "a1") == "");
     CHECK(fault("GET", "POST") == "method");
@@ -246,7 +246,7 @@
 
 // Guards against memory held by what heads promise, and by many at once that send it.
 TEST_CASE("a body takes room as it comes, inside the budget of all") {
-    http::Budget budget(40 * 1024);
+    http::ByteBudget budget(40 * 1024);
     const auto step = [&](http::Buffer& buffer, http::Parser& parser, std::size_t body) {
         std::string text = "POST / HTTP/1.1\r\nConnection: close\r\nContent-Length: 60000\r\n\r\n";
         text += std::string(body, 'x');
@@ -274,13 +274,13 @@
 
 namespace {
 
-struct Calls : backend::ConnectionHost {
-    void on_call_end(backend::Connection&, backend::CallTag, const backend::CallEnd& end) override {
+struct Calls : backend::ConnectionCallbacks {
+    void on_call_end(backend::Connection&, backend::AttemptTag, const backend::CallResult& end) override {
         last = end;
     }
-    void on_free(backend::Connection&) override {}
+    void on_idle(backend::Connection&) override {}
     void on_closed(backend::Connection&) override {}
-    backend::CallEnd last;
+    backend::CallResult last;
 };
 
 }   // namespace
@@ -295,12 +295,12 @@
         const auto connection =
             std::make_shared<backend::Connection>(calls, timers, transport.bytes, "s-1", "x:1", names);
         connection->attach(transport);
-        connection->begin({}, std::make_shared<client::Invocation>(), {}, net::now() + 9, 0);
+        connection->begin({}, std::make_shared<client::ClientRequest>(), {}, net::now() + 9, 0);
         connection->write_call();
         const std::string text = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n" + fields + "\r\n\r\n";
-        text.copy(connection->space().data(), text.size());
+        text.copy(connection->receive_buffer().data(), text.size());
         connection->on_bytes(text.size());
-        CHECK(calls.last.outcome == sj::Outcome::ok);
+        CHECK(calls.last.result == sj::AttemptResult::ok);
         return calls.last;
     };
     CHECK(told("X-RateLimit-Used: 12.5").quota_use == 13.5);
@@ -335,51 +335,51 @@
 
 // Guards against memory that grows with every provider that has been: a long day replaces them all.
 TEST_CASE("a provider that is gone is forgotten, and one that moves takes no call to its old address") {
-    struct Host : backend::CallHost {
-        void on_call_end(const backend::CallTag&, const backend::CallEnd& end) override {
-            last = end.outcome;
+    struct Host : backend::CallCallbacks {
+        void on_call_end(const backend::AttemptTag&, const backend::CallResult& end) override {
+            last = end.result;
         }
-        void on_probe_end(const std::string&, const backend::CallEnd&) override {}
-        sj::Outcome last = sj::Outcome::ok;
+        void on_health_check_end(const std::string&, const backend::CallResult&) override {}
+        sj::AttemptResult last = sj::AttemptResult::ok;
     } host;
     net::Timers timers;
-    http::Budget bytes(1 << 20);
-    backend::Pool pool(host, timers, {8, 9, 30}, bytes, {});
-    const auto list = [&](const char* id, sj::ServerState state, const char* address) {
-        discovery::Listing listing;
-        listing.update.entries.resize(1);
-        listing.update.entries[0].server = id;
-        listing.update.entries[0].state = state;
+    http::ByteBudget bytes(1 << 20);
+    backend::ConnectionPool pool(host, timers, {8, 9, 30}, bytes, {});
+    const auto list = [&](const char* id, sj::EndpointState state, const char* address) {
+        discovery::EndpointList listing;
+        listing.update.endpoints.resize(1);
+        listing.update.endpoints[0].backend = id;
+        listing.update.endpoints[0].state = state;
         listing.addresses = {address};
         pool.update(listing);
     };
     for (int i = 0; i < 100; ++i) {
-        list(std::to_string(i).c_str(), sj::ServerState::in, "127.0.0.1:1");
-        list(std::to_string(i).c_str(), sj::ServerState::out, "");
+        list(std::to_string(i).c_str(), sj::EndpointState::serving, "127.0.0.1:1");
+        list(std::to_string(i).c_str(), sj::EndpointState::removed, "");
     }
-    CHECK(pool.providers() == 0);
+    CHECK(pool.backends() == 0);
     // No loop runs here to tell what becomes of the dial, so it is still out when the provider moves.
-    list("a", sj::ServerState::in, "127.0.0.1:1");
-    const auto call = pool.call("a", {}, std::make_shared<client::Invocation>(), net::now() + 9);
+    list("a", sj::EndpointState::serving, "127.0.0.1:1");
+    const auto call = pool.start_call("a", {}, std::make_shared<client::ClientRequest>(), net::now() + 9);
     REQUIRE(call);
     CHECK(pool.connections() == 1);
-    list("a", sj::ServerState::in, "127.0.0.1:2");
-    CHECK(host.last == sj::Outcome::connect_failed);
+    list("a", sj::EndpointState::serving, "127.0.0.1:2");
+    CHECK(host.last == sj::AttemptResult::connect_failed);
     CHECK(pool.connections() == 0);
 }
 
 // Guards against calls that are lost on connections which their provider has ended unseen.
 TEST_CASE("connections idle for longer than providers keep them are not used, and tried again later") {
-    backend::Freshness freshness;
-    CHECK(freshness.limit(0) > 1e6);
+    backend::IdleLifetime freshness;
+    CHECK(freshness.limit_s(0) > 1e6);
     for (int i = 0; i < 100; ++i) {   // 4 in 100 break at any age: no reason to dial
-        freshness.used(-1, i % 25 == 0, 1);
-        freshness.used(0.03, i % 25 == 0, 1);
+        freshness.record_use(-1, i % 25 == 0, 1);
+        freshness.record_use(0.03, i % 25 == 0, 1);
     }
-    CHECK(freshness.limit(1) > 1e6);
-    for (int i = 0; i < 3; ++i) freshness.used(0.3, true, 1);
-    CHECK(freshness.limit(1) == Approx(0.2));
-    CHECK(freshness.limit(200) > 1e6);
+    CHECK(freshness.limit_s(1) > 1e6);
+    for (int i = 0; i < 3; ++i) freshness.record_use(0.3, true, 1);
+    CHECK(freshness.limit_s(1) == Approx(0.2));
+    CHECK(freshness.limit_s(200) > 1e6);
 }
 
 // Guards against healthy servers left out because they end idle connections.
@@ -390,10 +390,10 @@
             Driver d(plain_settings(), seed);
             d.list({"one"});
             d.ask("a", "write");
-            sj::AttemptEnd end;
+            sj::AttemptEnded end;
             end.id = "a";
-            end.outcome = sj::Outcome::reset;
-            end.stale = stale;
+            end.result = sj::AttemptResult::reset;
+            end.stale_connection = stale;
             d.pending.clear();
             d.give(end);
             d.list({"one", "two"});
@@ -412,9 +412,9 @@
         sj::Settings settings = plain_settings();
         settings.meter_period_s = 2;
         settings.plans = {{"plan", 1, 2}};
-        settings.plans[0].over_cost = 1;
-        settings.classes[0].worth = 2;
-        settings.classes[2].worth = dear_worth;
+        settings.plans[0].over_quota_penalty = 1;
+        settings.classes[0].priority_weight = 2;
+        settings.classes[2].priority_weight = dear_worth;
         std::map<std::string, int> counts;
         for (std::uint64_t seed = 1; seed <= 20; ++seed) {
             Driver d(settings, seed);
@@ -424,7 +424,7 @@
                 const std::string cls = i % 2 ? "read" : "write";
                 d.ask(std::to_string(i), cls);
                 if (d.pending.empty()) continue;
-                d.end(0, sj::Outcome::ok, 101);
+                d.end(0, sj::AttemptResult::ok, 101);
                 ++counts[cls];
             }
         }
@@ -442,7 +442,7 @@
         sj::Settings settings = plain_settings();
         settings.meter_period_s = 2;
         settings.plans = {{"plan", 2, 10}};
-        settings.plans[0].over_cost = 1;
+        settings.plans[0].over_quota_penalty = 1;
         std::size_t passed = 0;
         for (std::uint64_t seed = 1; seed <= 20; ++seed) {
             Driver d(settings, seed);
@@ -451,7 +451,7 @@
                 d.run_to(d.now + gap);
                 d.ask(std::to_string(i), "read", 5, 1, 1, doors);
                 if (d.pending.empty()) continue;
-                d.end(0, sj::Outcome::ok);
+                d.end(0, sj::AttemptResult::ok);
                 ++passed;
             }
         }
@@ -483,7 +483,7 @@
         return static_cast<int>(ntohs(at.sin_port));
     };
     struct Quiet : net::Protocol {
-        std::span<char> space() override { return {}; }
+        std::span<char> receive_buffer() override { return {}; }
         void on_bytes(std::size_t) override {}
         void on_end(bool) override {}
     };
--- a/tests/ingress/reentry_test.cpp
+++ b/tests/ingress/reentry_test.cpp
@@ -40,21 +40,21 @@
     bool broken = false, slow = false, full = false, closed = false;
 };
 
-struct Door : client::SessionHost {
-    std::uint64_t on_invocation(std::shared_ptr<client::Consumer>,
-                                std::shared_ptr<client::Invocation> invocation) override {
+struct Door : client::SessionController {
+    std::uint64_t on_request(std::shared_ptr<client::ResponseWriter>,
+                             std::shared_ptr<client::ClientRequest> invocation) override {
         taken.push_back(std::move(invocation));
         if (on_taken) on_taken();
         return taken.size();
     }
-    void on_left(std::uint64_t number) override { left.push_back(number); }
+    void on_client_disconnected(std::uint64_t number) override { left.push_back(number); }
     bool ready() const override { return true; }
     bool stopping() const override { return false; }
     const slatejunction::Settings& settings() const override { return known; }
-    bool is_open(std::string_view) const override { return false; }
-    http::Budget& budget() override { return bytes; }
+    bool is_request_open(std::string_view) const override { return false; }
+    http::ByteBudget& budget() override { return bytes; }
     void on_bad_request(int, std::string_view) override {}
-    void on_accept_failed(const char*) override {}
+    void on_accept_error(const char*) override {}
     void on_closed(client::Session&) override {
         if (on_end) on_end();
     }
@@ -62,28 +62,28 @@
     Door() {
         known.classes.resize(1);
         known.classes[0].name = "send";
-        known.classes[0].effect = slatejunction::Effect::side_effect;
+        known.classes[0].idempotency = slatejunction::Idempotency::not_idempotent;
     }
     slatejunction::Settings known;
-    http::Budget bytes{32 << 20};
-    std::vector<std::shared_ptr<client::Invocation>> taken;
+    http::ByteBudget bytes{32 << 20};
+    std::vector<std::shared_ptr<client::ClientRequest>> taken;
     std::vector<std::uint64_t> left;
     std::function<void()> on_taken, on_end;
 };
 
-struct Taker : client::Sink {
-    bool put(std::string_view bytes) override {
+struct Taker : client::BodySink {
+    bool write(std::string_view bytes) override {
         got += bytes;
         return on_put ? on_put() : true;
     }
-    void put_end(bool whole) override { ended = whole ? "whole" : "cut"; }
+    void end(bool whole) override { ended = whole ? "whole" : "cut"; }
     std::string got, ended;
     std::function<bool()> on_put;
 };
 
 void feed(net::Protocol& protocol, std::string_view bytes) {
     while (!bytes.empty()) {
-        const auto room = protocol.space();
+        const auto room = protocol.receive_buffer();
         REQUIRE(!room.empty());
         const std::size_t size = bytes.copy(room.data(), room.size());
         bytes.remove_prefix(size);
@@ -118,10 +118,10 @@
     REQUIRE(door.taken.size() == 1);
     const auto taker = std::make_shared<Taker>();
     taker->on_put = [&] {
-        session->answer({503, 1, {}, {}});
+        session->write_response({503, 1, {}, {}});
         return true;
     };
-    door.taken[0]->rest->pull(taker);
+    door.taken[0]->body_rest->stream_to(taker);
     feed(*session, std::string(1000, 'x'));
     CHECK(taker->got.size() == 1000);
     CHECK(count(wire.sent, "HTTP/1.1 503 ") == 1);
@@ -135,11 +135,11 @@
     session->attach(wire);
     feed(*session, kChunked + "15f90\r\n");
     const auto taker = std::make_shared<Taker>();
-    door.taken.at(0)->rest->pull(taker);
+    door.taken.at(0)->body_rest->stream_to(taker);
     feed(*session, std::string(90000, 'x') + "\r\n");
     REQUIRE(taker->got.size() == 90000);
     taker->on_put = [&] {
-        session->answer({503, 1, {}, {}});
+        session->write_response({503, 1, {}, {}});
         return false;   // as of a sink that is told to hold: nothing of it counts any more
     };
     feed(*session, "5\r\nhello\r\n5\r\nworld\r\n0\r\n\r\n");
@@ -159,8 +159,8 @@
     session->attach(wire);
     feed(*session, kChunked + "15f90\r\n");
     const auto taker = std::make_shared<Taker>();
-    client::Source* const source = door.taken.at(0)->rest.get();
-    source->pull(taker);
+    client::BodySource* const source = door.taken.at(0)->body_rest.get();
+    source->stream_to(taker);
     feed(*session, std::string(90000, 'x') + "\r\n");
     taker->on_put = [] { return false; };
     feed(*session, "5\r\nhello\r\n5\r\nworld\r\n");   // the second one waits until the first is written
@@ -169,11 +169,11 @@
     door.on_end = [&] { session.reset(); };
     taker->on_put = [&] {
         wire.broken = true;
-        there.lock()->answer({503, 1, {}, {}});
+        there.lock()->write_response({503, 1, {}, {}});
         door.taken.clear();
         return true;
     };
-    source->go_on();
+    source->resume();
     CHECK(wire.closed);
     CHECK(there.expired());
 }
@@ -185,7 +185,7 @@
     const auto session = std::make_shared<client::Session>(door);
     session->attach(wire);
     const auto taker = std::make_shared<Taker>();
-    door.on_taken = [&] { door.taken.back()->rest->pull(taker); };   // a connection stood idle
+    door.on_taken = [&] { door.taken.back()->body_rest->stream_to(taker); };   // a connection stood idle
     const std::string body = kChunked + "10000\r\n" + std::string(65536, 'x') + "\r\n1770\r\n" +
                              std::string(6000, 'x') + "\r\n0x5\r\n";
     feed(*session, body);
@@ -205,25 +205,25 @@
     wire.slow = true;
     feed(*session, ask + ask);
     CHECK(count(wire.sent, "HTTP/1.1 200 ") == 1);
-    CHECK(session->space().empty());
+    CHECK(session->receive_buffer().empty());
     wire.slow = wire.full = false;
     session->on_sent();
     CHECK(count(wire.sent, "HTTP/1.1 200 ") == 2);
-    CHECK(!session->space().empty());
+    CHECK(!session->receive_buffer().empty());
 }
 
 namespace {
 
-struct Calls : backend::ConnectionHost {
-    void on_call_end(backend::Connection&, backend::CallTag, const backend::CallEnd& end) override {
-        last = end.outcome;
+struct Calls : backend::ConnectionCallbacks {
+    void on_call_end(backend::Connection&, backend::AttemptTag, const backend::CallResult& end) override {
+        last = end.result;
         if (end.rest) rest = end.rest;
         if (on_end) on_end();
     }
-    void on_free(backend::Connection&) override { ++freed; }
+    void on_idle(backend::Connection&) override { ++freed; }
     void on_closed(backend::Connection&) override { ++closed; }
-    slatejunction::Outcome last = slatejunction::Outcome::ok;
-    std::shared_ptr<client::Source> rest;
+    slatejunction::AttemptResult last = slatejunction::AttemptResult::ok;
+    std::shared_ptr<client::BodySource> rest;
     std::function<void()> on_end;
     int freed = 0, closed = 0;
 };
@@ -234,14 +234,14 @@
     Calls calls;
     Wire wire;
     net::Timers timers;
-    http::Budget bytes{32 << 20};
+    http::ByteBudget bytes{32 << 20};
     const std::vector<std::string> fields;
     auto connection = std::make_shared<backend::Connection>(calls, timers, bytes, "s-1", "x:1", fields);
     connection->attach(wire);
-    connection->begin({}, std::make_shared<client::Invocation>(), {}, net::now() + 9, 0);
+    connection->begin({}, std::make_shared<client::ClientRequest>(), {}, net::now() + 9, 0);
     connection->write_call();
     const auto taker = std::make_shared<Taker>();
-    calls.on_end = [&] { calls.rest->pull(taker); };
+    calls.on_end = [&] { calls.rest->stream_to(taker); };
     feed(*connection, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n15f90\r\n");
     REQUIRE(calls.rest);
     taker->on_put = [&] {
@@ -262,12 +262,12 @@
     Calls calls;
     Wire wire;
     net::Timers timers;
-    http::Budget bytes{32 << 20};
+    http::ByteBudget bytes{32 << 20};
     const std::vector<std::string> fields;
     const auto connection =
         std::make_shared<backend::Connection>(calls, timers, bytes, "s-1", "x:1", fields);
     connection->attach(wire);
-    connection->begin({}, std::make_shared<client::Invocation>(), {}, net::now() + wait_s, 0);
+    connection->begin({}, std::make_shared<client::ClientRequest>(), {}, net::now() + wait_s, 0);
     connection->write_call();
     const std::size_t from = wire.sent.find("X-Deadline: ") + 12;
     return wire.sent.substr(from, wire.sent.find('\r', from) - from);
@@ -292,7 +292,7 @@
         Wire wire;
         const auto session = std::make_shared<client::Session>(door);
         session->attach(wire);
-        session->answer({503, wait, {}, {}});
+        session->write_response({503, wait, {}, {}});
         CHECK(wire.sent.starts_with(
             "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: "));
         CHECK(wire.sent.ends_with("\r\n\r\n"));
@@ -303,27 +303,27 @@
 
 // A closed connection among the idle ones would be handed out, and clearing them would never end.
 TEST_CASE("a connection that has been closed is never kept as idle") {
-    struct Host : backend::CallHost {
-        void on_call_end(const backend::CallTag&, const backend::CallEnd&) override {}
-        void on_probe_end(const std::string&, const backend::CallEnd&) override {}
+    struct Host : backend::CallCallbacks {
+        void on_call_end(const backend::AttemptTag&, const backend::CallResult&) override {}
+        void on_health_check_end(const std::string&, const backend::CallResult&) override {}
     } host;
     net::Timers timers;
-    http::Budget bytes(1 << 20);
-    backend::Pool pool(host, timers, {8, 9, 30}, bytes, {});
-    discovery::Listing listing;
-    listing.update.entries.resize(1);
-    listing.update.entries[0].server = "a";
-    listing.update.entries[0].state = slatejunction::ServerState::in;
+    http::ByteBudget bytes(1 << 20);
+    backend::ConnectionPool pool(host, timers, {8, 9, 30}, bytes, {});
+    discovery::EndpointList listing;
+    listing.update.endpoints.resize(1);
+    listing.update.endpoints[0].backend = "a";
+    listing.update.endpoints[0].state = slatejunction::EndpointState::serving;
     listing.addresses = {"127.0.0.1:1"};
     pool.update(listing);
-    const auto call = pool.call("a", {}, std::make_shared<client::Invocation>(), net::now() + 9);
+    const auto call = pool.start_call("a", {}, std::make_shared<client::ClientRequest>(), net::now() + 9);
     REQUIRE(call);
-    call->abandon(slatejunction::Outcome::cancelled);
+    call->abandon(slatejunction::AttemptResult::cancelled);
     REQUIRE(pool.connections() == 0);
-    CHECK_NOTHROW(pool.on_free(*call));
+    CHECK_NOTHROW(pool.on_idle(*call));
     CHECK(pool.connections() == 0);
-    pool.sweep(net::now() + 100);
-    CHECK(pool.call("a", {}, std::make_shared<client::Invocation>(), net::now() + 9) != call);
+    pool.close_expired(net::now() + 100);
+    CHECK(pool.start_call("a", {}, std::make_shared<client::ClientRequest>(), net::now() + 9) != call);
 }
 
 TEST_CASE("a timer armed for no time at all stops no other one") {
@@ -363,25 +363,25 @@
         rapidjson::Document json;
         json.Parse(text.data(), text.size());
         REQUIRE(!json.HasParseError());
-        discovery::Listing listing;
+        discovery::EndpointList listing;
         int broken = 0;
-        REQUIRE(discovery::read_listing(json, discovery::UnixClock(), listing, broken));
-        REQUIRE(listing.update.entries.size() == 1);
-        CHECK(listing.update.entries[0].cell == 0);
+        REQUIRE(discovery::read_endpoint_list(json, discovery::UnixTimeConverter(), listing, broken));
+        REQUIRE(listing.update.endpoints.size() == 1);
+        CHECK(listing.update.endpoints[0].cell == 0);
     }
 }
 
 // 64 KiB of brackets: a parser that calls itself for each would run out of stack.
 TEST_CASE("a list of nothing but brackets is one that can't be read") {
-    struct Host : discovery::WatchHost {
-        void on_listing(discovery::Listing&) override {}
-        void on_lost(const char* why) override { lost = why; }
+    struct Host : discovery::WatchCallbacks {
+        void on_endpoint_list(discovery::EndpointList&) override {}
+        void on_watch_lost(const char* why) override { lost = why; }
         std::string lost;
     } host;
     net::Timers timers;
-    const discovery::UnixClock clock;
+    const discovery::UnixTimeConverter clock;
     Wire wire;
-    const auto watch = std::make_shared<discovery::Watch>(host, timers, clock, "x:1", 1);
+    const auto watch = std::make_shared<discovery::EndpointWatch>(host, timers, clock, "x:1", 1);
     watch->attach(wire, [] { return true; });
     watch->start({});
     watch->on_open();
@@ -415,7 +415,7 @@
 }
 
 struct Thrower : net::Protocol {
-    std::span<char> space() override { return room; }
+    std::span<char> receive_buffer() override { return room; }
     void on_bytes(std::size_t) override { throw std::out_of_range("a test's own fault"); }
     void on_end(bool) override { throw std::out_of_range("a test's own fault"); }
     char room[16];
--- a/tests/lease/explore.hpp
+++ b/tests/lease/explore.hpp
@@ -45,7 +45,7 @@
     Found run() {
         State start;
         for (int i = 0; i < 3; ++i) start.voters.emplace_back(times_, -10.0, 0, true);
-        const Voters set{{"v0", "v1", "v2"}, {}, 1};
+        const AcceptorSet set{{"v0", "v1", "v2"}, {}, 1};
         for (std::uint64_t i = 0; i < 2; ++i) {
             start.seekers.emplace_back("job", "s", i + 1, times_, set, i + 1);
             start.seekers.back().seek(0);
@@ -65,8 +65,8 @@
         Message message;
     };
     struct State {
-        std::vector<Voter> voters;
-        std::vector<Seeker> seekers;
+        std::vector<Acceptor> voters;
+        std::vector<Candidate> seekers;
         std::vector<Late> late;
         std::vector<Outgoing> pending[2];
         double now = 0;   // s, true time
@@ -84,7 +84,7 @@
         std::string all;
         const auto put = [&](std::uint64_t value) { all.append(reinterpret_cast<const char*>(&value), 8); };
         const double v = voter_clock(s.now);
-        for (const Voter& one : s.voters) {
+        for (const Acceptor& one : s.voters) {
             put(static_cast<std::uint64_t>(std::max(0.0, one.waits_until() - v) * 1e3));
             for (const auto& [lease, grant] : one.grants()) {
                 put(grant.holder);
@@ -95,7 +95,7 @@
             }
             all += '|';
         }
-        for (const Seeker& one : s.seekers) all += one.digest(seeker_clock(s.now)) + '|';
+        for (const Candidate& one : s.seekers) all += one.digest(seeker_clock(s.now)) + '|';
         std::vector<std::string> late;
         for (const Late& one : s.late)
             late.push_back(std::to_string(one.seeker) + std::to_string(one.voter) +
@@ -114,10 +114,10 @@
     bool check(State& s) {
         const double clock = seeker_clock(s.now);
         for (int i = 0; i < 2; ++i) {
-            Seeker& one = s.seekers[static_cast<std::size_t>(i)];
+            Candidate& one = s.seekers[static_cast<std::size_t>(i)];
             auto& pending = s.pending[i];
             for (auto& out : one.take()) pending.push_back(out);
-            if (one.state() == Seeker::State::held && one.number() != 0 && !s.held[i]) {
+            if (one.state() == Candidate::State::held && one.number() != 0 && !s.held[i]) {
                 ++found_.holds;
                 if (one.number() <= s.gained)
                     return breach("number " + std::to_string(one.number()) + " after " +
@@ -125,7 +125,7 @@
                 s.gained = one.number();
                 s.gained_by = i;
             }
-            s.held[i] = one.state() == Seeker::State::held;
+            s.held[i] = one.state() == Candidate::State::held;
         }
         if (s.seekers[0].holds(clock) && s.seekers[1].holds(clock)) return breach("two hold at once");
         return true;
@@ -148,7 +148,7 @@
     void go(const State& s, int depth) {
         if (depth <= 0) return;
         const std::string text = key(s);
-        const std::uint64_t hash = slatejunction::storage::check_of(text.data(), text.size());
+        const std::uint64_t hash = slatejunction::storage::checksum(text.data(), text.size());
         int& left = seen_[hash];
         if (left >= depth) return;
         if (left == 0) ++found_.states;
@@ -157,7 +157,7 @@
         for (int i = 0; i < 2; ++i)
             if (!s.pending[i].empty()) return flush(s, i, depth);
         for (int i = 0; i < 2; ++i) {
-            const Seeker& one = s.seekers[static_cast<std::size_t>(i)];
+            const Candidate& one = s.seekers[static_cast<std::size_t>(i)];
             if (one.due() > seeker_clock(s.now) + 1e-9) continue;
             State next = s;
             next.seekers[static_cast<std::size_t>(i)].wake(seeker_clock(s.now));
@@ -187,7 +187,7 @@
         step(std::move(next), depth, "tick");
     }
     void replace(State& s, std::size_t v) {
-        std::vector<Voter> all;
+        std::vector<Acceptor> all;
         for (std::size_t i = 0; i < 3; ++i)
             i == v
                 ? all.emplace_back(times_, voter_clock(s.now),
@@ -247,7 +247,7 @@
     }
 
     const Bounds bounds_;
-    const Times times_{1, kDrift, 0.01, 0.05};
+    const LeaseTimes times_{1, kDrift, 0.01, 0.05};
     std::unordered_map<std::uint64_t, int> seen_;
     std::vector<std::string> path_;
     Found found_;
--- a/tests/lease/lease_test.cpp
+++ b/tests/lease/lease_test.cpp
@@ -19,7 +19,7 @@
 Message release(std::uint64_t holder, std::uint64_t round) {
     return {Kind::release, "job", holder, round, 0, 0, 1, ""};
 }
-const Times kTimes{1, 0.05, 0.02, 0.1};
+const LeaseTimes kTimes{1, 0.05, 0.02, 0.1};
 
 }   // namespace
 
@@ -62,12 +62,12 @@
         for (const double gap : result.gaps) worst = std::max(worst, gap);
         gaps += result.gaps.size();
     }
-    CHECK(worst < gap_s(kTimes, 0.04, 4));
-    CHECK(worst > 0.3 * gap_s(kTimes, 0.04, 4));
+    CHECK(worst < max_vacancy_s(kTimes, 0.04, 4));
+    CHECK(worst > 0.3 * max_vacancy_s(kTimes, 0.04, 4));
 }
 
 TEST_CASE("a voter grants to one at a time, and takes each number once", "[lease]") {
-    Voter voter(kTimes, 0, 100, true);
+    Acceptor voter(kTimes, 0, 100, true);
     Message answer;
     REQUIRE(voter.receive(0, ask(1, 1), answer));
     CHECK(answer.kind == Kind::granted);
@@ -87,7 +87,7 @@
 }
 
 TEST_CASE("late and doubled rounds change nothing", "[lease]") {
-    Voter voter(kTimes, 0, 0, true);
+    Acceptor voter(kTimes, 0, 0, true);
     Message answer;
     REQUIRE(voter.receive(0, ask(1, 5), answer));
     CHECK_FALSE(voter.receive(0.1, release(1, 4), answer));   // of an earlier round
@@ -103,15 +103,15 @@
 }
 
 TEST_CASE("a voter that forgot is silent for longer than any grant", "[lease]") {
-    Voter voter(kTimes, 10, 0, false);
+    Acceptor voter(kTimes, 10, 0, false);
     Message answer;
     CHECK_FALSE(voter.receive(10 + amnesia_s(kTimes) - 0.01, ask(1, 1), answer));
     CHECK(voter.receive(10 + amnesia_s(kTimes) + 0.01, ask(1, 2), answer));
-    CHECK(amnesia_s(kTimes) > kTimes.lives_s * (1 + kTimes.drift));
+    CHECK(amnesia_s(kTimes) > kTimes.grant_duration_s * (1 + kTimes.drift));
 }
 
 TEST_CASE("grants for longer than this voter reckons with, and earlier steps, are refused", "[lease]") {
-    Voter voter(kTimes, 0, 0, true, {}, 3);
+    Acceptor voter(kTimes, 0, 0, true, {}, 3);
     Message longer = ask(1, 1), answer;
     longer.step = 3;
     longer.lives_s = 1.5;
@@ -125,13 +125,13 @@
 }
 
 TEST_CASE("while voters change a majority of both sets is wanted", "[lease]") {
-    const Voters both{{"a", "b", "c", "d"}, {"a", "b", "c"}, 2};
+    const AcceptorSet both{{"a", "b", "c", "d"}, {"a", "b", "c"}, 2};
     CHECK_FALSE(both.majority({"a", "b"}));
     CHECK_FALSE(both.majority({"c", "d"}));
     CHECK_FALSE(both.majority({"b", "d"}));
     CHECK(both.majority({"a", "b", "d"}));
     CHECK(both.majority({"a", "b", "c"}));
-    CHECK_FALSE(Voters{{"a", "b", "c", "d"}, {}, 1}.majority({"a", "b"}));
+    CHECK_FALSE(AcceptorSet{{"a", "b", "c", "d"}, {}, 1}.majority({"a", "b"}));
 }
 
 TEST_CASE("k slots have k holders at most, and the next comes in when one goes", "[lease]") {
@@ -150,19 +150,19 @@
 TEST_CASE("a voter's memory is kept whole, and a broken one is put aside", "[lease]") {
     Folder folder;
     {
-        FileHome home(folder.path());
-        CHECK(home.memory() == nullptr);
-        REQUIRE(home.keep(7, {{"job", {11, 2, 33, 11, 99, "n1"}}}));
+        FileAcceptorStorage home(folder.path());
+        CHECK(home.restored() == nullptr);
+        REQUIRE(home.save(7, {{"job", {11, 2, 33, 11, 99, "n1"}}}));
     }
     {
-        FileHome home(folder.path());
-        REQUIRE(home.memory() != nullptr);
-        CHECK(home.memory()->step == 7);
-        const Grant& grant = home.memory()->grants.at("job");
+        FileAcceptorStorage home(folder.path());
+        REQUIRE(home.restored() != nullptr);
+        CHECK(home.restored()->step == 7);
+        const Grant& grant = home.restored()->grants.at("job");
         CHECK(grant.holder == 11);
         CHECK(grant.number == 33);
         // Whoever held may hold still: the lease is free only after a whole life.
-        Voter voter(kTimes, 0, 0, true, home.memory()->grants, 7);
+        Acceptor voter(kTimes, 0, 0, true, home.restored()->grants, 7);
         Message answer, other = ask(12, 1);
         other.step = 7;
         REQUIRE(voter.receive(0.9, other, answer));
@@ -171,20 +171,20 @@
     std::string bytes = folder.read("leases");
     bytes[bytes.size() / 2] ^= 1;
     folder.write("leases", bytes);
-    FileHome home(folder.path());
-    CHECK(home.memory() == nullptr);
-    CHECK(home.broken() == folder.file("leases.broken-1"));
+    FileAcceptorStorage home(folder.path());
+    CHECK(home.restored() == nullptr);
+    CHECK(home.quarantined_path() == folder.file("leases.broken-1"));
 }
 
 TEST_CASE("what can't be kept is not said", "[lease]") {
-    struct Full : Home {
-        bool keep(std::uint32_t, const std::map<std::string, Grant>&) override { return false; }
+    struct Full : AcceptorStorage {
+        bool save(std::uint32_t, const std::map<std::string, Grant>&) override { return false; }
     } full;
-    const Memory nothing;
-    Room room({"v", kTimes, {{"v", "w", "x"}, {}, 1}}, 9, 1, 0, 0, &nothing, &full);
+    const AcceptorState nothing;
+    LeaseNode room({"v", kTimes, {{"v", "w", "x"}, {}, 1}}, 9, 1, 0, 0, &nothing, &full);
     room.receive(1, "s", write(ask(5, 1)));
-    CHECK(room.take_posts().empty());
-    CHECK(room.not_kept() == 1);
+    CHECK(room.take_outgoing().empty());
+    CHECK(room.failed_saves() == 1);
 }
 
 TEST_CASE("faults of the file's [lease] and [peers] name section and key", "[lease]") {
--- a/tests/lease/world.hpp
+++ b/tests/lease/world.hpp
@@ -34,7 +34,7 @@
 
 struct Plan {
     std::size_t processes = 5, voters = 3, spare_voters = 0;   // spare: may become voters
-    Times times{1, 0.05, 0.02, 0.1};
+    LeaseTimes times{1, 0.05, 0.02, 0.1};
     std::vector<double> rates;   // of the clocks; 1 where none is given
     double loss = 0, twice = 0, delay_least = 0.001, delay_most = 0.02;
     unsigned slots = 1;
@@ -89,15 +89,15 @@
     std::uint64_t digest() const { return digest_.value(); }
 
   private:
-    struct Memories : Home {
-        bool keep(std::uint32_t step, const std::map<std::string, Grant>& grants) override {
-            memory = Memory{step, grants};
+    struct Memories : AcceptorStorage {
+        bool save(std::uint32_t step, const std::map<std::string, Grant>& grants) override {
+            memory = AcceptorState{step, grants};
             return true;
         }
-        std::optional<Memory> memory;
+        std::optional<AcceptorState> memory;
     };
     struct Node {
-        std::unique_ptr<Room> room;
+        std::unique_ptr<LeaseNode> room;
         Memories home;
         double offset = 0;
         std::uint64_t life = 0;   // goes up with each start and kill
@@ -133,14 +133,15 @@
         ++node.life;
         node.paused = false;
         node.waiting.clear();
-        Voters set{voters_, before_, step_};
-        const Memory* memory = plan_.kept && node.home.memory ? &*node.home.memory : nullptr;
+        AcceptorSet set{voters_, before_, step_};
+        const AcceptorState* memory = plan_.kept && node.home.memory ? &*node.home.memory : nullptr;
         // A fleet that is started for the first time has granted nothing; a later start can't know that.
         const auto floor = static_cast<std::uint64_t>(1e6 + now_ * 1e3);
         node.holder = ++lives_;
-        node.room = std::make_unique<Room>(RoomSettings{name(i), plan_.times, set}, node.holder, random_(),
-                                           clock(i), floor, memory, plan_.kept ? &node.home : nullptr);
-        node.room->seek(clock(i), "job", plan_.slots);
+        node.room = std::make_unique<LeaseNode>(LeaseNodeSettings{name(i), plan_.times, set}, node.holder,
+                                                random_(), clock(i), floor, memory,
+                                                plan_.kept ? &node.home : nullptr);
+        node.room->campaign(clock(i), "job", plan_.slots);
         settle(i);
         act_later(i);
     }
@@ -152,26 +153,27 @@
 
     void settle(std::size_t i) {
         Node& node = nodes_[i];
-        for (const auto& post : node.room->take_posts()) {
+        for (const auto& post : node.room->take_outgoing()) {
             digest_.add(now_, i, post.to, post.body);
             send(i, place(post.to), post.body);
         }
-        for (const auto& change : node.room->take_changes()) {
-            digest_.add(now_, i, change.what, change.lease, change.slot, change.number, change.until);
-            if (change.what == Change::What::lost) continue;
+        for (const auto& change : node.room->take_events()) {
+            digest_.add(now_, i, change.kind, change.lease, change.slot, change.fencing_token,
+                        change.until);
+            if (change.kind == LeaseEvent::Kind::lost) continue;
             ++result_.holds;
             // The two processes of an upgrade are one holder.
-            const std::string place =
-                change.lease + "/" + std::to_string(change.slot) + "=" + std::to_string(change.number);
+            const std::string place = change.lease + "/" + std::to_string(change.slot) + "=" +
+                                      std::to_string(change.fencing_token);
             const std::string who = name(i) + "." + std::to_string(node.holder);
             const auto [old, made] = numbers_.emplace(place, who);
             if (old->second != who)
-                breach("number " + std::to_string(change.number) + " gained by " + who + " and " +
+                breach("number " + std::to_string(change.fencing_token) + " gained by " + who + " and " +
                        old->second);
         }
         digest_views(i);
         act_last(i);
-        const double due = node.room->due();
+        const double due = node.room->next_deadline();
         if (due > 1e17) return;
         const double time = std::max(now_, (due - node.offset) / plan_.rates[i]) + 1e-9;
         if (time >= node.armed - 1e-9 && node.armed > now_) return;
@@ -181,9 +183,11 @@
     // What the room holds or seeks, as it says itself, and what its voter has made durable.
     void digest_views(std::size_t i) {
         const Node& node = nodes_[i];
-        for (const View& view : node.room->views())
-            digest_.add(view.lease, view.slot, view.state, view.number, view.until, view.since, view.other);
-        digest_.add(node.room->due(), node.room->gained(), node.room->lost(), node.room->not_kept());
+        for (const LeaseStatus& view : node.room->statuses())
+            digest_.add(view.lease, view.slot, view.state, view.fencing_token, view.until, view.since,
+                        view.other_holder);
+        digest_.add(node.room->next_deadline(), node.room->gained(), node.room->lost(),
+                    node.room->failed_saves());
         if (!node.home.memory) return;
         digest_.add(node.home.memory->step);
         for (const auto& [lease, grant] : node.home.memory->grants)
@@ -194,7 +198,7 @@
         Node& node = nodes_[i];
         if (node.life != life || node.paused) return;
         node.armed = 1e18;
-        node.room->wake(clock(i));
+        node.room->on_timer(clock(i));
         settle(i);
     }
 
@@ -229,9 +233,10 @@
     // The latest moment at which an act may begin by this hold, as it stands now.
     void act_last(std::size_t i) {
         Node& node = nodes_[i];
-        for (const View& view : node.room->views()) {
-            const double time = (view.until - plan_.times.act_s - node.offset) / plan_.rates[i] - 1e-6;
-            if (view.state != Seeker::State::held || time < now_ || time == node.last_act) continue;
+        for (const LeaseStatus& view : node.room->statuses()) {
+            const double time =
+                (view.until - plan_.times.max_action_s - node.offset) / plan_.rates[i] - 1e-6;
+            if (view.state != Candidate::State::held || time < now_ || time == node.last_act) continue;
             node.last_act = time;
             at(time, [this, i, life = node.life] {
                 if (nodes_[i].life == life) act(i, true);
@@ -242,21 +247,23 @@
         Node& node = nodes_[i];
         Permit permit;
         const bool permitted = !node.paused && node.room->permit(clock(i), "job", permit);
-        digest_.add(permitted, permit.number, permit.until);
+        digest_.add(permitted, permit.fencing_token, permit.valid_until);
         if (!permitted) return;
         std::string slot = "job";
-        for (const View& view : node.room->views()) slot += "/" + std::to_string(view.slot);
+        for (const LeaseStatus& view : node.room->statuses()) slot += "/" + std::to_string(view.slot);
         ++result_.acts;
-        const double takes = longest || draw(0, 1) < 0.5 ? plan_.times.act_s : draw(0, plan_.times.act_s);
+        const double takes =
+            longest || draw(0, 1) < 0.5 ? plan_.times.max_action_s : draw(0, plan_.times.max_action_s);
         Act& last = acts_[slot];
-        if (last.until > now_ && (last.who != i || last.life != node.life) && last.number != permit.number)
-            breach(name(i) + " acts with number " + std::to_string(permit.number) + " while " +
+        if (last.until > now_ && (last.who != i || last.life != node.life) &&
+            last.number != permit.fencing_token)
+            breach(name(i) + " acts with number " + std::to_string(permit.fencing_token) + " while " +
                    name(last.who) + " does with " + std::to_string(last.number) + " until " +
                    std::to_string(last.until));
-        if (permit.number < last.number)
-            breach(name(i) + " acts with number " + std::to_string(permit.number) + " after " +
+        if (permit.fencing_token < last.number)
+            breach(name(i) + " acts with number " + std::to_string(permit.fencing_token) + " after " +
                    std::to_string(last.number));
-        last = {i, node.life, permit.number, std::max(last.until, now_ + takes / plan_.rates[i])};
+        last = {i, node.life, permit.fencing_token, std::max(last.until, now_ + takes / plan_.rates[i])};
     }
     void breach(const std::string& what) {
         if (result_.breach.empty()) result_.breach = std::to_string(now_) + " s: " + what;
@@ -328,16 +335,16 @@
     // An upgrade: the other process of this ingress goes on with what was held.
     void hand_over(std::size_t i) {
         Node& node = nodes_[i];
-        if (!node.room || node.paused || node.room->voter()) return;
-        const auto holds = node.room->give(clock(i));
+        if (!node.room || node.paused || node.room->acceptor()) return;
+        const auto holds = node.room->export_holds(clock(i));
         for (const auto& hold : holds)
-            digest_.add(hold.lease, hold.holder, hold.round, hold.number, hold.until, hold.since);
+            digest_.add(hold.lease, hold.holder, hold.round, hold.fencing_token, hold.until, hold.since);
         settle(i);
-        Voters set{voters_, before_, step_};
-        node.room = std::make_unique<Room>(RoomSettings{name(i), plan_.times, set}, ++lives_, random_(),
-                                           clock(i), 0);
-        node.room->seek(clock(i), "job", plan_.slots);
-        node.room->adopt(clock(i), holds);
+        AcceptorSet set{voters_, before_, step_};
+        node.room = std::make_unique<LeaseNode>(LeaseNodeSettings{name(i), plan_.times, set}, ++lives_,
+                                                random_(), clock(i), 0);
+        node.room->campaign(clock(i), "job", plan_.slots);
+        node.room->import_holds(clock(i), holds);
         node.armed = 1e18;
         settle(i);
     }
@@ -350,10 +357,10 @@
         at_spare == voters_.end() ? voters_.push_back(spare) : void(voters_.erase(at_spare));
         ++step_;
         for (std::size_t i = 0; i < plan_.processes; ++i)
-            at(now_ + draw(0, 1.5), [this, i, set = Voters{voters_, before_, step_}] {
+            at(now_ + draw(0, 1.5), [this, i, set = AcceptorSet{voters_, before_, step_}] {
                 if (!nodes_[i].room || nodes_[i].paused) return;
-                if (set.step <= nodes_[i].room->settings().voters.step) return;
-                nodes_[i].room->set_voters(clock(i), set);
+                if (set.epoch <= nodes_[i].room->settings().acceptors.epoch) return;
+                nodes_[i].room->set_acceptors(clock(i), set);
                 settle(i);
             });
     }
--- a/tests/lifecycle/graceful_shutdown_test.cpp
+++ b/tests/lifecycle/graceful_shutdown_test.cpp
@@ -11,8 +11,8 @@
 #include <vector>
 
 namespace op = slatejunction::lifecycle;
-using op::Shutdown;
-using Act = Shutdown::Act;
+using op::GracefulShutdown;
+using Act = GracefulShutdown::Action;
 
 namespace {
 
@@ -25,12 +25,12 @@
 
 // Runs it as the driver does, until it has ended, and for at most `most_s`. `facts`: from the time since it
 // began.
-std::vector<Done> run(Shutdown& shutdown, const std::function<Shutdown::Facts(double)>& facts,
-                      double most_s = 200) {
+std::vector<Done> run(GracefulShutdown& shutdown,
+                      const std::function<GracefulShutdown::Facts(double)>& facts, double most_s = 200) {
     std::vector<Done> all;
     for (double now = kStart; now - kStart < most_s; now = shutdown.advance_again_at(now))
         for (;;) {
-            Shutdown::Facts seen = facts(now - kStart);
+            GracefulShutdown::Facts seen = facts(now - kStart);
             seen.now = now;
             const Act act = shutdown.advance(seen);
             if (act != Act::none) all.push_back({now - kStart, act});
@@ -81,52 +81,53 @@
 }
 
 TEST_CASE("nothing to do: it ends once no more connections are expected", "[operations][shutdown]") {
-    Shutdown shutdown(12);
+    GracefulShutdown shutdown(12);
     REQUIRE(std::isinf(shutdown.ends_by()));
     REQUIRE(shutdown.advance({kStart}) == Act::none);
-    shutdown.tell(kStart);
+    shutdown.request_stop(kStart);
     REQUIRE(shutdown.ends_by() == Approx(kStart + op::stop_bound_s(12)));
-    const auto all = run(shutdown, [](double) { return Shutdown::Facts{}; });
-    REQUIRE(acts(all) == std::vector{Act::refuse_new, Act::stop_listening, Act::end});
+    const auto all = run(shutdown, [](double) { return GracefulShutdown::Facts{}; });
+    REQUIRE(acts(all) == std::vector{Act::refuse_handshakes, Act::stop_listening, Act::end});
     REQUIRE(all.back().at > 0.6);
     REQUIRE(all.back().at < 0.75);
 }
 
 TEST_CASE("health checks without pause do not prolong it", "[operations][shutdown]") {
-    Shutdown shutdown(12);
-    shutdown.tell(kStart);
+    GracefulShutdown shutdown(12);
+    shutdown.request_stop(kStart);
     // There is always one, and the listener's end leaves none.
     const auto all = run(shutdown, [&](double) {
-        Shutdown::Facts facts;
-        facts.connections = shutdown.state() <= Shutdown::State::refusing ? 4 : 0;
+        GracefulShutdown::Facts facts;
+        facts.connections = shutdown.state() <= GracefulShutdown::State::refusing ? 4 : 0;
         return facts;
     });
-    REQUIRE(acts(all) == std::vector{Act::refuse_new, Act::stop_listening, Act::end});
+    REQUIRE(acts(all) == std::vector{Act::refuse_handshakes, Act::stop_listening, Act::end});
     REQUIRE(all.back().at < 0.75);
 }
 
 TEST_CASE("an open request keeps it listening, for its whole time", "[operations][shutdown]") {
-    Shutdown shutdown(3);
-    shutdown.tell(kStart);
+    GracefulShutdown shutdown(3);
+    shutdown.request_stop(kStart);
     const auto all = run(shutdown, [](double since) {
-        Shutdown::Facts facts;
+        GracefulShutdown::Facts facts;
         facts.connections = facts.in_use = since < 2.5 ? 1 : 0;
         return facts;
     });
-    REQUIRE(acts(all) == std::vector{Act::refuse_new, Act::stop_listening, Act::end});
+    REQUIRE(acts(all) == std::vector{Act::refuse_handshakes, Act::stop_listening, Act::end});
     REQUIRE(all.back().at >= 2.5);
     REQUIRE(all.back().at < 2.65);
 }
 
 TEST_CASE("a request that may take 12 s is answered before SIGKILL", "[operations][shutdown]") {
-    Shutdown shutdown(12);
-    shutdown.tell(kStart);
+    GracefulShutdown shutdown(12);
+    shutdown.request_stop(kStart);
     const auto all = run(shutdown, [](double since) {
-        Shutdown::Facts facts;
+        GracefulShutdown::Facts facts;
         facts.connections = facts.in_use = since < 11.5 ? 1 : 0;
         return facts;
     });
-    REQUIRE(acts(all) == std::vector{Act::refuse_new, Act::stop_listening, Act::answer_owed, Act::end});
+    REQUIRE(acts(all) ==
+            std::vector{Act::refuse_handshakes, Act::stop_listening, Act::answer_open_requests, Act::end});
     REQUIRE(all[2].at >= 3.4 - 1e-9);
     REQUIRE(all.back().at < 3.7 - 0.15);
 }
@@ -134,43 +135,44 @@
 TEST_CASE("whatever does not cease, it ends within the bound", "[operations][shutdown]") {
     const double deadline = GENERATE(0.0, 0.1, 0.5, 1.0, 4.0, 12.0);
     const int kind = GENERATE(0, 1, 2);
-    Shutdown shutdown(deadline);
-    shutdown.tell(kStart);
+    GracefulShutdown shutdown(deadline);
+    shutdown.request_stop(kStart);
     const auto all = run(shutdown, [&](double since) {
-        Shutdown::Facts facts;
+        GracefulShutdown::Facts facts;
         facts.connections = 1;
         if (kind == 0) facts.in_use = 1;                               // never done
         if (kind == 1) facts.last_request_at = kStart + since - 0.1;   // new requests, each done at once
         if (kind == 2) facts.last_unknown_at = kStart + since - 0.1;   // new connections that say nothing
         return facts;
     });
-    REQUIRE(acts(all) == std::vector{Act::refuse_new, Act::stop_listening, Act::answer_owed, Act::end});
+    REQUIRE(acts(all) ==
+            std::vector{Act::refuse_handshakes, Act::stop_listening, Act::answer_open_requests, Act::end});
     REQUIRE(all[0].at >= op::close_after_s(deadline) - 1e-9);
     REQUIRE(all[1].at >= all[0].at + op::kHandshakesS - 1e-9);
     REQUIRE(all[2].at >= op::force_after_s(deadline) - 1e-9);
     REQUIRE(all[2].at < op::force_after_s(deadline) + 0.02);
     REQUIRE(all[3].at <= op::stop_bound_s(deadline) + 1e-9);
-    REQUIRE(shutdown.turns_away());
+    REQUIRE(shutdown.rejects_new_requests());
 }
 
 TEST_CASE("told twice: the first time counts", "[operations][shutdown]") {
-    Shutdown shutdown(3);
-    shutdown.tell(kStart);
-    shutdown.tell(kStart + 2);
+    GracefulShutdown shutdown(3);
+    shutdown.request_stop(kStart);
+    shutdown.request_stop(kStart + 2);
     REQUIRE(shutdown.ends_by() == Approx(kStart + op::stop_bound_s(3)));
 }
 
 TEST_CASE("a process that stood still beyond its bound goes on in order", "[operations][shutdown]") {
-    Shutdown shutdown(3);
-    shutdown.tell(kStart);
-    Shutdown::Facts facts;
+    GracefulShutdown shutdown(3);
+    shutdown.request_stop(kStart);
+    GracefulShutdown::Facts facts;
     facts.now = kStart + 100;
     facts.connections = facts.in_use = 1;
-    REQUIRE(shutdown.advance(facts) == Act::refuse_new);
+    REQUIRE(shutdown.advance(facts) == Act::refuse_handshakes);
     REQUIRE(shutdown.advance(facts) == Act::none);
     facts.now = shutdown.advance_again_at(facts.now);
     REQUIRE(shutdown.advance(facts) == Act::stop_listening);
-    REQUIRE(shutdown.advance(facts) == Act::answer_owed);
+    REQUIRE(shutdown.advance(facts) == Act::answer_open_requests);
     REQUIRE(shutdown.advance(facts) == Act::none);   // what it took at last is read meanwhile
     facts.now = shutdown.advance_again_at(facts.now) + op::kAnswersS;
     REQUIRE(shutdown.advance(facts) == Act::end);
@@ -179,12 +181,12 @@
 
 TEST_CASE("handed over: it listens on nothing and ends with its last connection",
           "[operations][shutdown]") {
-    Shutdown shutdown(12);
+    GracefulShutdown shutdown(12);
     shutdown.hand_over(kStart);
-    REQUIRE_FALSE(shutdown.told());
+    REQUIRE_FALSE(shutdown.stop_requested());
     SECTION("the last one goes") {
         const auto all = run(shutdown, [](double since) {
-            Shutdown::Facts facts;
+            GracefulShutdown::Facts facts;
             facts.another_accepts = true;
             facts.connections = since < 3 ? 1 : 0;
             facts.last_request_at = kStart + since;
@@ -195,42 +197,42 @@
     }
     SECTION("one never goes") {
         const auto all = run(shutdown, [](double) {
-            Shutdown::Facts facts;
+            GracefulShutdown::Facts facts;
             facts.another_accepts = true;
             facts.connections = facts.in_use = 1;
             return facts;
         });
-        REQUIRE(acts(all) == std::vector{Act::answer_owed, Act::end});
+        REQUIRE(acts(all) == std::vector{Act::answer_open_requests, Act::end});
         REQUIRE(all.back().at <= 12 + 0.4 + op::kAnswersS + op::kHandedMoreS);
     }
     SECTION("told to end beside: the bound counts from there") {
-        shutdown.tell(kStart + 5);
+        shutdown.request_stop(kStart + 5);
         REQUIRE(shutdown.ends_by() == Approx(kStart + 5 + op::stop_bound_s(12)));
     }
     SECTION("the new process goes: it serves as before") {
-        shutdown.take_back();
-        REQUIRE_FALSE(shutdown.leaves());
-        REQUIRE(shutdown.state() == Shutdown::State::serving);
-        REQUIRE_FALSE(shutdown.idle_most_s(kStart + 50));
+        shutdown.cancel_hand_over();
+        REQUIRE_FALSE(shutdown.draining());
+        REQUIRE(shutdown.state() == GracefulShutdown::State::serving);
+        REQUIRE_FALSE(shutdown.max_idle_s(kStart + 50));
         REQUIRE(shutdown.advance({kStart + 50}) == Act::none);
     }
     SECTION("told beside, and the new process goes: it listens until it ends") {
-        shutdown.tell(kStart);
-        shutdown.take_back();
-        REQUIRE(acts(run(shutdown, [](double) { return Shutdown::Facts{}; })) ==
-                std::vector{Act::refuse_new, Act::stop_listening, Act::end});
+        shutdown.request_stop(kStart);
+        shutdown.cancel_hand_over();
+        REQUIRE(acts(run(shutdown, [](double) { return GracefulShutdown::Facts{}; })) ==
+                std::vector{Act::refuse_handshakes, Act::stop_listening, Act::end});
     }
 }
 
 TEST_CASE("idle connections are kept while more may come on them", "[operations][shutdown]") {
-    Shutdown shutdown(12);
-    REQUIRE_FALSE(shutdown.idle_most_s(kStart));
+    GracefulShutdown shutdown(12);
+    REQUIRE_FALSE(shutdown.max_idle_s(kStart));
     shutdown.hand_over(kStart);
-    REQUIRE_FALSE(shutdown.idle_most_s(kStart + 1.1));
-    REQUIRE(shutdown.idle_most_s(kStart + 1.3) == Shutdown::kHandedQuietS);
-    shutdown.tell(kStart + 2);
-    REQUIRE(shutdown.idle_most_s(kStart + 2.5) == Shutdown::kHandedQuietS);
-    REQUIRE(shutdown.idle_most_s(kStart + 2.7) == Shutdown::kQuietS);
+    REQUIRE_FALSE(shutdown.max_idle_s(kStart + 1.1));
+    REQUIRE(shutdown.max_idle_s(kStart + 1.3) == GracefulShutdown::kHandedQuietS);
+    shutdown.request_stop(kStart + 2);
+    REQUIRE(shutdown.max_idle_s(kStart + 2.5) == GracefulShutdown::kHandedQuietS);
+    REQUIRE(shutdown.max_idle_s(kStart + 2.7) == GracefulShutdown::kQuietS);
 }
 
 TEST_CASE("by seed: each act once and in order, none too early, all within the bound",
@@ -242,13 +244,13 @@
         const double deadline = drawn(15), busy_until = drawn(20), asks_until = drawn(20);
         const double silence_until = drawn(20), stands_at = drawn(20),
                      stands_s = seed % 5 == 0 ? drawn(5) : 0;
-        Shutdown shutdown(deadline);
-        shutdown.tell(kStart);
+        GracefulShutdown shutdown(deadline);
+        shutdown.request_stop(kStart);
         bool stood = false;
         double now = kStart;
         std::vector<Done> all;
-        while (shutdown.state() != Shutdown::State::ended && now < kStart + 100) {
-            Shutdown::Facts facts;
+        while (shutdown.state() != GracefulShutdown::State::ended && now < kStart + 100) {
+            GracefulShutdown::Facts facts;
             const double since = now - kStart;
             facts.now = now;
             facts.in_use = since < busy_until ? 1 : 0;
@@ -258,29 +260,29 @@
             const Act act = shutdown.advance(facts);
             if (act != Act::none) all.push_back({since, act});
             // Not too early: it listens on while anything is going on that is no health check.
-            if (act == Act::refuse_new && since < op::close_after_s(deadline) - 1e-9) {
+            if (act == Act::refuse_handshakes && since < op::close_after_s(deadline) - 1e-9) {
                 REQUIRE(since > 0.6);
                 REQUIRE(facts.in_use == 0);
                 REQUIRE(now - facts.last_request_at > 0.15);
                 REQUIRE(now - facts.last_unknown_at > 0.15);
             }
-            if (act == Act::answer_owed) REQUIRE(since >= op::force_after_s(deadline) - 1e-9);
+            if (act == Act::answer_open_requests) REQUIRE(since >= op::force_after_s(deadline) - 1e-9);
             if (act == Act::end && facts.connections > 0) {
                 REQUIRE(all.size() >= 3);
-                REQUIRE(all[all.size() - 2].act == Act::answer_owed);
+                REQUIRE(all[all.size() - 2].act == Act::answer_open_requests);
             }
             if (act != Act::none) continue;
             now = shutdown.advance_again_at(now);
             if (stands_s > 0 && !stood && now - kStart > stands_at) stood = true, now += stands_s;
         }
-        REQUIRE(shutdown.state() == Shutdown::State::ended);
+        REQUIRE(shutdown.state() == GracefulShutdown::State::ended);
         REQUIRE(all.size() >= 3);
-        REQUIRE(all[0].act == Act::refuse_new);
+        REQUIRE(all[0].act == Act::refuse_handshakes);
         REQUIRE(all[1].act == Act::stop_listening);
         REQUIRE(all[1].at - all[0].at >= op::kHandshakesS - 1e-9);
         REQUIRE(all.back().act == Act::end);
         REQUIRE(all.size() <= 4);
-        if (all.size() == 4) REQUIRE(all[2].act == Act::answer_owed);
+        if (all.size() == 4) REQUIRE(all[2].act == Act::answer_open_requests);
         // The parts have kPartsS then; less only where deadlines are shorter than the handshakes' time.
         const double least = op::close_after_s(deadline) + op::kHandshakesS + op::kAnswersS;
         const double bound = std::max(op::stop_bound_s(deadline) - op::kPartsS, least);
--- a/tests/log/log_test.cpp
+++ b/tests/log/log_test.cpp
@@ -37,12 +37,12 @@
     one.id = id;
     one.service_class = "risk-read";
     one.plan = "plus";
-    one.outcome = "served";
-    one.provider = "s-1";
+    one.result = "served";
+    one.backend = "s-1";
     one.customer = 0xb4d65521;
     one.attempts = 2;
     one.seconds = 0.25;
-    one.worth = 2.4;
+    one.earned_weight = 2.4;
     return one;
 }
 
--- a/tests/membership/network_model.hpp
+++ b/tests/membership/network_model.hpp
@@ -38,7 +38,7 @@
     static std::string name(std::size_t i) { return "m" + std::to_string(i); }
     static std::string address(std::size_t i) { return "a" + std::to_string(i); }
     double now() const { return events_.now(); }
-    Members& member(std::size_t i) { return *nodes_[i].members; }
+    SwimMembership& member(std::size_t i) { return *nodes_[i].members; }
     bool up(std::size_t i) const { return nodes_[i].members != nullptr; }
 
     // `other_address`: it claims the name from elsewhere.
@@ -55,7 +55,7 @@
         node.process = ++processes_;
         ++node.life;
         node.armed = 1e18;
-        node.members = std::make_unique<Members>(settings, node.process, random_());
+        node.members = std::make_unique<SwimMembership>(settings, node.process, random_());
         node.members->start(now());
         settle(i);
     }
@@ -87,19 +87,19 @@
         }
         return holds();
     }
-    bool has(std::size_t i, std::size_t j, State state) const {
+    bool has(std::size_t i, std::size_t j, MemberState state) const {
         const Member* const one = nodes_[i].members->find(name(j));
         return one && one->state == state;
     }
     // All that are up have j so.
-    bool all_have(std::size_t j, State state) const {
+    bool all_have(std::size_t j, MemberState state) const {
         for (std::size_t i = 0; i < nodes_.size(); ++i)
             if (i != j && up(i) && !has(i, j, state)) return false;
         return true;
     }
     bool all_alive() const {
         for (std::size_t j = 0; j < nodes_.size(); ++j)
-            if (!up(j) || !all_have(j, State::alive)) return false;
+            if (!up(j) || !all_have(j, MemberState::alive)) return false;
         return true;
     }
     std::uint64_t bytes() const { return bytes_; }
@@ -108,7 +108,7 @@
     // Of members that were up: called gone by one that was up, without ever having been killed before.
     std::uint64_t false_deaths() const { return false_deaths_; }
     std::uint64_t disputes() const { return disputes_; }
-    const std::vector<Heard>& heard(std::size_t i) const { return nodes_[i].heard; }
+    const std::vector<ReceivedMessage>& heard(std::size_t i) const { return nodes_[i].heard; }
     // Of all that the members have put out so far: datagrams, changes, bodies for rooms above.
     std::uint64_t digest() const { return digest_.value(); }
     void settle(std::size_t i) {
@@ -119,16 +119,16 @@
             digest_.add(now(), i, one.from, one.process, one.channel, one.body);
             node.heard.push_back(std::move(one));
         }
-        for (const Change& one : node.members->take_changes()) {
+        for (const MemberChange& one : node.members->take_changes()) {
             digest_.add(now(), i, one.what, one.member.name, one.member.address, one.member.site,
                         one.member.version, one.member.incarnation, one.member.process, one.member.state,
                         one.member.since, one.member.heard_at, one.member.disputed);
-            disputes_ += one.what == Change::What::disputed;
-            if (one.what != Change::What::state || one.member.state != State::gone) continue;
+            disputes_ += one.what == MemberChange::What::disputed;
+            if (one.what != MemberChange::What::state || one.member.state != MemberState::gone) continue;
             for (const Node& other : nodes_)
                 false_deaths_ += other.members && other.process == one.member.process;
         }
-        const double due = node.members->due();
+        const double due = node.members->next_deadline();
         digest_.add(due, node.members->alive(), node.members->health(), node.members->waits_for_name());
         if (due > 1e17 || (due >= node.armed - 1e-9 && node.armed >= now())) return;
         node.armed = std::max(due, now());
@@ -136,18 +136,18 @@
             Node& one = nodes_[i];
             if (one.life != life || !one.members) return;
             one.armed = 1e18;
-            if (one.members->due() <= now()) one.members->wake(now());
+            if (one.members->next_deadline() <= now()) one.members->on_timer(now());
             settle(i);
         });
     }
 
   private:
     struct Node {
-        std::unique_ptr<Members> members;
+        std::unique_ptr<SwimMembership> members;
         std::string address;
         std::uint64_t process = 0, life = 0;
         double armed = 1e18, every = 0;
-        std::vector<Heard> heard;
+        std::vector<ReceivedMessage> heard;
     };
     double draw(double from, double to) {
         return std::uniform_real_distribution<double>(from, to)(random_);
--- a/tests/membership/swim_test.cpp
+++ b/tests/membership/swim_test.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-const Key kKey = {1, 2, 3}, kOther = {9, 9, 9};
+const AuthKey kKey = {1, 2, 3}, kOther = {9, 9, 9};
 
 }   // namespace
 
@@ -29,8 +29,8 @@
             CHECK(net.false_deaths() == 0);
             const double at = net.now();
             net.kill(1);
-            REQUIRE(net.run_until(200, [&] { return net.all_have(1, State::gone); }));
-            CHECK(net.now() - at <= known_within_s(members, 1));
+            REQUIRE(net.run_until(200, [&] { return net.all_have(1, MemberState::gone); }));
+            CHECK(net.now() - at <= detection_bound_s(members, 1));
             // Anew, under the same name at the same address.
             net.start(1);
             REQUIRE(net.run_until(60, [&] { return net.all_alive(); }));
@@ -42,7 +42,7 @@
     Net net({}, 4);
     REQUIRE(net.run_until(60, [&] { return net.all_alive(); }));
     net.leave(2);
-    CHECK(net.run_until(3, [&] { return net.all_have(2, State::left); }));
+    CHECK(net.run_until(3, [&] { return net.all_have(2, MemberState::departed); }));
 }
 
 TEST_CASE("a split heals: both sides find each other again", "[peers]") {
@@ -50,8 +50,9 @@
     REQUIRE(net.run_until(60, [&] { return net.all_alive(); }));
     for (std::size_t i = 0; i < 2; ++i)
         for (std::size_t j = 2; j < 5; ++j) net.cut(i, j, true), net.cut(j, i, true);
-    REQUIRE(net.run_until(60, [&] { return net.has(0, 4, State::gone) && net.has(4, 0, State::gone); }));
-    CHECK(net.has(0, 1, State::alive));
+    REQUIRE(net.run_until(
+        60, [&] { return net.has(0, 4, MemberState::gone) && net.has(4, 0, MemberState::gone); }));
+    CHECK(net.has(0, 1, MemberState::alive));
     for (std::size_t i = 0; i < 2; ++i)
         for (std::size_t j = 2; j < 5; ++j) net.cut(i, j, false), net.cut(j, i, false);
     CHECK(net.run_until(90, [&] { return net.all_alive(); }));
@@ -74,10 +75,10 @@
     Net net(plan, 7);
     REQUIRE(net.run_until(60, [&] { return net.all_alive(); }));
     net.kill(4);
-    REQUIRE(net.run_until(60, [&] { return net.all_have(4, State::gone); }));
+    REQUIRE(net.run_until(60, [&] { return net.all_have(4, MemberState::gone); }));
     net.start(4, Net::name(3), "elsewhere");
     REQUIRE(net.run_until(60, [&] { return net.member(4).waits_for_name(); }));
-    CHECK(net.has(0, 3, State::alive));
+    CHECK(net.has(0, 3, MemberState::alive));
     CHECK(net.member(0).find(Net::name(3))->address == Net::address(3));
     net.kill(3);
     CHECK(net.run_until(120, [&] { return !net.member(4).waits_for_name(); }));
@@ -94,7 +95,7 @@
     for (std::size_t i = 200; i < 300; ++i) net.kill(i);
     const bool known = net.run_until(150, [&] {
         for (std::size_t i = 200; i < 300; ++i)
-            if (!net.all_have(i, State::gone)) return false;
+            if (!net.all_have(i, MemberState::gone)) return false;
         return true;
     });
     CHECK(known);
@@ -135,36 +136,37 @@
 }
 
 TEST_CASE("a seal opens once, for its process, by either key, anything else is dropped unread", "[peers]") {
-    Seal a({kKey}, 11), b({kKey}, 22), later({kOther, kKey}, 22), c({kOther}, 33);
+    DatagramAuth a({kKey}, 11), b({kKey}, 22), later({kOther, kKey}, 22), c({kOther}, 33);
     std::uint64_t from = 0;
     std::string_view payload;
-    const std::string sealed = a.close(22, "words");
-    CHECK(b.open(sealed, from, payload) == Opened::fresh);
+    const std::string sealed = a.seal(22, "words");
+    CHECK(b.open(sealed, from, payload) == OpenResult::fresh);
     CHECK(from == 11);
     CHECK(payload == "words");
-    CHECK(b.open(sealed, from, payload) == Opened::replayed);
-    CHECK(later.open(sealed, from, payload) == Opened::fresh);   // the old key still opens
-    CHECK(c.open(sealed, from, payload) == Opened::key);
-    CHECK(Seal({kKey}, 44).open(sealed, from, payload) == Opened::stranger);   // started since
-    CHECK(b.open(a.close(0, "hello"), from, payload) == Opened::stranger);
+    CHECK(b.open(sealed, from, payload) == OpenResult::replayed);
+    CHECK(later.open(sealed, from, payload) == OpenResult::fresh);   // the old key still opens
+    CHECK(c.open(sealed, from, payload) == OpenResult::key);
+    CHECK(DatagramAuth({kKey}, 44).open(sealed, from, payload) ==
+          OpenResult::unknown_sender);   // started since
+    CHECK(b.open(a.seal(0, "hello"), from, payload) == OpenResult::unknown_sender);
     for (std::size_t i = 0; i < sealed.size(); ++i) {
-        std::string spoilt = a.close(22, "words");
+        std::string spoilt = a.seal(22, "words");
         spoilt[i] ^= 4;
-        CHECK(b.open(spoilt, from, payload) != Opened::fresh);
-        CHECK(b.open(spoilt.substr(0, i), from, payload) != Opened::fresh);
+        CHECK(b.open(spoilt, from, payload) != OpenResult::fresh);
+        CHECK(b.open(spoilt.substr(0, i), from, payload) != OpenResult::fresh);
     }
     // Out of order is taken, too far behind is not.
     std::vector<std::string> many;
-    for (int i = 0; i < 400; ++i) many.push_back(a.close(22, "x"));
-    CHECK(b.open(many[399], from, payload) == Opened::fresh);
-    CHECK(b.open(many[300], from, payload) == Opened::fresh);
-    CHECK(b.open(many[300], from, payload) == Opened::replayed);
-    CHECK(b.open(many[10], from, payload) == Opened::replayed);
-    CHECK(b.open(std::string(kDatagramMost + 1, 'x'), from, payload) == Opened::short_or_long);
+    for (int i = 0; i < 400; ++i) many.push_back(a.seal(22, "x"));
+    CHECK(b.open(many[399], from, payload) == OpenResult::fresh);
+    CHECK(b.open(many[300], from, payload) == OpenResult::fresh);
+    CHECK(b.open(many[300], from, payload) == OpenResult::replayed);
+    CHECK(b.open(many[10], from, payload) == OpenResult::replayed);
+    CHECK(b.open(std::string(kDatagramMost + 1, 'x'), from, payload) == OpenResult::short_or_long);
 }
 
 TEST_CASE("faults of [peers] and of its key file are told", "[peers]") {
-    std::vector<Key> keys;
+    std::vector<AuthKey> keys;
     CHECK(read_keys("# a\n" + std::string(64, '0') + "\n", keys) == "");
     CHECK(keys.size() == 1);
     CHECK(read_keys("00\n", keys) == "line 1: a key is 64 hexadecimal digits");
--- a/tests/metrics/measures_test.cpp
+++ b/tests/metrics/measures_test.cpp
@@ -10,18 +10,18 @@
 #include "files.hpp"
 
 namespace metrics = slatejunction::metrics;
-using metrics::Ending;
 using metrics::Id;
 using metrics::Measures;
+using metrics::RequestResult;
 
 namespace {
 
 Measures::Shape shape() {
     slatejunction::ServiceClass read{"risk-read", 1.5, 4}, send{"warn-send", 5, 12};
-    read.worth = 2, read.late_worth = 0.2;
-    send.worth = 6, send.late_worth = 0.1;
+    read.priority_weight = 2, read.late_priority_weight = 0.2;
+    send.priority_weight = 6, send.late_priority_weight = 0.1;
     slatejunction::Plan basis{"basis"}, plus{"plus"};
-    basis.price = 0.8, plus.price = 1.2;
+    basis.plan_weight = 0.8, plus.plan_weight = 1.2;
     return {{read, send}, {basis, plus}};
 }
 
@@ -56,11 +56,11 @@
 
 TEST_CASE("a finished request moves its count, worth and duration") {
     Measures measures(shape(), 1000);
-    const double served = measures.finished({0, 1, Ending::served, 0, 0.3, 2});
+    const double served = measures.finished({0, 1, RequestResult::served, 0, 0.3, 2});
     CHECK(served == Approx(2 * 1.2 * 2));
-    CHECK(measures.finished({1, 0, Ending::served, 0, 6, 1}) == Approx(6 * 0.8 * 0.1));   // late
-    CHECK(measures.finished({1, 0, Ending::refused, 3, 0.001, 1}) == 0);
-    CHECK(measures.finished({1, 0, Ending::failed, 0, 1.5, 1}) == 0);
+    CHECK(measures.finished({1, 0, RequestResult::served, 0, 6, 1}) == Approx(6 * 0.8 * 0.1));   // late
+    CHECK(measures.finished({1, 0, RequestResult::rejected, 3, 0.001, 1}) == 0);
+    CHECK(measures.finished({1, 0, RequestResult::failed, 0, 1.5, 1}) == 0);
     auto all = sampled(measures);
     CHECK(all["slatejunction_requests_total class=risk-read plan=plus outcome=served"] == 1);
     CHECK(all["slatejunction_requests_total class=warn-send plan=basis outcome=refused"] == 1);
@@ -80,8 +80,8 @@
     Measures measures(shape(), 1000);
     std::mt19937 random(7);
     for (int i = 0; i < 5000; ++i)
-        measures.finished({random() % 2, random() % 2, static_cast<Ending>(random() % 3), random() % 8,
-                           1e-3 * (random() % 20000), 1.0 + random() % 3});
+        measures.finished({random() % 2, random() % 2, static_cast<RequestResult>(random() % 3),
+                           random() % 8, 1e-3 * (random() % 20000), 1.0 + random() % 3});
     double requests = 0, refused = 0, refusals = 0, counts = 0, infinite = 0;
     double offered = 0, earned = 0;
     for (const auto& [name, value] : sampled(measures)) {
@@ -106,12 +106,12 @@
     const Folder folder;
     {
         Measures measures(shape(), 1000, folder.file("counters"));
-        measures.finished({0, 1, Ending::served, 0, 0.3, 1});
+        measures.finished({0, 1, RequestResult::served, 0, 0.3, 1});
         measures.sampled(5000);
     }
     Measures::Shape other = shape();
     other.plans.erase(other.plans.begin());   // plus is now the first
-    other.classes[0].aim_s = 2.5;
+    other.classes[0].latency_objective_s = 2.5;
     Measures measures(other, 9000, folder.file("counters"));
     auto all = sampled(measures);
     CHECK(all["slatejunction_requests_total class=risk-read plan=plus outcome=served"] == 1);
--- a/tests/quota/counter_incarnation_test.cpp
+++ b/tests/quota/counter_incarnation_test.cpp
@@ -16,9 +16,9 @@
 // Some ingresses, a counter, and ways that lose part of what is said.
 struct Fleet {
     explicit Fleet(std::size_t count, double loss = 0, std::uint64_t seed = 1)
-        : all(count, Sentinel(1)), losses(count), loss(loss), random(seed) {
-        all[0].on_conducts(now, true);
-        for (auto& one : all) one.wake(now);
+        : all(count, CounterIncarnation(1)), losses(count), loss(loss), random(seed) {
+        all[0].on_leadership_change(now, true);
+        for (auto& one : all) one.on_timer(now);
         settle();
     }
     bool lost() { return std::uniform_real_distribution<double>(0, 1)(random) < loss; }
@@ -33,10 +33,10 @@
                     value += add.by * (twice ? 2 : 1);
                     all[i].on_read(now, add.part, add.generation, value);
                 }
-                for (const auto& post : all[i].take_posts())
+                for (const auto& post : all[i].take_outgoing())
                     for (std::size_t to = 0; to < all.size(); ++to) {
                         if (to == i || (!post.all && to != conductor) || lost()) continue;
-                        SentinelMessage read_back;
+                        IncarnationMessage read_back;
                         REQUIRE(read(write(post.message), read_back));
                         all[to].on_message(now, read_back);
                         more = true;
@@ -48,11 +48,11 @@
     void run(double s) {
         for (const double end = now + s; now < end; now += 0.05) {
             for (auto& one : all)
-                if (one.due() <= now) one.wake(now);
+                if (one.next_deadline() <= now) one.on_timer(now);
             settle();
         }
     }
-    std::vector<Sentinel> all;
+    std::vector<CounterIncarnation> all;
     std::vector<int> losses;
     std::map<std::int64_t, double> names;
     std::size_t conductor = 0, cut = SIZE_MAX;
@@ -101,9 +101,9 @@
     fleet.run(7);
     fleet.names.clear();
     fleet.run(2);
-    fleet.all[0].on_conducts(fleet.now, false);
+    fleet.all[0].on_leadership_change(fleet.now, false);
     fleet.conductor = 2;
-    fleet.all[2].on_conducts(fleet.now, true);
+    fleet.all[2].on_leadership_change(fleet.now, true);
     fleet.run(70);
     for (const int one : fleet.losses) CHECK(one == 1);
     fleet.names.clear();
@@ -117,11 +117,11 @@
     fleet.run(7);
     fleet.names.clear();
     fleet.run(2);
-    Sentinel fresh(1);   // restarted, it conducts again
-    fleet.all[0].on_conducts(fleet.now, false);
+    CounterIncarnation fresh(1);   // restarted, it conducts again
+    fleet.all[0].on_leadership_change(fleet.now, false);
     fleet.all[1] = fresh;
     fleet.conductor = 1;
-    fleet.all[1].on_conducts(fleet.now, true);
+    fleet.all[1].on_leadership_change(fleet.now, true);
     fleet.run(6);
     CHECK(fleet.all[1].epoch(0) == 2);
     fleet.names.clear();
@@ -132,7 +132,7 @@
 }
 
 TEST_CASE("words that are none are not read") {
-    SentinelMessage message;
+    IncarnationMessage message;
     for (const char* one : {"", "x", "1", "1 2", "3 0 1", "0 0 1", "1 0 1 ", "1 0 1x"})
         CHECK_FALSE(read(one, message));
     CHECK(read("2 1 77", message));
--- a/tests/quota/counter_protocol_test.cpp
+++ b/tests/quota/counter_protocol_test.cpp
@@ -19,7 +19,7 @@
 std::vector<Reply> feed(bool http, const std::string& bytes, bool good = true) {
     std::vector<Reply> first;
     for (std::size_t size = 1; size <= bytes.size(); ++size) {
-        const auto wire = http ? quota::http_wire("h") : quota::resp_wire();
+        const auto wire = http ? quota::http_counter_protocol("h") : quota::resp_counter_protocol();
         std::vector<Reply> replies;
         bool fine = true;
         for (std::size_t at = 0; at < bytes.size() && fine; at += size)
@@ -70,21 +70,21 @@
             options.protocol = protocol;
             quota::Settings settings;
             settings.plans = {{"p", 4, 12, 0}};
-            settings.ingresses = 3;
-            settings.number = i;
+            settings.ingress_count = 3;
+            settings.ingress_index = i;
             all.push_back(std::make_unique<quota::Driver>(options, settings, i + 1, loop.timers, log));
             all.back()->start();
         }
-        error = quota::stated_error({.plans = {}, .ingresses = 3}, {"p", 4, 12, 0}, 3, 1);
+        error = quota::stated_error({.plans = {}, .ingress_count = 3}, {"p", 4, 12, 0}, 3, 1);
         loop.run(0.1);
     }
     // Asks once at each ingress; so many passed.
     int try_once() {
         int sent = 0;
         for (auto& one : all)
-            if (one->look(7, 0, {0, 3}, 1) == 0) {
-                one->take(7, 0, {0, 3}, 1);
-                one->ended(7);
+            if (one->retry_after_s(7, 0, {0, 3}, 1) == 0) {
+                one->consume(7, 0, {0, 3}, 1);
+                one->release(7);
                 ++sent;
             }
         return sent;
@@ -115,13 +115,13 @@
 
 TEST_CASE("calls are written as each protocol wants them") {
     std::string out;
-    const quota::Call call{1, 0, "q.1f.20", -2.5, 4000};
-    quota::http_wire("127.0.0.1:9")->write(call, out);
+    const quota::CounterCall call{1, 0, "q.1f.20", -2.5, 4000};
+    quota::http_counter_protocol("127.0.0.1:9")->write(call, out);
     CHECK(out ==
           "POST /counters/q.1f.20?by=-2.500000&expire_ms=4000 HTTP/1.1\r\nHost: 127.0.0.1:9\r\n"
           "Content-Length: 0\r\n\r\n");
     out.clear();
-    quota::resp_wire()->write(call, out);
+    quota::resp_counter_protocol()->write(call, out);
     CHECK(out ==
           "*1\r\n$5\r\nMULTI\r\n*6\r\n$3\r\nSET\r\n$7\r\nq.1f.20\r\n$1\r\n0\r\n$2\r\nPX\r\n$4\r\n4000\r\n$"
           "2\r\nNX\r\n"
@@ -177,7 +177,7 @@
     hall.loop.run(0.5);
     hall.counter->empty();
     CHECK(hall.press(1) <= hall.error.empty);
-    CHECK(hall.loop.until([&] { return !hall.all[0]->bank().lost(0); }, 5));
+    CHECK(hall.loop.until([&] { return !hall.all[0]->shared_quota().lost(0); }, 5));
 }
 
 TEST_CASE("a reload moves to another counter under load and loses no ingress") {
@@ -196,7 +196,7 @@
     CHECK(hall.press(1.5) <= hall.error.empty + hall.error.lost);
     CHECK(other.summary().find("\"calls\":0,") == std::string::npos);
     std::uint64_t noticed = 0;
-    for (const auto& one : hall.all) noticed += one->bank().empties();
+    for (const auto& one : hall.all) noticed += one->shared_quota().counter_losses();
     CHECK(noticed >= 1);
     quota::Options options;
     options.counter = counting.listen[0] + ", " + counting.listen[0];
@@ -205,7 +205,7 @@
 
 TEST_CASE("the error that an operator wants sets the credit, or is told to be too small") {
     slatejunction::Settings platform;
-    platform.balancers = 3;
+    platform.ingress_count = 3;
     platform.plans = {{"basis", 0.8, 3.6}, {"pro", 7, 15}};
     quota::Options options;
     options.counter = "127.0.0.1:1";
@@ -221,7 +221,7 @@
     quota::settings_of(options, platform, fault);
     CHECK(fault.starts_with("error_units: plan basis can't be held within 2 units; "));
     fault.clear();
-    platform.balancers = 12;
+    platform.ingress_count = 12;
     quota::settings_of(options, platform, fault);
     CHECK(fault.starts_with("counter: quotas are kept for at most 11 ingresses"));
 }
--- a/tests/quota/decision_digest_test.cpp
+++ b/tests/quota/decision_digest_test.cpp
@@ -46,7 +46,7 @@
 
 TEST_CASE("the digest of all small schedules of two quota banks", "[quota]") {
     slatejunction::quota::Settings settings;
-    settings.ingresses = 2;
+    settings.ingress_count = 2;
     settings.plans = {{"p", 2, 3, 0}};
     settings.credit = 2;
     settings.free_part = 0.3;
--- a/tests/quota/model.hpp
+++ b/tests/quota/model.hpp
@@ -64,10 +64,10 @@
           random_(seed),
           seed_(seed),
           start_(1e6 + 0.37 * static_cast<double>(seed % 137)) {
-        for (unsigned i = 0; i < plan_.settings.ingresses; ++i) start(i);
+        for (unsigned i = 0; i < plan_.settings.ingress_count; ++i) start(i);
         for (unsigned c = 0; c < plan_.customers; ++c)
             stores_.push_back({quota_of(c).burst, 0, quota_of(c).burst, 0, quota_of(c).burst, 0,
-                               c % plan_.settings.ingresses});
+                               c % plan_.settings.ingress_count});
     }
 
     // A split of the quota by itself: each ingress an even share, no calls.
@@ -142,7 +142,7 @@
         }
     };
     struct Bank {
-        std::unique_ptr<quota::Bank> bank;
+        std::unique_ptr<quota::SharedQuota> bank;
         std::uint64_t life = 0;
         double wake_at = 1e18;
         std::map<std::uint64_t, double> out;   // calls without an end
@@ -180,8 +180,9 @@
     void start(unsigned i) {
         if (banks_.size() <= i) banks_.resize(i + 1);
         quota::Settings settings = plan_.settings;
-        settings.number = i;
-        banks_[i].bank = std::make_unique<quota::Bank>(settings, seed_ * 31 + i + 1'000 * ++banks_[i].life);
+        settings.ingress_index = i;
+        banks_[i].bank =
+            std::make_unique<quota::SharedQuota>(settings, seed_ * 31 + i + 1'000 * ++banks_[i].life);
         banks_[i].out.clear();
     }
 
@@ -240,8 +241,8 @@
         }
         const unsigned nth =
             uniform() < 0.6 ? store.busiest : static_cast<unsigned>(random_() % plan_.spread);
-        const quota::Doors doors{c % plan_.settings.ingresses, plan_.spread};
-        const unsigned i = (doors.first + nth) % plan_.settings.ingresses;
+        const quota::IngressSet doors{c % plan_.settings.ingress_count, plan_.spread};
+        const unsigned i = (doors.first + nth) % plan_.settings.ingress_count;
         refill(store.level, store.at, now_, quota);
         refill(store.perfect, store.perfect_at, now_, quota);
         refill(store.room, store.room_at, now_, quota);
@@ -250,8 +251,9 @@
             store.perfect -= 1;
             ++result_.inside;
         }
-        quota::Bank& bank = *banks_[i].bank;
-        const double wait_s = even_split ? 0 : bank.look(clock(i), c + 1, customer(c).plan, doors, 1);
+        quota::SharedQuota& bank = *banks_[i].bank;
+        const double wait_s =
+            even_split ? 0 : bank.retry_after_s(clock(i), c + 1, customer(c).plan, doors, 1);
         digest_.add(now_, i, c, wait_s, bank.level(c + 1));
         if (even_split ? share_of(c, i) < 1 : wait_s > 0) {
             result_.refused_with_room += store.room >= quota.burst / 2;
@@ -260,8 +262,8 @@
         if (even_split) {
             shares_[{c, i}].first -= 1;
         } else {
-            bank.take(clock(i), c + 1, customer(c).plan, doors, 1);
-            bank.ended(c + 1);
+            bank.consume(clock(i), c + 1, customer(c).plan, doors, 1);
+            bank.release(c + 1);
         }
         ++result_.passed;
         if (store.room >= 1) {
@@ -279,21 +281,21 @@
         banks_[i].wake_at = when;
         at(when, [this, i, when, life = banks_[i].life] {
             if (banks_[i].life != life || banks_[i].wake_at != when) return;
-            banks_[i].bank->wake(clock(i));
+            banks_[i].bank->on_timer(clock(i));
             flush(i);
         });
     }
 
     void flush(unsigned i) {
-        for (quota::Call& call : banks_[i].bank->take_calls()) {
+        for (quota::CounterCall& call : banks_[i].bank->take_calls()) {
             ++result_.calls;
-            digest_.add(now_, i, call.id, call.part, call.name, call.by, call.life_ms);
+            digest_.add(now_, i, call.id, call.part, call.name, call.by, call.ttl_ms);
             banks_[i].out[call.id] = now_;
             const double there = now_ + kWay * (0.7 + 0.6 * uniform());
             const bool cut = active(Fault::Kind::split, i) || active(Fault::Kind::down);
             at(now_ + kGiveUp, [this, i, id = call.id, life = banks_[i].life] {
                 if (banks_[i].life == life && banks_[i].out.erase(id) > 0) {
-                    banks_[i].bank->maybe(clock(i), id);
+                    banks_[i].bank->on_unknown_result(clock(i), id);
                     flush(i);
                 }
             });
@@ -301,17 +303,17 @@
             at(there, [this, i, call, life = banks_[i].life] { arrive(i, call, life); });
         }
         const double rate = i < plan_.clock.size() ? plan_.clock[i] : 1;
-        const double due = (banks_[i].bank->due() - start_) / rate;
-        digest_.add(banks_[i].bank->due(), banks_[i].bank->empties());
+        const double due = (banks_[i].bank->next_deadline() - start_) / rate;
+        digest_.add(banks_[i].bank->next_deadline(), banks_[i].bank->counter_losses());
         if (due != banks_[i].wake_at || banks_[i].wake_at < now_) wake_later(i, std::max(now_ + 1e-6, due));
     }
 
-    void arrive(unsigned i, const quota::Call& call, std::uint64_t life) {
+    void arrive(unsigned i, const quota::CounterCall& call, std::uint64_t life) {
         free_at_ = std::max(free_at_, now_) + kCallTime * (active(Fault::Kind::slow) ? 10 : 1);
         at(free_at_, [this, i, call, life] { carry_out(i, call, life); });
     }
 
-    void carry_out(unsigned i, const quota::Call& call, std::uint64_t life) {
+    void carry_out(unsigned i, const quota::CounterCall& call, std::uint64_t life) {
         if (active(Fault::Kind::down)) return;
         const bool refuses = active(Fault::Kind::refuse);
         double total = 0;
@@ -319,7 +321,7 @@
             const int times = active(Fault::Kind::duplicate) && uniform() < 0.3 ? 2 : 1;
             for (int n = 0; n < times; ++n) {
                 Named& named = names_[call.name];
-                if (named.dies <= now_) named = {0, now_ + call.life_ms / 1000.0};
+                if (named.dies <= now_) named = {0, now_ + call.ttl_ms / 1000.0};
                 total = named.value += call.by;
             }
             total = std::strtod(std::to_string(total).c_str(), nullptr);
@@ -329,9 +331,9 @@
         at(now_ + kWay * (0.7 + 0.6 * uniform()), [this, i, id = call.id, total, refuses, life] {
             if (banks_[i].life != life || banks_[i].out.erase(id) == 0) return;
             if (refuses)
-                banks_[i].bank->refused(clock(i), id);
+                banks_[i].bank->on_rejected(clock(i), id);
             else
-                banks_[i].bank->answered(clock(i), id, total);
+                banks_[i].bank->on_reply(clock(i), id, total);
             flush(i);
         });
     }
@@ -354,7 +356,7 @@
 // some ask far more for all the time or now and then.
 inline Plan site_plan(double length) {
     Plan plan;
-    plan.settings.ingresses = plan.spread = 3;
+    plan.settings.ingress_count = plan.spread = 3;
     plan.settings.plans = {{"basis", 0.8, 3.6, 0}, {"plus", 1.8, 8.1, 0}, {"pro", 7.3, 15, 0}};
     plan.length = length;
     std::mt19937_64 random(11);
@@ -379,8 +381,8 @@
         return low + (high - low) * (static_cast<double>(random() >> 11) * 0x1p-53);
     };
     Plan plan;
-    plan.settings.ingresses = 2 + static_cast<unsigned>(random() % 3);
-    plan.spread = 2 + static_cast<unsigned>(random() % (plan.settings.ingresses - 1));
+    plan.settings.ingress_count = 2 + static_cast<unsigned>(random() % 3);
+    plan.spread = 2 + static_cast<unsigned>(random() % (plan.settings.ingress_count - 1));
     plan.settings.parts = 1 + static_cast<unsigned>(random() % 2);
     plan.customers = 1 + static_cast<unsigned>(random() % 3);
     const double rate = std::exp(uniform(std::log(0.6), std::log(9)));
@@ -393,13 +395,14 @@
     plan.surge = random() % 2 ? 0.2 : 0;
     if (random() % 4 == 0) plan.unanswered = uniform(0.02, 0.5);
     if (random() % 4 == 0)
-        for (unsigned i = 0; i < plan.settings.ingresses; ++i) plan.clock.push_back(uniform(0.99, 1.01));
+        for (unsigned i = 0; i < plan.settings.ingress_count; ++i)
+            plan.clock.push_back(uniform(0.99, 1.01));
     for (std::size_t left = random() % 4; left > 0; --left) {
         Fault fault;
         fault.kind = static_cast<Fault::Kind>(random() % 9);
         fault.at = uniform(2, plan.length - 4);
         fault.until = fault.at + (lasting ? uniform(15, 60) : uniform(0.1, 8));
-        fault.ingress = static_cast<unsigned>(random() % plan.settings.ingresses);
+        fault.ingress = static_cast<unsigned>(random() % plan.settings.ingress_count);
         if (fault.kind == Fault::Kind::split) fault.ingress = 1U << fault.ingress;
         plan.faults.push_back(fault);
     }
--- a/tests/quota/shared_quota_test.cpp
+++ b/tests/quota/shared_quota_test.cpp
@@ -6,24 +6,24 @@
 #include "quota/small.hpp"
 
 using namespace slatejunction;
-using quota::Bank;
+using quota::SharedQuota;
 using Fault = model::Fault;
 
 namespace {
 
 quota::Settings settings(unsigned ingresses, quota::PlanQuota plan) {
     quota::Settings made;
-    made.ingresses = ingresses;
+    made.ingress_count = ingresses;
     made.plans = {std::move(plan)};
     return made;
 }
 
 // Passes until it is refused; so many.
-int drain(Bank& bank, double now, std::uint64_t customer, quota::Doors doors) {
+int drain(SharedQuota& bank, double now, std::uint64_t customer, quota::IngressSet doors) {
     int passed = 0;
-    for (; passed < 1000 && bank.look(now, customer, 0, doors, 1) == 0; ++passed) {
-        bank.take(now, customer, 0, doors, 1);
-        bank.ended(customer);
+    for (; passed < 1000 && bank.retry_after_s(now, customer, 0, doors, 1) == 0; ++passed) {
+        bank.consume(now, customer, 0, doors, 1);
+        bank.release(customer);
     }
     return passed;
 }
@@ -32,14 +32,14 @@
 struct Counter {
     std::map<std::string, double> names;
     std::uint64_t calls = 0;
-    void serve(double now, std::vector<Bank*> banks) {
+    void serve(double now, std::vector<SharedQuota*> banks) {
         for (bool more = true; more;) {
             more = false;
-            for (Bank* bank : banks)
-                for (const quota::Call& call : bank->take_calls()) {
+            for (SharedQuota* bank : banks)
+                for (const quota::CounterCall& call : bank->take_calls()) {
                     ++calls;
                     more = true;
-                    bank->answered(now, call.id, names[call.name] += call.by);
+                    bank->on_reply(now, call.id, names[call.name] += call.by);
                 }
         }
     }
@@ -91,9 +91,9 @@
 }
 
 TEST_CASE("a customer with one ingress has its whole store there, without a call") {
-    Bank bank(settings(3, {"p", 2, 5, 0}), 1);
+    SharedQuota bank(settings(3, {"p", 2, 5, 0}), 1);
     CHECK(drain(bank, 100, 9, {0, 1}) == 5);
-    CHECK(bank.look(100, 9, 0, {0, 1}, 1) == Approx(0.5));
+    CHECK(bank.retry_after_s(100, 9, 0, {0, 1}, 1) == Approx(0.5));
     CHECK(drain(bank, 101, 9, {0, 1}) == 2);
     CHECK(bank.take_calls().empty());
 }
@@ -101,16 +101,16 @@
 TEST_CASE("what one ingress has spent another sees in its first answer") {
     const quota::Settings both = settings(2, {"p", 10, 20, 0});
     quota::Settings second = both;
-    second.number = 1;
-    Bank a(both, 1), b(second, 2);
+    second.ingress_index = 1;
+    SharedQuota a(both, 1), b(second, 2);
     Counter counter;
-    a.wake(1000);
-    b.wake(1000);
+    a.on_timer(1000);
+    b.on_timer(1000);
     counter.serve(1000, {&a, &b});
     int passed = 0;
     for (int i = 0; i < 200; ++i) {
-        if (a.look(1000.1, 5, 0, {0, 2}, 1) > 0) continue;
-        a.take(1000.1, 5, 0, {0, 2}, 1);
+        if (a.retry_after_s(1000.1, 5, 0, {0, 2}, 1) > 0) continue;
+        a.consume(1000.1, 5, 0, {0, 2}, 1);
         ++passed;
         counter.serve(1000.1, {&a, &b});
     }
@@ -118,8 +118,8 @@
     CHECK(passed <= 18);
     passed = 0;
     for (int i = 0; i < 200; ++i) {
-        if (b.look(1000.1, 5, 0, {0, 2}, 1) > 0) continue;
-        b.take(1000.1, 5, 0, {0, 2}, 1);
+        if (b.retry_after_s(1000.1, 5, 0, {0, 2}, 1) > 0) continue;
+        b.consume(1000.1, 5, 0, {0, 2}, 1);
         ++passed;
         counter.serve(1000.1, {&a, &b});
     }
@@ -130,13 +130,13 @@
 TEST_CASE("a counter that is emptied gives no customer a new store") {
     const quota::Settings both = settings(2, {"p", 1, 20, 0});
     quota::Settings second = both;
-    second.number = 1;
-    Bank a(both, 1), b(second, 2);
+    second.ingress_index = 1;
+    SharedQuota a(both, 1), b(second, 2);
     Counter counter;
     double now = 1000;
     const auto serve = [&] {
-        for (Bank* one : {&a, &b})
-            if (one->due() <= now) one->wake(now);
+        for (SharedQuota* one : {&a, &b})
+            if (one->next_deadline() <= now) one->on_timer(now);
         counter.serve(now, {&a, &b});
     };
     serve();
@@ -147,37 +147,37 @@
     int passed = 0;
     for (std::uint64_t customer = 1; customer <= 50; ++customer)
         for (int i = 0; i < 40; ++i, serve()) passed += drain(i % 2 ? a : b, now, customer, {0, 2});
-    CHECK(a.empties() + b.empties() >= 1);
+    CHECK(a.counter_losses() + b.counter_losses() >= 1);
     CHECK(passed <= 50 * 2);   // half a second of the rate, and rounding
 }
 
 TEST_CASE("noise from the counter is no answer, and many of it are a loss") {
-    Bank bank(settings(2, {"p", 1, 4, 0}), 1);
-    bank.wake(1000);
+    SharedQuota bank(settings(2, {"p", 1, 4, 0}), 1);
+    bank.on_timer(1000);
     for (const double total : {-5.0, 1e12, std::nan("")}) {
         const auto calls = bank.take_calls();
-        for (const auto& call : calls) bank.answered(1000, call.id, total);
+        for (const auto& call : calls) bank.on_reply(1000, call.id, total);
         for (std::uint64_t customer = 1; customer < 4; ++customer) drain(bank, 1000, customer, {0, 2});
     }
-    for (const auto& call : bank.take_calls()) bank.answered(1000, call.id, std::nan(""));
+    for (const auto& call : bank.take_calls()) bank.on_reply(1000, call.id, std::nan(""));
     CHECK(bank.lost(0));
     CHECK(drain(bank, 1000, 50, {0, 2}) <= 4);
-    bank.wake(1001);
-    for (const auto& call : bank.take_calls()) bank.answered(1001, call.id, 1);
+    bank.on_timer(1001);
+    for (const auto& call : bank.take_calls()) bank.on_reply(1001, call.id, 1);
     CHECK_FALSE(bank.lost(0));
 }
 
 TEST_CASE("customers that come once take no lasting memory") {
     quota::Settings one = settings(2, {"p", 1, 4, 0});
     one.customers_most = 1'000;
-    Bank bank(one, 1);
+    SharedQuota bank(one, 1);
     Counter counter;
     for (std::uint64_t customer = 1; customer <= 100'000; ++customer) {
         const double now = 1000 + static_cast<double>(customer) * 0.001;
-        REQUIRE(bank.look(now, customer, 0, {0, 2}, 1) == 0);
-        bank.take(now, customer, 0, {0, 2}, 1);
-        bank.ended(customer);
-        if (bank.due() <= now) bank.wake(now);
+        REQUIRE(bank.retry_after_s(now, customer, 0, {0, 2}, 1) == 0);
+        bank.consume(now, customer, 0, {0, 2}, 1);
+        bank.release(customer);
+        if (bank.next_deadline() <= now) bank.on_timer(now);
         counter.serve(now, {&bank});
     }
     CHECK(bank.customers() <= 1'000);
@@ -185,26 +185,26 @@
 }
 
 TEST_CASE("attempts out are shared out evenly") {
-    Bank bank(settings(3, {"p", 0, 0, 6}), 1);
+    SharedQuota bank(settings(3, {"p", 0, 0, 6}), 1);
     for (int i = 0; i < 2; ++i) {
-        CHECK(bank.look(10, 4, 0, {0, 3}, 1) == 0);
-        bank.take(10, 4, 0, {0, 3}, 1);
+        CHECK(bank.retry_after_s(10, 4, 0, {0, 3}, 1) == 0);
+        bank.consume(10, 4, 0, {0, 3}, 1);
     }
-    CHECK(bank.look(10, 4, 0, {0, 3}, 1) > 0);
-    bank.ended(4);
-    CHECK(bank.look(10, 4, 0, {0, 3}, 1) == 0);
+    CHECK(bank.retry_after_s(10, 4, 0, {0, 3}, 1) > 0);
+    bank.release(4);
+    CHECK(bank.retry_after_s(10, 4, 0, {0, 3}, 1) == 0);
 }
 
 TEST_CASE("settings that can't be are refused, and a plan that is not known is nobody's quota") {
     quota::Settings one = settings(12, {"p", 1, 4, 0});
-    CHECK_THROWS_AS(Bank(one, 1), std::invalid_argument);
-    one.ingresses = 3;
-    one.number = 3;
-    CHECK_THROWS_AS(Bank(one, 1), std::invalid_argument);
-    one.number = 0;
-    Bank bank(one, 1);
-    CHECK(bank.look(1, 4, 7, {0, 3}, 1) == 0);
-    bank.take(1, 4, 7, {0, 3}, 1);
+    CHECK_THROWS_AS(SharedQuota(one, 1), std::invalid_argument);
+    one.ingress_count = 3;
+    one.ingress_index = 3;
+    CHECK_THROWS_AS(SharedQuota(one, 1), std::invalid_argument);
+    one.ingress_index = 0;
+    SharedQuota bank(one, 1);
+    CHECK(bank.retry_after_s(1, 4, 7, {0, 3}, 1) == 0);
+    bank.consume(1, 4, 7, {0, 3}, 1);
     CHECK(bank.customers() == 0);
 }
 
--- a/tests/quota/small.hpp
+++ b/tests/quota/small.hpp
@@ -59,7 +59,7 @@
   private:
     struct Sent {
         unsigned from;
-        quota::Call call;
+        quota::CounterCall call;
     };
 
     std::optional<std::string> run(const std::vector<Step>& steps) {
@@ -68,10 +68,10 @@
         double now = kStart, level = plan.burst, allowed = 0;
         const quota::StatedError error = quota::stated_error(settings_, plan, 2, 1);
         allowed = error.healthy;
-        std::vector<quota::Bank> banks;
+        std::vector<quota::SharedQuota> banks;
         for (unsigned i = 0; i < 2; ++i) {
             quota::Settings settings = settings_;
-            settings.number = i;
+            settings.ingress_index = i;
             banks.emplace_back(settings, i + 1);
         }
         std::map<std::string, double> names;
@@ -80,27 +80,27 @@
         const auto collect = [&] {
             for (unsigned i = 0; i < 2; ++i) {
                 for (auto& call : banks[i].take_calls()) {
-                    digest_.add(i, call.id, call.part, call.name, call.by, call.life_ms);
+                    digest_.add(i, call.id, call.part, call.name, call.by, call.ttl_ms);
                     calls.push_back({i, std::move(call)});
                 }
-                digest_.add(banks[i].due(), banks[i].empties(), banks[i].lost(0));
+                digest_.add(banks[i].next_deadline(), banks[i].counter_losses(), banks[i].lost(0));
                 lost |= banks[i].lost(0);
             }
         };
-        for (auto& bank : banks) bank.wake(now);
+        for (auto& bank : banks) bank.on_timer(now);
         collect();
         // The first beats are answered: the schedule is of what follows.
         while (!calls.empty()) {
             const Sent sent = calls.front();
             calls.pop_front();
-            banks[sent.from].answered(now, sent.call.id, names[sent.call.name] += sent.call.by);
+            banks[sent.from].on_reply(now, sent.call.id, names[sent.call.name] += sent.call.by);
         }
         const auto ask = [&](unsigned i) {
-            const double wait_s = banks[i].look(now, 7, 0, {0, 2}, 1);
+            const double wait_s = banks[i].retry_after_s(now, 7, 0, {0, 2}, 1);
             digest_.add(i, wait_s);
             if (wait_s > 0) return;
-            banks[i].take(now, 7, 0, {0, 2}, 1);
-            banks[i].ended(7);
+            banks[i].consume(now, 7, 0, {0, 2}, 1);
+            banks[i].release(7);
             level -= 1;
         };
         for (std::size_t n = 0; n < steps.size(); ++n) {
@@ -118,14 +118,14 @@
                     const Sent sent = calls.front();
                     calls.pop_front();
                     if (steps[n] == Step::refuse) {
-                        banks[sent.from].refused(now, sent.call.id);
+                        banks[sent.from].on_rejected(now, sent.call.id);
                         break;
                     }
                     const double total = names[sent.call.name] += sent.call.by;
                     if (steps[n] == Step::answer)
-                        banks[sent.from].answered(now, sent.call.id, total);
+                        banks[sent.from].on_reply(now, sent.call.id, total);
                     else
-                        banks[sent.from].maybe(now, sent.call.id);
+                        banks[sent.from].on_unknown_result(now, sent.call.id);
                     break;
                 }
                 case Step::empty:
@@ -135,12 +135,12 @@
                 case Step::pause:
                     now += 0.4;
                     level = std::min(plan.burst, level + plan.rate * 0.4);
-                    for (auto& bank : banks) bank.wake(now);
+                    for (auto& bank : banks) bank.on_timer(now);
                     break;
                 case Step::restart_a: {
                     quota::Settings settings = settings_;
-                    banks[0] = quota::Bank(settings, 100 + n);
-                    banks[0].wake(now);
+                    banks[0] = quota::SharedQuota(settings, 100 + n);
+                    banks[0].on_timer(now);
                     std::erase_if(calls, [](const Sent& sent) { return sent.from == 0; });
                     allowed += error.restarted;
                     break;
--- a/tests/rollout/cases_test.cpp
+++ b/tests/rollout/cases_test.cpp
@@ -19,8 +19,8 @@
     explicit Fleet(const Plan& plan = quiet(), std::uint64_t seed = 1)
         : World(plan, seed), followers(plan.followers) {
         gain("c0");
-        for (int i = 0; i < 20 && source("c0").stage() != Source::Stage::ready; ++i) run_for(2);
-        REQUIRE(source("c0").stage() == Source::Stage::ready);
+        for (int i = 0; i < 20 && source("c0").stage() != Leader::Stage::ready; ++i) run_for(2);
+        REQUIRE(source("c0").stage() == Leader::Stage::ready);
     }
     std::uint64_t put(const std::string& key, const std::string& value, const std::string& at = "c0") {
         return propose(at, key, value).number;
@@ -35,9 +35,9 @@
         for (std::size_t i = 0; i < followers; ++i) count += up(follower(i)) && value(i, key) == wanted;
         return count;
     }
-    bool said(SourceEvent::What what, std::uint64_t number) const {
-        return std::any_of(events().begin(), events().end(), [&](const SourceEvent& one) {
-            return one.what == what && one.number == number;
+    bool said(LeaderEvent::Kind what, std::uint64_t number) const {
+        return std::any_of(events().begin(), events().end(), [&](const LeaderEvent& one) {
+            return one.kind == what && one.number == number;
         });
     }
     const std::size_t followers;
@@ -59,12 +59,12 @@
     fleet.run_for(0.9);   // less than canary_s
     CHECK(fleet.source("c0").committed() == number);
     CHECK(fleet.having("a", "1") == 2);
-    CHECK_FALSE(fleet.said(SourceEvent::What::cleared, number));
+    CHECK_FALSE(fleet.said(LeaderEvent::Kind::cleared, number));
     fleet.run_until(proposed + kBound);
     CHECK(fleet.having("a", "1") == 4);
-    CHECK(fleet.said(SourceEvent::What::cleared, number));
+    CHECK(fleet.said(LeaderEvent::Kind::cleared, number));
     fleet.run_for(3);
-    CHECK(everywhere(fleet.fleet("c0")) == number);
+    CHECK(in_force_everywhere(fleet.fleet("c0")) == number);
     CHECK(fleet.fleet("c0").counted == 4);
     CHECK(fleet.breach() == "");
 }
@@ -136,14 +136,14 @@
     for (const Fact& one : fleet.history())
         if (one.what == Fact::What::in_force && one.state.contains("a") && one.state.at("a") == "bad-odd")
             took.insert(one.node);
-    const bool refused = fleet.said(SourceEvent::What::refused, bad);
+    const bool refused = fleet.said(LeaderEvent::Kind::refused, bad);
     REQUIRE(refused);
     for (const char* odd : {"f1", "f3", "f5", "f7"}) CHECK_FALSE(took.contains(odd));
-    CHECK(fleet.said(SourceEvent::What::reverted, bad));
+    CHECK(fleet.said(LeaderEvent::Kind::reverted, bad));
     CHECK(fleet.having("a", "good") == 9);
     CHECK(fleet.having("b", "after") == 9);
     const auto event = std::find_if(fleet.events().begin(), fleet.events().end(),
-                                    [](const auto& one) { return one.what == SourceEvent::What::refused; });
+                                    [](const auto& one) { return one.kind == LeaderEvent::Kind::refused; });
     CHECK(event->reason == "odd ones can't use a");
     CHECK((event->name.back() - '0') % 2 == 1);
     CHECK(fleet.source("c0").log().reverted_by(bad) > after);
@@ -162,10 +162,10 @@
         const std::uint64_t second = fleet.put(second_key, "bad-odd-2");
         const std::uint64_t after = fleet.put("b", "after");
         fleet.run_for(24);
-        REQUIRE(fleet.said(SourceEvent::What::reverted, first));
-        CHECK(fleet.said(SourceEvent::What::reverted, second));
+        REQUIRE(fleet.said(LeaderEvent::Kind::reverted, first));
+        CHECK(fleet.said(LeaderEvent::Kind::reverted, second));
         CHECK(fleet.source("c0").log().reverted_by(first) > after);
-        CHECK_FALSE(fleet.said(SourceEvent::What::irrevertible, second));
+        CHECK_FALSE(fleet.said(LeaderEvent::Kind::irrevertible, second));
         CHECK(fleet.having("a", "good") == 9);
         CHECK(fleet.having("b", "after") == 9);
         CHECK(fleet.breach() == "");
@@ -182,7 +182,7 @@
     };
     const std::uint64_t bad = fleet.put("b", "1");
     fleet.run_for(kBound);
-    CHECK(fleet.said(SourceEvent::What::reverted, bad));
+    CHECK(fleet.said(LeaderEvent::Kind::reverted, bad));
     std::set<std::string> took;
     for (const Fact& one : fleet.history())
         if (one.what == Fact::What::in_force && one.state.contains("b")) took.insert(one.node);
@@ -231,10 +231,10 @@
     Fleet fleet(plan);
     const std::uint64_t number = fleet.put("a", "1");
     fleet.run_for(1.9);
-    CHECK_FALSE(fleet.said(SourceEvent::What::cleared, number));
+    CHECK_FALSE(fleet.said(LeaderEvent::Kind::cleared, number));
     CHECK(fleet.having("a", "1") == 0);
     fleet.run_for(1.5);
-    CHECK(fleet.said(SourceEvent::What::cleared, number));
+    CHECK(fleet.said(LeaderEvent::Kind::cleared, number));
     CHECK(fleet.having("a", "1") == 2);
     CHECK(fleet.breach() == "");
 }
@@ -262,12 +262,12 @@
     const std::uint64_t newer = fleet.put("y", "newer", "c1");
     CHECK(older == newer);
     fleet.run_for(kBound);
-    CHECK(fleet.source("c0").stage() == Source::Stage::ready);   // it can't know
+    CHECK(fleet.source("c0").stage() == Leader::Stage::ready);   // it can't know
     CHECK(fleet.source("c0").committed() == before);
     CHECK(fleet.having("y", "newer") == 4);
     fleet.heal();
     fleet.run_for(3);
-    CHECK(fleet.said(SourceEvent::What::fenced, 0));
+    CHECK(fleet.said(LeaderEvent::Kind::fenced, 0));
     CHECK(fleet.having("x", "older") == 0);
     CHECK(fleet.replica("c0").log().last() == fleet.replica("c1").log().last());
     CHECK(fleet.breach() == "");
@@ -526,7 +526,7 @@
     for (int i = 0; i < 11; ++i) {
         const std::string name = i < 8 ? World::follower(i) : World::control(10 - i);   // c0 last
         for (int k = 0; k < 10; ++k) {
-            const std::string at = fleet.source("c0").stage() == Source::Stage::ready ? "c0" : "c1";
+            const std::string at = fleet.source("c0").stage() == Leader::Stage::ready ? "c0" : "c1";
             fleet.put("k" + std::to_string(k % 3), std::to_string(++value), at);
             fleet.run_for(0.1);
         }
@@ -553,8 +553,8 @@
     CHECK(fleet.having("a", "2") == 3);
     const Report report = fleet.fleet("c0");
     REQUIRE(report.behind_names.size() == 1);
-    CHECK(report.behind_names.at(0) == Standing{"f2", number - 1, Trouble::disk});
-    CHECK(everywhere(report) == number - 1);
+    CHECK(report.behind_names.at(0) == Standing{"f2", number - 1, FollowerFault::disk});
+    CHECK(in_force_everywhere(report) == number - 1);
     fleet.set_full("f2", false);
     fleet.run_for(4);
     CHECK(fleet.having("a", "2") == 4);
@@ -622,7 +622,7 @@
     });
     fleet.gain("c2");
     fleet.run_for(0.2);
-    REQUIRE(fleet.source("c2").stage() == Source::Stage::inspecting);
+    REQUIRE(fleet.source("c2").stage() == Leader::Stage::inspecting);
     fleet.kill("c1");
     fleet.lose_disk("c1");
     forgot = true;
@@ -634,7 +634,7 @@
     hold_back = false;
     fleet.run_for(20);
     CHECK(fleet.replica("c1").remembers());
-    CHECK(fleet.source("c2").stage() == Source::Stage::ready);
+    CHECK(fleet.source("c2").stage() == Leader::Stage::ready);
     CHECK(fleet.breach() == "");
 }
 
@@ -666,12 +666,12 @@
     fleet.start("c1");
     fleet.run_for(8);
     REQUIRE(fleet.replica("c1").remembers());
-    REQUIRE(fleet.source("c3").stage() == Source::Stage::preparing);
+    REQUIRE(fleet.source("c3").stage() == Leader::Stage::preparing);
     dumb.insert("c2");
     hear_c3.insert("c2");
-    for (int i = 0; i < 100 && fleet.source("c3").stage() == Source::Stage::preparing; ++i)
+    for (int i = 0; i < 100 && fleet.source("c3").stage() == Leader::Stage::preparing; ++i)
         fleet.run_for(0.01);
-    REQUIRE(fleet.source("c3").stage() == Source::Stage::inspecting);
+    REQUIRE(fleet.source("c3").stage() == Leader::Stage::inspecting);
     fleet.run_for(0.1);
     fleet.kill("c2");
     fleet.lose_disk("c2");
@@ -684,14 +684,14 @@
     const std::uint64_t number = fleet.put("b", "1");
     fleet.run_for(0.1);
     REQUIRE(fleet.source("c0").committed() == number);
-    REQUIRE(fleet.source("c3").stage() == Source::Stage::inspecting);
+    REQUIRE(fleet.source("c3").stage() == Leader::Stage::inspecting);
     inspect_c1 = true;
-    for (int i = 0; i < 60 && fleet.source("c3").stage() == Source::Stage::inspecting; ++i)
+    for (int i = 0; i < 60 && fleet.source("c3").stage() == Leader::Stage::inspecting; ++i)
         fleet.run_for(0.01);
-    CHECK(fleet.source("c3").stage() == Source::Stage::preparing);   // anew
+    CHECK(fleet.source("c3").stage() == Leader::Stage::preparing);   // anew
     done = true;
     fleet.run_for(20);
-    CHECK(fleet.source("c3").stage() == Source::Stage::ready);
+    CHECK(fleet.source("c3").stage() == Leader::Stage::ready);
     CHECK(fleet.having("b", "1") == 2);
     CHECK(fleet.breach() == "");
 }
@@ -701,13 +701,13 @@
     world.kill("c2");
     world.gain("c0");
     world.run_for(5);
-    CHECK(world.source("c0").stage() == Source::Stage::preparing);
+    CHECK(world.source("c0").stage() == Leader::Stage::preparing);
     CHECK(world.propose("c0", "a", "1").error == ProposeError::not_ready);
     world.start("c2");
     world.run_for(3);
-    CHECK(world.source("c0").stage() == Source::Stage::ready);
+    CHECK(world.source("c0").stage() == Leader::Stage::ready);
     for (const char* name : {"c0", "c1", "c2"}) CHECK(world.replica(name).remembers());
-    CHECK(world.propose("c1", "a", "1").error == ProposeError::not_source);
+    CHECK(world.propose("c1", "a", "1").error == ProposeError::not_leader);
     CHECK(world.propose("c0", "", "1").error == ProposeError::too_large);
     CHECK(world.propose("c0", std::string(kKeyMost + 1, 'k'), "1").error == ProposeError::too_large);
     CHECK(world.propose("c0", "a", std::string(kValueMost + 1, 'v')).error == ProposeError::too_large);
@@ -717,7 +717,7 @@
 TEST_CASE("a source that a majority does not answer takes a bounded number of changes", "[rollout]") {
     Fleet fleet;
     fleet.set_group("c0", 1);
-    const std::size_t backlog = SourceSettings{}.backlog;
+    const std::size_t backlog = LeaderSettings{}.backlog;
     for (std::size_t i = 0; i < backlog; ++i) REQUIRE(fleet.put("a", "1") > 0);
     CHECK(fleet.propose("c0", "a", "1").error == ProposeError::backlog_full);
 }
--- a/tests/rollout/file_storage_test.cpp
+++ b/tests/rollout/file_storage_test.cpp
@@ -26,7 +26,7 @@
 // A disk that takes so many bytes and no more.
 struct Disk {
     std::int64_t room = 1 << 20;
-    slatejunction::storage::Journal::Writer writer() {
+    slatejunction::storage::SegmentedLog::Writer writer() {
         return [this](int fd, const void* data, std::size_t size) -> std::int64_t {
             if (room == 0) return errno = ENOSPC, -1;
             const auto some = std::min<std::size_t>(size, static_cast<std::size_t>(room));
@@ -47,7 +47,7 @@
 
 // A follower's folder with a snapshot up to 3, then versions 4, 5 to 6 (one batch) and 7.
 void write_follower(const Folder& folder) {
-    FollowerFiles files(folder.path());
+    FollowerFileStorage files(folder.path());
     REQUIRE(files.replace(log_of(3)));
     REQUIRE(files.append({put(4, "v4")}));
     REQUIRE(files.append({put(5, "v5"), put(6, "v6")}));
@@ -60,14 +60,14 @@
     const Folder folder;
     write_follower(folder);
     {
-        FollowerFiles files(folder.path());
+        FollowerFileStorage files(folder.path());
         CHECK(files.file().set_aside().empty());
         const FollowerStored stored = files.take_stored();
         CHECK(stored.log.last() == log_of(7).last());
         CHECK(stored.log.state_at(7) == State{{"limit a", "v7"}});
         REQUIRE(files.append({put(8, "v8")}));
     }
-    CHECK(FollowerFiles(folder.path()).take_stored().log.last() == log_of(8).last());
+    CHECK(FollowerFileStorage(folder.path()).take_stored().log.last() == log_of(8).last());
 }
 
 TEST_CASE("a follower's files cut at any length or flipped at any byte give whole versions only",
@@ -87,7 +87,7 @@
                 folder.write(name, spoilt);
                 Version found;
                 {
-                    FollowerFiles files(folder.path());
+                    FollowerFileStorage files(folder.path());
                     const FollowerStored stored = files.take_stored();
                     found = stored.log.last();
                     INFO(name << " at " << at << (cut ? " cut" : " flipped"));
@@ -98,7 +98,7 @@
                     REQUIRE(files.append({put(found.number + 1, "v" + std::to_string(found.number + 1))}));
                 }
                 // What was kept after that is found, whatever lay there.
-                REQUIRE(FollowerFiles(folder.path()).take_stored().log.last() ==
+                REQUIRE(FollowerFileStorage(folder.path()).take_stored().log.last() ==
                         log_of(found.number + 1).last());
             }
         }
@@ -109,26 +109,26 @@
     const Folder folder;
     Disk disk;
     {
-        FollowerFiles files(folder.path(), disk.writer());
+        FollowerFileStorage files(folder.path(), disk.writer());
         REQUIRE(files.append({put(1, "v1")}));
         disk.room = 10;
         CHECK_FALSE(files.append({put(2, "v2")}));
         CHECK(files.file().why() == "No space left on device");
         CHECK_FALSE(files.replace(log_of(2)));
     }
-    CHECK(FollowerFiles(folder.path()).take_stored().log.last() == log_of(1).last());
+    CHECK(FollowerFileStorage(folder.path()).take_stored().log.last() == log_of(1).last());
     disk.room = 1 << 20;
     {
-        FollowerFiles files(folder.path(), disk.writer());
+        FollowerFileStorage files(folder.path(), disk.writer());
         REQUIRE(files.append({put(2, "v2")}));
     }
-    CHECK(FollowerFiles(folder.path()).take_stored().log.last() == log_of(2).last());
+    CHECK(FollowerFileStorage(folder.path()).take_stored().log.last() == log_of(2).last());
 }
 
 TEST_CASE("a replica remembers what it promised and took, and what it dropped stays dropped", "[rollout]") {
     const Folder folder;
     {
-        ReplicaFiles files(folder.path());
+        ReplicaFileStorage files(folder.path());
         const ReplicaStored stored = files.take_stored();
         CHECK_FALSE(stored.remembers);   // a new disk
         CHECK(stored.promised == 0);
@@ -137,20 +137,20 @@
         REQUIRE(files.append({put(3, "v3")}));
         REQUIRE(files.keep_promise(9, true));
     }
-    ReplicaFiles files(folder.path());
+    ReplicaFileStorage files(folder.path());
     const ReplicaStored stored = files.take_stored();
     CHECK(stored.remembers);
     CHECK(stored.promised == 9);
     CHECK(stored.log.last() == log_of(3).last());
     REQUIRE(files.replace(log_of(5), 4));
-    ReplicaFiles later(folder.path());
+    ReplicaFileStorage later(folder.path());
     CHECK(later.take_stored().committed == 4);
 }
 
 TEST_CASE("a replica whose files are cut, flipped or gone never says that it remembers", "[rollout]") {
     const Folder first;
     {
-        ReplicaFiles files(first.path());
+        ReplicaFileStorage files(first.path());
         REQUIRE(files.append({put(1, "v1"), put(2, "v2")}));
         REQUIRE(files.append({put(3, "v3")}));
         REQUIRE(files.keep_promise(9, true));
@@ -171,7 +171,7 @@
                 // A record cut off right behind another one can't be told from one that never was.
                 ReplicaStored stored;
                 {
-                    ReplicaFiles files(folder.path());
+                    ReplicaFileStorage files(folder.path());
                     stored = files.take_stored();
                 }
                 INFO(name << " at " << at << (gone ? " gone" : cut ? " cut" : " flipped"));
@@ -180,7 +180,7 @@
                 if (!clean_end) REQUIRE_FALSE(stored.remembers);
                 REQUIRE(stored.log.last() == log_of(stored.log.last().number).last());
                 // Nor at any later start, though the files have been mended.
-                if (!clean_end) REQUIRE_FALSE(ReplicaFiles(folder.path()).take_stored().remembers);
+                if (!clean_end) REQUIRE_FALSE(ReplicaFileStorage(folder.path()).take_stored().remembers);
             }
         }
     }
@@ -189,7 +189,7 @@
 TEST_CASE("a replica's full disk: nothing is promised or taken that is not found again", "[rollout]") {
     const Folder folder;
     Disk disk;
-    ReplicaFiles files(folder.path(), disk.writer());
+    ReplicaFileStorage files(folder.path(), disk.writer());
     REQUIRE(files.append({put(1, "v1")}));
     REQUIRE(files.keep_promise(3, true));
     disk.room = 5;
@@ -199,7 +199,7 @@
     CHECK(files.why() == "No space left on device");
     disk.room = 1 << 20;
     REQUIRE(files.append({put(2, "v2")}));
-    ReplicaFiles later(folder.path());
+    ReplicaFileStorage later(folder.path());
     const ReplicaStored stored = later.take_stored();
     CHECK(stored.remembers);
     CHECK(stored.log.last() == log_of(2).last());
