--- a/tests/rollout/rollout_test.cpp
+++ b/tests/rollout/rollout_test.cpp
@@ -13,7 +13,7 @@
 }
 std::string nothing_wrong(const State&, const Changes&) { return {}; }
 
-struct Disk : FollowerHome {
+struct Disk : FollowerStorage {
     bool append(const std::vector<Record>&) override { return !full; }
     bool replace(const Log&) override { return !full; }
     bool full = false;
@@ -94,10 +94,10 @@
     CHECK(in_force_within_s(two) < kInForceMost);
     CHECK(in_force_after_death_s(times, 4.7) > in_force_within_s(times) + 4.7);
     // What the bound is made of is what the parts do.
-    CHECK(times.canary_s == SourceSettings{}.canary_s);
-    CHECK(times.canary_wait_s == SourceSettings{}.canary_wait_s);
-    CHECK(times.append_retry_s == SourceSettings{}.retry_s);
-    CHECK(times.batch_s == FeederSettings{}.batch_s);
+    CHECK(times.canary_s == LeaderSettings{}.canary_s);
+    CHECK(times.canary_wait_s == LeaderSettings{}.canary_wait_s);
+    CHECK(times.append_retry_s == LeaderSettings{}.retry_s);
+    CHECK(times.batch_s == PublisherSettings{}.batch_s);
     CHECK(times.pull_s == FollowerSettings{}.pull_s);
     CHECK(times.pull_retry_s == FollowerSettings{}.retry_s);
     CHECK(times.jitter == FollowerSettings{}.jitter);
@@ -182,8 +182,8 @@
     for (int i = 0; i < 40; ++i) {
         const std::string one = std::string(60, 'a') + std::to_string(100 + i);
         const Refusal refusal{version.number + i % 9, one, std::string(kReasonMost, 'r')};
-        add(report, {one, version.number + i, Trouble::disk}, true, &refusal);
-        add_silent(report, {one + "s", version.number + i, Trouble::none});
+        add(report, {one, version.number + i, FollowerFault::disk}, true, &refusal);
+        add_silent(report, {one + "s", version.number + i, FollowerFault::none});
     }
     CHECK(report.counted == 40);
     CHECK(report.behind_names.size() == kNamesMost);
@@ -197,8 +197,8 @@
     CHECK(told.silent == 40);
     const Snapshot snapshot(version, 1, {{std::string(kKeyMost, 'k'), std::string(kValueMost, 'v')}});
     const std::vector<Message> all{
-        Pull{name, version, version.number, version.number, std::string(kReasonMost, 'r'), Trouble::refused,
-             true, below},
+        Pull{name, version, version.number, version.number, std::string(kReasonMost, 'r'),
+             FollowerFault::refused, true, below},
         Offer{staging, version, {large}, 1ull << 60, true, true, true},
         PartPull{version, 7, 8},
         snapshot.part(0, staging),
@@ -210,7 +210,7 @@
         Fetched{1ull << 60, version, {large}, true},
         Append{1ull << 60, version, {large}, 1ull << 60, staging, true},
         Appended{1ull << 60, 1ull << 60, ~0ull, true, true, version, 1ull << 60, true},
-        Told{told}};
+        FollowerReport{told}};
     std::mt19937_64 random(7);
     for (const Message& one : all) {
         const std::string bytes = encode(one);
@@ -240,19 +240,19 @@
 
 TEST_CASE("an idle follower costs one pull a second, below 150 bytes each way", "[rollout]") {
     const Log log = log_of(50);
-    Feeder feeder({}, log);
+    Publisher feeder({}, log);
     feeder.advance(0, 50, {term_of(1'800'000'000'000, 3), 50, ~0ull / 3});
     Disk disk;
     Follower follower(settings_of("ingress-eu-west-1a-0042"), {log}, disk, nothing_wrong, 1);
     follower.start(0);
     std::size_t pulls = 0, most = 0;
     for (double now = 0; now < 100; now += 0.01) {
-        if (follower.due() <= now) follower.wake(now);
-        for (const Post& post : follower.take_posts()) {
+        if (follower.next_deadline() <= now) follower.on_timer(now);
+        for (const OutgoingMessage& post : follower.take_outgoing()) {
             ++pulls;
             most = std::max(most, post.body->size());
             feeder.receive(now, "ingress-eu-west-1a-0042", 1, *decode(*post.body));
-            for (const Post& answer : feeder.take_posts()) {
+            for (const OutgoingMessage& answer : feeder.take_outgoing()) {
                 most = std::max(most, answer.body->size());
                 follower.receive(now, follower.parent(), *decode(*answer.body));
             }
@@ -266,7 +266,7 @@
 }
 
 TEST_CASE("a replica keeps what it has acknowledged, whatever snapshot comes late", "[rollout]") {
-    struct ReplicaDisk : ReplicaHome {
+    struct ReplicaDisk : ReplicaStorage {
         bool keep_promise(std::uint64_t, bool) override { return true; }
         bool append(const std::vector<Record>&) override { return true; }
         bool truncate(std::uint64_t) override { return true; }
@@ -292,48 +292,48 @@
 
 TEST_CASE("a feeder encodes a batch once for all children at one version", "[rollout]") {
     Log log;
-    Feeder feeder({}, log);
-    feeder.wake(0);
+    Publisher feeder({}, log);
+    feeder.on_timer(0);
     for (int i = 0; i < 2'000; ++i)
         feeder.receive(0.5, "f" + std::to_string(i), 1, pull_of("f" + std::to_string(i), {}));
-    feeder.take_posts();
+    feeder.take_outgoing();
     double now = 1;
     for (std::uint64_t i = 1; i <= 50; ++i, now += 0.02) {   // 50 a second
         log.push(put_of(i, "k" + std::to_string(i), std::string(250, 'v')));
         feeder.advance(now, i, {1, i, 0});
-        if (feeder.due() <= now) feeder.wake(now);
+        if (feeder.next_deadline() <= now) feeder.on_timer(now);
     }
-    feeder.wake(now + 1);
-    const auto posts = feeder.take_posts();
+    feeder.on_timer(now + 1);
+    const auto posts = feeder.take_outgoing();
     CHECK(feeder.tally().encoded < 40);
     CHECK(posts.size() == 2'000 * feeder.tally().encoded);
     std::set<const std::string*> bodies;
-    for (const Post& one : posts) bodies.insert(one.body.get());
+    for (const OutgoingMessage& one : posts) bodies.insert(one.body.get());
     CHECK(bodies.size() == feeder.tally().encoded);
 }
 
 TEST_CASE("a feeder keeps to its children's number and its bytes", "[rollout]") {
     const Log log = log_of(1'000);
-    FeederSettings settings;
+    PublisherSettings settings;
     settings.children_most = 2;
     settings.bytes_per_s = 20'000;
-    Feeder feeder(settings, log);
+    Publisher feeder(settings, log);
     feeder.advance(0, 1'000, {1, 1'000, 0});
     std::size_t bytes = 0;
     for (double now = 0; now < 10; now += 0.01) {
         feeder.receive(now, "f0", 1, pull_of("f0", {}));
-        for (const Post& post : feeder.take_posts())
+        for (const OutgoingMessage& post : feeder.take_outgoing())
             if (post.body->size() > 200) bytes += post.body->size();
     }
     CHECK(bytes < 11 * 20'000);
     CHECK(bytes > 5 * 20'000);
     feeder.receive(10, "f1", 1, pull_of("f1", log.last()));
-    CHECK(feeder.take_posts().size() == 1);
+    CHECK(feeder.take_outgoing().size() == 1);
     feeder.receive(10, "f2", 1, pull_of("f2", log.last()));
-    CHECK(feeder.take_posts().empty());
+    CHECK(feeder.take_outgoing().empty());
     CHECK(feeder.tally().turned_away == 1);
     feeder.receive(15, "f2", 1, pull_of("f2", log.last()));   // the others are silent by now
-    CHECK(feeder.take_posts().size() == 1);
+    CHECK(feeder.take_outgoing().size() == 1);
 }
 
 TEST_CASE("a follower takes records in order, once, whatever the order they come in", "[rollout]") {
@@ -352,7 +352,7 @@
     CHECK(follower.tally().records == 6);
     follower.receive(3, parent, offer_of(log, 0, 6));
     CHECK(follower.tally().records == 6);
-    CHECK(follower.trouble() == Trouble::none);
+    CHECK(follower.fault() == FollowerFault::none);
     CHECK(follower.state() == log.state_at(6));
 }
 
@@ -363,15 +363,15 @@
     follower.start(0);
     const std::string parent = follower.parent();
     follower.receive(1, parent, offer_of(other, 6, 8));
-    CHECK(follower.trouble() == Trouble::diverged);
+    CHECK(follower.fault() == FollowerFault::diverged);
     follower.receive(2, parent, offer_of(other, 4, 8));   // whose records go over what it has
     CHECK(follower.in_force() == log.last());
     CHECK(follower.log().last() == log.last());
     // It says so, and its feeder does as well.
-    Feeder feeder({}, other);
+    Publisher feeder({}, other);
     feeder.advance(0, 8, {1, 8, 0});
     feeder.receive(1, "f", 1, pull_of("f", log.last()));
-    const auto posts = feeder.take_posts();
+    const auto posts = feeder.take_outgoing();
     REQUIRE(posts.size() == 1);
     CHECK(std::get<Offer>(*decode(*posts[0].body)).diverged);
     // A term that falls is no sequence at all.
@@ -408,13 +408,13 @@
     CHECK(follower.in_force().number == 0);
     CHECK(follower.state().empty());
     CHECK(follower.take_in_force().empty());
-    CHECK(follower.trouble() == Trouble::disk);
+    CHECK(follower.fault() == FollowerFault::disk);
     disk.full = false;
-    follower.wake(1.5);
+    follower.on_timer(1.5);
     CHECK(follower.in_force().number == 0);   // tried again after a while
-    follower.wake(3.1);
+    follower.on_timer(3.1);
     CHECK(follower.in_force() == log.last());
-    CHECK(follower.trouble() == Trouble::none);
+    CHECK(follower.fault() == FollowerFault::none);
 }
 
 TEST_CASE("a follower finds the first change that can't be used, in few checks", "[rollout]") {
@@ -437,7 +437,7 @@
     CHECK(follower.state() == log.state_at(616));
     CHECK(follower.tally().checks < 15);
     const auto checks = follower.tally().checks;
-    for (double now = 2; now < 60; now += 0.1) follower.wake(now);
+    for (double now = 2; now < 60; now += 0.1) follower.on_timer(now);
     CHECK(follower.tally().checks == checks);   // not again while nothing has changed
     follower.recheck(60);
     CHECK(follower.tally().checks == checks + 1);
@@ -464,9 +464,9 @@
     for (int i = 0; i < kFollowers; ++i) {
         Follower follower(settings_of("f" + std::to_string(i)), {}, disk, nothing_wrong, i);
         follower.start(0);
-        for (double now = 0; now < 60; now = std::max(now + 0.001, follower.due())) {
-            follower.wake(now);
-            for (const Post& post : follower.take_posts()) {
+        for (double now = 0; now < 60; now = std::max(now + 0.001, follower.next_deadline())) {
+            follower.on_timer(now);
+            for (const OutgoingMessage& post : follower.take_outgoing()) {
                 if (std::get<Pull>(*decode(*post.body)).leaving) continue;
                 ++pulls;
                 if (now >= 30) ++by_tenth[static_cast<int>(now * 10)];
@@ -522,22 +522,22 @@
 
 TEST_CASE("reports add up", "[rollout]") {
     Report a, b, sum;
-    add(a, {"f1", 7, Trouble::none}, false, nullptr);
+    add(a, {"f1", 7, FollowerFault::none}, false, nullptr);
     const Refusal refusal{9, "f2", "why"};
-    add(a, {"f2", 8, Trouble::refused}, true, &refusal);
-    add(b, {"f3", 5, Trouble::disk}, true, nullptr);
-    add_silent(b, {"f4", 3, Trouble::none});
-    CHECK(everywhere(sum) == 0);
+    add(a, {"f2", 8, FollowerFault::refused}, true, &refusal);
+    add(b, {"f3", 5, FollowerFault::disk}, true, nullptr);
+    add_silent(b, {"f4", 3, FollowerFault::none});
+    CHECK(in_force_everywhere(sum) == 0);
     add(sum, a);
     CHECK(sum == a);
     add(sum, b);
     CHECK(sum.counted == 3);
-    CHECK(everywhere(sum) == 5);
+    CHECK(in_force_everywhere(sum) == 5);
     CHECK(sum.behind == 2);
     CHECK(sum.behind_names.at(0).name == "f3");
     CHECK(sum.silent_names.at(0).name == "f4");
     CHECK(sum.refusals.at(0) == refusal);
     CHECK(sum.canaries.size() == 3);
     add(sum, Report{});
-    CHECK(everywhere(sum) == 5);
+    CHECK(in_force_everywhere(sum) == 5);
 }
--- a/tests/rollout/settings_test.cpp
+++ b/tests/rollout/settings_test.cpp
@@ -102,8 +102,8 @@
     const std::string own =
         "[log]\nformat = json\n[limit a]\nkey = request.customer\nrate = 1\n# of a\n[tag t]\nvalue = "
         "\"x\"\n";
-    CHECK(operator_config::lay_over(own, {}) == own);
-    const std::string laid = operator_config::lay_over(
+    CHECK(operator_config::apply_overlay(own, {}) == own);
+    const std::string laid = operator_config::apply_overlay(
         own, {{"limit a", "key = request.customer\nrate = 7"}, {"limit b", "key = true\nrate = 2\n"}});
     CHECK(laid ==
           "[log]\nformat = json\n[tag t]\nvalue = \"x\"\n[limit a]\nkey = request.customer\nrate = "
@@ -113,24 +113,25 @@
     REQUIRE(options.rules.limits.size() == 2);
     CHECK(options.rules.limits[0].rate == 7);
     // A file without an end of its last line.
-    CHECK(operator_config::lay_over("[log]\nformat = json", {{"limit b", "rate = 2"}}) ==
+    CHECK(operator_config::apply_overlay("[log]\nformat = json", {{"limit b", "rate = 2"}}) ==
           "[log]\nformat = json\n[limit b]\nrate = 2\n");
     // The whole has to fit: a route to a subset that nobody has.
-    REQUIRE(faults_of(operator_config::lay_over(own, {{"route r", "when = true\nsubset = s"}}), options)
-                .size() == 1);
+    REQUIRE(
+        faults_of(operator_config::apply_overlay(own, {{"route r", "when = true\nsubset = s"}}), options)
+            .size() == 1);
 }
 
 TEST_CASE("operators' calls of a rollout are read", "[rollout]") {
     using slatejunction::admin::read_call;
-    using What = slatejunction::admin::Call::What;
-    CHECK(read_call("GET", "/v1/rollout").what == What::rollout);
+    using What = slatejunction::admin::AdminCall::Kind;
+    CHECK(read_call("GET", "/v1/rollout").kind == What::rollout);
     CHECK(read_call("HEAD", "/v1/rollout").head_alone);
     CHECK(read_call("POST", "/v1/rollout").fault == 405);
     const auto proposed = read_call("POST", "/v1/rollout/limit%20a?x=1");
-    CHECK(proposed.what == What::propose);
+    CHECK(proposed.kind == What::propose);
     CHECK(proposed.fault == 0);
     CHECK(proposed.id == "limit a");
-    CHECK(read_call("DELETE", "/v1/rollout/limit%20a").what == What::erase);
+    CHECK(read_call("DELETE", "/v1/rollout/limit%20a").kind == What::erase);
     CHECK(read_call("GET", "/v1/rollout/limit%20a").fault == 405);
     CHECK(read_call("GET", "/v1/rollout/limit%20a").allow == "POST, DELETE");
     CHECK(read_call("POST", "/v1/rollout/").fault == 404);
--- a/tests/rollout/world.hpp
+++ b/tests/rollout/world.hpp
@@ -147,7 +147,7 @@
         ++result_.holders;
         node.held = ++fencing_;
         if (!node.up) return;
-        node.source->hold(now(), node.held, node.replica->log());
+        node.source->begin_term(now(), node.held, node.replica->log());
         pump(name);
     }
     // It knows that it is the source no longer.
@@ -155,12 +155,12 @@
         Node& node = nodes_.at(name);
         if (holder_ == name) holder_.clear();
         node.held = 0;
-        if (node.up && node.source) node.source->lose();
+        if (node.up && node.source) node.source->end_term();
     }
     Proposed propose(const std::string& name, const std::string& key,
                      const std::optional<std::string>& value) {
         Node& node = nodes_.at(name);
-        if (!node.up || stopped(node)) return {0, ProposeError::not_source};
+        if (!node.up || stopped(node)) return {0, ProposeError::not_leader};
         const Proposed proposed = node.source->propose(now(), key, value);
         digest_.add(now(), name, proposed.number, proposed.error);
         if (proposed.number != 0)
@@ -223,13 +223,13 @@
     std::function<std::string(const std::string& name, const State& state)> also_check;
     void set_loss(double loss) { plan_.loss = loss; }
 
-    const Source& source(const std::string& name) const { return *nodes_.at(name).source; }
+    const Leader& source(const std::string& name) const { return *nodes_.at(name).source; }
     const Replica& replica(const std::string& name) const { return *nodes_.at(name).replica; }
     const Follower& follower_of(const std::string& name) const { return *nodes_.at(name).follower; }
-    const Feeder& feeder(const std::string& name) const { return *nodes_.at(name).feeder; }
+    const Publisher& feeder(const std::string& name) const { return *nodes_.at(name).feeder; }
     bool up(const std::string& name) const { return nodes_.at(name).up; }
     const std::vector<Fact>& history() const { return history_; }
-    const std::vector<SourceEvent>& events() const { return source_events_; }
+    const std::vector<LeaderEvent>& events() const { return source_events_; }
     Report fleet(const std::string& name) const { return source(name).fleet(now()); }
     std::string breach() {
         if (!result_.breach.empty()) return result_.breach;
@@ -265,17 +265,17 @@
         std::vector<std::function<void()>> waiting;   // came while it stood still
         ReplicaDisk replica_home;
         FollowerDisk follower_home;
-        std::unique_ptr<ReplicaHome> replica_access;
-        std::unique_ptr<FollowerHome> follower_access;
+        std::unique_ptr<ReplicaStorage> replica_access;
+        std::unique_ptr<FollowerStorage> follower_access;
         std::unique_ptr<Replica> replica;
-        std::unique_ptr<Source> source;
-        std::unique_ptr<Feeder> feeder;
+        std::unique_ptr<Leader> source;
+        std::unique_ptr<Publisher> feeder;
         std::unique_ptr<Follower> follower;
         std::uint64_t changes = 0, urgent = 0, known = 0;
     };
 
     // Homes outlive processes; each write is a fact.
-    struct ReplicaAccess : ReplicaHome {
+    struct ReplicaAccess : ReplicaStorage {
         ReplicaAccess(World& in, std::string of) : world(in), name(std::move(of)) {}
         Node& node() { return world.nodes_.at(name); }
         bool keep_promise(std::uint64_t term, bool remembers) override {
@@ -310,7 +310,7 @@
         World& world;
         const std::string name;
     };
-    struct FollowerAccess : FollowerHome {
+    struct FollowerAccess : FollowerStorage {
         FollowerAccess(World& in, std::string of) : world(in), name(std::move(of)) {}
         Node& node() { return world.nodes_.at(name); }
         bool append(const std::vector<Record>& records) override {
@@ -401,16 +401,16 @@
             settings, node.process, ReplicaStored{disk.remembers, disk.promised, disk.committed, disk.log},
             *node.replica_access);
         node.known = node.replica->committed();
-        node.feeder = std::make_unique<Feeder>(feeder_settings(), node.replica->log());
+        node.feeder = std::make_unique<Publisher>(feeder_settings(), node.replica->log());
         node.feeder->advance(now(), node.replica->committed(), node.replica->staging());
-        SourceSettings source;
+        LeaderSettings source;
         source.replicas = control_names_;
         source.canaries = plan_.canaries;
         source.records_kept = plan_.records_kept;
-        node.source = std::make_unique<Source>(source, random_());
+        node.source = std::make_unique<Leader>(source, random_());
     }
-    static FeederSettings feeder_settings() {
-        FeederSettings settings;
+    static PublisherSettings feeder_settings() {
+        PublisherSettings settings;
         settings.snapshot_every_s = 1;
         return settings;
     }
@@ -439,7 +439,7 @@
               node.follower->state(),
               true});
         if (is_relay(name)) {
-            node.feeder = std::make_unique<Feeder>(feeder_settings(), node.follower->log());
+            node.feeder = std::make_unique<Publisher>(feeder_settings(), node.follower->log());
             node.feeder->advance(now(), node.follower->log().last().number, node.follower->staging());
         }
         node.follower->start(now());
@@ -464,14 +464,14 @@
         if (node.replica) pump_replica(name, node);
         if (node.follower) pump_follower(name, node);
         if (node.feeder) pump_feeder(name, node);
-        if (node.follower) post(name, node.follower->take_posts());
+        if (node.follower) post(name, node.follower->take_outgoing());
         arm(name, node);
     }
     void pump_source(const std::string& name, Node& node) {
-        for (const SourceEvent& event : node.source->take_events()) {
-            digest_.add(now(), event.what, event.number, event.name, event.reason);
+        for (const LeaderEvent& event : node.source->take_events()) {
+            digest_.add(now(), event.kind, event.number, event.name, event.reason);
             source_events_.push_back(event);
-            if (event.what == SourceEvent::What::committed) {
+            if (event.kind == LeaderEvent::Kind::committed) {
                 const std::uint64_t from = committed_told_ + 1;
                 for (std::uint64_t at = std::max(from, node.source->log().base().number + 1);
                      at <= event.number; ++at)
@@ -486,14 +486,14 @@
                       true});
                 committed_told_ = std::max(committed_told_, event.number);
             }
-            if (event.what == SourceEvent::What::cleared)
+            if (event.kind == LeaderEvent::Kind::cleared)
                 note({Fact::What::cleared, now(), name, event.number, {}, {}, true});
-            if (event.what == SourceEvent::What::reverted) ++result_.reverts;
-            if (event.what == SourceEvent::What::admitted) ++result_.admitted;
-            if (event.what == SourceEvent::What::fenced) node.source->lose();
-            if (event.what == SourceEvent::What::diverged) fail(event.name + " has diverged");
+            if (event.kind == LeaderEvent::Kind::reverted) ++result_.reverts;
+            if (event.kind == LeaderEvent::Kind::admitted) ++result_.admitted;
+            if (event.kind == LeaderEvent::Kind::fenced) node.source->end_term();
+            if (event.kind == LeaderEvent::Kind::diverged) fail(event.name + " has diverged");
         }
-        post(name, node.source->take_posts());
+        post(name, node.source->take_outgoing());
     }
     void pump_replica(const std::string& name, Node& node) {
         post(name, node.replica->take_posts());
@@ -521,12 +521,12 @@
                   state,
                   check(name, state).empty()});
         }
-        if (node.follower->trouble() == Trouble::diverged) fail(name + " has diverged");
+        if (node.follower->fault() == FollowerFault::diverged) fail(name + " has diverged");
         if (node.feeder)
             node.feeder->advance(now(), node.follower->log().last().number, node.follower->staging());
     }
     void pump_feeder(const std::string& name, Node& node) {
-        post(name, node.feeder->take_posts());
+        post(name, node.feeder->take_outgoing());
         if (node.feeder->urgent() == node.urgent) return;
         node.urgent = node.feeder->urgent();
         tell(name, node);
@@ -534,10 +534,10 @@
     }
     void tell(const std::string& name, Node& node) {
         if (node.follower && node.feeder) node.follower->set_subtree(node.feeder->report(now()));
-        if (!node.replica || node.replica->source().empty()) return;
+        if (!node.replica || node.replica->leader().empty()) return;
         Report report = node.feeder->report(now());
         fit(report, kReportBytes);
-        post(name, {{node.replica->source(), body_of(Told{report})}});
+        post(name, {{node.replica->leader(), body_of(FollowerReport{report})}});
     }
     void tell_every_second(const std::string& name, std::uint64_t life) {
         events_.at(now() + 1, [this, name, life] {
@@ -553,9 +553,9 @@
     void arm(const std::string& name, Node& node) {
         double due = 1e18;
         if (node.replica) due = std::min(due, node.replica->due());
-        if (node.source) due = std::min(due, node.source->due());
-        if (node.feeder) due = std::min(due, node.feeder->due());
-        if (node.follower) due = std::min(due, node.follower->due());
+        if (node.source) due = std::min(due, node.source->next_deadline());
+        if (node.feeder) due = std::min(due, node.feeder->next_deadline());
+        if (node.follower) due = std::min(due, node.follower->next_deadline());
         if (due > 1e17) return;
         due = std::max(due, now());
         if (node.armed > now() && node.armed <= due) return;
@@ -573,9 +573,9 @@
         if (!moves_on()) return fail(name + ": due again and again at one time");
         node.armed = 1e18;
         if (node.replica) node.replica->wake(now());
-        if (node.source) node.source->wake(now());
-        if (node.feeder) node.feeder->wake(now());
-        if (node.follower) node.follower->wake(now());
+        if (node.source) node.source->on_timer(now());
+        if (node.feeder) node.feeder->on_timer(now());
+        if (node.follower) node.follower->on_timer(now());
         pump(name);
     }
 
@@ -588,8 +588,8 @@
 
     // --- the network
 
-    void post(const std::string& from, const std::vector<Post>& posts) {
-        for (const Post& one : posts) {
+    void post(const std::string& from, const std::vector<OutgoingMessage>& posts) {
+        for (const OutgoingMessage& one : posts) {
             digest_.add(now(), from, one.to, *one.body);
             if (one.body->size() > kBodyMost)
                 fail(from + ": a message of " + std::to_string(one.body->size()) + " bytes");
@@ -666,7 +666,7 @@
     void lose_late(const std::string& name) {
         if (holder_ == name) return;
         nodes_.at(name).held = 0;
-        if (nodes_.at(name).up) nodes_.at(name).source->lose();
+        if (nodes_.at(name).up) nodes_.at(name).source->end_term();
     }
     void gain_after(double s) {
         events_.at(now() + s, [this] {
@@ -774,7 +774,7 @@
     std::map<std::string, Node> nodes_;
     std::vector<std::string> control_names_;
     std::vector<Fact> history_;
-    std::vector<SourceEvent> source_events_;
+    std::vector<LeaderEvent> source_events_;
     std::map<std::pair<std::string, std::string>, std::vector<double>> lost_;
     std::string holder_, last_source_;
     std::uint64_t processes_ = 0, fencing_ = 0, values_ = 0, committed_told_ = 0;
--- a/tests/rules/fast_conditions_test.cpp
+++ b/tests/rules/fast_conditions_test.cpp
@@ -6,7 +6,7 @@
 #include <random>
 
 using namespace slatejunction;
-using Held = rules::Condition::Held;
+using Held = rules::Condition::TestResult;
 using Strings = std::vector<std::string>;
 
 namespace {
@@ -94,20 +94,20 @@
     for (int round = 0; round < 400; ++round) {
         const std::string source = make.condition();
         const auto program = expr::compile(source, environment, {.wanted = expr::Type::Tag::boolean});
-        rules::View view;
+        rules::RequestView view;
         const rules::Condition condition(program, {}, view);
-        rules::Source values(gateway);
+        rules::RuleVariables values(gateway);
         expr::Evaluator evaluator;
         for (int i = 0; i < 40; ++i) {
             const Request request(make);
             view.begin(request.facts);
-            const Held held = condition.look(view);
+            const Held held = condition.evaluate(view);
             values.begin(&request.facts, nullptr);
             evaluator.reset();
             const auto value = evaluator.run(program, values).value;
             INFO(source);
-            asked += held == Held::ask;
-            if (held == Held::ask) continue;
+            asked += held == Held::needs_evaluator;
+            if (held == Held::needs_evaluator) continue;
             ++sure;
             missing += held == Held::missing;
             if (held == Held::missing) {
@@ -138,10 +138,10 @@
         std::string source = one();
         if (make.random() % 2) source = "[" + source + (make.random() % 2 ? ", " + source : "") + "]";
         const auto program = expr::compile(source, environment, {.any_key = true});
-        rules::View view;
-        const rules::Direct direct(program, view);
+        rules::RequestView view;
+        const rules::DirectKey direct(program, view);
         REQUIRE(static_cast<bool>(direct) == (source.find("X-Desk") == std::string::npos));
-        rules::Source values(gateway);
+        rules::RuleVariables values(gateway);
         expr::Evaluator evaluator;
         for (int i = 0; i < 20 && direct; ++i) {
             const Request request(make);
@@ -166,18 +166,18 @@
 TEST_CASE("a head over its bound is left to the evaluator") {
     const auto environment = rules::environment(rules::Scope::request);
     const auto program = expr::compile("'x-desk' in request.headers", environment, {});
-    rules::View view;
+    rules::RequestView view;
     const rules::Condition condition(program, {}, view);
     rules::RequestFacts facts;
-    std::vector<http::Field> fields(http::kFieldsMost + 1, http::Field{"x", "y"});
+    std::vector<http::Field> fields(http::kMaxHeaderFields + 1, http::Field{"x", "y"});
     facts.headers = fields;
     view.begin(facts);
-    CHECK(condition.look(view) == Held::ask);
-    facts.headers = std::span(fields).first(http::kFieldsMost);
+    CHECK(condition.evaluate(view) == Held::needs_evaluator);
+    facts.headers = std::span(fields).first(http::kMaxHeaderFields);
     view.begin(facts);
-    CHECK(condition.look(view) == Held::no);
-    const std::string large(http::kHeadMost, 'x');
+    CHECK(condition.evaluate(view) == Held::no);
+    const std::string large(http::kMaxHeadBytes, 'x');
     fields[0].value = large;
     view.begin(facts);
-    CHECK(condition.look(view) == Held::ask);
+    CHECK(condition.evaluate(view) == Held::needs_evaluator);
 }
--- a/tests/rules/limiter_test.cpp
+++ b/tests/rules/limiter_test.cpp
@@ -18,8 +18,8 @@
 // Asks once; 0 when it passed.
 double ask(Limiter& limiter, double now, const std::string& key, double count = 1) {
     Limiter::Ticket ticket;
-    const double wait = limiter.look(now, hash_key(key), count, ticket);
-    if (wait == 0) limiter.take(now, ticket, count), limiter.release(now, ticket);
+    const double wait = limiter.retry_after_s(now, hash_key(key), count, ticket);
+    if (wait == 0) limiter.consume(now, ticket, count), limiter.release(now, ticket);
     return wait;
 }
 
@@ -38,7 +38,7 @@
     CHECK(ask(limiter, 1000, "a") == Approx(0.5));
     // What is looked at is not drawn.
     Limiter::Ticket ticket;
-    for (int i = 0; i < 5; ++i) CHECK(limiter.look(10, hash_key("c"), 1, ticket) == 0);
+    for (int i = 0; i < 5; ++i) CHECK(limiter.retry_after_s(10, hash_key("c"), 1, ticket) == 0);
 }
 
 TEST_CASE("over a long time exactly the rate passes, whatever asks for more") {
@@ -59,17 +59,17 @@
     Limiter limiter(limits(0, 1, 100, 2));
     Limiter::Ticket one, two, three;
     const auto key = hash_key("a");
-    REQUIRE(limiter.look(0, key, 1, one) == 0);
-    limiter.take(0, one, 1);
-    REQUIRE(limiter.look(0, key, 1, two) == 0);
-    limiter.take(0, two, 1);
-    CHECK(limiter.look(0, key, 1, three) > 0);
-    CHECK(limiter.look(0, hash_key("b"), 1, three) == 0);
+    REQUIRE(limiter.retry_after_s(0, key, 1, one) == 0);
+    limiter.consume(0, one, 1);
+    REQUIRE(limiter.retry_after_s(0, key, 1, two) == 0);
+    limiter.consume(0, two, 1);
+    CHECK(limiter.retry_after_s(0, key, 1, three) > 0);
+    CHECK(limiter.retry_after_s(0, hash_key("b"), 1, three) == 0);
     limiter.release(1, one);
     limiter.release(1, one);   // a second time is nothing
-    CHECK(limiter.look(1, key, 1, three) == 0);
-    limiter.take(1, three, 1);
-    CHECK(limiter.look(1, key, 1, one) > 0);
+    CHECK(limiter.retry_after_s(1, key, 1, three) == 0);
+    limiter.consume(1, three, 1);
+    CHECK(limiter.retry_after_s(1, key, 1, one) > 0);
 }
 
 TEST_CASE("a million new keys in a second against 10,000 places: 100 hot keys are held to their limits") {
@@ -100,7 +100,7 @@
     }
     CHECK(fresh_passed == fresh);   // none of them is over its own limit
     CHECK(limiter.keys() == 10'000);
-    CHECK(limiter.passed() > 0);
+    CHECK(limiter.untracked() > 0);
     CHECK(limiter.bytes() / 10'000 < 80);
 }
 
@@ -145,24 +145,24 @@
     Limiter limiter(limits(1000, 1, 64));
     std::mt19937 random(3);
     Limiter::Ticket open;
-    REQUIRE(limiter.look(0, hash_key("open"), 1, open) == 0);
-    limiter.take(0, open, 1);
+    REQUIRE(limiter.retry_after_s(0, hash_key("open"), 1, open) == 0);
+    limiter.consume(0, open, 1);
     double now = 0;
     for (int i = 0; i < 20'000; ++i) {
         now += 0.0005;
         const std::string key = std::to_string(random() % 500);
         Limiter::Ticket ticket;
-        const double wait = limiter.look(now, hash_key(key), 1, ticket);
+        const double wait = limiter.retry_after_s(now, hash_key(key), 1, ticket);
         if (wait > 0 || ticket.slot == Limiter::kNone) continue;
-        limiter.take(now, ticket, 1);
+        limiter.consume(now, ticket, 1);
         limiter.release(now, ticket);
         Limiter::Ticket again;   // the same place, and now without room
-        REQUIRE(limiter.look(now, hash_key(key), 1, again) > 0);
+        REQUIRE(limiter.retry_after_s(now, hash_key(key), 1, again) > 0);
         REQUIRE(again.slot == ticket.slot);
     }
     CHECK(limiter.keys() == 64);
     Limiter::Ticket still;
-    limiter.look(now, hash_key("open"), 1, still);
+    limiter.retry_after_s(now, hash_key("open"), 1, still);
     CHECK(still.slot == open.slot);
 }
 
--- a/tests/rules/routes_test.cpp
+++ b/tests/rules/routes_test.cpp
@@ -47,10 +47,10 @@
     return facts;
 }
 
-ListEntry provider(const std::string& id, const std::string& flavor) {
-    ListEntry entry;
-    entry.server = id;
-    entry.kind = flavor;
+Endpoint provider(const std::string& id, const std::string& flavor) {
+    Endpoint entry;
+    entry.backend = id;
+    entry.flavor = flavor;
     entry.capacity_hint = 1;
     return entry;
 }
@@ -106,22 +106,22 @@
         });
     const std::vector<http::Field> fields{{"X-Desk", "storm"}};
     auto facts = request("risk-read", "basis");
-    auto verdict = rules->judge(0, facts);
+    auto verdict = rules->evaluate(0, facts);
     CHECK(verdict.route == 0);
     CHECK(verdict.subset == 2);
     CHECK(told == std::vector<std::string>{"route desk: no such key", "tag desk: no such key"});
     facts.headers = fields;
-    verdict = rules->judge(0, facts);
+    verdict = rules->evaluate(0, facts);
     CHECK(verdict.route == 1);
     CHECK(verdict.subset == 1);
-    CHECK(verdict.spill == Spill::pressed);
+    CHECK(verdict.subset_fallback == SubsetFallback::when_overloaded);
     REQUIRE(verdict.tags.size() == 1);
     CHECK(verdict.tags[0].second == "storm");
-    CHECK(rules->judge(0, request("warn-send", "pro")).route == 2);
-    CHECK(rules->judge(0, request("warn-send", "basis")).route == 0);
+    CHECK(rules->evaluate(0, request("warn-send", "pro")).route == 2);
+    CHECK(rules->evaluate(0, request("warn-send", "basis")).route == 0);
     for (const auto& one : rules->counts())
         if (one.name == "route desk") CHECK((one.matches == 1 && one.errors == 3));
-    CHECK(rules->spent() > 0);
+    CHECK(rules->evaluation_cost() > 0);
 }
 
 // Every condition is run by hand beside the matcher, which must leave out none that holds.
@@ -164,17 +164,17 @@
         for (int i = 0; i < 60; ++i) {
             const std::string service_class = pick(classes), plan = pick(plans), path = pick(paths);
             const auto facts = request(service_class, plan, path);
-            std::size_t wanted = rules::Verdict::kNone;
+            std::size_t wanted = rules::RequestVerdict::kNone;
             const rules::GatewayFacts gateway;
-            rules::Source source(gateway);
+            rules::RuleVariables source(gateway);
             expr::Evaluator evaluator;
-            for (std::size_t k = 0; k < sources.size() && wanted == rules::Verdict::kNone; ++k) {
+            for (std::size_t k = 0; k < sources.size() && wanted == rules::RequestVerdict::kNone; ++k) {
                 source.begin(&facts, nullptr);
                 const auto program = expr::compile(sources[k], rules::environment(rules::Scope::request));
                 const auto value = evaluator.run(program, source).value;
                 if (value.is(expr::Kind::boolean) && value.truth()) wanted = k;
             }
-            REQUIRE(rules->judge(0, facts).route == wanted);
+            REQUIRE(rules->evaluate(0, facts).route == wanted);
         }
     }
 }
@@ -185,21 +185,22 @@
         "[limit all]\nkey = [request.plan, request.class]\nrate = 10\nburst = 3\ncount = units\n");
     auto facts = request("risk-read", "plus", "/a");
     facts.units = 1;
-    for (int i = 0; i < 5; ++i) CHECK(rules->judge(0, facts).over_limit_s == 0);   // looked at only
+    for (int i = 0; i < 5; ++i)
+        CHECK(rules->evaluate(0, facts).rate_limit_retry_after_s == 0);   // looked at only
     for (int i = 0; i < 2; ++i) {
-        auto verdict = rules->judge(0, facts);
-        REQUIRE(verdict.over_limit_s == 0);
-        rules->sent(0, verdict, false);
-        Rules::ended(0, verdict);
+        auto verdict = rules->evaluate(0, facts);
+        REQUIRE(verdict.rate_limit_retry_after_s == 0);
+        rules->on_first_attempt(0, verdict, false);
+        Rules::on_request_end(0, verdict);
     }
-    const auto over = rules->judge(0, facts);
-    CHECK(over.over_limit_s == Approx(1));
-    CHECK(over.over == 0);
+    const auto over = rules->evaluate(0, facts);
+    CHECK(over.rate_limit_retry_after_s == Approx(1));
+    CHECK(over.limit_exceeded == 0);
     facts.path = "/b";
     facts.units = 3;
-    const auto by_units = rules->judge(0, facts);
-    CHECK(by_units.over == 1);
-    CHECK(by_units.over_limit_s == Approx(0.2));
+    const auto by_units = rules->evaluate(0, facts);
+    CHECK(by_units.limit_exceeded == 1);
+    CHECK(by_units.rate_limit_retry_after_s == Approx(0.2));
     // A reload with the same definition goes on with its state, another begins anew; counts live on by
     // name.
     const auto same = load(
@@ -208,7 +209,7 @@
     same->adopt(*rules);
     facts.path = "/a";
     facts.units = 1;
-    CHECK(same->judge(0, facts).over_limit_s == Approx(1));
+    CHECK(same->evaluate(0, facts).rate_limit_retry_after_s == Approx(1));
     for (const auto& one : same->counts())
         if (one.name == "limit path") CHECK(one.matches > 5);
 }
@@ -217,29 +218,29 @@
     const auto rules = load(
         "[subset big]\nproviders = provider.flavor == 'large'\nleast = 2\n"
         "[subset a]\nproviders = provider.id.startsWith('a')\n");
-    rules::Fleet fleet;
-    ListUpdate list{ListKind::total,
-                    {provider("a1", "large"), provider("b1", "large"), provider("c1", "small")}};
+    rules::EndpointSubsets fleet;
+    EndpointUpdate list{EndpointUpdateKind::snapshot,
+                        {provider("a1", "large"), provider("b1", "large"), provider("c1", "small")}};
     fleet.update(0, list, rules.get());
-    CHECK(list.entries[0].subsets == 3);
-    CHECK(list.entries[1].subsets == 1);
-    CHECK(list.entries[2].subsets == 0);
+    CHECK(list.endpoints[0].subsets == 3);
+    CHECK(list.endpoints[1].subsets == 1);
+    CHECK(list.endpoints[2].subsets == 0);
     CHECK(fleet.ready(0) == 2);
     // One drains: the other is alone, under the least, and is told of beside the change.
-    ListUpdate drain{ListKind::changes, {provider("a1", "large")}};
-    drain.entries[0].state = ServerState::lame;
+    EndpointUpdate drain{EndpointUpdateKind::delta, {provider("a1", "large")}};
+    drain.endpoints[0].state = EndpointState::draining;
     fleet.update(0, drain, rules.get());
-    REQUIRE(drain.entries.size() == 2);
-    CHECK(drain.entries[1].server == "b1");
-    CHECK(drain.entries[1].subsets == 0);
+    REQUIRE(drain.endpoints.size() == 2);
+    CHECK(drain.endpoints[1].backend == "b1");
+    CHECK(drain.endpoints[1].subsets == 0);
     // It comes back as another flavor; then rules go.
-    ListUpdate back{ListKind::changes, {provider("a1", "small")}};
+    EndpointUpdate back{EndpointUpdateKind::delta, {provider("a1", "small")}};
     fleet.update(0, back, rules.get());
-    CHECK(back.entries[0].subsets == 2);
-    const ListUpdate none = fleet.reload(0, nullptr);
-    REQUIRE(none.entries.size() == 1);
-    CHECK(none.entries[0].subsets == 0);
-    CHECK(fleet.reload(0, rules.get()).entries.size() == 1);
+    CHECK(back.endpoints[0].subsets == 2);
+    const EndpointUpdate none = fleet.reload(0, nullptr);
+    REQUIRE(none.endpoints.size() == 1);
+    CHECK(none.endpoints[0].subsets == 0);
+    CHECK(fleet.reload(0, rules.get()).endpoints.size() == 1);
 }
 
 // The module. -------------------------------------------------------------------------------------------
@@ -250,21 +251,22 @@
     explicit Module(const std::vector<std::pair<std::string, std::uint64_t>>& servers)
         : gateway(made(), 5) {
         tell(0, Start{});
-        ListUpdate list{ListKind::total, {}};
+        EndpointUpdate list{EndpointUpdateKind::snapshot, {}};
         for (const auto& [id, subsets] : servers) {
-            list.entries.push_back(provider(id, ""));
-            list.entries.back().subsets = subsets;
+            list.endpoints.push_back(provider(id, ""));
+            list.endpoints.back().subsets = subsets;
         }
         tell(0, list);
     }
     static slatejunction::Settings made() {
         slatejunction::Settings all;
         ServiceClass read;
-        read.name = "read", read.aim_s = 0.2, read.deadline_s = 1, read.worth = 1;
+        read.name = "read", read.latency_objective_s = 0.2, read.deadline_s = 1, read.priority_weight = 1;
         all.classes = {read};
-        all.attempts_cap = 3;
-        all.balancers = 1;
-        all.cold_from = 0.1, all.warm_within_s = 20, all.fall_multiple = 1.2, all.fall_s = 5;
+        all.max_attempts = 3;
+        all.ingress_count = 1;
+        all.slow_start_min_capacity = 0.1, all.slow_start_window_s = 20, all.overload_multiple = 1.2,
+        all.overload_window_s = 5;
         return all;
     }
     std::vector<Action> tell(double now, const Event& event) {
@@ -273,35 +275,37 @@
         return actions;
     }
     // Where it goes; empty when it is refused, with the reason kept.
-    std::string ask(double now, std::uint64_t subset, Spill spill = Spill::never, double over_limit = 0) {
+    std::string ask(double now, std::uint64_t subset, SubsetFallback spill = SubsetFallback::never,
+                    double over_limit = 0) {
         Request request;
         request.id = last = std::to_string(++number);
         request.service_class = "read";
         request.units = 1;
-        request.due_s = now + 1;
+        request.deadline_at_s = now + 1;
         request.subset = subset;
-        request.spill = spill;
-        request.over_limit_s = over_limit;
+        request.subset_fallback = spill;
+        request.rate_limit_retry_after_s = over_limit;
         for (const Action& action : tell(now, request)) {
-            if (const auto* send = std::get_if<Send>(&action)) return spilled = send->spilled, send->server;
-            if (const auto* refuse = std::get_if<Refuse>(&action))
+            if (const auto* send = std::get_if<StartAttempt>(&action))
+                return spilled = send->used_fallback, send->backend;
+            if (const auto* refuse = std::get_if<RejectRequest>(&action))
                 reason = refuse->reason, retry = refuse->retry_after_s;
         }
         return "";
     }
-    void answered(double now, double took, Outcome outcome = Outcome::ok) {
-        AttemptEnd end;
+    void answered(double now, double took, AttemptResult outcome = AttemptResult::ok) {
+        AttemptEnded end;
         end.id = last;
-        end.outcome = outcome;
-        end.took_s = took;
-        end.ended = true;
+        end.result = outcome;
+        end.duration_s = took;
+        end.request_ended = true;
         tell(now, end);
     }
     Gateway gateway;
     std::string last;
     int number = 0;
     bool spilled = false;
-    Reason reason = Reason::malformed;
+    RejectReason reason = RejectReason::malformed;
     double retry = 0;
 };
 
@@ -320,20 +324,20 @@
     }
     // No server has the third subset.
     CHECK(m.ask(3, 4) == "");
-    CHECK(m.reason == Reason::no_provider);
-    CHECK(m.ask(3, 4, Spill::empty) != "");
+    CHECK(m.reason == RejectReason::no_backend);
+    CHECK(m.ask(3, 4, SubsetFallback::when_empty) != "");
     CHECK(m.spilled);
     m.answered(3.01, 0.01);
-    CHECK(m.ask(3.02, 0, Spill::never, 0.7) == "");   // over a limit of the gateway's own
-    CHECK(m.reason == Reason::limit);
+    CHECK(m.ask(3.02, 0, SubsetFallback::never, 0.7) == "");   // over a limit of the gateway's own
+    CHECK(m.reason == RejectReason::rate_limit);
     CHECK(m.retry == 0.7);
     // A subset that drains empty: refused or spilled, never its old servers.
-    ListUpdate drain{ListKind::changes, {provider("b1", "")}};
-    drain.entries[0].state = ServerState::lame;
+    EndpointUpdate drain{EndpointUpdateKind::delta, {provider("b1", "")}};
+    drain.endpoints[0].state = EndpointState::draining;
     m.tell(3.1, drain);
     for (int i = 0; i < 50; ++i) {
         CHECK(m.ask(3.2, 2) == "");
-        const std::string at = m.ask(3.2, 2, Spill::empty);
+        const std::string at = m.ask(3.2, 2, SubsetFallback::when_empty);
         REQUIRE(at != "b1");
         if (!at.empty()) m.answered(3.2, 0.001);
     }
@@ -345,12 +349,12 @@
     std::deque<std::pair<double, std::string>> slow;   // answered after 0.19 s of an aim of 0.2
     for (int i = 0; i < 4000; ++i) {
         const double now = 0.005 * i;
-        m.tell(now, TimerDue{0});
+        m.tell(now, TimerFired{0});
         for (; !slow.empty() && slow.front().first <= now; slow.pop_front()) {
             m.last = slow.front().second;
             m.answered(now, 0.19);
         }
-        const Spill spill = i > 2000 ? Spill::pressed : Spill::never;
+        const SubsetFallback spill = i > 2000 ? SubsetFallback::when_overloaded : SubsetFallback::never;
         const std::string at = m.ask(now, 1, spill);
         a_refused += at.empty();
         spilled += !at.empty() && m.spilled;
@@ -367,9 +371,9 @@
 
 TEST_CASE("a subset of cold servers alone takes its cold part, the rest spills or is refused") {
     Module m({{"warm", 2}});
-    ListUpdate list{ListKind::changes, {provider("cold", "")}};
-    list.entries[0].subsets = 1;
-    list.entries[0].born_s = 10;
+    EndpointUpdate list{EndpointUpdateKind::delta, {provider("cold", "")}};
+    list.endpoints[0].subsets = 1;
+    list.endpoints[0].started_at_s = 10;
     m.tell(10, list);
     int cold = 0, refused = 0;
     for (int i = 0; i < 400; ++i) {
@@ -385,9 +389,9 @@
     int warm = 0;
     for (int i = 0; i < 400; ++i) {
         const double now = 10.4 + 0.001 * i;
-        warm += m.ask(now, 1, Spill::pressed) == "warm";
+        warm += m.ask(now, 1, SubsetFallback::when_overloaded) == "warm";
         m.answered(now, 0.001);
     }
     CHECK(warm > 300);
-    CHECK(m.ask(11, 1, Spill::empty) != "warm");   // it is not empty
+    CHECK(m.ask(11, 1, SubsetFallback::when_empty) != "warm");   // it is not empty
 }
--- a/tests/scale/scale_test.cpp
+++ b/tests/scale/scale_test.cpp
@@ -105,7 +105,8 @@
 
 TEST_CASE("one member among many that are none costs what one of a whole fleet does", "[scale]") {
     const double one = first(Tables(crowd, 100).table("member_steady"), "bytes_s");
-    const double whole = first(Tables(slatejunction::scale::membership, 60).table("membership_steady"), "bytes_s_each");
+    const double whole =
+        first(Tables(slatejunction::scale::membership, 60).table("membership_steady"), "bytes_s_each");
     CHECK(one > whole / 1.5);
     CHECK(one < whole * 1.5);
 }
@@ -149,7 +150,7 @@
     Tables tables(disorder, 30);
     const Table zone = tables.table("disorder_zone"), regions = tables.table("disorder_regions");
     REQUIRE(zone.rows.size() == 1);
-    CHECK(one_of(zone, "known_s") <= membership::known_within_s(30, 1));
+    CHECK(one_of(zone, "known_s") <= membership::detection_bound_s(30, 1));
     CHECK(one_of(zone, "rows") > 0);
     CHECK(one_of(regions, "false_deaths") == 0);
     CHECK(one_of(tables.table("disorder_ordinary"), "events") > 10);
--- a/tests/start/handover_test.cpp
+++ b/tests/start/handover_test.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 // Ready well inside what a new process has: what it waits for an answer, and time for a busy machine.
-constexpr double kReady = slatejunction::hot_restart::Handover::asks_within() + 2.5;
+constexpr double kReady = slatejunction::hot_restart::RestartChannel::takeover_bound_s() + 2.5;
 static_assert(kReady < 6);
 
 Owned listen_at(const std::string& path, int backlog) {
@@ -116,7 +116,7 @@
 TEST_CASE("one that is busy for long and falls silent then does not hold a start", "[start]") {
     Start start;
     const Peer peer(start.socket_path(), "{\"v\":1,\"is\":\"busy\"}\n", 0.01,
-                    GENERATE(slatejunction::hot_restart::Handover::asks_within() - 0.15, 4.35));
+                    GENERATE(slatejunction::hot_restart::RestartChannel::takeover_bound_s() - 0.15, 4.35));
     start.run();
     REQUIRE(start.ready(kReady));
 }
--- a/tests/state/generate_state.cpp
+++ b/tests/state/generate_state.cpp
@@ -46,13 +46,13 @@
 TEST_CASE("generate the counters", "[.generate]") {
     const std::string folder = make("counters");
     metrics::Measures measures(state::shape(), 1'700'000'000'000, folder + "/counters");
-    using metrics::Ending;
     using metrics::Id;
-    for (int i = 0; i < 3; ++i) measures.finished({0, 1, Ending::served, 0, 0.25, 1});
-    measures.finished({0, 1, Ending::served, 0, 2, 4});   // late
-    measures.finished({0, 0, Ending::refused, metrics::kQuota, 0.125, 1});
-    measures.finished({0, 0, Ending::refused, metrics::kOpenLimit, 0.125, 2});
-    measures.finished({0, 0, Ending::failed, 0, 3.5, 1});
+    using metrics::RequestResult;
+    for (int i = 0; i < 3; ++i) measures.finished({0, 1, RequestResult::served, 0, 0.25, 1});
+    measures.finished({0, 1, RequestResult::served, 0, 2, 4});   // late
+    measures.finished({0, 0, RequestResult::rejected, metrics::kQuota, 0.125, 1});
+    measures.finished({0, 0, RequestResult::rejected, metrics::kOpenLimit, 0.125, 2});
+    measures.finished({0, 0, RequestResult::failed, 0, 3.5, 1});
     measures.add(Id::attempts, 0, 123456789);
     measures.add(Id::attempts, 7, 2);
     measures.add(Id::bad_requests, 0, 17);
@@ -70,11 +70,11 @@
     const std::string path = make("cells") + "/cells";
     std::string before, after;
     {
-        storage::Cells cells(path, {"a", "b", "c"}, 1'700'000'000'000);
+        storage::PersistentCounters cells(path, {"a", "b", "c"}, 1'700'000'000'000);
         cells.set(0, 1.5);
         cells.set(1, -2);
         before = bytes_of(path);
-        const std::array<storage::Cells::Change, 2> changes{{{0, 10}, {2, 0.25}}};
+        const std::array<storage::PersistentCounters::Change, 2> changes{{{0, 10}, {2, 0.25}}};
         cells.apply(changes);
         after = bytes_of(path);
     }
@@ -85,8 +85,8 @@
 
 TEST_CASE("generate the journal", "[.generate]") {
     const std::string folder = make("journal");
-    storage::Journal::Found found;
-    storage::Journal journal(
+    storage::SegmentedLog::Found found;
+    storage::SegmentedLog journal(
         folder, "records", 100, [](auto&&...) {}, found);
     REQUIRE(journal.begin());
     REQUIRE(journal.append(1, "first"));
@@ -110,7 +110,7 @@
     const auto rules = state::rules();
     net::Timers timers;
     Log log;
-    rules::Keeper keeper(
+    rules::BucketStorage keeper(
         folder, [&] { return rules.get(); }, timers, log);
     const double now = net::now();
     state::send(*rules, now, 7, "/a", 1);
@@ -122,9 +122,9 @@
 
 TEST_CASE("generate an acceptor's leases", "[.generate]") {
     const std::string folder = make("leases");
-    lease::FileHome home(folder);
-    const lease::Memory nothing;
-    lease::Room room({"b", {}, {{"a", "b", "c"}, {}, 3}}, 99, 1, 100, 0, &nothing, &home);
+    lease::FileAcceptorStorage home(folder);
+    const lease::AcceptorState nothing;
+    lease::LeaseNode room({"b", {}, {{"a", "b", "c"}, {}, 3}}, 99, 1, 100, 0, &nothing, &home);
     using lease::Kind;
     const auto tell = [&](double now, const lease::Message& one) {
         room.receive(now, one.name, lease::write(one));
@@ -138,22 +138,22 @@
     tell(103.5, {Kind::release, "drain/1", 77, 10, 12, 0, 3, "c"});
     // The lease has run out: another holder's ask is granted, which keeps the number and whose it is.
     tell(107, {Kind::ask, "drain/2", 88, 1, 0, 3, 3, "a"});
-    REQUIRE(room.not_kept() == 0);
+    REQUIRE(room.failed_saves() == 0);
 }
 
 TEST_CASE("generate an acceptor's registers", "[.generate]") {
     const std::string folder = make("notes");
-    lease::NotesHome home(folder);
-    lease::NoteKeeper acceptor(true, {});
-    using Kind = lease::NoteMessage::Kind;
-    lease::NoteMessage answer;
+    lease::FileRegisterStorage home(folder);
+    lease::RegisterAcceptor acceptor(true, {});
+    using Kind = lease::RegisterMessage::Kind;
+    lease::RegisterMessage answer;
     REQUIRE(acceptor.receive({Kind::write, "sums", 41, 1, {41, 3, std::string("a\0\xff", 3)}, false, 3},
                              answer));
     REQUIRE(acceptor.receive({Kind::read, "sums", 0x123456789abcULL, 2, {}, false, 3}, answer));
     REQUIRE(acceptor.receive({Kind::read, "drains", 12, 3, {}, false, 3}, answer));
     REQUIRE(
         acceptor.receive({Kind::write, "rollout", 9, 4, {9, 1, std::string(860, 'n')}, false, 3}, answer));
-    REQUIRE(home.keep(acceptor.kept()));
+    REQUIRE(home.save(acceptor.registers()));
 }
 
 namespace {
@@ -177,13 +177,13 @@
     using rollout::Kind;
     const std::uint64_t term = rollout::term_of(2, 5), later = rollout::term_of(70000, 1);
     {
-        rollout::FollowerFiles files(make("follower"));
+        rollout::FollowerFileStorage files(make("follower"));
         REQUIRE(files.replace(log_with_base()));
         REQUIRE(files.append({{6, term, Kind::put, "limit a", "rate = 1", 5}}));
         REQUIRE(
             files.append({{7, later, Kind::none, "", "", 0}, {8, later, Kind::erase, "route b", "", 0}}));
     }
-    rollout::ReplicaFiles files(make("replica"));
+    rollout::ReplicaFileStorage files(make("replica"));
     REQUIRE(files.replace(log_with_base(), 4));
     REQUIRE(files.keep_promise(term, true));
     REQUIRE(files.append({{6, term, Kind::put, "limit x", "lost", 0}, {7, term, Kind::none, "", "", 0}}));
--- a/tests/state/old_state_test.cpp
+++ b/tests/state/old_state_test.cpp
@@ -119,7 +119,7 @@
 TEST_CASE("old state: every counter goes on from its value", "[old]") {
     const Copy folder("counters");
     const std::string path = folder.file("counters");
-    const auto stored = storage::Cells::read(path);
+    const auto stored = storage::PersistentCounters::read(path);
     CHECK(stored.size() == 124);
     CHECK(std::count_if(stored.begin(), stored.end(), [](const auto& one) { return one.second != 0; }) ==
           25);
@@ -130,7 +130,7 @@
     CHECK(measures.cells().created_ms() == 1'700'000'000'000);
     CHECK(measures.last_sample_ms() == 1'700'000'123'456);
     check_same(sampled(measures), counts_expected());
-    measures.finished({0, 1, metrics::Ending::served, 0, 0.25, 1});
+    measures.finished({0, 1, metrics::RequestResult::served, 0, 0.25, 1});
     CHECK(sampled(measures)["slatejunction_requests_total class=read plan=plus outcome=served"] == 5);
     CHECK_FALSE(folder.broken());
 }
@@ -139,8 +139,8 @@
     const Copy folder("cells");
     const std::string path = folder.file("cells");
     using Values = std::vector<std::pair<std::string, double>>;
-    CHECK(storage::Cells::read(path) == Values{{"a", 11.5}, {"b", -2}, {"c", 0.25}});
-    const storage::Cells cells(path, {"c", "b", "a"}, 1);
+    CHECK(storage::PersistentCounters::read(path) == Values{{"a", 11.5}, {"b", -2}, {"c", 0.25}});
+    const storage::PersistentCounters cells(path, {"c", "b", "a"}, 1);
     CHECK(cells.get(0) == 0.25);
     CHECK(cells.get(1) == -2);
     CHECK(cells.get(2) == 11.5);
@@ -159,8 +159,8 @@
         bool operator==(const One&) const = default;
     };
     std::vector<One> all;
-    storage::Journal::Found found;
-    storage::Journal journal(
+    storage::SegmentedLog::Found found;
+    storage::SegmentedLog journal(
         folder.path(), "records", 100,
         [&](std::uint64_t segment, std::uint32_t type, std::string_view payload) {
             all.push_back({segment, type, std::string(payload)});
@@ -211,8 +211,8 @@
 // The records as the format says, without the class that reads them.
 std::vector<StoredLimit> limits_of(const std::string& folder) {
     std::vector<StoredLimit> all;
-    storage::Journal::Found found;
-    const storage::Journal journal(
+    storage::SegmentedLog::Found found;
+    const storage::SegmentedLog journal(
         folder, "limits", 1 << 20,
         [&](std::uint64_t, std::uint32_t type, std::string_view payload) {
             REQUIRE(type == 2);
@@ -245,8 +245,8 @@
 // 1 is the form before there was a boot in it.
 void write_aged(const std::string& folder, const std::vector<StoredLimit>& limits, std::uint32_t type,
                 double age_s) {
-    storage::Journal::Found found;
-    storage::Journal journal(
+    storage::SegmentedLog::Found found;
+    storage::SegmentedLog journal(
         folder, "limits", 1 << 20, [](auto&&...) {}, found);
     REQUIRE(journal.begin());
     for (const StoredLimit& one : limits) {
@@ -319,7 +319,7 @@
         const auto rules = state::rules();
         net::Timers timers;
         Log log;
-        const rules::Keeper keeper(
+        const rules::BucketStorage keeper(
             folder.path(), [&] { return rules.get(); }, timers, log);
         check_buckets(rules->limiter(0), stored[0].buckets, 20);
         check_buckets(rules->limiter(1), stored[1].buckets, 20);
@@ -327,7 +327,7 @@
         // request.
         const double now = net::now();
         const auto wait = [&](std::int64_t customer, const char* path, double units) {
-            return rules->judge(now, state::request(customer, path, units)).over_limit_s;
+            return rules->evaluate(now, state::request(customer, path, units)).rate_limit_retry_after_s;
         };
         CHECK(wait(-9, "/new", 1) == Approx(1000 - 20).margin(2));
         CHECK(wait(7, "/new", 1) == 0);
@@ -345,7 +345,7 @@
     const auto rules = state::rules();
     net::Timers timers;
     Log log;
-    const rules::Keeper keeper(
+    const rules::BucketStorage keeper(
         folder.path(), [&] { return rules.get(); }, timers, log);
     const auto now = buckets_of(rules->limiter(1));
     REQUIRE(now.size() == 3);
@@ -364,7 +364,7 @@
 
 namespace {
 
-void check_grant(const lease::Memory& memory, const std::string& lease, const lease::Grant& want) {
+void check_grant(const lease::AcceptorState& memory, const std::string& lease, const lease::Grant& want) {
     INFO(lease);
     REQUIRE(memory.grants.contains(lease));
     const lease::Grant& one = memory.grants.at(lease);
@@ -380,20 +380,20 @@
 // Until when a grant lives is not stored: it is counted anew from the start, whatever the machine's clock.
 TEST_CASE("old state: an acceptor remembers every lease and keeps to it", "[old]") {
     const Copy folder("leases");
-    const lease::FileHome home(folder.path());
-    CHECK(home.broken().empty());
-    REQUIRE(home.memory());
-    CHECK(home.memory()->step == 3);
-    CHECK(home.memory()->grants.size() == 3);
+    const lease::FileAcceptorStorage home(folder.path());
+    CHECK(home.quarantined_path().empty());
+    REQUIRE(home.restored());
+    CHECK(home.restored()->step == 3);
+    CHECK(home.restored()->grants.size() == 3);
     const std::uint64_t first = 0xfedcba9876543210ULL;
-    check_grant(*home.memory(), "brake", {first, 2, 41, first, 0, "a"});
-    check_grant(*home.memory(), "drain/1", {77, 10, 12, 77, 0, "c"});
-    check_grant(*home.memory(), "drain/2", {88, 1, 7, 77, 0, "a"});
+    check_grant(*home.restored(), "brake", {first, 2, 41, first, 0, "a"});
+    check_grant(*home.restored(), "drain/1", {77, 10, 12, 77, 0, "c"});
+    check_grant(*home.restored(), "drain/2", {88, 1, 7, 77, 0, "a"});
 
-    lease::Voter acceptor({}, 500, 0, true, home.memory()->grants, home.memory()->step);
+    lease::Acceptor acceptor({}, 500, 0, true, home.restored()->grants, home.restored()->step);
     using lease::Kind;
     lease::Message answer;
-    REQUIRE(acceptor.takes_part(500));
+    REQUIRE(acceptor.may_vote(500));
     REQUIRE(acceptor.receive(501, {Kind::ask, "brake", 5, 1, 0, 3, 3, "x"}, answer));
     CHECK(answer.kind == Kind::denied);
     CHECK(answer.number == 41);
@@ -413,21 +413,21 @@
 
 TEST_CASE("old state: an acceptor remembers every register, promised and accepted", "[old]") {
     const Copy folder("notes");
-    const lease::NotesHome home(folder.path());
-    CHECK(home.broken().empty());
-    REQUIRE(home.kept());
-    CHECK(*home.kept() ==
-          lease::NoteKeeper::All{{"drains", {12, {0, 0, ""}}},
-                                 {"rollout", {9, {9, 1, std::string(860, 'n')}}},
-                                 {"sums", {0x123456789abcULL, {41, 3, std::string("a\0\xff", 3)}}}});
-    lease::NoteKeeper acceptor(true, *home.kept());
-    using Kind = lease::NoteMessage::Kind;
-    lease::NoteMessage answer;
+    const lease::FileRegisterStorage home(folder.path());
+    CHECK(home.quarantined_path().empty());
+    REQUIRE(home.restored());
+    CHECK(*home.restored() == lease::RegisterAcceptor::Registers{
+                                  {"drains", {12, {0, 0, ""}}},
+                                  {"rollout", {9, {9, 1, std::string(860, 'n')}}},
+                                  {"sums", {0x123456789abcULL, {41, 3, std::string("a\0\xff", 3)}}}});
+    lease::RegisterAcceptor acceptor(true, *home.restored());
+    using Kind = lease::RegisterMessage::Kind;
+    lease::RegisterMessage answer;
     REQUIRE(acceptor.receive({Kind::write, "sums", 41, 9, {41, 4, "late"}, false, 3}, answer));
     CHECK(answer.kind == Kind::passed);
     REQUIRE(acceptor.receive({Kind::read, "sums", 0x123456789abdULL, 10, {}, false, 3}, answer));
     CHECK(answer.kind == Kind::found);
-    CHECK(answer.note == lease::Note{41, 3, std::string("a\0\xff", 3)});
+    CHECK(answer.note == lease::RegisterValue{41, 3, std::string("a\0\xff", 3)});
     CHECK(answer.knows);
 }
 
@@ -455,7 +455,7 @@
 TEST_CASE("old state: a follower finds its snapshot and every record after it", "[old]") {
     using rollout::Kind;
     const Copy folder("follower");
-    rollout::FollowerFiles files(folder.path());
+    rollout::FollowerFileStorage files(folder.path());
     CHECK(files.file().founded());
     CHECK_FALSE(files.file().damaged());
     CHECK(files.file().set_aside().empty());
@@ -477,7 +477,7 @@
 TEST_CASE("old state: a replica remembers its promise, its log and what it dropped", "[old]") {
     using rollout::Kind;
     const Copy folder("replica");
-    rollout::ReplicaFiles files(folder.path());
+    rollout::ReplicaFileStorage files(folder.path());
     CHECK(files.file().founded());
     CHECK_FALSE(files.file().damaged());
     CHECK(files.file().set_aside().empty());
@@ -493,7 +493,7 @@
     CHECK_FALSE(folder.broken());
     // It goes on in the same files.
     REQUIRE(files.append({{7, kTerm3, Kind::none, "", "", 0}}));
-    rollout::ReplicaFiles later(folder.path());
+    rollout::ReplicaFileStorage later(folder.path());
     CHECK(later.take_stored().log.last().number == 7);
 }
 
--- a/tests/state/state.hpp
+++ b/tests/state/state.hpp
@@ -19,9 +19,9 @@
 
 inline metrics::Measures::Shape shape() {
     ServiceClass read{"read", 0.5, 4};
-    read.worth = 2, read.late_worth = 0.25;
+    read.priority_weight = 2, read.late_priority_weight = 0.25;
     Plan basis{"basis"}, plus{"plus"};
-    basis.price = 0.5, plus.price = 1.5;
+    basis.plan_weight = 0.5, plus.plan_weight = 1.5;
     metrics::Measures::Shape shape{{read}, {basis, plus}};
     shape.rules = {"limit hour"};
     shape.limits = {"hour"};
@@ -56,10 +56,10 @@
 
 // Draws from each limit.
 inline void send(rules::Rules& rules, double now, std::int64_t customer, const char* path, double units) {
-    rules::Verdict verdict = rules.judge(now, request(customer, path, units));
-    REQUIRE(verdict.over_limit_s == 0);
-    rules.sent(now, verdict, false);
-    rules::Rules::ended(now, verdict);
+    rules::RequestVerdict verdict = rules.evaluate(now, request(customer, path, units));
+    REQUIRE(verdict.rate_limit_retry_after_s == 0);
+    rules.on_first_attempt(now, verdict, false);
+    rules::Rules::on_request_end(now, verdict);
 }
 
 inline remotewrite::Settings sender_settings(int protocol) {
--- a/tests/storage/persistent_counters_test.cpp
+++ b/tests/storage/persistent_counters_test.cpp
@@ -13,9 +13,9 @@
 
 #include "files.hpp"
 
-using slatejunction::storage::Cells;
-using slatejunction::storage::Directory;
 using slatejunction::storage::Error;
+using slatejunction::storage::PersistentCounters;
+using slatejunction::storage::StateDirectory;
 
 namespace {
 
@@ -31,13 +31,13 @@
     const Folder folder;
     const std::string path = folder.file("cells");
     {
-        Cells cells(path, {"a", "b", "c"}, 100);
-        const std::array<Cells::Change, 2> changes{{{0, 1.5}, {2, 3}}};
+        PersistentCounters cells(path, {"a", "b", "c"}, 100);
+        const std::array<PersistentCounters::Change, 2> changes{{{0, 1.5}, {2, 3}}};
         cells.apply(changes);
         cells.set(1, 7);
         CHECK(cells.created_ms() == 100);
     }
-    Cells cells(path, {"c", "d", "a"}, 200);
+    PersistentCounters cells(path, {"c", "d", "a"}, 200);
     CHECK(cells.get(0) == 3);
     CHECK(cells.get(1) == 0);
     CHECK(cells.get(2) == 1.5);
@@ -57,11 +57,11 @@
         const ::pid_t child = ::fork();
         REQUIRE(child >= 0);
         if (child == 0) {
-            Cells cells(path, names(40), 1);
+            PersistentCounters cells(path, names(40), 1);
             char ready = 1;
             if (::write(ends[1], &ready, 1) != 1) ::_exit(1);
             for (std::uint64_t i = 1;; ++i) {   // each update: the same to 12 figures; what is done is told
-                std::array<Cells::Change, 12> changes;
+                std::array<PersistentCounters::Change, 12> changes;
                 for (std::uint32_t k = 0; k < changes.size(); ++k) changes[k] = {3 * k, 1};
                 cells.apply(changes);
                 if (i % 64 == 0 && ::write(ends[1], &ready, 1) != 1) ::_exit(1);
@@ -78,7 +78,7 @@
         double told = 0;
         while (::read(ends[0], &byte, 1) == 1) told += 64;
         ::close(ends[0]);
-        Cells cells(path, names(40), 2);
+        PersistentCounters cells(path, names(40), 2);
         REQUIRE(cells.broken().empty());
         REQUIRE(cells.get(0) >= counted + told);
         counted = cells.get(0);
@@ -91,11 +91,11 @@
 TEST_CASE("a file cut at any length is set aside and never read as figures") {
     const Folder folder;
     const std::string path = folder.file("cells");
-    { Cells(path, names(5), 1).set(2, 9); }
+    { PersistentCounters(path, names(5), 1).set(2, 9); }
     const std::string whole = folder.read("cells");
     for (std::size_t size = 0; size < whole.size(); ++size) {
         folder.write("cells", whole.substr(0, size));
-        const Cells cells(path, names(5), 50);
+        const PersistentCounters cells(path, names(5), 50);
         REQUIRE(cells.broken() == path + ".broken-1");
         REQUIRE(cells.get(2) == 0);
         REQUIRE(cells.created_ms() == 50);
@@ -108,7 +108,7 @@
     const Folder folder;
     const std::string path = folder.file("cells");
     {
-        Cells cells(path, names(5), 1);
+        PersistentCounters cells(path, names(5), 1);
         for (std::uint32_t i = 0; i < 5; ++i) cells.set(i, 10.0 + i);
     }
     const std::string whole = folder.read("cells");
@@ -117,7 +117,7 @@
         std::string flipped = whole;
         flipped[at] = static_cast<char>(flipped[at] ^ 0x10);
         folder.write("cells", flipped);
-        const Cells cells(path, names(5), 50);
+        const PersistentCounters cells(path, names(5), 50);
         if (cells.broken().empty()) {
             for (std::size_t i = 0; i < 5; ++i) REQUIRE(cells.get(i) == 10.0 + static_cast<double>(i));
             continue;
@@ -133,24 +133,24 @@
 TEST_CASE("a file of another version is told of and left alone") {
     const Folder folder;
     const std::string path = folder.file("cells");
-    { Cells cells(path, names(3), 1); }
+    { PersistentCounters cells(path, names(3), 1); }
     std::string bytes = folder.read("cells");
     bytes[8] = 2;
-    const std::uint64_t check = slatejunction::storage::check_of(bytes.data(), 16);
+    const std::uint64_t check = slatejunction::storage::checksum(bytes.data(), 16);
     bytes.replace(16, 8, reinterpret_cast<const char*>(&check), 8);
     folder.write("cells", bytes);
-    CHECK_THROWS_WITH(Cells(path, names(3), 1), path + " has version 2; this program knows 1");
+    CHECK_THROWS_WITH(PersistentCounters(path, names(3), 1), path + " has version 2; this program knows 1");
     CHECK(folder.read("cells") == bytes);
 }
 
 TEST_CASE("a state directory has one owner, and has to be one that can be written") {
     const Folder folder;
     {
-        const Directory first(folder.path());
-        CHECK_THROWS_WITH(Directory(folder.path()), folder.path() + " is in use by another process");
+        const StateDirectory first(folder.path());
+        CHECK_THROWS_WITH(StateDirectory(folder.path()), folder.path() + " is in use by another process");
     }
-    CHECK_NOTHROW(Directory(folder.path()));
-    CHECK_THROWS_AS(Directory(folder.file("absent")), Error);
+    CHECK_NOTHROW(StateDirectory(folder.path()));
+    CHECK_THROWS_AS(StateDirectory(folder.file("absent")), Error);
     folder.write("file", "");
-    CHECK_THROWS_AS(Cells(folder.file("file/cells"), names(3), 1), Error);
+    CHECK_THROWS_AS(PersistentCounters(folder.file("file/cells"), names(3), 1), Error);
 }
--- a/tests/storage/segmented_log_test.cpp
+++ b/tests/storage/segmented_log_test.cpp
@@ -8,17 +8,17 @@
 
 #include "files.hpp"
 
-using slatejunction::storage::Journal;
+using slatejunction::storage::SegmentedLog;
 
 namespace {
 
 struct Read {
     std::vector<std::string> payloads;
-    Journal::Found found;
+    SegmentedLog::Found found;
 };
 
-std::unique_ptr<Journal> open(const Folder& folder, Read& read, Journal::Writer writer = {}) {
-    return std::make_unique<Journal>(
+std::unique_ptr<SegmentedLog> open(const Folder& folder, Read& read, SegmentedLog::Writer writer = {}) {
+    return std::make_unique<SegmentedLog>(
         folder.path(), "j", 64,
         [&](std::uint64_t, std::uint32_t type, std::string_view payload) {
             read.payloads.push_back(std::to_string(type) + std::string(payload));
@@ -101,7 +101,7 @@
 TEST_CASE("a full disk leaves no half record, and appending goes on once there is room") {
     const Folder folder;
     std::int64_t room = 60;
-    const Journal::Writer writer = [&](int fd, const void* data, std::size_t size) -> std::int64_t {
+    const SegmentedLog::Writer writer = [&](int fd, const void* data, std::size_t size) -> std::int64_t {
         if (room == 0) return errno = ENOSPC, -1;
         const auto some = std::min<std::size_t>(size, static_cast<std::size_t>(room));
         room -= static_cast<std::int64_t>(some);
@@ -113,7 +113,7 @@
         REQUIRE(journal->begin());
         REQUIRE(journal->append(1, "first"));
         CHECK_FALSE(journal->append(1, "a record longer than the room"));
-        CHECK(journal->why() == "No space left on device");
+        CHECK(journal->last_error() == "No space left on device");
         CHECK_FALSE(journal->begin());
         room = 1000;
         REQUIRE(journal->append(1, "second"));
--- a/tests/telemetry/telemetry_test.cpp
+++ b/tests/telemetry/telemetry_test.cpp
@@ -227,7 +227,7 @@
                                    std::chrono::system_clock::now().time_since_epoch())
                                    .count() +
                                3600 * 1000;
-    slatejunction::storage::Cells(site.folder.file("state/counters"), {"last sample ms"}, 1)
+    slatejunction::storage::PersistentCounters(site.folder.file("state/counters"), {"last sample ms"}, 1)
         .set(0, static_cast<double>(ahead));
     site.write_options("[state]\ndirectory = " + site.folder.file("state") + "\n");
     site.start();
--- a/tests/terms/world.cpp
+++ b/tests/terms/world.cpp
@@ -134,7 +134,7 @@
         ++answers_;
         const bool keeps = parser_.head().keep_alive;
         if (!queue_.empty()) take_answer();
-        buffer_.drop_front(parser_.used());
+        buffer_.consume(parser_.used());
         parser_.reset();
         if (!keeps) return on_end(true);
     }
@@ -265,7 +265,7 @@
 // The stand-ins of this thread go on meanwhile.
 std::string World::ask_operators(int at, const std::string& method, const std::string& target) {
     struct Call final : net::Protocol {
-        std::span<char> space() override { return room; }
+        std::span<char> receive_buffer() override { return room; }
         void on_open() override {
             const std::string_view part = bytes;
             if (!stream.send({&part, 1})) over = true;
