--- a/src/expr/eval.cpp
+++ b/src/expr/eval.cpp
@@ -69,6 +69,8 @@
 
     // Each returns the number of the next instruction; `next` is the one that follows.
     std::size_t execute(const Instruction& instruction, std::size_t next);
+    std::size_t execute_binary(Op op, std::size_t next);
+    std::size_t execute_loop(const Instruction& instruction, std::size_t next);
     std::size_t branch(const Instruction& instruction, std::size_t next);
     std::size_t begin(const Instruction& instruction, std::size_t next);
     std::size_t next_round(const Instruction& instruction, std::size_t next);
@@ -114,12 +116,6 @@
             return back().is(Kind::boolean) && !back().truth() ? instruction.a : next;
         case Op::or_jump:
             return back().is(Kind::boolean) && back().truth() ? instruction.a : next;
-        case Op::and_join:
-        case Op::or_join: {
-            const Value right = pop();
-            back() = join_logical(back(), right, instruction.op == Op::or_join);
-            return next;
-        }
         case Op::branch:
             return branch(instruction, next);
         case Op::jump:
@@ -130,35 +126,6 @@
         case Op::invert:
             back() = invert(back());
             return next;
-        case Op::add:
-        case Op::subtract:
-        case Op::multiply:
-        case Op::divide:
-        case Op::modulo: {
-            const Value right = pop();
-            back() = arithmetic(instruction.op, back(), right, context_);
-            return next;
-        }
-        case Op::equal:
-        case Op::unequal:
-        case Op::less:
-        case Op::less_equal:
-        case Op::greater:
-        case Op::greater_equal: {
-            const Value right = pop();
-            back() = compare(instruction.op, back(), right, context_.spent);
-            return next;
-        }
-        case Op::in: {
-            const Value range = pop();
-            back() = contains(back(), range, context_);
-            return next;
-        }
-        case Op::index: {
-            const Value key = pop();
-            back() = element(back(), key, context_);
-            return next;
-        }
         case Op::field:
             back() = element(back(), constants[instruction.a], context_);
             return next;
@@ -180,6 +147,43 @@
             return next;
         case Op::loop_begin:
             return begin(instruction, next);
+        default:
+            return instruction.op >= Op::loop_next ? execute_loop(instruction, next)
+                                                   : execute_binary(instruction.op, next);
+    }
+}
+
+// Operators of two operands, the right one on top of the stack.
+inline std::size_t Machine::execute_binary(Op op, std::size_t next) {
+    const Value right = pop();
+    Value& left = back();
+    switch (op) {
+        case Op::and_join:
+        case Op::or_join:
+            left = join_logical(left, right, op == Op::or_join);
+            return next;
+        case Op::add:
+        case Op::subtract:
+        case Op::multiply:
+        case Op::divide:
+        case Op::modulo:
+            left = arithmetic(op, left, right, context_);
+            return next;
+        case Op::in:
+            left = contains(left, right, context_);
+            return next;
+        case Op::index:
+            left = element(left, right, context_);
+            return next;
+        default:
+            left = compare(op, left, right, context_.spent);
+            return next;
+    }
+}
+
+// What comes after loop_begin.
+inline std::size_t Machine::execute_loop(const Instruction& instruction, std::size_t next) {
+    switch (instruction.op) {
         case Op::loop_next:
             return next_round(instruction, next);
         case Op::loop_filter:
@@ -191,10 +195,9 @@
             push(loop_result(loop(), static_cast<Macro>(instruction.n)));
             --loops_;
             return next;
-        case Op::end:
-            break;
+        default:   // Op::end, at which the caller stops
+            return next;
     }
-    return next;
 }
 
 inline std::size_t Machine::branch(const Instruction& instruction, std::size_t next) {
--- a/src/expr/program.hpp
+++ b/src/expr/program.hpp
@@ -133,7 +133,7 @@
   public:
     // `arena`: bytes held ready for texts and lists.
     explicit Evaluator(std::size_t arena = 16 * 1024) : arena_(arena) {}
-    // Values live until reset(). Allocates nothing but what the arena has no room
+    // Values live until reset(). Allocates nothing but what the arena has no space
     // for.
     Outcome run(const Program& program, Variables& variables);
     void reset() { arena_.reset(); }
--- a/src/expr/value.hpp
+++ b/src/expr/value.hpp
@@ -141,7 +141,7 @@
 }
 inline std::span<const Pair> Value::pairs() const { return {pairs_, size_}; }
 
-// Memory that is given back all at once. Takes from the system only what its first block has no room for.
+// Memory that is given back all at once. Takes from the system only what its first block can't hold.
 class Arena {
   public:
     explicit Arena(std::size_t first = 16 * 1024) : first_(first) {}
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -7,7 +7,8 @@
 namespace slatejunction::http {
 namespace {
 
-constexpr std::size_t kGrowLeast = 8 * 1024;
+constexpr std::size_t kMinGrowthBytes = std::size_t{8} * 1024;
+constexpr std::size_t kMaxChunkLineBytes = 256;
 
 char lowered(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c + 32) : c; }
 
@@ -43,6 +44,12 @@
     return !text.empty() && fault == std::errc() && end == text.data() + text.size();
 }
 
+// The line that begins a chunk (RFC 9112, section 7.1); extensions are dropped.
+bool read_chunk_size(std::string_view line, std::size_t& size) {
+    const std::string_view digits = trimmed(line.substr(0, line.find(';')));
+    return digits.size() <= 8 && read_size(digits, 16, size);
+}
+
 }   // namespace
 
 bool equals_ignore_case(std::string_view text, std::string_view lower) {
@@ -94,7 +101,7 @@
 
 void Parser::reset() {
     have_head_ = false;
-    scanned_ = body_at_ = body_size_ = used_ = chunk_at_ = most_ = 0;
+    scanned_bytes_ = body_at_ = body_size_ = used_ = chunk_at_ = max_message_bytes_ = 0;
     head_.first = head_.second = body_ = {};
     head_.count = 0;
 }
@@ -111,14 +118,14 @@
 // Guards against peers that promise more than they send: a Buffer grows as bytes come, not by the promise.
 // Framing that takes more room than there may be is as good as a body that is too large.
 Step Parser::feed(Buffer& buffer, bool ended) {
-    const Step step = look(buffer, ended);
+    const Step step = parse(buffer, ended);
     const std::size_t capacity = buffer.capacity();
     if (step != Step::more || !have_head_ || buffer.view().size() < capacity) return step;
-    if (capacity >= most_) {
+    if (capacity >= max_message_bytes_) {
         if (streams_ && framing_ == Framing::chunked) return rest_follows(buffer, chunk_at_, body_size_);
         return Step::body_too_large;
     }
-    const std::size_t wanted = std::min(most_, std::max(2 * capacity, kGrowLeast));
+    const std::size_t wanted = std::min(max_message_bytes_, std::max(2 * capacity, kMinGrowthBytes));
     if (!buffer.may_hold(wanted)) return Step::no_room;
     grow(buffer, wanted);
     return step;
@@ -132,59 +139,81 @@
     };
     move(head_.first);
     move(head_.second);
-    for (std::size_t i = 0; i < head_.count; ++i) move(head_.fields[i].name), move(head_.fields[i].value);
+    for (std::size_t i = 0; i < head_.count; ++i) {
+        move(head_.fields[i].name);
+        move(head_.fields[i].value);
+    }
     buffer = std::move(bigger);
 }
 
-Step Parser::look(Buffer& buffer, bool ended) {
-    if (!have_head_) {
-        while (kind_ == Kind::request && buffer.view().starts_with("\r\n")) buffer.consume(2);
-        const std::string_view text = buffer.view();
-        const std::size_t from = scanned_ > 3 ? scanned_ - 3 : 0;
-        const std::size_t end = text.find("\r\n\r\n", from);
-        scanned_ = text.size();
-        // A head that never ends must not fill the memory.
-        if (end == std::string_view::npos)
-            return text.size() > kMaxHeadBytes ? Step::head_too_large : Step::more;
-        if (end + 4 > kMaxHeadBytes) return Step::head_too_large;
-        body_at_ = end + 4;
-        if (const Step step = parse_head(text.substr(0, end + 2)); step != Step::done) return step;
-        if (const Step step = parse_framing(); step != Step::done) return step;
-        if (kind_ == Kind::response && head_.status < 200) {   // an interim answer: the real one follows
+Step Parser::parse(Buffer& buffer, bool ended) {
+    while (!have_head_) {
+        if (const Step step = read_head(buffer); step != Step::done) return step;
+        const bool interim = kind_ == Kind::response && head_.status < 200;
+        if (interim) {   // the final response follows
             buffer.consume(body_at_);
             reset();
-            return look(buffer, ended);
+            continue;
         }
-        most_ =
-            body_at_ + (framing_ == Framing::length ? std::min(body_size_, body_most_) : 2 * body_most_);
+        max_message_bytes_ =
+            body_at_ + (framing_ == Framing::length ? std::min(body_size_, max_buffered_body_)
+                                                    : 2 * max_buffered_body_);
         have_head_ = true;
         chunk_at_ = body_at_;
     }
-    const std::size_t have = buffer.view().size() - body_at_;
+    if (const Step step = read_body(buffer, ended); step != Step::done) return step;
+    body_ = buffer.view().substr(body_at_, body_size_);
+    return Step::done;
+}
+
+Step Parser::read_head(Buffer& buffer) {
+    while (kind_ == Kind::request && buffer.view().starts_with("\r\n")) buffer.consume(2);
+    const std::string_view text = buffer.view();
+    const std::size_t from = scanned_bytes_ > 3 ? scanned_bytes_ - 3 : 0;
+    const std::size_t end = text.find("\r\n\r\n", from);
+    scanned_bytes_ = text.size();
+    // A head that never ends must not fill the memory.
+    if (end == std::string_view::npos)
+        return text.size() > kMaxHeadBytes ? Step::head_too_large : Step::more;
+    if (end + 4 > kMaxHeadBytes) return Step::head_too_large;
+    body_at_ = end + 4;
+    if (const Step step = parse_head(text.substr(0, end + 2)); step != Step::done) return step;
+    return parse_framing();
+}
+
+Step Parser::read_body(Buffer& buffer, bool ended) {
     switch (framing_) {
         case Framing::none:
             used_ = body_at_;
-            break;
+            return Step::done;
         case Framing::length:
-            // A large answer goes on at once; a large request once as much has come as may be tried again.
-            if (have < body_size_ && body_size_ > body_most_ &&
-                (kind_ == Kind::response || have >= body_most_))
-                return rest_follows(buffer, body_at_ + have, have);
-            if (have < body_size_) return Step::more;
-            used_ = body_at_ + body_size_;
-            break;
+            return read_counted_body(buffer);
         case Framing::chunked:
-            if (const Step step = feed_chunks(buffer); step != Step::done) return step;
-            break;
+            return feed_chunks(buffer);
         case Framing::until_end:
-            if (have > body_most_ && !streams_) return Step::body_too_large;
-            if (!ended && have > body_most_) return rest_follows(buffer, body_at_ + have, have);
-            if (!ended) return Step::more;
-            body_size_ = have;
-            used_ = body_at_ + have;
-            break;
+            return read_body_until_end(buffer, ended);
     }
-    body_ = buffer.view().substr(body_at_, body_size_);
+    return Step::bad;
+}
+
+Step Parser::read_counted_body(Buffer& buffer) {
+    const std::size_t have = buffer.view().size() - body_at_;
+    // A large response goes on at once; a large request once as much has come as may be tried again.
+    const bool streamed =
+        body_size_ > max_buffered_body_ && (kind_ == Kind::response || have >= max_buffered_body_);
+    if (have < body_size_ && streamed) return rest_follows(buffer, body_at_ + have, have);
+    if (have < body_size_) return Step::more;
+    used_ = body_at_ + body_size_;
+    return Step::done;
+}
+
+Step Parser::read_body_until_end(Buffer& buffer, bool ended) {
+    const std::size_t have = buffer.view().size() - body_at_;
+    if (have > max_buffered_body_ && !streams_) return Step::body_too_large;
+    if (!ended && have > max_buffered_body_) return rest_follows(buffer, body_at_ + have, have);
+    if (!ended) return Step::more;
+    body_size_ = have;
+    used_ = body_at_ + have;
     return Step::done;
 }
 
@@ -250,29 +279,37 @@
     if (twice || (length && coding)) return Step::bad;
     body_size_ = 0;
     framing_ = kind_ == Kind::request ? Framing::none : Framing::until_end;
-    if (const std::string_view* connection = head_.find("connection")) {
-        std::string_view rest = *connection;
-        while (!rest.empty()) {
-            const std::size_t comma = std::min(rest.find(','), rest.size());
-            const std::string_view word = trimmed(rest.substr(0, comma));
-            if (equals_ignore_case(word, "close")) head_.keep_alive = false;
-            if (equals_ignore_case(word, "keep-alive")) head_.keep_alive = true;
-            rest.remove_prefix(std::min(comma + 1, rest.size()));
-        }
-    }
+    read_connection_options();
     if (coding) {
         if (!equals_ignore_case(*coding, "chunked") || !head_.is_http_1_1) return Step::bad;
         framing_ = Framing::chunked;
     } else if (length) {
         if (length->size() > 18 || !read_size(*length, 10, body_size_)) return Step::bad;
-        if (body_size_ > (streams_ ? kMaxStreamedBodyBytes : body_most_)) return Step::body_too_large;
+        if (body_size_ > (streams_ ? kMaxStreamedBodyBytes : max_buffered_body_))
+            return Step::body_too_large;
         framing_ = Framing::length;
     }
-    if (kind_ == Kind::response && (head_.status == 204 || head_.status == 304 || head_.status < 200))
-        framing_ = Framing::none, body_size_ = 0;
+    if (kind_ == Kind::response && (head_.status == 204 || head_.status == 304 || head_.status < 200)) {
+        framing_ = Framing::none;
+        body_size_ = 0;
+    }
     return Step::done;
 }
 
+// `Connection: close` or `keep-alive` (RFC 9112, section 9.3); the last one counts.
+void Parser::read_connection_options() {
+    const std::string_view* connection = head_.find("connection");
+    if (!connection) return;
+    std::string_view rest = *connection;
+    while (!rest.empty()) {
+        const std::size_t comma = std::min(rest.find(','), rest.size());
+        const std::string_view option = trimmed(rest.substr(0, comma));
+        if (equals_ignore_case(option, "close")) head_.keep_alive = false;
+        if (equals_ignore_case(option, "keep-alive")) head_.keep_alive = true;
+        rest.remove_prefix(std::min(comma + 1, rest.size()));
+    }
+}
+
 Step Parser::rest_follows(Buffer& buffer, std::size_t used, std::size_t body) {
     used_ = used;
     body_ = buffer.view().substr(body_at_, body);
@@ -284,37 +321,41 @@
     for (;;) {
         const std::string_view text = buffer.view();
         const std::size_t line_end = text.find("\r\n", chunk_at_);
-        if (line_end == std::string_view::npos) {
-            if (text.size() - chunk_at_ > 256) return Step::bad;
-            return Step::more;
-        }
-        std::string_view line = text.substr(chunk_at_, line_end - chunk_at_);
-        line = trimmed(line.substr(0, line.find(';')));
+        if (line_end == std::string_view::npos)
+            return text.size() - chunk_at_ > kMaxChunkLineBytes ? Step::bad : Step::more;
         std::size_t size = 0;
-        if (line.size() > 8 || !read_size(line, 16, size)) return Step::bad;
-        if (body_size_ + size > body_most_) {
+        if (!read_chunk_size(text.substr(chunk_at_, line_end - chunk_at_), size)) return Step::bad;
+        if (body_size_ + size > max_buffered_body_) {
             if (!streams_ || body_size_ + size > kMaxStreamedBodyBytes) return Step::body_too_large;
             return rest_follows(buffer, chunk_at_, body_size_);
         }
-        if (size == 0) {
-            // The end: trailers, which are dropped, up to an empty line.
-            for (std::size_t at = line_end + 2;;) {
-                const std::size_t end = text.find("\r\n", at);
-                if (end == std::string_view::npos || end + 2 - line_end > kMaxHeadBytes)
-                    return text.size() - line_end > kMaxHeadBytes ? Step::head_too_large : Step::more;
-                if (end == at) {
-                    used_ = end + 2;
-                    return Step::done;
-                }
-                at = end + 2;
-            }
+        if (size == 0) return skip_trailers(text, line_end);
+        if (const Step step = append_chunk(buffer, line_end + 2, size); step != Step::done) return step;
+    }
+}
+
+// The chunk's `size` bytes lie at `data`; done: they are part of the body now.
+Step Parser::append_chunk(Buffer& buffer, std::size_t data, std::size_t size) {
+    const std::string_view text = buffer.view();
+    if (text.size() < data + size + 2) return Step::more;
+    if (text.substr(data + size, 2) != "\r\n") return Step::bad;
+    std::memmove(buffer.data() + body_at_ + body_size_, buffer.data() + data, size);
+    body_size_ += size;
+    chunk_at_ = data + size + 2;
+    return Step::done;
+}
+
+// Trailers are dropped, up to an empty line.
+Step Parser::skip_trailers(std::string_view text, std::size_t line_end) {
+    for (std::size_t at = line_end + 2;;) {
+        const std::size_t end = text.find("\r\n", at);
+        if (end == std::string_view::npos || end + 2 - line_end > kMaxHeadBytes)
+            return text.size() - line_end > kMaxHeadBytes ? Step::head_too_large : Step::more;
+        if (end == at) {
+            used_ = end + 2;
+            return Step::done;
         }
-        const std::size_t data = line_end + 2;
-        if (text.size() < data + size + 2) return Step::more;
-        if (text.substr(data + size, 2) != "\r\n") return Step::bad;
-        std::memmove(buffer.data() + body_at_ + body_size_, buffer.data() + data, size);
-        body_size_ += size;
-        chunk_at_ = data + size + 2;
+        at = end + 2;
     }
 }
 
--- a/src/http/message.hpp
+++ b/src/http/message.hpp
@@ -13,29 +13,30 @@
 
 namespace slatejunction::http {
 
-inline constexpr std::size_t kMaxHeadBytes = 8 * 1024;
-inline constexpr std::size_t kMaxBufferedBodyBytes = 64 * 1024;   // what the protocol allows a body
-// Beyond that a body is passed on as it comes, up to so much: 32 MB are asked for, and some are to spare.
-inline constexpr std::size_t kMaxStreamedBodyBytes = 40 * 1024 * 1024;
+inline constexpr std::size_t kMaxHeadBytes = std::size_t{8} * 1024;
+inline constexpr std::size_t kMaxBufferedBodyBytes = std::size_t{64} * 1024;
+// A longer body is streamed as it arrives, up to this size.
+inline constexpr std::size_t kMaxStreamedBodyBytes = std::size_t{40} * 1024 * 1024;
 inline constexpr std::size_t kMaxHeaderFields = 48;
 
-// What many Buffers may hold together. Guards against peers that promise or send large bodies by hundreds.
+/// Bytes that many Buffers may hold together, against peers that send large bodies on hundreds of
+/// connections.
 class ByteBudget {
   public:
-    explicit ByteBudget(std::size_t most) : most_(most) {}
-    bool fits(std::size_t more) const { return used_ + more <= most_; }
+    explicit ByteBudget(std::size_t limit) : limit_(limit) {}
+    bool fits(std::size_t more) const { return used_ + more <= limit_; }
     void take(std::size_t size) { used_ += size; }
     void give(std::size_t size) { used_ -= size; }
     std::size_t used() const { return used_; }
-    std::size_t limit() const { return most_; }
-    void set_limit(std::size_t most) { most_ = most; }
+    std::size_t limit() const { return limit_; }
+    void set_limit(std::size_t limit) { limit_ = limit; }
 
   private:
-    std::size_t most_;
+    std::size_t limit_;
     std::size_t used_ = 0;
 };
 
-// Bytes read and not used yet. Moving it keeps the views into it valid; growing it does not.
+/// Bytes read and not used yet. Moving it keeps the views into it valid; growing it does not.
 class Buffer {
   public:
     // What it holds counts in the budget, which has to live longer. Heads are small and always fit.
@@ -72,7 +73,7 @@
     std::string_view name, value;
 };
 
-// Start line and fields. For a request `first` is the method and `second` the target.
+/// Start line and fields. For a request `first` is the method and `second` the target.
 struct Head {
     std::string_view first, second;
     int status = 0;   // of a response
@@ -85,18 +86,18 @@
     const std::string_view* find(std::string_view lower, bool* repeated = nullptr) const;
 };
 
-// no_room: well formed, but all Buffers together hold too much. rest_follows: the head and a part of the
-// body are there, and the body is over kBodyMost: rest() reads on.
+/// no_room: well formed, but the ByteBudget is used up. rest_follows: the head and a part of the body are
+/// there, and the body is over kMaxBufferedBodyBytes: rest() reads on.
 enum class Step { more, done, bad, head_too_large, body_too_large, no_room, rest_follows };
 
-// One message after another out of one Buffer that begins with it.
+/// Parses one message after another out of one Buffer that begins with it.
 class Parser {
   public:
     enum class Kind { request, response };
-    // `streams`: its owner passes larger bodies on as they come; else they are too large. `body_most`:
-    // bytes of a body that is taken whole.
-    explicit Parser(Kind kind, bool streams = false, std::size_t body_most = kMaxBufferedBodyBytes)
-        : kind_(kind), streams_(streams), body_most_(body_most) {}
+    // `streams`: its owner passes larger bodies on as they come; else they are too large.
+    // `max_buffered_body`: bytes of a body that is taken whole.
+    explicit Parser(Kind kind, bool streams = false, std::size_t max_buffered_body = kMaxBufferedBodyBytes)
+        : kind_(kind), streams_(streams), max_buffered_body_(max_buffered_body) {}
 
     // Where the next bytes go. Once the head is known only feed() grows the Buffer, as views point into it.
     std::span<char> room(Buffer& buffer) const;
@@ -123,24 +124,31 @@
 
   private:
     enum class Framing { none, length, chunked, until_end };
-    Step look(Buffer& buffer, bool ended);
+    Step parse(Buffer& buffer, bool ended);
+    Step read_head(Buffer& buffer);
+    Step read_body(Buffer& buffer, bool ended);
+    Step read_counted_body(Buffer& buffer);
+    Step read_body_until_end(Buffer& buffer, bool ended);
     Step parse_head(std::string_view text);
     bool parse_start(std::string_view line);
     Step parse_framing();
+    void read_connection_options();
     Step feed_chunks(Buffer& buffer);
+    Step append_chunk(Buffer& buffer, std::size_t data, std::size_t size);
+    Step skip_trailers(std::string_view text, std::size_t line_end);
     void grow(Buffer& buffer, std::size_t capacity);
 
     Step rest_follows(Buffer& buffer, std::size_t used, std::size_t body);
 
     Kind kind_;
     bool streams_;
-    std::size_t body_most_;
+    std::size_t max_buffered_body_;
     Head head_;
     bool have_head_ = false;
     Framing framing_ = Framing::none;
-    std::size_t scanned_ = 0, body_at_ = 0, body_size_ = 0, used_ = 0;
-    std::size_t most_ = 0;       // that the whole message may take
-    std::size_t chunk_at_ = 0;   // next byte of chunked framing to look at
+    std::size_t scanned_bytes_ = 0, body_at_ = 0, body_size_ = 0, used_ = 0;
+    std::size_t max_message_bytes_ = 0;   // that the whole message may take
+    std::size_t chunk_at_ = 0;            // next byte of chunked framing to look at
     std::string_view body_;
 };
 
