--- a/fakes/backend.cpp
+++ b/fakes/backend.cpp
@@ -7,23 +7,23 @@
 namespace net = slatejunction::net;
 
 namespace {
-constexpr double kTold = 0.25;   // s; until an ingress knows that a provider has left the list
+constexpr double kNotifiedAfterS = 0.25;   // s; until an ingress knows that a backend has left the list
 }   // namespace
 
-Provider::Provider(net::Timers& timers, const ProviderSettings& settings)
+Backend::Backend(net::Timers& timers, const BackendSettings& settings)
     : settings_(settings),
       server_(timers, [this](const auto& client, Request& request) { on_request(client, request); }),
       free_at_(static_cast<std::size_t>(std::max(1, settings.cores))),
       random_(settings.seed) {}
 
-void Provider::on_request(const std::shared_ptr<Client>& client, Request& request) {
+void Backend::on_request(const std::shared_ptr<Client>& client, Request& request) {
     if (request.target == "/stats" || request.target == "/health/live")
         return client->answer(
             200, request.target == "/stats" ? "latency_ms=" + std::to_string(settings_.read_ms) : "");
     if (request.field("x-request-id").empty()) return client->answer(404, "");
     const bool read = request.method == "GET";
     ++(read ? reads_ : writes_);
-    if (drained_at_ > 0 && net::now() - drained_at_ > kTold) ++late_;
+    if (drained_at_ > 0 && net::now() - drained_at_ > kNotifiedAfterS) ++late_;
     if (open_ >= free_at_.size() + settings_.queue) {
         ++turned_away_;
         return client->answer(503, "", "X-Not-Run: 1\r\n");
@@ -51,12 +51,12 @@
 }
 
 // Of its whole pace, by how long ago it was restarted.
-double Provider::pace(double now) const {
+double Backend::pace(double now) const {
     const double age = std::min(1.0, (now - restarted_at_) / settings_.warm_s);
     return settings_.cold_from + (1 - settings_.cold_from) * age;
 }
 
-bool Provider::falls(double now, double work) {
+bool Backend::falls(double now, double work) {
     if (settings_.fall_multiple <= 0) return false;
     came_.emplace_back(now, work);
     while (came_.front().first < now - settings_.fall_s) came_.pop_front();
@@ -67,16 +67,16 @@
     return falls_ > 0;
 }
 
-void Provider::drain() { drained_at_ = net::now(); }
+void Backend::drain() { drained_at_ = net::now(); }
 
-void Provider::restart() {
+void Backend::restart() {
     drained_at_ = 0;
     restarted_at_ = net::now();
     came_.clear();
     falls_ = 0;
 }
 
-std::string Provider::summary() const {
+std::string Backend::summary() const {
     return "{\"id\":\"" + settings_.id + "\",\"served\":" + std::to_string(served_) +
            ",\"turned_away\":" + std::to_string(turned_away_) +
            ",\"most_open\":" + std::to_string(most_open_) + ",\"reads\":" + std::to_string(reads_) +
--- a/fakes/backend.hpp
+++ b/fakes/backend.hpp
@@ -1,4 +1,4 @@
-// A provider (PROTOCOL, "Ingresses to backends"): a few cores, a queue, service times by chance.
+// A backend (PROTOCOL, "Ingresses to backends"): a few cores, a queue, service times by chance.
 #pragma once
 
 #include <cstdint>
@@ -12,22 +12,22 @@
 
 namespace fakes {
 
-struct ProviderSettings {
+struct BackendSettings {
     std::string id = "s-1", listen;
     int cores = 3;
     double read_ms = 20, write_ms = 50;   // mean work of a GET, and of any other
     double spread = 0.3;                  // of the mean, to either side
     std::size_t queue = 200;              // that wait; more are turned away
-    double used = 0;                      // percent of its quota that every customer has used; 0: not told
+    double used = 0;   // percent of its quota that every customer has used; 0: not reported
     std::uint64_t seed = 1;
     // After a restart it has that part of its pace, and all of it once it is warm. Work that comes at more
     // than fall_multiple times its pace over fall_s makes it fall over: it answers nothing more.
     double cold_from = 0.2, warm_s = 10, fall_multiple = 0, fall_s = 2;
 };
 
-class Provider {
+class Backend {
   public:
-    Provider(slatejunction::net::Timers& timers, const ProviderSettings& settings);
+    Backend(slatejunction::net::Timers& timers, const BackendSettings& settings);
     bool start(std::string& why) { return server_.start(settings_.listen, why); }
     std::string summary() const;
     void drain();     // it has been taken off the list: what comes later than it may is counted
@@ -37,7 +37,7 @@
     double pace(double now) const;
     bool falls(double now, double work);
     void on_request(const std::shared_ptr<Client>& client, Request& request);
-    const ProviderSettings settings_;
+    const BackendSettings settings_;
     Server server_;
     std::vector<double> free_at_;   // of each core
     std::size_t open_ = 0, served_ = 0, turned_away_ = 0, most_open_ = 0;
--- a/fakes/counter.cpp
+++ b/fakes/counter.cpp
@@ -56,9 +56,9 @@
 struct Counter::Caller final : net::Protocol {
     Caller(Counter& counter, std::size_t address) : counter_(counter), address(address) {}
 
-    std::span<char> receive_buffer() override { return room_; }
+    std::span<char> receive_buffer() override { return receive_bytes_; }
     void on_bytes(std::size_t size) override {
-        in_.append(room_, size);
+        in_.append(receive_bytes_, size);
         if (in_.size() > kBytesMost) return end();
         if (counter_.fault_ == "silent" || counter_.cut_[address]) return;   // read again when it is over
         look();
@@ -191,7 +191,7 @@
     bool mute = false;
     bool queueing_ = false, broken_ = false;
     std::vector<std::vector<std::string>> queued_;
-    char room_[16384];
+    char receive_bytes_[16384];
 };
 
 Counter::Counter(net::Timers& timers, const CounterSettings& settings)
--- a/fakes/discovery.cpp
+++ b/fakes/discovery.cpp
@@ -18,12 +18,12 @@
 
 }   // namespace
 
-Directory::Directory(slatejunction::net::Timers& timers, std::string listen, std::vector<Member> members)
+Discovery::Discovery(slatejunction::net::Timers& timers, std::string listen, std::vector<Member> members)
     : listen_(std::move(listen)),
       members_(std::move(members)),
       server_(timers, [this](const auto& client, Request& request) { on_request(client, request); }) {}
 
-std::string Directory::list(bool complete, int since) const {
+std::string Discovery::list(bool complete, int since) const {
     rapidjson::StringBuffer text;
     rapidjson::Writer json(text);
     json.StartObject();
@@ -49,10 +49,10 @@
     return text.GetString();
 }
 
-std::string Directory::whole() const { return list(true, 0); }
-std::string Directory::changes(int since) const { return list(false, since); }
+std::string Discovery::whole() const { return list(true, 0); }
+std::string Discovery::changes(int since) const { return list(false, since); }
 
-bool Directory::set(const std::string& id, const std::string& phase) {
+bool Discovery::set(const std::string& id, const std::string& phase) {
     const auto at =
         std::find_if(members_.begin(), members_.end(), [&](const auto& one) { return one.id == id; });
     if (at == members_.end() || at->phase == "Gone") return false;
@@ -62,19 +62,19 @@
     return true;
 }
 
-bool Directory::restart(const std::string& id) {
+bool Discovery::restart(const std::string& id) {
     for (Member& one : members_)
         if (one.id == id) one.up_since_ms = unix_ms();
     return set(id, "Ready");
 }
 
-void Directory::add(Member member) {
+void Discovery::add(Member member) {
     member.changed = ++revision_;
     members_.push_back(std::move(member));
     tell_waiting();
 }
 
-void Directory::behave(const Manner& manner) {
+void Discovery::behave(const Manner& manner) {
     manner_ = manner;
     if (manner_.silent || manner_.holds) {
         for (const Waiting& one : std::exchange(waiting_, {})) {
@@ -89,16 +89,16 @@
     }
 }
 
-void Directory::tell_waiting() {
+void Discovery::tell_waiting() {
     for (const Waiting& one : std::exchange(waiting_, {}))
         if (const auto client = one.client.lock(); client && client->open()) answer(client, one.since);
 }
 
 // With what there is once the delay is over.
-void Directory::answer(const std::shared_ptr<Client>& client, int since) {
+void Discovery::answer(const std::shared_ptr<Client>& client, int since) {
     const auto give = [this, client, since] {
         const std::string list = since < 0 || manner_.always_whole ? whole() : changes(since);
-        bytes_told_ += list.size();
+        list_bytes_sent_ += list.size();
         client->answer(200, list);
     };
     if (manner_.delay_s <= 0) {
@@ -108,7 +108,7 @@
     client->later(manner_.delay_s, give);
 }
 
-void Directory::on_request(const std::shared_ptr<Client>& client, Request& request) {
+void Discovery::on_request(const std::shared_ptr<Client>& client, Request& request) {
     ++asked_;
     if (!request.target.starts_with("/registry/instances")) return client->answer(404, "");
     const std::size_t index = request.target.find("index=");
@@ -127,7 +127,7 @@
     });
 }
 
-std::string Directory::summary() const {
+std::string Discovery::summary() const {
     return "{\"revision\":" + std::to_string(revision_) + ",\"asked\":" + std::to_string(asked_) + "}";
 }
 
--- a/fakes/discovery.hpp
+++ b/fakes/discovery.hpp
@@ -1,4 +1,4 @@
-// The directory (PROTOCOL, "Discovery"): a list of providers with a version, asked whole or watched.
+// Discovery (PROTOCOL, "Discovery"): a list of backends with a version, asked whole or watched.
 #pragma once
 
 #include <string>
@@ -8,7 +8,7 @@
 
 namespace fakes {
 
-class Directory {
+class Discovery {
   public:
     struct Member {
         std::string id, host_port, flavor = "stand-in", phase = "Ready";
@@ -18,22 +18,22 @@
     };
     // How calls are answered from now on; by default at once.
     struct Manner {
-        double delay_s = 0;          // between a call, or its news, and the answer
+        double delay_s = 0;          // between a call, or its change, and the answer
         bool silent = false;         // not at all, open watches included: what is asked now is lost
         bool holds = false;          // not before it behaves otherwise: what is asked now is answered then
         bool turns_away = false;     // 503
         bool always_whole = false;   // with the whole list where changes would do
     };
-    Directory(slatejunction::net::Timers& timers, std::string listen, std::vector<Member> members);
+    Discovery(slatejunction::net::Timers& timers, std::string listen, std::vector<Member> members);
     bool start(std::string& why) { return server_.start(listen_, why); }
     void end() { server_.stop(), server_.end_all(); }   // until the next start()
-    // Ready, Terminating or Gone; false: no such provider.
+    // Ready, Terminating or Gone; false: no such backend.
     bool set(const std::string& id, const std::string& phase);
     bool restart(const std::string& id);   // Ready, and up since now
     void add(Member member);               // as a backend that has just come
     void behave(const Manner& manner);
     int revision() const { return revision_; }
-    std::size_t bytes_told() const { return bytes_told_; }   // of lists, whole and changes
+    std::size_t list_bytes_sent() const { return list_bytes_sent_; }   // of lists, whole and changes
     std::string whole() const;
     std::string changes(int since) const;   // what has changed after that revision
     std::string summary() const;
@@ -46,7 +46,7 @@
     const std::string listen_;
     std::vector<Member> members_;
     int revision_ = 1;
-    std::size_t asked_ = 0, bytes_told_ = 0;
+    std::size_t asked_ = 0, list_bytes_sent_ = 0;
     struct Waiting {
         std::weak_ptr<Client> client;
         int since = 0;   // the revision that it knows
--- a/fakes/link.cpp
+++ b/fakes/link.cpp
@@ -25,7 +25,7 @@
 struct Link::Half final : net::Protocol {
     Half(Pair& pair, bool there) : pair_(pair), there_(there) {}
     void on_open() override;
-    std::span<char> receive_buffer() override { return room_; }
+    std::span<char> receive_buffer() override { return receive_bytes_; }
     void on_bytes(std::size_t size) override;
     void on_end(bool clean) override;
     Pair& pair_;
@@ -34,7 +34,7 @@
     double last = 0, free_at = 0;   // order and pace of what goes out of here
     std::vector<std::string> before_open;
     bool open = false, ended = false;
-    char room_[16384];
+    char receive_bytes_[16384];
 };
 
 struct Link::Pair : std::enable_shared_from_this<Pair> {
@@ -89,7 +89,7 @@
         if (!stream.send({&part, 1})) return pair_.close();
     }
 }
-void Link::Half::on_bytes(std::size_t size) { pair_.pass(*this, std::string(room_, size), false); }
+void Link::Half::on_bytes(std::size_t size) { pair_.pass(*this, std::string(receive_bytes_, size), false); }
 void Link::Half::on_end(bool clean) {
     const auto keep = pair_.shared_from_this();
     ended = true;
--- a/fakes/load.cpp
+++ b/fakes/load.cpp
@@ -23,8 +23,8 @@
 
 }   // namespace
 
-struct Load::Consumer final : net::Protocol {
-    explicit Consumer(Load& load) : load_(load), parser_(http::Parser::Kind::response) {}
+struct Load::Connection final : net::Protocol {
+    explicit Connection(Load& load) : load_(load), parser_(http::Parser::Kind::response) {}
 
     void begin(Job job) {
         job_ = std::move(job);
@@ -50,7 +50,7 @@
         used_ = true;
         busy_ = false;
         if (reusable)
-            load_.idle_.push_back(std::static_pointer_cast<Consumer>(keep));
+            load_.idle_.push_back(std::static_pointer_cast<Connection>(keep));
         else
             lose();
         load_.ended(job_, status);
@@ -70,7 +70,7 @@
     void lose() {
         stream.close();
         std::erase_if(load_.idle_, [&](const auto& one) { return one.get() == this; });
-        load_.consumers_.erase(std::static_pointer_cast<Consumer>(shared_from_this()));
+        load_.connections_.erase(std::static_pointer_cast<Connection>(shared_from_this()));
     }
     void write() {
         const std::string_view bytes = job_.bytes;
@@ -125,7 +125,7 @@
     if (over_) {
         timer_.arm(due_ + kLinger);
         if (now >= due_ + kLinger)
-            while (!consumers_.empty()) (*consumers_.begin())->on_end(false);
+            while (!connections_.empty()) (*connections_.begin())->on_end(false);
         maybe_done();
     }
 }
@@ -162,14 +162,14 @@
 void Load::give(Job job) {
     ++open_;
     if (!idle_.empty()) {
-        const auto consumer = std::move(idle_.back());
+        const auto connection = std::move(idle_.back());
         idle_.pop_back();
-        return consumer->begin(std::move(job));
+        return connection->begin(std::move(job));
     }
-    const auto consumer = std::make_shared<Consumer>(*this);
-    consumers_.insert(consumer);
-    consumer->begin(std::move(job));
-    if (!consumer->stream.dial(address_.get())) consumer->on_end(false);
+    const auto connection = std::make_shared<Connection>(*this);
+    connections_.insert(connection);
+    connection->begin(std::move(job));
+    if (!connection->stream.dial(address_.get())) connection->on_end(false);
 }
 
 void Load::ended(const Job& job, int status) {
@@ -199,11 +199,11 @@
 void Load::progress() {
     const double at = net::now() - started_;
     std::fprintf(stderr, "%6.1f s: %llu served, %llu refused, %llu failed, %llu open\n", at,
-                 static_cast<unsigned long long>(all_.served - told_.served),
-                 static_cast<unsigned long long>(all_.refused - told_.refused),
-                 static_cast<unsigned long long>(all_.failed - told_.failed),
+                 static_cast<unsigned long long>(all_.served - printed_.served),
+                 static_cast<unsigned long long>(all_.refused - printed_.refused),
+                 static_cast<unsigned long long>(all_.failed - printed_.failed),
                  static_cast<unsigned long long>(open_));
-    told_ = all_;
+    printed_ = all_;
     if (!over_) progress_.arm(net::now() + settings_.progress_s);
 }
 
--- a/fakes/load.hpp
+++ b/fakes/load.hpp
@@ -1,4 +1,4 @@
-// Consumers (PROTOCOL, "Clients to ingresses"): an open loop of requests whose times are drawn ahead and
+// Clients (PROTOCOL, "Clients to ingresses"): an open loop of requests whose times are drawn ahead and
 // wait for no answer. Latencies run from the time that a request was due to be sent.
 #pragma once
 
@@ -40,7 +40,7 @@
     void report() const;           // for people, to standard output
 
   private:
-    struct Consumer;
+    struct Connection;
     struct Tally {
         std::uint64_t served = 0, refused = 0, failed = 0;
     };
@@ -66,11 +66,11 @@
     std::mt19937_64 random_;
     double started_ = 0, due_ = 0;
     std::uint64_t numbers_ = 0, unsent_ = 0, open_ = 0;
-    std::unordered_set<std::shared_ptr<Consumer>> consumers_;
-    std::vector<std::shared_ptr<Consumer>> idle_;
+    std::unordered_set<std::shared_ptr<Connection>> connections_;
+    std::vector<std::shared_ptr<Connection>> idle_;
     std::map<std::pair<std::string, std::string>, Tally> tallies_;   // by class and plan
     std::vector<float> seconds_;                                     // of those served
-    Tally all_, told_;
+    Tally all_, printed_;
     bool over_ = false;
 };
 
--- a/fakes/main.cpp
+++ b/fakes/main.cpp
@@ -84,15 +84,15 @@
     return path;
 }
 
-int run_provider(const Common& common, const fakes::ProviderSettings& settings) {
+int run_backend(const Common& common, const fakes::BackendSettings& settings) {
     Stage stage(common);
-    fakes::Provider provider(stage.timers(), settings);
+    fakes::Backend backend(stage.timers(), settings);
     std::string why;
-    if (!provider.start(why)) return Stage::fail(settings.listen + ": " + why);
-    return stage.run([&] { return provider.summary(); },
+    if (!backend.start(why)) return Stage::fail(settings.listen + ": " + why);
+    return stage.run([&] { return backend.summary(); },
                      [&](const std::string& path) -> std::string {
-                         if (path == "/drain") return provider.drain(), "";
-                         if (path == "/restart") return provider.restart(), "";
+                         if (path == "/drain") return backend.drain(), "";
+                         if (path == "/restart") return backend.restart(), "";
                          return "no such order";
                      });
 }
@@ -118,9 +118,9 @@
                      });
 }
 
-int run_directory(const Common& common, const std::string& listen,
+int run_discovery(const Common& common, const std::string& listen,
                   const std::vector<std::string>& members) {
-    std::vector<fakes::Directory::Member> all;
+    std::vector<fakes::Discovery::Member> all;
     for (const std::string& one : members) {
         const std::size_t mark = one.find('=');
         if (mark == std::string::npos) return Stage::fail("'" + one + "' is not ID=ADDRESS:PORT");
@@ -129,18 +129,18 @@
         if (comma < one.size()) all.back().flavor = one.substr(comma + 1);
     }
     Stage stage(common);
-    fakes::Directory directory(stage.timers(), listen, all);
+    fakes::Discovery discovery(stage.timers(), listen, all);
     std::string why;
-    if (!directory.start(why)) return Stage::fail(listen + ": " + why);
+    if (!discovery.start(why)) return Stage::fail(listen + ": " + why);
     return stage.run(
-        [&] { return directory.summary(); },
+        [&] { return discovery.summary(); },
         [&](const std::string& path) -> std::string {   // /phase/ID/PHASE, /restart/ID
             if (const std::string id = words_of(path, "/restart/"); !id.empty())
-                return directory.restart(id) ? "" : "no such provider";
+                return discovery.restart(id) ? "" : "no such backend";
             const std::string words = words_of(path, "/phase/");
             const std::size_t mark = words.find(' ');
             if (mark == std::string::npos) return "no such order";
-            return directory.set(words.substr(0, mark), words.substr(mark + 1)) ? "" : "no such provider";
+            return discovery.set(words.substr(0, mark), words.substr(mark + 1)) ? "" : "no such backend";
         });
 }
 
@@ -241,11 +241,11 @@
         };
         const bool breach = stated.count(plan) > 0 && found.worst > stated[plan];
         std::printf(
-            "%s: asked %zu, sent on %zu, worst %.2f units below an empty store (%s), refused with room "
+            "%s: asked %zu, sent on %zu, worst %.2f units below an empty bucket (%s), refused with room "
             "%.4f, "
-            "inside %.4f of a perfect store's%s\n",
+            "inside %.4f of a perfect bucket's%s\n",
             plan.c_str(), found.asked, found.sent, found.worst, found.customer.c_str(),
-            part(found.refused_with_room, found.asked), part(found.inside, found.perfect),
+            part(found.rejected_with_units, found.asked), part(found.inside, found.perfect),
             breach ? "; MORE THAN IS STATED" : "");
         if (breach) status = 1;
     }
@@ -300,30 +300,32 @@
         command->add_option("--report", common.report, "a file for the summary at the end");
     };
 
-    fakes::ProviderSettings provider;
-    auto* providing = app.add_subcommand(
+    fakes::BackendSettings backend;
+    auto* backend_command = app.add_subcommand(
         "backend", "a backend with cores, a queue and service times; orders: POST /drain, POST /restart");
-    shared(providing);
-    providing->add_option("--listen", provider.listen, "ADDRESS:PORT")->required();
-    providing->add_option("--id", provider.id, "its name in answers")->capture_default_str();
-    providing->add_option("--cores", provider.cores, "requests worked on at once")->capture_default_str();
-    providing->add_option("--read-ms", provider.read_ms, "mean work of a GET")->capture_default_str();
-    providing->add_option("--write-ms", provider.write_ms, "mean work of a POST")->capture_default_str();
-    providing->add_option("--spread", provider.spread, "part of the mean, to either side")
+    shared(backend_command);
+    backend_command->add_option("--listen", backend.listen, "ADDRESS:PORT")->required();
+    backend_command->add_option("--id", backend.id, "its name in answers")->capture_default_str();
+    backend_command->add_option("--cores", backend.cores, "requests worked on at once")
         ->capture_default_str();
-    providing->add_option("--queue", provider.queue, "requests that may wait")->capture_default_str();
-    providing->add_option("--used", provider.used, "percent of its quota that each customer has used")
+    backend_command->add_option("--read-ms", backend.read_ms, "mean work of a GET")->capture_default_str();
+    backend_command->add_option("--write-ms", backend.write_ms, "mean work of a POST")
         ->capture_default_str();
-    providing->add_option("--cold-from", provider.cold_from, "part of its pace after a restart")
+    backend_command->add_option("--spread", backend.spread, "part of the mean, to either side")
         ->capture_default_str();
-    providing->add_option("--warm-s", provider.warm_s, "until its pace is whole again")
+    backend_command->add_option("--queue", backend.queue, "requests that may wait")->capture_default_str();
+    backend_command->add_option("--used", backend.used, "percent of its quota that each customer has used")
         ->capture_default_str();
-    providing
-        ->add_option("--fall-multiple", provider.fall_multiple,
+    backend_command->add_option("--cold-from", backend.cold_from, "part of its pace after a restart")
+        ->capture_default_str();
+    backend_command->add_option("--warm-s", backend.warm_s, "until its pace is whole again")
+        ->capture_default_str();
+    backend_command
+        ->add_option("--fall-multiple", backend.fall_multiple,
                      "times its pace that make it fall over; 0: never")
         ->capture_default_str();
-    providing->add_option("--fall-s", provider.fall_s, "over so long")->capture_default_str();
-    providing->add_option("--seed", provider.seed, "of the service times")->capture_default_str();
+    backend_command->add_option("--fall-s", backend.fall_s, "over so long")->capture_default_str();
+    backend_command->add_option("--seed", backend.seed, "of the service times")->capture_default_str();
 
     fakes::CounterSettings counter;
     auto* counting = app.add_subcommand("counter",
@@ -341,11 +343,11 @@
 
     std::string listen;
     std::vector<std::string> members;
-    auto* directing = app.add_subcommand(
+    auto* discovery_command = app.add_subcommand(
         "discovery", "the list of backends; orders: POST /phase/ID/PHASE, POST /restart/ID");
-    shared(directing);
-    directing->add_option("--listen", listen, "ADDRESS:PORT")->required();
-    directing->add_option("--member", members, "ID=ADDRESS:PORT[,FLAVOR], once for each provider");
+    shared(discovery_command);
+    discovery_command->add_option("--listen", listen, "ADDRESS:PORT")->required();
+    discovery_command->add_option("--member", members, "ID=ADDRESS:PORT[,FLAVOR], once for each backend");
 
     bool v1_only = false;
     std::vector<std::string> script;
@@ -441,9 +443,9 @@
         return Stage::fail(bad.what());
     }
     try {
-        if (*providing) return run_provider(common, provider);
+        if (*backend_command) return run_backend(common, backend);
         if (*counting) return run_counter(common, counter);
-        if (*directing) return run_directory(common, listen, members);
+        if (*discovery_command) return run_discovery(common, listen, members);
         if (*linking) return run_links(common, pairs, link_seed);
         if (*keeping) return run_ledger(common, listen, out);
         if (*receiving) return run_receiver(common, listen, v1_only, credentials, script, out);
--- a/fakes/quotas.cpp
+++ b/fakes/quotas.cpp
@@ -54,7 +54,7 @@
         const Store full{plan->burst, event.at};
         Stores& of = stores.try_emplace(event.customer, Stores{full, full, full}).first->second;
         QuotaFindings::OfPlan& found = findings.plans[event.plan];
-        const double room = of.bounded.refilled(event.at, *plan);
+        const double available = of.bounded.refilled(event.at, *plan);
         of.real.refilled(event.at, *plan);
         ++found.asked;
         if (of.perfect.refilled(event.at, *plan) >= 1) {
@@ -62,11 +62,11 @@
             ++found.perfect;
         }
         if (!event.sent) {
-            found.refused_with_room += room >= plan->burst / 2;
+            found.rejected_with_units += available >= plan->burst / 2;
             continue;
         }
         ++found.sent;
-        if (room >= 1) {
+        if (available >= 1) {
             of.bounded.level -= 1;
             ++found.inside;
         }
--- a/fakes/quotas.hpp
+++ b/fakes/quotas.hpp
@@ -12,12 +12,12 @@
 
 struct QuotaFindings {
     struct OfPlan {
-        double worst = 0;   // units below an empty store, of the worst customer and moment
+        double worst = 0;   // units below an empty bucket, of the worst customer and moment
         std::string customer;
         std::size_t asked = 0, sent = 0;
-        std::size_t inside = 0;    // sent with room in the store, where what has none takes nothing
+        std::size_t inside = 0;    // sent with units in the bucket, where what has none takes nothing
         std::size_t perfect = 0;   // asked, that a single gateway would have passed
-        std::size_t refused_with_room = 0;   // half of the store or more was unused
+        std::size_t rejected_with_units = 0;   // half of the bucket or more was unused
     };
     std::map<std::string, OfPlan> plans;
     std::size_t requests = 0;
--- a/fakes/receiver.hpp
+++ b/fakes/receiver.hpp
@@ -32,7 +32,7 @@
     struct Series {
         std::vector<Point> points;
         bool counter = false;
-        std::int64_t created_ms = 0;   // as 2.0 told it; 0: not told
+        std::int64_t created_ms = 0;   // as version 2.0 sent it; 0: not sent
     };
 
     // v1_only: answers 415 to 2.0.
--- a/fakes/server.cpp
+++ b/fakes/server.cpp
@@ -38,10 +38,10 @@
     timer_.arm(net::now() + s);
 }
 
-std::span<char> Client::receive_buffer() { return room_; }
+std::span<char> Client::receive_buffer() { return receive_bytes_; }
 
 void Client::on_bytes(std::size_t size) {
-    in_.append(room_, size);
+    in_.append(receive_bytes_, size);
     if (in_.size() > std::min(kMessageMost, server_.cut_after)) return end();
     look();
 }
--- a/fakes/server.hpp
+++ b/fakes/server.hpp
@@ -54,7 +54,7 @@
     slatejunction::net::Timer timer_;
     std::function<void()> later_;
     std::string in_;
-    char room_[16384];
+    char receive_bytes_[16384];
     bool busy_ = false, closing_ = false;
 };
 
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -1,4 +1,4 @@
-// What the program is told at its start: the environment and the JSON file that it names.
+// The program's configuration: the environment and the JSON file that it names.
 #pragma once
 
 #include <cstdint>
@@ -29,7 +29,7 @@
     std::size_t stated_sockets = 1024;   // as the file states them
     double memory_mb = 192;
     // Settings that the module does not need, as they are about connections.
-    std::size_t max_open_requests = 0;   // invocations; 0: no such limit
+    std::size_t max_open_requests = 0;   // 0: no such limit
     double dial_timeout_s = 0.25;
     double keepalive_s = 30;
     slatejunction::Settings settings;
--- a/src/ini/ini.cpp
+++ b/src/ini/ini.cpp
@@ -44,7 +44,7 @@
     std::list<Section> made;
     std::vector<std::string> faults;
     std::set<std::pair<std::string, std::string>> seen;
-    std::set<std::string> unknown;   // sections that were told already
+    std::set<std::string> unknown;   // sections that were reported already
     std::size_t lines = 0;
     std::string section, key, value;   // not taken yet, as lines may follow
 
--- a/src/ini/ini.hpp
+++ b/src/ini/ini.hpp
@@ -10,7 +10,7 @@
 
 namespace slatejunction::ini {
 
-// One key: how it is told to operators, and how its text is taken.
+// One key: how it is shown to operators, and how its text is taken.
 struct Key {
     std::string name, unit, help, standard;                     // unit empty: it has none
     std::function<std::string(const std::string& text)> take;   // empty: taken; else what is wrong with it
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -23,7 +23,7 @@
 namespace {
 
 // A pipe that polls as writable takes this much without waiting (POSIX: PIPE_BUF).
-constexpr std::size_t kAtOnce = 4096;
+constexpr std::size_t kMaxWriteBytes = 4096;
 
 const char* name_of(Log::Level level) {
     return level == Log::Level::info ? "info" : level == Log::Level::warning ? "warning" : "error";
@@ -40,7 +40,7 @@
 void put_text(Json& json, const char* key, std::string_view text) {
     json.Key(key);
     if (text.empty()) return void(json.String(""));
-    // Consumers may send any bytes; JSON may not hold all of them.
+    // Clients may send any bytes; JSON may not hold all of them.
     const std::unique_ptr<char, decltype(&g_free)> valid(
         g_utf8_make_valid(text.data(), static_cast<gssize>(text.size())), &g_free);
     json.String(valid.get());
@@ -79,38 +79,42 @@
 }   // namespace
 
 // Guards against a log reader that stalls: a write that would wait is not begun. What can't be written is
-// kept up to a bound, in order; beyond it lines are counted, and told of once there is room.
+// kept up to a bound, in order; beyond it lines are counted, and reported once there is space.
 class Log::Sink final : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
   public:
-    explicit Sink(int fd) : own_(own_end(fd)), fd_(own_ >= 0 ? own_ : fd) {}
+    explicit Sink(int fd)
+        : reopened_fd_(reopen_nonblocking(fd)), fd_(reopened_fd_ >= 0 ? reopened_fd_ : fd) {}
     ~Sink() override {
-        if (own_ >= 0) ::close(own_);
+        if (reopened_fd_ >= 0) ::close(reopened_fd_);
     }
-    void set_room(std::size_t bytes) { room_ = bytes; }
+    void set_max_buffered(std::size_t bytes) { max_buffered_ = bytes; }
     std::uint64_t lost() const { return lost_; }
 
     bool drain(int wait_ms = 0) {
-        while (from_ < kept_.size()) {
-            const std::size_t size = std::min(kAtOnce, kept_.size() - from_);
-            const ssize_t done = write_some(kept_.data() + from_, size, wait_ms);
+        while (written_ < buffered_.size()) {
+            const std::size_t size = std::min(kMaxWriteBytes, buffered_.size() - written_);
+            const ssize_t done = write_some(buffered_.data() + written_, size, wait_ms);
             if (done <= 0) break;
-            from_ += static_cast<std::size_t>(done);
+            written_ += static_cast<std::size_t>(done);
         }
-        if (from_ == kept_.size())
-            kept_.clear(), from_ = 0;
-        else if (from_ > kept_.size() / 2)
-            kept_.erase(0, from_), from_ = 0;
-        return kept_.empty();
+        if (written_ == buffered_.size()) {
+            buffered_.clear();
+            written_ = 0;
+        } else if (written_ > buffered_.size() / 2) {
+            buffered_.erase(0, written_);
+            written_ = 0;
+        }
+        return buffered_.empty();
     }
 
   protected:
     void sink_it_(const spdlog::details::log_msg& message) override {
         spdlog::memory_buf_t line;
         formatter_->format(message, line);
-        if (lost_ > told_ && drain()) {
-            const std::string text = "warning: " + std::to_string(lost_ - told_) +
+        if (lost_ > reported_lost_ && drain()) {
+            const std::string text = "warning: " + std::to_string(lost_ - reported_lost_) +
                                      " log lines left out: their reader was too slow\n";
-            told_ = lost_;
+            reported_lost_ = lost_;
             put(text.data(), text.size());
         }
         put(line.data(), line.size());
@@ -121,7 +125,7 @@
     // Guards against a pipe that other programs write to as well: one of them may fill it between the poll
     // and the write, which would wait then. Opened anew it does not wait, and they keep their own way;
     // below 0 where it is no pipe.
-    static int own_end(int fd) {
+    static int reopen_nonblocking(int fd) {
         struct stat file {};
         if (::fstat(fd, &file) != 0 || !S_ISFIFO(file.st_mode)) return -1;
         const std::string path = "/proc/self/fd/" + std::to_string(fd);
@@ -134,27 +138,27 @@
     }
     void put(const char* data, std::size_t size) {
         std::size_t done = 0;
-        if (kept_.empty() || drain()) {
+        if (buffered_.empty() || drain()) {
             while (done < size) {
-                const ssize_t some = write_some(data + done, std::min(kAtOnce, size - done), 0);
+                const ssize_t some = write_some(data + done, std::min(kMaxWriteBytes, size - done), 0);
                 if (some <= 0) break;
                 done += static_cast<std::size_t>(some);
             }
         }
         if (done == size) return;
         // A line begun is kept whole whatever the bound: half a line would spoil the next one too.
-        if (done == 0 && kept_.size() - from_ + size > room_)
+        if (done == 0 && buffered_.size() - written_ + size > max_buffered_)
             ++lost_;
         else
-            kept_.append(data + done, size - done);
+            buffered_.append(data + done, size - done);
     }
 
-    const int own_;   // closed with this
+    const int reopened_fd_;   // closed with this
     const int fd_;
-    std::size_t room_ = 256 * 1024;
-    std::string kept_;
-    std::size_t from_ = 0;
-    std::uint64_t lost_ = 0, told_ = 0;
+    std::size_t max_buffered_ = 256 * 1024;
+    std::string buffered_;
+    std::size_t written_ = 0;
+    std::uint64_t lost_ = 0, reported_lost_ = 0;
 };
 
 Log::Log(const logging::Settings& settings, int fd)
@@ -168,7 +172,7 @@
     records_ = settings.records();
     events_ = settings.events == 1;
     json_ = settings.as() == logging::Format::json;
-    sink_->set_room(static_cast<std::size_t>(settings.buffer_kb) * 1024);
+    sink_->set_max_buffered(static_cast<std::size_t>(settings.buffer_kb) * 1024);
     least_ = static_cast<Level>(settings.level);   // by put(): records have a switch of their own
     // Text lines are `LEVEL: TEXT`, as they always were; a JSON line is made whole before it comes here.
     logger_->set_formatter(std::make_unique<spdlog::pattern_formatter>(
--- a/src/log/log.hpp
+++ b/src/log/log.hpp
@@ -35,7 +35,7 @@
     ~Log();
     void configure(const logging::Settings& settings);
 
-    // `now` is the clock of net::now(). A line over the limit is counted and told of with the next one.
+    // `now` is the clock of net::now(). A line over the limit is counted and reported with the next one.
     __attribute__((format(printf, 4, 5))) void write(Level level, double now, const char* format, ...);
 
     // One record of what the fleet's parts did, for checkers, where `[log] events` is on: stamped by
@@ -54,7 +54,7 @@
     // The same for the end of the program: waits for the reader, at most so long.
     void flush(double most_s);
     std::uint64_t suppressed() const { return suppressed_all_; }   // lines over the limit
-    std::uint64_t lost() const;                                    // lines and records without room
+    std::uint64_t lost() const;   // lines and records that the buffer could not take
 
   private:
     static constexpr double kBurst = 40;      // lines at once
--- a/src/metrics/reasons.hpp
+++ b/src/metrics/reasons.hpp
@@ -7,8 +7,8 @@
 
 namespace slatejunction::metrics {
 
-// The module's (slatejunction::Reason), and among them the door's own, open_limit. The numbers are stable:
-// files keep them.
+// The gateway's (slatejunction::RejectReason), and among them the ingress's own, open_limit. The numbers
+// are stable: files keep them.
 inline constexpr std::array<std::string_view, 9> kReasons{"quota",     "ceiling",     "fraction",
                                                           "open_work", "no_provider", "attempts",
                                                           "malformed", "open_limit",  "limit"};
--- a/tests/terms/growth_test.cpp
+++ b/tests/terms/growth_test.cpp
@@ -67,7 +67,7 @@
         "served %.3f\n",
         count, cpu_s(world.process.id()), status_kb(world.process.id(), "VmHWM") / 1024, most,
         world.backends[0]->server.accepted + world.backends[1]->server.accepted,
-        static_cast<double>(world.discovery[0]->bytes_told()) / 1024,
+        static_cast<double>(world.discovery[0]->list_bytes_sent()) / 1024,
         static_cast<double>(served) / static_cast<double>(world.requests.size()));
     CHECK(served > 0);
 }
