--- /dev/null
+++ b/src/gateway/timing.hpp
@@ -0,0 +1,31 @@
+// Rule: a gap between events longer than kPauseS means that this process was paused, so no attempt's
+// silence or age counts against a backend until kTickS after it. Inputs: times of events, seconds on the
+// caller's monotonic clock. Output: whether a measured duration is valid. It never reads a clock. The tick
+// timer runs every kTickS, so that without a pause no gap comes near kPauseS. Seen in: nothing of its own;
+// answers that waited during the pause are handled before anything is judged late.
+#pragma once
+
+namespace slatejunction::gateway {
+
+constexpr double kTickS = 0.05;
+constexpr double kPauseS = 0.2;
+
+/// Tells when this process itself was paused (swapped out, suspended, a stopped virtual machine).
+class PauseDetector {
+  public:
+    /// An event at `now`, `gap_s` after the one before.
+    void on_event(double now, double gap_s) {
+        if (gap_s > kPauseS) resumed_at_s_ = now;
+    }
+    /// Whether the process resumed less than a tick ago.
+    bool just_resumed(double now) const { return now - resumed_at_s_ < kTickS; }
+    /// Whether the duration from `started_at_s` to `now` contains a pause that has just ended.
+    bool spans_pause(double started_at_s, double now) const {
+        return started_at_s < resumed_at_s_ && just_resumed(now);
+    }
+
+  private:
+    double resumed_at_s_ = -1e18;
+};
+
+}   // namespace slatejunction::gateway
--- /dev/null
+++ b/src/gateway/watch_retry.hpp
@@ -0,0 +1,41 @@
+// Rule: a lost endpoint watch is asked for again kWatchRetryS after the loss, and in any case once half of
+// Settings::watch_retry_within_s has passed since it was last asked for.
+// Inputs: times in seconds; watch_retry_within_s. Output: whether to ask for the watch now.
+// It never touches the endpoint list: the last one stays in use.
+// Seen in: action WatchEndpoints.
+#pragma once
+
+#include <algorithm>
+
+#include "gateway/numeric.hpp"
+#include "gateway/timing.hpp"
+#include "slatejunction/gateway.hpp"
+
+namespace slatejunction::gateway {
+
+constexpr double kWatchRetryS = 0.5;
+
+/// When the endpoint watch is asked for. Only in use with DiscoveryMode::subscribe.
+class WatchRetry {
+  public:
+    void on_requested(double now) { requested_at_s_ = now; }
+    /// It is asked for again, because it was due().
+    void on_retried(double now) {
+        retry_at_s_ = kNever;
+        on_requested(now);
+    }
+    void on_lost(double now) { retry_at_s_ = now + kWatchRetryS; }
+
+    bool due(const Settings& settings, double now) const {
+        const double max_gap_s = std::max(kTickS, 0.5 * positive_or_zero(settings.watch_retry_within_s));
+        return now >= retry_at_s_ || now - requested_at_s_ > max_gap_s;
+    }
+
+  private:
+    static constexpr double kNever = 1e18;
+
+    double requested_at_s_ = 0;
+    double retry_at_s_ = kNever;
+};
+
+}   // namespace slatejunction::gateway
