--- a/include/slatejunction/gateway.hpp
+++ b/include/slatejunction/gateway.hpp
@@ -7,8 +7,8 @@
 //
 // Contract, for every call of Gateway::handle():
 //  - time: `now` is in seconds on any monotonic clock. A value that is not finite, or lies before an
-//    earlier one, is taken as the latest time seen.
-//  - order: events are given in the order in which they arrived. Several may carry the same `now`.
+//    earlier one, counts as the latest time seen.
+//  - order: events are handled in the order in which they arrived. Several may carry the same `now`.
 //  - ownership: events are only read during the call; actions own their strings.
 //  - threads: one call at a time for each Gateway. Different Gateways share nothing.
 //  - determinism: equal settings, seed and events give equal actions, on every platform.
@@ -34,7 +34,7 @@
 /// attempt.
 enum class IdempotencyScope { all, zone, cell };
 
-/// Whether endpoint updates come unasked, or only after a WatchEndpoints action.
+/// Whether endpoint updates arrive unrequested, or only after a WatchEndpoints action.
 enum class DiscoveryMode { automatic, subscribe };
 
 /// How an attempt ended. The numbers are those of the simulator's wire.
@@ -98,11 +98,11 @@
     bool retry_after = false;                    ///< clients are sent the retry-after of a rejection
     double max_retry_after_s = 0;                ///< seconds that clients honour at most; 0: any
     double tick_interval_s = 0;                  ///< seconds; resolution of the caller's timers
-    double watch_retry_within_s = 0;      ///< seconds in which a lost watch has to be asked for again
+    double watch_retry_within_s = 0;      ///< seconds in which a lost watch has to be requested again
     double slow_start_min_capacity = 0;   ///< part of its full capacity that a backend starts with
     double slow_start_window_s = 0;       ///< seconds to full capacity; 0: no slow start
     double overload_multiple = 0;         ///< load over capacity at which a warming backend fails
-    double overload_window_s = 0;         ///< seconds over which that load is taken
+    double overload_window_s = 0;         ///< seconds over which that load is measured
     bool operator==(const Settings&) const = default;
 };
 
@@ -153,7 +153,7 @@
     std::uint64_t customer = 0;
     double deadline_at_s = 0;       ///< clock time in seconds
     double ingress_count = 0;       ///< ingresses that this customer's requests may arrive through
-    bool is_client_retry = false;   ///< the client says that it has asked for this before
+    bool is_client_retry = false;   ///< the client marks it as a retry
     std::uint64_t subset = 0;       ///< the one subset it is for, a bit as in Endpoint; 0: the whole fleet
     SubsetFallback subset_fallback = SubsetFallback::never;
     double rate_limit_retry_after_s =
@@ -165,7 +165,7 @@
     std::string id;             ///< Request::id
     std::int64_t attempt = 0;   ///< number of the attempt, from 0
     AttemptResult result = AttemptResult::ok;
-    double duration_s = 0;        ///< seconds, as the caller measured
+    double duration_s = 0;        ///< seconds, as measured by the caller
     bool request_ended = false;   ///< the request needs no further answer
     double quota_use = 0;       ///< 1 + percent of the rate used in the last metered period; 0: no reading
     double charged_units = 0;   ///< true units where they are settled afterwards; 0: none
@@ -219,9 +219,9 @@
     std::int64_t attempt = 0;
 };
 
-/// Why a request was rejected. The numbers are stable: they are kept in files and shown to operators.
+/// Why a request was rejected. The numbers are stable: they are stored in files and shown to operators.
 enum class RejectReason {
-    quota = 0,                ///< its customer asks beyond the quota
+    quota = 0,                ///< its customer is over its quota
     hard_limit = 1,           ///< a plan's hard limit, or its limit on attempts in flight
     admitted_fraction = 2,    ///< the backends are slow
     concurrency_limit = 3,    ///< too much is in flight for the rate of answers
@@ -243,18 +243,18 @@
     std::string id;
 };
 
-/// Give a TimerFired with `tag` at `fire_at_s`. Timers are never cancelled.
+/// Deliver a TimerFired with `tag` at `fire_at_s`. Timers are never cancelled.
 struct SetTimer {
     double fire_at_s = 0;   ///< clock time in seconds
     std::uint64_t tag = 0;
 };
 
-/// Check a backend's health. This Gateway asks for none.
+/// Check a backend's health. This Gateway requests none.
 struct StartHealthCheck {
     std::string backend;
 };
 
-/// Ask discovery for endpoint updates.
+/// Request endpoint updates from discovery.
 struct WatchEndpoints {
     bool enabled = false;
 };
@@ -264,7 +264,7 @@
     std::string text;
 };
 
-/// The admitted fraction has changed. 1 until this is first given; each subset has its own. Nothing to do.
+/// The admitted fraction has changed. 1 before the first of these; each subset has its own. Nothing to do.
 struct AdmittedFraction {
     double fraction = 1;        ///< 0.05 to 1
     std::uint64_t subset = 0;   ///< a bit as in Request; 0: the whole fleet
--- a/src/gateway/admission_controller.hpp
+++ b/src/gateway/admission_controller.hpp
@@ -1,11 +1,13 @@
 // Rule: the fraction of requests admitted to a subset follows a PI loop that holds the mean latency of
 // finished attempts at a reference (design page; Amani et al., Load-Adaptive Controller, section V.B,
-// equation 10). Inputs: latency ratios (latency over the class's latency objective, so that one loop serves
-// all classes); times in seconds; each request's priority over the mean one's. Output: the admitted
-// fraction, 0.05 to 1, and whether one request is admitted under it. It never looks at customers, quotas or
-// single backends, and holds while nothing finishes. Seen in: action AdmittedFraction (measure
-// slatejunction_admitted_fraction), RejectReason::admitted_fraction (slatejunction_refusals_total), log
-// line "refused: ... fraction N ...; admitted fraction N%".
+// equation 10).
+// Inputs: latency ratios (latency over the class's latency objective, so that one loop serves all classes);
+// times in seconds; each request's priority over the mean one's.
+// Output: the admitted fraction, 0.05 to 1, and whether one request is admitted under it.
+// It never looks at customers, quotas or single backends, and stays as it is while nothing finishes.
+// Seen in: action AdmittedFraction (measure slatejunction_admitted_fraction),
+// RejectReason::admitted_fraction (slatejunction_refusals_total), log line "refused: ... fraction N ...;
+// admitted fraction N%".
 #pragma once
 
 #include <algorithm>
@@ -27,7 +29,7 @@
 constexpr double kMaxGain = 1.0;                // fraction per latency ratio
 constexpr double kGainFilterWeight = 0.5;       // of the newest period, in the low-pass filter
 constexpr double kIntegralGain = 0.06;          // fraction per latency ratio and period
-constexpr double kAntiWindup = 0.5;             // part of the excess that is taken back each period
+constexpr double kAntiWindup = 0.5;             // part of the excess removed each period
 constexpr double kMaxPointAgeS = 20.0;          // an older point belongs to another load
 constexpr double kMinPointDistance = 0.01;      // of the fraction, between the high and the low point
 constexpr double kFleetChangeForReset = 0.15;   // part of the fleet, from which measured points are void
--- a/src/gateway/concurrency_limit.hpp
+++ b/src/gateway/concurrency_limit.hpp
@@ -1,10 +1,13 @@
 // Rule: a request is rejected while the attempts in flight to its subset, over the rate of answers, promise
-// a latency above kMaxExpectedLatencyRatio (Little's law; the paper's equation 7). Inputs: attempts in
-// flight and their classes' latency objectives (s); times of answers (s); backends per ingress; the
-// request's priority over the mean one's, which lengthens or shortens the wait that is allowed. Output:
-// whether the limit is exceeded. It never rejects while fewer attempts are in flight than
-// kMinInFlightPerBackend allows, and never cancels. Seen in: RejectReason::concurrency_limit (measure
-// slatejunction_refusals_total), log line "refused: ... open work N ...".
+// a latency above kMaxExpectedLatencyRatio (Little's law; the paper's equation 7).
+// Inputs: attempts in flight and their classes' latency objectives (s); times of answers (s); backends per
+// ingress; the request's priority over the mean one's, which lengthens or shortens the wait that is
+// allowed.
+// Output: whether the limit is exceeded.
+// It never rejects while fewer attempts are in flight than kMinInFlightPerBackend allows, and never
+// cancels.
+// Seen in: RejectReason::concurrency_limit (measure slatejunction_refusals_total), log line "refused: ...
+// open work N ...".
 #pragma once
 
 #include <algorithm>
--- a/src/gateway/endpoint_set.hpp
+++ b/src/gateway/endpoint_set.hpp
@@ -1,9 +1,11 @@
-// Rule: attempts go only to backends that the endpoint list says are serving; a backend that left the list
-// is forgotten once nothing is in flight to it. Inputs: endpoint updates (list, subsets as bits, capacity
-// hints as weights of any unit); times in seconds. Output: the backends of each subset in the order of
-// their ids, with the sums of their weights; whether a request may fall back from its subset to the whole
-// fleet. It never drops a backend with attempts in flight, and never chooses between backends. Seen in:
-// RejectReason::no_backend where a subset is empty (measure slatejunction_refusals_total).
+// Rule: attempts go only to backends that the endpoint list has as serving; a backend no longer listed is
+// forgotten once nothing is in flight to it.
+// Inputs: endpoint updates (list, subsets as bits, capacity hints as weights of any unit); times in
+// seconds.
+// Output: the backends of each subset in the order of their ids, with the sums of their weights; whether a
+// request may fall back from its subset to the whole fleet.
+// It never drops a backend with attempts in flight, and never chooses between backends.
+// Seen in: RejectReason::no_backend where a subset is empty (measure slatejunction_refusals_total).
 #pragma once
 
 #include <array>
@@ -96,7 +98,7 @@
 
     /// An attempt was answered: the backend is one of the recent responders.
     void on_answer(Backend& backend);
-    /// An attempt ended: forgets the backend where it has left the list and nothing else is in flight to
+    /// An attempt ended: forgets the backend where it is not listed and nothing else is in flight to
     /// it.
     void on_attempt_ended(const Backend& backend) {
         if (!backend.listed && backend.in_flight == 0) rebuild();
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -413,7 +413,7 @@
 }
 
 // Cancels what is still in flight; the request is forgotten once all of that has ended. `request` may be
-// gone then.
+// destroyed by then.
 void Gateway::Impl::finish(OpenRequest& request) {
     if (retries_.cancels_in_flight(request))
         for (std::size_t i = 0; i < request.attempts.size(); ++i)
@@ -425,12 +425,12 @@
 
 void Gateway::Impl::on_tick() {
     act(SetTimer{now_ + kTickS, TimerTag::kTick});
-    if (settings_.discovery == DiscoveryMode::subscribe && watch_.due(settings_, now_)) {
+    if (settings_.discovery == DiscoveryMode::subscribe && watch_.should_retry(settings_, now_)) {
         watch_.on_retried(now_);
         act(WatchEndpoints{true});
     }
     close_admission_periods();
-    if (rejection_log_.due(now_)) write_rejection_log();
+    if (rejection_log_.interval_elapsed(now_)) write_rejection_log();
     if (now_ - idle_customers_checked_at_s_ > kIdleCustomerCheckS) {
         idle_customers_checked_at_s_ = now_;
         quotas_.forget_idle(now_);
--- a/src/gateway/load_balancer.cpp
+++ b/src/gateway/load_balancer.cpp
@@ -13,7 +13,7 @@
 constexpr double kRejectionCost = 5.0;         // of a cost, at a rejection estimate of 1
 constexpr double kLatencyWeight = 0.15;        // of one answer, in a backend's mean
 constexpr double kFleetLatencyWeight = 0.02;   // of one answer, in the fleet's mean
-constexpr double kLatencyMemoryS = 10.0;       // then a backend's latency is taken to be the fleet's
+constexpr double kLatencyMemoryS = 10.0;       // then a backend's latency counts as the fleet's
 constexpr double kRecentAnswerS = 2.0;
 
 bool in_scope(const Backend& backend, const BackendRequirements& needed) {
@@ -43,8 +43,8 @@
             consider(candidates, *backend, needed, now, random);
             continue;
         }
-        // A warming backend stands alone or not at all, so that its cost never wins it more than it may
-        // get.
+        // A warming backend is chosen by this draw or not at all, so that its cost never wins it more than
+        // it may get.
         const bool allowed =
             i == 0 && needed.tried->empty() &&
             random.uniform() < slow_start_.admission_probability(backend->started_at_s, now);
@@ -103,8 +103,8 @@
 }
 
 double LoadBalancer::latency_ratio(const Backend& backend, double now) const {
-    const double keep = std::exp(-(now - backend.last_answer_at_s) / kLatencyMemoryS);
-    return mean_latency_ratio_ + (backend.latency_ratio - mean_latency_ratio_) * keep;
+    const double retained = std::exp(-(now - backend.last_answer_at_s) / kLatencyMemoryS);
+    return mean_latency_ratio_ + (backend.latency_ratio - mean_latency_ratio_) * retained;
 }
 
 // Expected latency by unit of weight (the draw has favoured backends of more weight already), times what
--- a/src/gateway/load_balancer.hpp
+++ b/src/gateway/load_balancer.hpp
@@ -1,10 +1,12 @@
 // Rule: an attempt goes to the cheapest of a few backends drawn by weight; outliers, backends that reject
-// its kind, and those that the request has tried already, come last. Inputs: the subset's backends with
-// weights, attempts in flight, latency ratios (latency over latency objective), health, slow start; the
-// request's kind, idempotency scope and tried backends; the zone of this ingress. Output: a backend, or
-// none. It never chooses a backend outside of the subset or the idempotency scope, nor a warming one for a
-// retry, but where the scope leaves it no other way. Seen in: measure slatejunction_attempts_total;
-// RejectReason::no_backend where it has none.
+// its kind, and those that the request has attempted on already, rank last.
+// Inputs: the subset's backends with weights, attempts in flight, latency ratios (latency over latency
+// objective), health, slow start; the request's kind, idempotency scope and tried backends; the zone of
+// this ingress.
+// Output: a backend, or none.
+// It never chooses a backend outside of the subset or the idempotency scope, nor a warming one for a retry,
+// but where the scope leaves it no other way.
+// Seen in: action StartAttempt; RejectReason::no_backend where it has none (slatejunction_refusals_total).
 //
 // Few are drawn, as many ingresses with the same late knowledge would herd on the one that looks best.
 // Draws in which no backend answered lately are joined by the last responders of this ingress.
@@ -33,7 +35,7 @@
     SubsetIndex subset = kWholeFleet;
 };
 
-/// Chooses backends, and holds the latencies that it chooses by.
+/// Chooses backends, and owns the latencies that it compares.
 class LoadBalancer {
   public:
     /// All of these must outlive this.
--- a/src/gateway/quota_estimator.cpp
+++ b/src/gateway/quota_estimator.cpp
@@ -9,11 +9,13 @@
 namespace slatejunction::gateway {
 namespace {
 
-constexpr double kUnmeteredPeriods = 1.5;        // metered periods, whose use is not known yet
-constexpr double kPriorDemand = 0.7;             // of the plan's rate; of a customer that is not known
-constexpr double kRareCustomerDemand = 2.2;      // added for many ingresses: the first to come ask for most
-constexpr double kPriorRequests = 0.3;           // weight of the prior, requests at the plan's rate
-constexpr double kReadingMemoryRequests = 6.0;   // requests at the plan's rate that readings are kept for
+constexpr double kUnmeteredPeriods = 1.5;   // metered periods, whose use is not known yet
+constexpr double kPriorDemand = 0.7;        // of the plan's rate; of a customer that is not known
+constexpr double kRareCustomerDemand =
+    2.2;   // added for many ingresses: first requests are mostly of the heaviest
+constexpr double kPriorRequests = 0.3;   // weight of the prior, requests at the plan's rate
+constexpr double kReadingMemoryRequests =
+    6.0;   // requests at the plan's rate; older readings decay over that many
 constexpr double kOverQuotaMargin = 0.85;    // of the rate, left unused in proportion to the cost of excess
 constexpr double kPriorityCredit = 1.0;      // requests; of the class of most priority
 constexpr double kMinCreditPart = 0.15;      // of the credit, where no later request is likely
@@ -26,7 +28,7 @@
 constexpr double kMinMeanUnits = 1e-6;
 constexpr double kMinUnmeteredS = 1e-3;
 
-// How many requests of the customer come to each of its ingresses in `time_s` at the plan's rate.
+// Requests of the customer at each of its ingresses in `time_s` at the plan's rate.
 double local_requests_at_rate(const CustomerUsage& usage, const Plan& plan, double time_s) {
     return time_s * plan.rate / (std::max(usage.mean_units, kMinMeanUnits) * usage.ingress_count);
 }
@@ -61,8 +63,8 @@
 }
 
 // All requests count alike against a quota, so a class of more priority may be admitted on credit: of a
-// surplus the requests of most priority pass first. A customer of many ingresses may send no later request
-// here; then its classes divide the probability by relative priority.
+// surplus the requests of most priority are admitted first. A customer of many ingresses may send no later
+// request here; then its classes divide the probability by relative priority.
 bool QuotaEstimator::admit(CustomerUsage& usage, const Plan& plan, double units, bool is_client_retry,
                            double class_priority, Random& random) {
     const double probability = admission_probability(usage, plan, units, is_client_retry);
@@ -81,7 +83,7 @@
     return usage.sampler.sample(weighted, credit);
 }
 
-// A client's retry reveals requests that were not seen here, and gets nothing of what the bucket holds.
+// A client's retry reveals requests that were not seen here, and gets none of the units in the bucket.
 double QuotaEstimator::admission_probability(CustomerUsage& usage, const Plan& plan, double units,
                                              bool is_client_retry) const {
     if (plan.rate <= 0) return 1.0;
@@ -111,12 +113,12 @@
     advance(usage, plan, now);
     const double used = (reading - 1) / 100;   // of the plan's rate
     const double at_rate = plan.rate * meter_period_s_ / std::max(usage.mean_units, kMinMeanUnits);
-    const double keep = std::exp(-at_rate / kReadingMemoryRequests);
+    const double retained = std::exp(-at_rate / kReadingMemoryRequests);
     const double correction_s = (use(usage, plan) - used) * meter_period_s_;
     usage.bucket_s = limited(usage.bucket_s + correction_s, 0.0, bucket_capacity_s(plan));
-    usage.metered_requests = usage.metered_requests * keep + used * at_rate;
-    usage.admitted_at_rate = usage.admitted_at_rate * keep + usage.probability * at_rate;
-    usage.metered_at_rate = usage.metered_at_rate * keep + at_rate;
+    usage.metered_requests = usage.metered_requests * retained + used * at_rate;
+    usage.admitted_at_rate = usage.admitted_at_rate * retained + usage.probability * at_rate;
+    usage.metered_at_rate = usage.metered_at_rate * retained + at_rate;
     usage.last_reading_at_s = now;
     usage.last_reading = reading;
 }
--- a/src/gateway/quota_estimator.hpp
+++ b/src/gateway/quota_estimator.hpp
@@ -1,10 +1,12 @@
 // Rule: a request of a customer over its quota is admitted with the probability that brings the customer's
-// use at all ingresses down to the plan's rate (design page, pass shares). Inputs: Plan::rate (units/s) and
-// burst (units); a request's units; meter readings (1 + percent of the rate used in the last metered
-// period, over all ingresses); the customer's ingress count; priority weights. Output: whether a request is
-// admitted. It never looks at the backends' load and exchanges nothing with other ingresses: the meter
-// alone shows their use. Seen in: RejectReason::quota (measure slatejunction_refusals_total), log line
-// "refused: share N ...".
+// use at all ingresses down to the plan's rate (design page, pass shares).
+// Inputs: Plan::rate (units/s) and burst (units); a request's units; meter readings (1 + percent of the
+// rate used in the last metered period, over all ingresses); the customer's ingress count; priority
+// weights.
+// Output: whether a request is admitted.
+// It never looks at the backends' load and exchanges nothing with other ingresses: the meter alone shows
+// their use.
+// Seen in: RejectReason::quota (measure slatejunction_refusals_total), log line "refused: share N ...".
 //
 // The design page multiplies the probability by 100 / used, once a period. With few requests of a customer
 // here a reading is rare, so readings are weighed as counts: a Gamma-Poisson estimate with a weak prior.
--- a/src/gateway/random.hpp
+++ b/src/gateway/random.hpp
@@ -1,5 +1,6 @@
-// Rule: all chance in a gateway comes from one generator, seeded by the caller.
-// Input: a 64 bit seed. Output: uniform numbers in [0, 1), the same sequence on every platform.
+// Rule: all random numbers of a gateway come from one generator, seeded by the caller.
+// Input: a 64 bit seed.
+// Output: uniform numbers in [0, 1), the same sequence on every platform.
 // It never reads a clock or a device; it is not fit for secrets.
 // Seen in: nothing of its own; equal seeds and events give equal actions.
 #pragma once
--- a/src/gateway/rejection_log.hpp
+++ b/src/gateway/rejection_log.hpp
@@ -1,8 +1,11 @@
-// Rule: every kRejectionLogS in which requests were rejected or a backend is an outlier, one log line sums
-// up why. Inputs: the reasons of rejections; the whole fleet's admitted fraction (0 to 1); the number of
-// outliers; seconds. Output: the line's text. It never decides on a request. Seen in: log line "refused:
-// share N, ceiling or cap N, fraction N, open work N, no server N; admitted fraction N%; suspect servers
-// N".
+// Rule: every kRejectionLogS in which requests were rejected or a backend is an outlier, one log line
+// counts the reasons.
+// Inputs: the reasons of rejections; the whole fleet's admitted fraction (0 to 1); the number of outliers;
+// seconds.
+// Output: the line's text.
+// It never decides on a request.
+// Seen in: log line "refused: share N, ceiling or cap N, fraction N, open work N, no server N; admitted
+// fraction N%; suspect servers N".
 #pragma once
 
 #include <array>
@@ -23,9 +26,9 @@
         if (index < counts_.size()) ++counts_[index];
     }
 
-    bool due(double now) const { return now - last_line_at_s_ > kRejectionLogS; }
+    bool interval_elapsed(double now) const { return now - last_line_at_s_ > kRejectionLogS; }
 
-    /// Begins the next interval. Returns the line's text, or nothing where there is none to write.
+    /// Begins the next interval. Returns the line's text, or an empty one where no line is needed.
     std::string close_interval(double admitted_fraction, std::ptrdiff_t outliers, double now) {
         static const std::array<const char*, 5> names{"share ", ", ceiling or cap ", ", fraction ",
                                                       ", open work ", ", no server "};
--- a/src/gateway/request_table.hpp
+++ b/src/gateway/request_table.hpp
@@ -1,7 +1,9 @@
 // Rule: a request stays in the table from its first attempt until it has its final answer and all of its
-// attempts have ended. Inputs: requests and their attempts. Output: look-up by id and by number, walks in
-// the order of arrival. It never decides on a request and never drops one with an attempt in flight. Seen
-// in: Gateway::open_requests().
+// attempts have ended.
+// Inputs: requests and their attempts.
+// Output: look-up by id and by number, walks in the order of arrival.
+// It never decides on a request and never drops one with an attempt in flight.
+// Seen in: Gateway::open_requests().
 #pragma once
 
 #include <cstddef>
--- a/src/gateway/retry_policy.cpp
+++ b/src/gateway/retry_policy.cpp
@@ -93,7 +93,7 @@
     return static_cast<double>(request.attempts.size()) >= std::max(1.0, settings_.max_attempts);
 }
 
-// Given also where the settings say that clients are not notified: one that is comes back when it helps.
+// Given also where the settings say that clients are not notified: one that is will retry when it helps.
 double RetryPolicy::clipped_retry_after_s(double retry_after_s) const {
     const double max_s = positive_or_zero(settings_.max_retry_after_s);
     return max_s > 0 ? std::min(retry_after_s, max_s) : retry_after_s;
--- a/src/gateway/sampling.hpp
+++ b/src/gateway/sampling.hpp
@@ -1,6 +1,7 @@
 // Rule: of a sequence of requests, admit one each time that the sum of their admission probabilities
-// reaches a whole number; one of higher priority may be admitted that much earlier, on credit. Inputs:
-// admission probability (0 to 1) and credit (requests) of each request; priority weights (any unit).
+// reaches a whole number; one of higher priority may be admitted that much earlier, on credit.
+// Inputs: admission probability (0 to 1) and credit (requests) of each request; priority weights (any
+// unit).
 // Output: admitted or not; a request's priority relative to the mean.
 // It never admits more in the long run than the probabilities add up to, and draws no random numbers.
 // Seen in: nothing of its own; quota_estimator and admission_controller reject by it.
--- a/src/gateway/slow_start.hpp
+++ b/src/gateway/slow_start.hpp
@@ -2,10 +2,11 @@
 // more than its capacity by then allows (rule 4 of the operators: overload_multiple, overload_window_s).
 // Inputs: when it started (s, clock of the events; 0: long ago), Settings::slow_start_min_capacity (part of
 // full capacity), slow_start_window_s, overload_multiple, overload_window_s; attempts and answers of the
-// fleet. Output: its capacity (0.01 to 1) and the probability with which it may be chosen. It never depends
-// on messages or on a count of ingresses: each ingress limits its own part by chance, so that the sum holds
-// for any number of them. Seen in: nothing of its own; slatejunction_attempts_total by backend shows the
-// ramp.
+// fleet.
+// Output: its capacity (0.01 to 1) and the probability with which it may be chosen.
+// It never depends on messages or on a count of ingresses: each ingress limits its own part by chance, so
+// that the sum holds for any number of them.
+// Seen in: nothing of its own; the backends' own counts of requests show the ramp.
 #pragma once
 
 #include <algorithm>
@@ -15,10 +16,9 @@
 
 namespace slatejunction::gateway {
 
-constexpr double kSlowStartMargin = 0.68;   // part of overload_multiple that is used at most
-constexpr double kAnsweredWeight = 0.1;     // of one attempt, in the part that is answered
-constexpr double kUninformedReserve =
-    0.2;   // held back at first, as not all ingresses know the backend yet
+constexpr double kSlowStartMargin = 0.68;    // part of overload_multiple that is used at most
+constexpr double kAnsweredWeight = 0.1;      // of one attempt, in the part that is answered
+constexpr double kUninformedReserve = 0.2;   // at first, as not all ingresses may know the backend yet
 constexpr double kMinSlowStartCapacity = 0.01;
 
 /// The rule for all backends of a gateway.
@@ -42,7 +42,7 @@
         return age >= 1 ? 1 : from + (1 - from) * age;
     }
 
-    /// The probability with which a draw of a warming backend may stand.
+    /// The probability with which a warming backend that was drawn may be chosen.
     double admission_probability(double started_at_s, double now) const {
         const double age =
             limited((now - started_at_s) / std::max(settings_.overload_window_s, 1e-3), 0.0, 1.0);
--- a/src/gateway/timing.hpp
+++ b/src/gateway/timing.hpp
@@ -1,8 +1,11 @@
 // Rule: a gap between events longer than kPauseS means that this process was paused, so no attempt's
-// silence or age counts against a backend until kTickS after it. Inputs: times of events, seconds on the
-// caller's monotonic clock. Output: whether a measured duration is valid. It never reads a clock. The tick
-// timer runs every kTickS, so that without a pause no gap comes near kPauseS. Seen in: nothing of its own;
-// answers that waited during the pause are handled before anything is judged late.
+// silence or age counts against a backend until kTickS after it.
+// Inputs: times of events, seconds on the caller's monotonic clock.
+// Output: whether a measured duration is valid.
+// It never reads a clock. The tick timer runs every kTickS, so that without a pause no gap comes near
+// kPauseS.
+// Seen in: nothing of its own; answers that waited during the pause are handled before anything is judged
+// late.
 #pragma once
 
 namespace slatejunction::gateway {
--- a/src/gateway/token_bucket.hpp
+++ b/src/gateway/token_bucket.hpp
@@ -1,11 +1,12 @@
-// Rule: a plan's hard limits hold at every ingress by itself: each has rate / ingresses and burst /
-// ingresses of a token bucket, and a customer may have at most max_in_flight attempts in flight. Inputs:
-// Plan::hard_limit_rate (units/s), hard_limit_burst (units), max_in_flight (attempts); a request's units;
-// the customer's ingress count; times in seconds.
+// Rule: a plan's hard limits are enforced by each ingress alone: each has rate / ingresses and burst /
+// ingresses of a token bucket, and a customer has at most max_in_flight attempts in flight from each.
+// Inputs: Plan::hard_limit_rate (units/s), hard_limit_burst (units), max_in_flight (attempts); a request's
+// units; the customer's ingress count; times in seconds.
 // Output: whether a request is within the limits.
 // It never uses messages of other ingresses. A bucket starts empty, as a start can't be told from a
-// restart, which must not refill it. Seen in: RejectReason::hard_limit (measure
-// slatejunction_refusals_total), log line "refused: ... ceiling or cap N ...".
+// restart, which must not refill it.
+// Seen in: RejectReason::hard_limit (measure slatejunction_refusals_total), log line "refused: ... ceiling
+// or cap N ...".
 #pragma once
 
 #include <algorithm>
@@ -25,9 +26,9 @@
         units_ = std::min(units_ + elapsed_s * plan.hard_limit_rate * part, plan.hard_limit_burst * part);
         refilled_at_s_ = std::max(refilled_at_s_, now);
     }
-    /// Whether `units` are there. Takes nothing.
+    /// Whether `units` are there. Consumes nothing.
     bool would_admit(double units) const { return units_ >= units; }
-    /// Takes `units`, which the caller has checked.
+    /// Consumes `units`, which the caller has checked.
     void consume(double units) { units_ -= units; }
 
   private:
--- a/src/gateway/watch_retry.hpp
+++ b/src/gateway/watch_retry.hpp
@@ -1,6 +1,7 @@
-// Rule: a lost endpoint watch is asked for again kWatchRetryS after the loss, and in any case once half of
-// Settings::watch_retry_within_s has passed since it was last asked for.
-// Inputs: times in seconds; watch_retry_within_s. Output: whether to ask for the watch now.
+// Rule: a lost endpoint watch is requested again kWatchRetryS after the loss, and in any case once half of
+// Settings::watch_retry_within_s has passed since it was last requested.
+// Inputs: times in seconds; watch_retry_within_s.
+// Output: whether to request the watch now.
 // It never touches the endpoint list: the last one stays in use.
 // Seen in: action WatchEndpoints.
 #pragma once
@@ -15,18 +16,18 @@
 
 constexpr double kWatchRetryS = 0.5;
 
-/// When the endpoint watch is asked for. Only in use with DiscoveryMode::subscribe.
+/// When the endpoint watch is requested. Only in use with DiscoveryMode::subscribe.
 class WatchRetry {
   public:
     void on_requested(double now) { requested_at_s_ = now; }
-    /// It is asked for again, because it was due().
+    /// It is requested again, after should_retry().
     void on_retried(double now) {
         retry_at_s_ = kNever;
         on_requested(now);
     }
     void on_lost(double now) { retry_at_s_ = now + kWatchRetryS; }
 
-    bool due(const Settings& settings, double now) const {
+    bool should_retry(const Settings& settings, double now) const {
         const double max_gap_s = std::max(kTickS, 0.5 * positive_or_zero(settings.watch_retry_within_s));
         return now >= retry_at_s_ || now - requested_at_s_ > max_gap_s;
     }
--- a/src/simulator_adapter.cpp
+++ b/src/simulator_adapter.cpp
@@ -1,10 +1,11 @@
 // Runs many gateways behind the simulator's line protocol on standard input and output.
 //
-// Inputs: batches of event lines (WIRE page; tab separated, times in seconds). Output: a reply of action
-// lines for each batch; faulty lines are reported on standard error with their line number and otherwise
-// ignored. Each message is mapped in one function of simulator_adapter/, from the simulator's words to the
-// types of gateway.hpp and back. It decides nothing; each instance has a Gateway of its own and they share
-// nothing. The simulator starts it.
+// Inputs: batches of event lines (WIRE page; tab separated, times in seconds).
+// Output: a reply of action lines for each batch; faulty lines are reported on standard error with their
+// line number and otherwise ignored. Each message is mapped in one function of simulator_adapter/, from the
+// simulator's words to the types of gateway.hpp and back.
+// It decides nothing; each instance has a Gateway of its own and they share nothing. The simulator starts
+// it.
 #include <iostream>
 #include <map>
 #include <optional>
--- a/src/simulator_adapter/action_lines.hpp
+++ b/src/simulator_adapter/action_lines.hpp
@@ -1,7 +1,8 @@
 // Maps the actions of gateway.hpp to the simulator's reply lines.
 //
-// Inputs: actions and the number of their gateway. Output: the bytes of a reply, times in seconds with six
-// decimals. It decides nothing. simulator_adapter.cpp owns the writer.
+// Inputs: actions and the number of their gateway.
+// Output: the bytes of a reply, times in seconds with six decimals.
+// It decides nothing. simulator_adapter.cpp owns the writer.
 #pragma once
 
 #include <cstdio>
--- a/src/simulator_adapter/event_lines.hpp
+++ b/src/simulator_adapter/event_lines.hpp
@@ -1,8 +1,9 @@
 // Maps the simulator's event lines to the types of gateway.hpp.
 //
-// Inputs: the columns of a line, as in the WIRE page (times in seconds). Output: settings, endpoints and
-// events; a line that can't be understood throws BadLine with the text for standard error. It keeps no
-// state and never changes what a line says. simulator_adapter.cpp calls it.
+// Inputs: the columns of a line, as in the WIRE page (times in seconds).
+// Output: settings, endpoints and events; a line that can't be understood throws BadLine with the text for
+// standard error.
+// It keeps no state and never changes what a line says. simulator_adapter.cpp calls it.
 #pragma once
 
 #include <charconv>
