--- a/tests/gateway/decision_digest_test.cpp
+++ b/tests/gateway/decision_digest_test.cpp
@@ -1,6 +1,6 @@
 // A characterization test: the digests of all actions of drawn runs are those of the program before its
 // names and structure were changed. A change that is meant to keep every decision keeps every digest; one
-// that is meant to change decisions replaces them, and says so.
+// that is meant to change decisions replaces them, and states it.
 #include <gtest/gtest.h>
 
 #include <cstdint>
@@ -43,11 +43,11 @@
     }
     constexpr auto none = static_cast<std::size_t>(-1);
     expect_all(coverage.events, "event", 0, none);
-    // The source holds no place that emits Probe; all other kinds can be emitted.
+    // The source holds no place that emits StartHealthCheck; all other kinds can be emitted.
     expect_all(coverage.actions, "action", 1, static_cast<std::size_t>(decision::Kind::probe));
     expect_all(coverage.outcomes, "outcome", 0, none);
     expect_all(coverage.lists, "list", 0, none);
-    // 7 is given by the door alone and is no number of the gateway's.
+    // 7 is given by the ingress alone and is no number of the gateway's.
     expect_all(coverage.reasons, "reason", 0, 7);
     for (std::size_t i = 0; i < coverage.reasons.size(); ++i)
         RecordProperty("reason" + std::to_string(i), std::to_string(coverage.reasons[i]));
--- a/tests/gateway/decision_draw.hpp
+++ b/tests/gateway/decision_draw.hpp
@@ -143,7 +143,7 @@
     sj::Plan p;
     p.name = "plan" + std::to_string(number);
     if (number % 2 == 1) {
-        p.rate = d.chance(0.35) ? d.between(0.005, 0.2) : d.between(4, 25);   // few tries or many
+        p.rate = d.chance(0.35) ? d.between(0.005, 0.2) : d.between(4, 25);   // few requests or many
         p.burst = d.between(2, 40);
         p.over_quota_weight = d.between(0, 0.5);
         p.over_quota_penalty = d.between(0.2, 1.5);
--- a/tests/gateway/decision_world.hpp
+++ b/tests/gateway/decision_world.hpp
@@ -1,4 +1,4 @@
-// A small world around one Gateway: clients, backends, a directory and a clock, all drawn from one seed. It
+// A small world around one Gateway: clients, backends, discovery and a clock, all drawn from one seed. It
 // carries out the gateway's actions, so that the events that follow depend on them.
 #pragma once
 
@@ -52,14 +52,14 @@
     enum class Mode { well, errors, hangs, full, unreachable, stale };
     struct Item {
         Task task = Task::timer;
-        std::uint64_t number = 0;   // timer tag, attempt number, or customer of a client's repeat
+        std::uint64_t number = 0;   // timer tag, attempt number, or customer of a client's retry
         std::string id;
         sj::AttemptResult outcome = sj::AttemptResult::ok;
         bool repeat = false;
     };
     struct Backend {
         sj::Endpoint entry;
-        double pace = 0.2;   // parts of a class's aim
+        double pace = 0.2;   // parts of a class's latency objective
         double slow = 1;
         double room = 8;
         double open = 0;
@@ -91,9 +91,9 @@
         for (std::size_t i = 0; i < backends_.size(); ++i) make_backend(i);
         rate_ = draw_.between(8, 90);
         calm_ = draw_.between(0, 0.8);
-        ask(0, false);   // before Start
-        give(sj::TimerFired{0});
-        give(sj::Start{});
+        send_request(0, false);   // before Start
+        deliver(sj::TimerFired{0});
+        deliver(sj::Start{});
         list(sj::EndpointUpdateKind::snapshot);
         for (const Task task : {Task::arrival, Task::directory, Task::weather, Task::bad})
             after(0.01, task);
@@ -118,8 +118,8 @@
         b.room = draw_.between(4, 20);
     }
 
-    // Gives one event, adds the actions to the digest, then carries them out.
-    void give(const sj::Event& event) {
+    // Handles one event, adds the actions to the digest, then carries them out.
+    void deliver(const sj::Event& event) {
         ++given_;
         ++coverage_.events[event.index()];
         double time = now_;
@@ -222,7 +222,7 @@
     void perform(const Item& item) {
         switch (item.task) {
             case Task::timer:
-                return give(sj::TimerFired{item.number});
+                return deliver(sj::TimerFired{item.number});
             case Task::arrival:
                 return arrive(item);
             case Task::attempt_end:
@@ -244,11 +244,11 @@
     }
 
     void arrive(const Item& item) {
-        if (item.repeat) return ask(item.number, true);
+        if (item.repeat) return send_request(item.number, true);
         const std::uint64_t one = draw_.below(24);
         const std::uint64_t other = draw_.below(24);
         // Most come from a few customers; some from many that are idle for long.
-        ask(draw_.chance(0.03) ? 24 + draw_.below(40) : std::min(one, other), false);
+        send_request(draw_.chance(0.03) ? 24 + draw_.below(40) : std::min(one, other), false);
         after(draw_.chance(0.1) ? 0 : draw_.between(0.2, 1.8) / (rate_ * surge_), Task::arrival);
     }
 
@@ -274,7 +274,7 @@
         return r;
     }
 
-    void ask(std::uint64_t customer, bool repeat) {
+    void send_request(std::uint64_t customer, bool repeat) {
         const sj::Request r = draw_request(customer, repeat);
         Client c;
         c.request = r;
@@ -285,21 +285,21 @@
             const double stay = draw_.between(0, 1.5);
             at(now_ + stay, Item{Task::departure, 0, r.id, sj::AttemptResult::ok, false});
         }
-        give(r);
+        deliver(r);
     }
 
     void depart(const std::string& id) {
         const auto found = clients_.find(id);
         if (found == clients_.end()) return;
         found->second.ended = true;
-        give(sj::ClientDisconnected{id});
+        deliver(sj::ClientDisconnected{id});
         forget(id);
     }
 
     void begin_stream(const Item& item) {
         const auto found = clients_.find(item.id);
         if (found == clients_.end() || found->second.out.count(item.number) == 0) return;
-        give(sj::StreamStarted{item.id, static_cast<std::int64_t>(item.number)});
+        deliver(sj::StreamStarted{item.id, static_cast<std::int64_t>(item.number)});
     }
 
     void end_attempt(const Item& item) {
@@ -324,8 +324,8 @@
         backend(out->second.backend).open -= 1;
         c.out.erase(out);
         ++coverage_.outcomes[static_cast<std::size_t>(e.result)];
-        give(e);
-        if (draw_.chance(0.01)) give(e);   // a repeated outcome
+        deliver(e);
+        if (draw_.chance(0.01)) deliver(e);   // a repeated result
         forget(item.id);
     }
 
@@ -335,7 +335,7 @@
             clients_.erase(found);
     }
 
-    // The quota's meter: units of the current period here, and what it told of the last one.
+    // The quota's meter: units of the current period here, and its reading of the last one.
     Meter& meter(std::uint64_t customer) {
         Meter& m = meters_[customer];
         if (m.period < 0) m.others = draw_.between(0.5, 3);
@@ -363,7 +363,7 @@
                 if (b.entry.state != sj::EndpointState::removed && !draw_.chance(0.04))
                     update.endpoints.push_back(b.entry);
         ++coverage_.lists[static_cast<std::size_t>(kind)];
-        give(update);
+        deliver(update);
     }
 
     void change_directory() {
@@ -373,7 +373,7 @@
         if (what == 1) return list(sj::EndpointUpdateKind::snapshot);
         if (what == 2 && draw_.chance(0.2)) return list(sj::EndpointUpdateKind::watch_lost);
         if (what == 3 && draw_.chance(0.1))
-            return give(sj::EndpointUpdate{sj::EndpointUpdateKind::snapshot, {}});
+            return deliver(sj::EndpointUpdate{sj::EndpointUpdateKind::snapshot, {}});
         sj::EndpointUpdate update;
         update.kind = sj::EndpointUpdateKind::delta;
         for (std::uint64_t left = draw_.chance(0.7) ? 1 : 2 + draw_.below(2); left > 0; --left) {
@@ -382,7 +382,7 @@
             update.endpoints.push_back(b.entry);
         }
         ++coverage_.lists[static_cast<std::size_t>(update.kind)];
-        give(update);
+        deliver(update);
     }
     void change_entry(sj::Endpoint& entry, std::uint64_t what) {
         if (entry.state == sj::EndpointState::serving) {
@@ -396,11 +396,12 @@
         }
     }
 
-    // Slow and failing backends, outages of the whole fleet, surges of requests; now and then all is well.
+    // Slow and failing backends, outages of the whole fleet, surges of requests; now and then all are
+    // healthy.
     void change_weather() {
         static const Mode modes[] = {Mode::errors, Mode::hangs, Mode::full, Mode::unreachable, Mode::stale};
         const std::uint64_t what = everywhere_ || draw_.chance(calm_) ? 0 : draw_.below(10);
-        everywhere_ = what == 7 || what == 8;   // trouble of the whole fleet is short, and ends in calm
+        everywhere_ = what == 7 || what == 8;   // faults of the whole fleet are short, and end in calm
         after(everywhere_ ? draw_.between(0.2, 1.5) : draw_.between(0.4, 4), Task::weather);
         const Mode mode = modes[draw_.below(5)];
         const double slow = draw_.between(1, 6);
@@ -421,30 +422,30 @@
         }
     }
 
-    // Events that name nothing known, come twice, or come after the clock jumped.
+    // Events with unknown names, events twice, events after the clock jumped.
     void misbehave() {
         after(draw_.between(0.1, 0.6), Task::bad);
         const std::string none = "nobody";
         const std::uint64_t what = draw_.below(10);
-        if (what == 0) return give(sj::ClientDisconnected{none});
-        if (what == 1) return give(sj::TimerFired{1000000 + draw_.below(1000)});
-        if (what == 2) return give(sj::StreamStarted{none, 0});
-        if (what == 3) return give(sj::HealthCheckEnded{"b0", sj::AttemptResult::ok, 0.01, {1}});
-        if (what == 4) return give(sj::Start{});
+        if (what == 0) return deliver(sj::ClientDisconnected{none});
+        if (what == 1) return deliver(sj::TimerFired{1000000 + draw_.below(1000)});
+        if (what == 2) return deliver(sj::StreamStarted{none, 0});
+        if (what == 3) return deliver(sj::HealthCheckEnded{"b0", sj::AttemptResult::ok, 0.01, {1}});
+        if (what == 4) return deliver(sj::Start{});
         if (what == 5) {
-            now_ += draw_.chance(0.3) ? draw_.between(0.1, 1.5) : 0;   // the gateway stood still
+            now_ += draw_.chance(0.3) ? draw_.between(0.1, 1.5) : 0;   // the process was paused
             return;
         }
         sj::AttemptEnded e;
         e.id = none;
-        if (what == 6 || clients_.empty()) return give(e);
+        if (what == 6 || clients_.empty()) return deliver(e);
         const auto some = static_cast<std::ptrdiff_t>(draw_.below(clients_.size()));
         const Client& c = std::next(clients_.begin(), some)->second;
         const sj::Request again = c.request;
-        if (what == 7 && !c.ended) return give(again);   // its number is still in use
+        if (what == 7 && !c.ended) return deliver(again);   // its number is still in use
         e.id = again.id;
         e.attempt = draw_.chance(0.5) ? -1 : 99;
-        give(e);
+        deliver(e);
     }
 
     Draw draw_;
--- a/tests/gateway/gateway_harness.hpp
+++ b/tests/gateway/gateway_harness.hpp
@@ -1,4 +1,5 @@
-// Drives one Gateway through its public interface: a clock, its timers, and what it has said.
+// Drives one Gateway through its public interface for tests: owns its clock (s) and timers, records its
+// actions.
 #pragma once
 
 #include <algorithm>
@@ -12,39 +13,39 @@
 
 namespace sj = slatejunction;
 
-struct Driver {
-    struct Out {
+struct GatewayDriver {
+    struct PendingAttempt {
         std::string id;
         std::int64_t attempt = 0;
-        std::string server;
-        double at = 0;
+        std::string backend;
+        double started_at_s = 0;
     };
 
-    explicit Driver(const sj::Settings& settings, std::uint64_t seed = 1, double clock = 100)
+    explicit GatewayDriver(const sj::Settings& settings, std::uint64_t seed = 1, double clock = 100)
         : now(clock), gateway(settings, seed) {
-        give(sj::Start{});
+        handle(sj::Start{});
     }
 
-    void give(const sj::Event& event) {
+    void handle(const sj::Event& event) {
         std::vector<sj::Action> actions;
         gateway.handle(now, event, actions);
         for (const sj::Action& a : actions) {
             if (const auto* s = std::get_if<sj::StartAttempt>(&a)) {
-                const Out out{s->id, attempts[s->id]++, s->backend, now};
-                sends.push_back(out);
+                const PendingAttempt out{s->id, attempts[s->id]++, s->backend, now};
+                started.push_back(out);
                 pending.push_back(out);
             } else if (const auto* t = std::get_if<sj::SetTimer>(&a)) {
                 timers.emplace(t->fire_at_s, t->tag);
             } else if (const auto* r = std::get_if<sj::RejectRequest>(&a)) {
-                refused.push_back(r->id);
-                reasons.push_back(r->reason);
+                rejected.push_back(r->id);
+                reject_reasons.push_back(r->reason);
                 retry_after = r->retry_after_s;
                 ended_at[r->id] = now;
             } else if (const auto* b = std::get_if<sj::FailRequest>(&a)) {
-                aborted.push_back(b->id);
+                failed.push_back(b->id);
                 ended_at[b->id] = now;
             } else if (const auto* c = std::get_if<sj::CancelAttempt>(&a)) {
-                called_off.emplace_back(c->id, c->attempt);
+                cancelled.emplace_back(c->id, c->attempt);
             } else if (const auto* f = std::get_if<sj::AdmittedFraction>(&a)) {
                 fraction = f->fraction;
             }
@@ -54,60 +55,62 @@
 
     void run_to(double time) {
         while (!timers.empty() && timers.begin()->first <= time) {
-            const auto [due, tag] = *timers.begin();
+            const auto [fire_at, tag] = *timers.begin();
             timers.erase(timers.begin());
-            now = std::max(now, due);
-            give(sj::TimerFired{tag});
+            now = std::max(now, fire_at);
+            handle(sj::TimerFired{tag});
         }
         now = std::max(now, time);
     }
 
-    void list(const std::vector<std::string>& servers,
-              sj::EndpointUpdateKind kind = sj::EndpointUpdateKind::snapshot) {
+    void update_endpoints(const std::vector<std::string>& backends,
+                          sj::EndpointUpdateKind kind = sj::EndpointUpdateKind::snapshot) {
         sj::EndpointUpdate update;
         update.kind = kind;
-        for (const std::string& s : servers) update.endpoints.push_back(entry(s));
-        give(update);
+        for (const std::string& s : backends) update.endpoints.push_back(endpoint(s));
+        handle(update);
     }
-    static sj::Endpoint entry(const std::string& server,
-                              sj::EndpointState state = sj::EndpointState::serving, double born = 0) {
-        return {state, server, "std", "z", 1, 1, born};
+    static sj::Endpoint endpoint(const std::string& backend,
+                                 sj::EndpointState state = sj::EndpointState::serving, double born = 0) {
+        return {state, backend, "std", "z", 1, 1, born};
+    }
+    void update_endpoint(const sj::Endpoint& e) {
+        handle(sj::EndpointUpdate{sj::EndpointUpdateKind::delta, {e}});
     }
-    void change(const sj::Endpoint& e) { give(sj::EndpointUpdate{sj::EndpointUpdateKind::delta, {e}}); }
 
-    void ask(const std::string& id, const std::string& cls = "read", double allow = 5, double units = 1,
-             std::uint64_t customer = 1, double doors = 1, const std::string& plan = "plan") {
-        give(sj::Request{id, cls, plan, units, customer, now + allow, doors});
+    void request(const std::string& id, const std::string& cls = "read", double allow = 5, double units = 1,
+                 std::uint64_t customer = 1, double ingress_count = 1, const std::string& plan = "plan") {
+        handle(sj::Request{id, cls, plan, units, customer, now + allow, ingress_count});
     }
 
-    // Ends the pending attempt at the front, or the named one.
-    void end(std::size_t index, sj::AttemptResult outcome, double quota_use = 0) {
-        const Out out = pending[index];
+    // Ends the pending attempt of that index.
+    void end_attempt(std::size_t index, sj::AttemptResult outcome, double quota_use = 0) {
+        const PendingAttempt out = pending[index];
         pending.erase(pending.begin() + static_cast<std::ptrdiff_t>(index));
         sj::AttemptEnded e;
         e.id = out.id;
         e.attempt = out.attempt;
         e.result = outcome;
-        e.duration_s = now - out.at;
+        e.duration_s = now - out.started_at_s;
         e.request_ended = outcome == sj::AttemptResult::ok || ended_at.count(out.id) > 0;
         e.quota_use = quota_use;
         if (e.request_ended) ended_at.emplace(out.id, now);
-        give(e);
+        handle(e);
     }
-    std::size_t sent_to(const std::string& server) const {
-        return static_cast<std::size_t>(
-            std::count_if(sends.begin(), sends.end(), [&](const Out& o) { return o.server == server; }));
+    std::size_t attempts_to(const std::string& backend) const {
+        return static_cast<std::size_t>(std::count_if(
+            started.begin(), started.end(), [&](const PendingAttempt& o) { return o.backend == backend; }));
     }
 
     double now;
     sj::Gateway gateway;
     std::multimap<double, std::uint64_t> timers;
     std::map<std::string, std::int64_t> attempts;
-    std::vector<Out> sends, pending;
-    std::vector<std::string> refused, aborted;
-    std::vector<sj::RejectReason> reasons;   // beside `refused`
-    double fraction = 1;                     // as it was last told
-    std::vector<std::pair<std::string, std::int64_t>> called_off;
+    std::vector<PendingAttempt> started, pending;
+    std::vector<std::string> rejected, failed;
+    std::vector<sj::RejectReason> reject_reasons;   // beside `rejected`
+    double fraction = 1;                            // as last reported
+    std::vector<std::pair<std::string, std::int64_t>> cancelled;
     std::map<std::string, double> ended_at;
     std::vector<sj::Action> log;
     double retry_after = 0;
--- a/tests/gateway/quota_test.cpp
+++ b/tests/gateway/quota_test.cpp
@@ -1,4 +1,4 @@
-// Pass shares and the meter; the cap on requests open at once; determinism.
+// Quota estimates and the meter; the limit on attempts in flight; determinism.
 #include <gtest/gtest.h>
 
 #include <deque>
@@ -15,133 +15,134 @@
     return s;
 }
 
-// Customer 1 asks `mine` units a second here while `theirs` pass elsewhere. The meter sums both by periods
-// and is heard 0.8 s later, on every answer. Returns own sends of the last `tail` seconds.
-std::size_t metered(Driver& d, double seconds, double mine, double theirs, double tail,
+// Customer 1 requests `mine` units a second here while `theirs` are forwarded elsewhere. The meter sums
+// both by periods and is read 0.8 s later, on every answer. Returns the attempts here in the last `tail`
+// seconds.
+std::size_t metered(GatewayDriver& d, double seconds, double mine, double theirs, double tail,
                     bool silent = false) {
     static int id = 0;
-    std::deque<std::pair<double, double>> heard;   // when heard, used
+    std::deque<std::pair<double, double>> readings;   // when read, use
     const double until = d.now + seconds;
     double period = d.now, used = 0;
-    std::size_t counted = d.sends.size(), mark = d.sends.size();
+    std::size_t counted = d.started.size(), mark = d.started.size();
     while (d.now < until) {
-        d.ask("q" + std::to_string(id++), "read", 5, 1, 1, 2);
+        d.request("q" + std::to_string(id++), "read", 5, 1, 1, 2);
         d.run_to(d.now + 1 / mine);
         if (d.now - period >= 0.5) {
-            const double units = static_cast<double>(d.sends.size() - counted) + theirs * 0.5;
-            heard.emplace_back(d.now + 0.8, 1 + 100 * units / (10 * 0.5));
-            counted = d.sends.size();
+            const double units = static_cast<double>(d.started.size() - counted) + theirs * 0.5;
+            readings.emplace_back(d.now + 0.8, 1 + 100 * units / (10 * 0.5));
+            counted = d.started.size();
             period = d.now;
         }
-        while (!heard.empty() && heard.front().first <= d.now) {
-            used = heard.front().second;
-            heard.pop_front();
+        while (!readings.empty() && readings.front().first <= d.now) {
+            used = readings.front().second;
+            readings.pop_front();
         }
-        while (!d.pending.empty()) d.end(0, sj::AttemptResult::ok, silent ? 0 : used);
-        if (until - d.now > tail) mark = d.sends.size();
+        while (!d.pending.empty()) d.end_attempt(0, sj::AttemptResult::ok, silent ? 0 : used);
+        if (until - d.now > tail) mark = d.started.size();
     }
-    return d.sends.size() - mark;
+    return d.started.size() - mark;
 }
 
-TEST(Shares, ARefusalBeyondTheQuotaSaysSo) {
-    Driver d(quota_settings());
-    d.list({"a:1", "b:1"});
+TEST(Quota, ARejectionOverTheQuotaNamesTheReason) {
+    GatewayDriver d(quota_settings());
+    d.update_endpoints({"a:1", "b:1"});
     metered(d, 20, 40, 30, 1);
-    ASSERT_GT(d.reasons.size(), 100u);
-    for (const sj::RejectReason reason : d.reasons) EXPECT_EQ(reason, sj::RejectReason::quota);
+    ASSERT_GT(d.reject_reasons.size(), 100u);
+    for (const sj::RejectReason reason : d.reject_reasons) EXPECT_EQ(reason, sj::RejectReason::quota);
 }
 
-TEST(Shares, ACustomerInsideItsQuotaIsNotRefused) {
-    Driver d(quota_settings());
-    d.list({"a:1", "b:1"});
+TEST(Quota, ACustomerInsideItsQuotaIsNotRejected) {
+    GatewayDriver d(quota_settings());
+    d.update_endpoints({"a:1", "b:1"});
     metered(d, 20, 4, 3, 1);
-    EXPECT_LE(d.refused.size(), 4u) << "of 80";
+    EXPECT_LE(d.rejected.size(), 4u) << "of 80";
 }
 
-TEST(Shares, SurplusIsRefusedDownToTheQuotaAndNotBelow) {
-    Driver d(quota_settings());
-    d.list({"a:1", "b:1"});
+TEST(Quota, ExcessIsRejectedDownToTheQuotaAndNotBelow) {
+    GatewayDriver d(quota_settings());
+    d.update_endpoints({"a:1", "b:1"});
     const std::size_t sent = metered(d, 40, 40, 0, 20);   // all of it comes through this gateway
     EXPECT_LE(sent, 20 * 10 * 1.3);
     EXPECT_GE(sent, 20 * 10 * 0.7);
     EXPECT_GT(d.retry_after, 0);
 }
 
-TEST(Shares, WhatPassesElsewhereIsTakenIntoAccount) {
-    Driver d(quota_settings());
-    d.list({"a:1", "b:1"});
+TEST(Quota, UseAtOtherIngressesCounts) {
+    GatewayDriver d(quota_settings());
+    d.update_endpoints({"a:1", "b:1"});
     const std::size_t sent = metered(d, 40, 20, 8, 20);
     EXPECT_LE(sent, 20 * 10 * 0.75) << "8 of the 10 units a second are used elsewhere";
     EXPECT_GE(sent, 20u);
 }
 
-TEST(Shares, ABurstWithinTheStoreIsNotCut) {
-    Driver d(quota_settings());
-    d.list({"a:1", "b:1"});
-    for (int i = 0; i < 8; ++i) {   // 8 units at once, seen here only: the store holds 20
-        d.ask("b" + std::to_string(i), "read", 5, 1, 1, 2);
-        if (!d.pending.empty()) d.end(0, sj::AttemptResult::ok);
+TEST(Quota, ABurstWithinTheBucketIsAdmitted) {
+    GatewayDriver d(quota_settings());
+    d.update_endpoints({"a:1", "b:1"});
+    for (int i = 0; i < 8; ++i) {   // 8 units at once, seen here only: the bucket has 20
+        d.request("b" + std::to_string(i), "read", 5, 1, 1, 2);
+        if (!d.pending.empty()) d.end_attempt(0, sj::AttemptResult::ok);
     }
-    EXPECT_LE(d.refused.size(), 1u);
+    EXPECT_LE(d.rejected.size(), 1u);
 }
 
-TEST(Shares, ACustomerWhoseMeterFallsSilentRecovers) {
-    Driver d(quota_settings());
-    d.list({"a:1", "b:1"});
+TEST(Quota, ACustomerWhoseMeterFallsSilentRecovers) {
+    GatewayDriver d(quota_settings());
+    d.update_endpoints({"a:1", "b:1"});
     metered(d, 20, 40, 0, 1);
     d.run_to(d.now + 20);
-    const std::size_t before = d.refused.size();
+    const std::size_t before = d.rejected.size();
     metered(d, 10, 4, 0, 1, true);
-    EXPECT_LE(d.refused.size() - before, 8u) << "of 40; what was told last fades slowly";
+    EXPECT_LE(d.rejected.size() - before, 8u) << "of 40; the last reading decays slowly";
 }
 
-TEST(Shares, ARepeatedReadingCountsOnce) {
+TEST(Quota, ARepeatedReadingCountsOnce) {
     const auto refused = [](int repeats) {
-        Driver d(quota_settings());
-        d.list({"a:1", "b:1"});
+        GatewayDriver d(quota_settings());
+        d.update_endpoints({"a:1", "b:1"});
         for (int i = 0; i < 60; ++i) {
-            d.ask("r" + std::to_string(i), "read", 5, 0.1, 1, 2);
-            if (!d.pending.empty()) d.end(0, sj::AttemptResult::ok, i % 60 < repeats ? 301 : 0);
+            d.request("r" + std::to_string(i), "read", 5, 0.1, 1, 2);
+            if (!d.pending.empty()) d.end_attempt(0, sj::AttemptResult::ok, i % 60 < repeats ? 301 : 0);
         }
-        return d.refused.size();
+        return d.rejected.size();
     };
     EXPECT_EQ(refused(1), refused(50));
 }
 
-TEST(MaxOut, ACustomerIsHeldToItsCapOnAttemptsOut) {
+TEST(MaxInFlight, ACustomerIsLimitedToItsAttemptsInFlight) {
     sj::Settings s = plain_settings();
     s.plans = {{"plan", 0, 0, 0, 0, 0, 3}};
-    Driver d(s);
-    d.list({"a:1", "b:1"});
-    for (int i = 0; i < 6; ++i) d.ask("m" + std::to_string(i));
-    EXPECT_EQ(d.sends.size(), 3u);
-    d.end(0, sj::AttemptResult::ok);
-    d.ask("again");
-    EXPECT_EQ(d.sends.size(), 4u);
+    GatewayDriver d(s);
+    d.update_endpoints({"a:1", "b:1"});
+    for (int i = 0; i < 6; ++i) d.request("m" + std::to_string(i));
+    EXPECT_EQ(d.started.size(), 3u);
+    d.end_attempt(0, sj::AttemptResult::ok);
+    d.request("again");
+    EXPECT_EQ(d.started.size(), 4u);
 }
 
 TEST(Determinism, EqualEventsGiveEqualActionsHoweverInstancesInterleave) {
-    const auto drive = [](Driver& d, int i) {
-        d.ask("i" + std::to_string(i), i % 3 ? "read" : "write", 3, 1, static_cast<std::uint64_t>(i % 7),
-              2);
+    const auto drive = [](GatewayDriver& d, int i) {
+        d.request("i" + std::to_string(i), i % 3 ? "read" : "write", 3, 1,
+                  static_cast<std::uint64_t>(i % 7), 2);
         d.run_to(d.now + 0.02);
         while (d.pending.size() > 3)
-            d.end(0, i % 5 ? sj::AttemptResult::ok : sj::AttemptResult::error,
-                  static_cast<double>(i % 400));
+            d.end_attempt(0, i % 5 ? sj::AttemptResult::ok : sj::AttemptResult::error,
+                          static_cast<double>(i % 400));
     };
-    Driver alone(quota_settings(), 42), first(quota_settings(), 42), second(quota_settings(), 43);
-    for (Driver* d : {&alone, &first, &second}) d->list({"a:1", "b:1", "c:1"});
+    GatewayDriver alone(quota_settings(), 42), first(quota_settings(), 42), second(quota_settings(), 43);
+    for (GatewayDriver* d : {&alone, &first, &second}) d->update_endpoints({"a:1", "b:1", "c:1"});
     for (int i = 0; i < 500; ++i) drive(alone, i);
     for (int i = 0; i < 500; ++i) {
         drive(first, i);
         drive(second, i);
     }
-    ASSERT_EQ(alone.sends.size(), first.sends.size());
-    for (std::size_t i = 0; i < alone.sends.size(); ++i) {
-        EXPECT_EQ(alone.sends[i].id, first.sends[i].id);
-        EXPECT_EQ(alone.sends[i].server, first.sends[i].server);
+    ASSERT_EQ(alone.started.size(), first.started.size());
+    for (std::size_t i = 0; i < alone.started.size(); ++i) {
+        EXPECT_EQ(alone.started[i].id, first.started[i].id);
+        EXPECT_EQ(alone.started[i].backend, first.started[i].backend);
     }
-    EXPECT_EQ(alone.refused, first.refused);
+    EXPECT_EQ(alone.rejected, first.rejected);
 }
 
 }   // namespace
--- a/tests/gateway/random_test.cpp
+++ b/tests/gateway/random_test.cpp
@@ -11,11 +11,11 @@
 namespace {
 
 struct Track {
-    std::string cls;
-    double due = 0;
-    double retired = -1;                                          // when its final answer went out
-    std::map<std::int64_t, std::pair<std::string, double>> out;   // attempts out: server, sent
-    std::vector<std::pair<std::string, double>> ran;              // those that may have run: server, sent
+    std::string service_class;
+    double deadline_at_s = 0;
+    double answered_at_s = -1;                                          // when its final answer went out
+    std::map<std::int64_t, std::pair<std::string, double>> in_flight;   // attempts: backend, started at
+    std::vector<std::pair<std::string, double>> may_have_run;           // attempts: backend, started at
     std::int64_t attempts = 0;
 };
 
@@ -47,23 +47,24 @@
     std::map<std::uint64_t, double> drawn;
     int ids = 0;
 
-    const auto give = [&](const sj::Event& event) {
+    const auto handle = [&](const sj::Event& event) {
         std::vector<sj::Action> actions;
         gateway.handle(now, event, actions);
         for (const sj::Action& a : actions) {
             if (const auto* send = std::get_if<sj::StartAttempt>(&a)) {
                 ASSERT_TRUE(jobs.count(send->id));
                 Track& t = jobs[send->id];
-                ASSERT_LT(t.retired, 0) << "sent after its end";
-                ASSERT_TRUE(listed.count(send->backend)) << "sent to a server that drains or is gone";
+                ASSERT_LT(t.answered_at_s, 0) << "sent after its end";
+                ASSERT_TRUE(listed.count(send->backend)) << "sent to a draining or removed backend";
                 ASSERT_LT(t.attempts, s.max_attempts);
-                ASSERT_TRUE(s.hedging_allowed || t.out.empty()) << "two at once";
-                if (!t.ran.empty() || !t.out.empty()) {
-                    ASSERT_NE(t.cls, "write") << "an unsafe request sent twice";
-                    if (t.cls == "key") {
-                        const auto& [server, at] = t.ran.empty() ? t.out.begin()->second : t.ran.front();
+                ASSERT_TRUE(s.hedging_allowed || t.in_flight.empty()) << "two at once";
+                if (!t.may_have_run.empty() || !t.in_flight.empty()) {
+                    ASSERT_NE(t.service_class, "write") << "a request that is not idempotent sent twice";
+                    if (t.service_class == "key") {
+                        const auto& [backend, at] =
+                            t.may_have_run.empty() ? t.in_flight.begin()->second : t.may_have_run.front();
                         ASSERT_LE(now, at + s.classes[1].idempotency_window_s);
-                        const auto first = known.find(server);
+                        const auto first = known.find(backend);
                         const sj::Endpoint& to = listed[send->backend];
                         if (s.classes[1].idempotency_scope == sj::IdempotencyScope::zone) {
                             ASSERT_EQ(to.zone, first->second.zone);
@@ -73,24 +74,24 @@
                         }
                     }
                 }
-                t.out[t.attempts++] = {send->backend, now};
+                t.in_flight[t.attempts++] = {send->backend, now};
             } else if (const auto* refuse = std::get_if<sj::RejectRequest>(&a)) {
                 if (!jobs.count(refuse->id)) continue;
                 Track& t = jobs[refuse->id];
-                ASSERT_LT(t.retired, 0) << "answered twice";
-                ASSERT_LE(now, t.due + 0.008);
-                if (!t.ran.empty() || !t.out.empty()) {
-                    ASSERT_NE(t.cls, "write") << "refused though it may have run";
-                    if (t.cls == "key") {
+                ASSERT_LT(t.answered_at_s, 0) << "answered twice";
+                ASSERT_LE(now, t.deadline_at_s + 0.008);
+                if (!t.may_have_run.empty() || !t.in_flight.empty()) {
+                    ASSERT_NE(t.service_class, "write") << "rejected though it may have run";
+                    if (t.service_class == "key") {
                         ASSERT_EQ(s.classes[1].idempotency_scope, sj::IdempotencyScope::all);
                     }
                 }
-                t.retired = now;
+                t.answered_at_s = now;
             } else if (const auto* abort = std::get_if<sj::FailRequest>(&a)) {
                 Track& t = jobs[abort->id];
-                ASSERT_LT(t.retired, 0) << "answered twice";
-                ASSERT_LE(now, t.due + 0.008);
-                t.retired = now;
+                ASSERT_LT(t.answered_at_s, 0) << "answered twice";
+                ASSERT_LE(now, t.deadline_at_s + 0.008);
+                t.answered_at_s = now;
             } else if (const auto* timer = std::get_if<sj::SetTimer>(&a)) {
                 timers.emplace(timer->fire_at_s, timer->tag);
             } else if (const auto* off = std::get_if<sj::CancelAttempt>(&a)) {
@@ -101,33 +102,34 @@
     };
     const auto finish = [&](const std::string& id, std::int64_t attempt, sj::AttemptResult outcome) {
         Track& t = jobs[id];
-        const auto [server, at] = t.out[attempt];
-        t.out.erase(attempt);
+        const auto [backend, at] = t.in_flight[attempt];
+        t.in_flight.erase(attempt);
         const bool never =
             outcome == sj::AttemptResult::rejected || outcome == sj::AttemptResult::connect_failed;
-        if (!never) t.ran.emplace_back(server, at);
-        std::sort(t.ran.begin(), t.ran.end(), [](auto& a, auto& b) { return a.second < b.second; });
-        if (outcome == sj::AttemptResult::ok && t.retired < 0) t.retired = now;
+        if (!never) t.may_have_run.emplace_back(backend, at);
+        std::sort(t.may_have_run.begin(), t.may_have_run.end(),
+                  [](auto& a, auto& b) { return a.second < b.second; });
+        if (outcome == sj::AttemptResult::ok && t.answered_at_s < 0) t.answered_at_s = now;
         sj::AttemptEnded e{id,
                            attempt,
                            outcome,
                            now - at,
-                           t.retired >= 0,
+                           t.answered_at_s >= 0,
                            static_cast<double>(pick(500)),
                            0,
                            {static_cast<double>(pick(9)), 0.5}};
-        give(e);
-        if (pick(20) == 0) give(e);   // a repeated outcome
+        handle(e);
+        if (pick(20) == 0) handle(e);   // a repeated result
     };
 
-    give(sj::Start{});
+    handle(sj::Start{});
     for (int step = 0; step < 3000 && !testing::Test::HasFatalFailure(); ++step) {
         const double next = now + 0.001 * pick(30);
         while (!timers.empty() && timers.begin()->first <= next) {
             const auto [due, tag] = *timers.begin();
             timers.erase(timers.begin());
             now = std::max(now, due);
-            give(sj::TimerFired{tag});
+            handle(sj::TimerFired{tag});
         }
         now = next;
         const std::string some = "s" + std::to_string(pick(6));
@@ -140,31 +142,31 @@
                                1.0 * pick(3),
                                1,
                                pick(3) ? 0 : now};
-                e.zone = known.emplace(some, e).first->second.zone;   // a server keeps its place
+                e.zone = known.emplace(some, e).first->second.zone;   // a backend stays in its zone
                 if (e.state == sj::EndpointState::serving)
                     listed[some] = e;
                 else
                     listed.erase(some);
-                give(sj::EndpointUpdate{sj::EndpointUpdateKind::delta, {e}});
+                handle(sj::EndpointUpdate{sj::EndpointUpdateKind::delta, {e}});
                 break;
             }
             case 1:
                 if (pick(40) == 0) {
                     listed.clear();
-                    give(sj::EndpointUpdate{sj::EndpointUpdateKind::snapshot, {}});
+                    handle(sj::EndpointUpdate{sj::EndpointUpdateKind::snapshot, {}});
                 }
                 break;
             case 2:
-                give(sj::ClientDisconnected{"nobody"});
-                give(sj::TimerFired{static_cast<std::uint64_t>(pick(100000))});
-                give(sj::AttemptEnded{"nobody", pick(3), sj::AttemptResult::ok, 0, true, 0, 0, {}});
-                give(sj::HealthCheckEnded{some, sj::AttemptResult::ok, 0.01, {1}});
+                handle(sj::ClientDisconnected{"nobody"});
+                handle(sj::TimerFired{static_cast<std::uint64_t>(pick(100000))});
+                handle(sj::AttemptEnded{"nobody", pick(3), sj::AttemptResult::ok, 0, true, 0, 0, {}});
+                handle(sj::HealthCheckEnded{some, sj::AttemptResult::ok, 0.01, {1}});
                 break;
             case 3:
                 for (auto& [id, t] : jobs)
-                    if (t.retired < 0 && pick(30) == 0) {
-                        t.retired = now;
-                        give(sj::ClientDisconnected{id});
+                    if (t.answered_at_s < 0 && pick(30) == 0) {
+                        t.answered_at_s = now;
+                        handle(sj::ClientDisconnected{id});
                         break;
                     }
                 break;
@@ -174,43 +176,45 @@
             case 7: {
                 const std::string id = "j" + std::to_string(ids++);
                 Track t;
-                t.cls = pick(30) == 0 ? "unknown" : s.classes[static_cast<std::size_t>(pick(3))].name;
-                t.due = now + 0.05 * (1 + pick(60));
+                t.service_class =
+                    pick(30) == 0 ? "unknown" : s.classes[static_cast<std::size_t>(pick(3))].name;
+                t.deadline_at_s = now + 0.05 * (1 + pick(60));
                 jobs[id] = t;
                 const double units = pick(50) ? 1 + pick(3) : std::numeric_limits<double>::quiet_NaN();
                 const auto customer = static_cast<std::uint64_t>(pick(4));
                 const char* plan = customer < 3 ? "plan" : (pick(2) ? "zero" : "none");
-                give(sj::Request{id, t.cls, plan, units, customer, t.due, pick(9) ? doors : 0});
+                handle(sj::Request{id, t.service_class, plan, units, customer, t.deadline_at_s,
+                                   pick(9) ? doors : 0});
                 if (jobs[id].attempts > 0 && std::isfinite(units)) {
                     drawn[customer] += units;
                     if (customer < 3) {
                         ASSERT_LE(drawn[customer], (30 * (now - start) + 60) / doors + 1e-6)
-                            << "the ceiling";
+                            << "the hard limit";
                     }
                 }
                 break;
             }
             default:
                 for (auto& [id, t] : jobs)
-                    if (!t.out.empty() && pick(3) == 0) {
+                    if (!t.in_flight.empty() && pick(3) == 0) {
                         static const sj::AttemptResult kinds[] = {
                             sj::AttemptResult::ok,    sj::AttemptResult::ok,
                             sj::AttemptResult::error, sj::AttemptResult::rejected,
                             sj::AttemptResult::reset, sj::AttemptResult::connect_failed};
-                        finish(id, t.out.begin()->first, kinds[pick(6)]);
+                        finish(id, t.in_flight.begin()->first, kinds[pick(6)]);
                         break;
                     }
         }
         for (const auto& [id, t] : jobs)
-            ASSERT_TRUE(t.retired >= 0 || now <= t.due + 0.008) << id << " is unanswered";
+            ASSERT_TRUE(t.answered_at_s >= 0 || now <= t.deadline_at_s + 0.008) << id << " is unanswered";
     }
     for (int round = 0; round < 10; ++round)
         for (auto& [id, t] : jobs)
-            while (!t.out.empty()) finish(id, t.out.begin()->first, sj::AttemptResult::ok);
+            while (!t.in_flight.empty()) finish(id, t.in_flight.begin()->first, sj::AttemptResult::ok);
     EXPECT_EQ(gateway.open_requests(), 0u);
 }
 
-TEST(RandomEvents, TheRulesHoldAndNothingIsLeftBehind) {
+TEST(RandomEvents, TheRulesHoldAndNoRequestStaysOpen) {
     for (std::uint32_t seed = 1; seed <= 40 && !testing::Test::HasFatalFailure(); ++seed) storm(seed);
 }
 
--- a/tests/ingress/extensions_test.cpp
+++ b/tests/ingress/extensions_test.cpp
@@ -22,9 +22,9 @@
 TEST_CASE("a refusal names a time whatever the site says of its clients") {
     sj::Settings settings = plain_settings();
     settings.retry_after = false;
-    Driver d(settings);   // no server is known: nothing can be sent
-    d.ask("one");
-    REQUIRE(d.refused.size() == 1);
+    GatewayDriver d(settings);   // no server is known: nothing can be sent
+    d.request("one");
+    REQUIRE(d.rejected.size() == 1);
     CHECK(d.ended_at.at("one") == d.now);   // at once
     CHECK(d.retry_after > 0);
     CHECK(d.retry_after <= settings.max_retry_after_s);
@@ -120,14 +120,14 @@
     settings.plans[0].over_quota_penalty = 1;
     std::size_t passed = 0;
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-        Driver d(settings, seed);
-        d.list({"one"});
+        GatewayDriver d(settings, seed);
+        d.update_endpoints({"one"});
         std::size_t last = 0;
         for (std::size_t i = 1; i <= 300; ++i) {   // ten times the quota for 30 s
             d.run_to(d.now + 0.1);
-            d.ask(std::to_string(i));
+            d.request(std::to_string(i));
             if (d.pending.empty()) continue;
-            d.end(0, sj::AttemptResult::ok, 101);
+            d.end_attempt(0, sj::AttemptResult::ok, 101);
             if (i > 100) CHECK(i - last > 1);
             last = i;
             ++passed;
@@ -387,19 +387,19 @@
     const auto chosen_next = [](bool stale) {
         int times = 0;
         for (std::uint64_t seed = 1; seed <= 40; ++seed) {
-            Driver d(plain_settings(), seed);
-            d.list({"one"});
-            d.ask("a", "write");
+            GatewayDriver d(plain_settings(), seed);
+            d.update_endpoints({"one"});
+            d.request("a", "write");
             sj::AttemptEnded end;
             end.id = "a";
             end.result = sj::AttemptResult::reset;
             end.stale_connection = stale;
             d.pending.clear();
-            d.give(end);
-            d.list({"one", "two"});
-            d.ask("b");
+            d.handle(end);
+            d.update_endpoints({"one", "two"});
+            d.request("b");
             REQUIRE(d.pending.size() == 1);
-            times += d.pending[0].server == "one";
+            times += d.pending[0].backend == "one";
         }
         return times;
     };
@@ -417,14 +417,14 @@
         settings.classes[2].priority_weight = dear_worth;
         std::map<std::string, int> counts;
         for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-            Driver d(settings, seed);
-            d.list({"one"});
+            GatewayDriver d(settings, seed);
+            d.update_endpoints({"one"});
             for (std::size_t i = 1; i <= 300; ++i) {   // ten times the quota, every other try a write
                 d.run_to(d.now + 0.1);
                 const std::string cls = i % 2 ? "read" : "write";
-                d.ask(std::to_string(i), cls);
+                d.request(std::to_string(i), cls);
                 if (d.pending.empty()) continue;
-                d.end(0, sj::AttemptResult::ok, 101);
+                d.end_attempt(0, sj::AttemptResult::ok, 101);
                 ++counts[cls];
             }
         }
@@ -445,13 +445,13 @@
         settings.plans[0].over_quota_penalty = 1;
         std::size_t passed = 0;
         for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-            Driver d(settings, seed);
-            d.list({"one"});
+            GatewayDriver d(settings, seed);
+            d.update_endpoints({"one"});
             for (std::size_t i = 1; i <= 30; ++i) {
                 d.run_to(d.now + gap);
-                d.ask(std::to_string(i), "read", 5, 1, 1, doors);
+                d.request(std::to_string(i), "read", 5, 1, 1, doors);
                 if (d.pending.empty()) continue;
-                d.end(0, sj::AttemptResult::ok);
+                d.end_attempt(0, sj::AttemptResult::ok);
                 ++passed;
             }
         }
--- a/tests/simulator_adapter_test.cpp
+++ b/tests/simulator_adapter_test.cpp
@@ -50,14 +50,14 @@
     "DIRECTORY_UPDATE\t0\twarm_copy\t1\t1\nM\tIN\t10.0.0.1:80\tstd\tz\t1\t0\t-\nOVER_TO_YOU\n";
 const std::string kCall = "CALL\t0\tc:one\tread\tplan\t1\t0\t77\t12\t0\t1\n";
 
-TEST(Wire, AnEmptyBatchGetsAnEmptyReplyAndEndOfInputEndsWell) {
+TEST(SimulatorWire, AnEmptyBatchGetsAnEmptyReplyAndEndOfInputEndsWell) {
     const Transcript r = run("BATCH\t8.41225\nOVER_TO_YOU\n");
     EXPECT_EQ(r.out, "END\n");
     EXPECT_EQ(r.err, "");
     EXPECT_EQ(r.status, 0);
 }
 
-TEST(Wire, ARequestIsDispatchedAndItsOutcomeTaken) {
+TEST(SimulatorWire, ARequestIsDispatchedAndItsResultHandled) {
     const Transcript r = run(kBegin + "BATCH\t10.5\n" + kCall + "OVER_TO_YOU\n" +
                              "BATCH\t10.6\nATTEMPT_END\t0\tc:one\t0\t10.0.0.1:80\t0\t0.1\t1\t86\t0\t7,1.5\n"
                              "OVER_TO_YOU\n");
@@ -66,7 +66,7 @@
     EXPECT_EQ(r.err, "");
 }
 
-TEST(Wire, BadLinesGetOneMessageEachAndNoAction) {
+TEST(SimulatorWire, BadLinesGetOneMessageEachAndNoAction) {
     for (const std::string bad :
          {"NONSENSE\t0", "CALL\t0\tc:two\tread", "CALL\t0\tc:two\tread\tplan\tmany\t0\t77\t12\t0\t1",
           "CALL\t9\tc:two\tread\tplan\t1\t0\t77\t12\t0\t1",
@@ -82,13 +82,13 @@
     }
 }
 
-TEST(Wire, AMissingRequiredSettingIsNamed) {
+TEST(SimulatorWire, AMissingRequiredSettingIsNamed) {
     const Transcript r = run("BATCH\t10\nBEGIN\t0\t1\tBalancers=1\tServices.count=0\nOVER_TO_YOU\n");
     EXPECT_NE(r.err.find("Limits.AttemptsCap"), std::string::npos) << r.err;
     EXPECT_EQ(r.out, "END\n");
 }
 
-TEST(Wire, AListCutShortTakesNoServerAway) {
+TEST(SimulatorWire, AListCutShortRemovesNoBackend) {
     const Transcript r =
         run(kBegin + "BATCH\t10.2\nDIRECTORY_UPDATE\t0\ttotal\t2\t3\nM\tIN\t10.0.0.2:80\tstd\tz\t1\n" +
             kCall + "OVER_TO_YOU\n");
@@ -96,7 +96,7 @@
     EXPECT_EQ(count(r.out, "DISPATCH\t0\tc:one\t"), 1u);
 }
 
-TEST(Wire, AShutDownInstanceIsForgottenAndMayBeginAgain) {
+TEST(SimulatorWire, AShutDownInstanceIsForgottenAndMayBeginAgain) {
     const Transcript r = run(kBegin + "BATCH\t11\nSHUTDOWN\t0\nOVER_TO_YOU\n" + kBegin + "BATCH\t12\n" +
                              "CALL\t0\tc:one\tread\tplan\t1\t0\t77\t14\t0\t1\nOVER_TO_YOU\n");
     EXPECT_EQ(count(r.out, "DISPATCH\t0\tc:one\t"), 1u);
