--- a/src/ingress/ingress.hpp
+++ b/src/ingress/ingress.hpp
@@ -1,188 +1,145 @@
-// The program's middle: owns the Gateway, turns what protocols tell into its events and carries out its
-// actions. It takes no decision of its own.
+// One ingress process: puts its parts together, starts, reloads and stops them.
+//
+// Input: the configuration, operators' calls, the other process of a hot restart, signals (by stop() and
+// reload()). Its parts: RequestDispatcher (requests, gateway, backends), EndpointUpdates (discovery),
+// client::Server, admin::Server, RestartChannel, GracefulShutdown. It takes no decision about a request or
+// a backend.
+//
+// Ownership: owns all of these; made and called by app/program on the GLib loop's one thread. Extensions
+// register here and live longer than the ingress serves.
+//
+// Files: ingress.cpp (parts, sessions, gauges), ingress_lifecycle.cpp (start, reload, stop, periodic work),
+// ingress_hot_restart.cpp (the other process), ingress_admin.cpp (operators' calls).
 #pragma once
 
-#include <array>
-#include <deque>
 #include <functional>
-#include <queue>
-#include <unordered_map>
-#include <unordered_set>
+#include <memory>
 #include <vector>
 
 #include "admin/operator_overrides.hpp"
 #include "admin/server.hpp"
-#include "backend/connection_pool.hpp"
 #include "client/server.hpp"
 #include "config/config.hpp"
-#include "discovery/endpoint_start_times.hpp"
-#include "discovery/endpoint_watch.hpp"
 #include "hot_restart/restart_channel.hpp"
+#include "ingress/endpoint_updates.hpp"
 #include "ingress/extensions.hpp"
 #include "ingress/observer.hpp"
+#include "ingress/request_dispatcher.hpp"
 #include "lifecycle/graceful_shutdown.hpp"
 #include "log/log.hpp"
 #include "slatejunction/gateway.hpp"
 
 namespace slatejunction::ingress {
 
-class Ingress final : client::SessionController,
-                      backend::CallCallbacks,
-                      discovery::WatchCallbacks,
-                      admin::AdminCallHandler,
-                      hot_restart::RestartHost {
+class Ingress final : client::SessionController, admin::AdminCallHandler, hot_restart::RestartHost {
   public:
-    // `observer`: empty where nobody counts; else it lives longer.
+    /// `observer` (null: none) and all references live longer. `done` is called once, when the ingress has
+    /// stopped.
     Ingress(config::Config config, const discovery::UnixTimeConverter& clock, net::Timers& timers, Log& log,
             std::function<void()> done, RequestObserver* observer = nullptr);
     ~Ingress();
-    // s; for so long an address that can't be listened on is tried again, then the start has failed. A
-    // process that was killed is to serve again within 30 s at the most, and asks at the handover's socket
-    // first.
+
+    /// For so long (s) an address that can't be listened on is tried again; then the start has failed. Less
+    /// than the 30 s within which a process that was killed has to serve again.
     static constexpr double listens_within() { return 15.0; }
-    // `pause` waits so many seconds and tells whether to go on; false: the program was told to end. False
-    // of the start: `why` it failed, empty where it was told to end.
+    /// `pause` waits so many seconds and returns false if the program is to stop. False: the start has
+    /// failed, `why` says why; empty where the program is to stop.
     bool start(std::string& why, const std::function<bool(double)>& pause);
-    void stop();   // finishes what was taken, then calls `done`, see lifecycle::Shutdown
-    // When the process has to be gone (s, net::now()); infinite as long as it is not to end.
+    /// Finishes the open requests, then calls `done`; see lifecycle::GracefulShutdown.
+    void stop();
+    /// When the process has to have ended (s, net::now()); infinite as long as it is not to stop.
     double ends_by() const { return shutdown_.ends_by(); }
-    // Takes a new configuration: moves the watch to where it says that the directory is. What it changes
-    // beside that is named in the log and waits for the next start.
+    /// Moves the discovery watch to the address in `fresh`. Other changes wait for the next start; the log
+    /// names them.
     void reload(const config::Config& fresh);
-    // Parts join here, before the start or later; judges are asked in the order in which they came.
-    void register_extension(RequestFilter& judge) { judges_.push_back(&judge); }   // kJudgesMost at most
-    void register_extension(EndpointListFilter& overlay) { overlays_.push_back(&overlay); }
-    void register_extension(AdminCallExtension& taker) { takers_.push_back(&taker); }
-    void register_extension(StateTransfer& inheritor) { inheritors_.push_back(&inheritor); }
-    // Providers as a part now has them: goes to the module. An empty list is nothing.
-    void update_endpoints(slatejunction::EndpointUpdate list);
-    // As from operators; for a part that let a call wait.
+
+    /// Extensions may register before the start or later; they are called in the order of registration.
+    void register_extension(RequestFilter& filter) { dispatcher_.register_filter(filter); }
+    void register_extension(EndpointListFilter& filter) { endpoint_updates_.register_filter(filter); }
+    void register_extension(AdminCallExtension& extension) { admin_extensions_.push_back(&extension); }
+    void register_extension(StateTransfer& transfer) { state_transfers_.push_back(&transfer); }
+    /// Sends a list that an extension has made to the gateway. An empty one changes nothing.
+    void update_endpoints(slatejunction::EndpointUpdate list) {
+        endpoint_updates_.update_gateway(std::move(list));
+    }
+    /// Handles an operator's call without asking the extensions. `reply` is called once, now or later.
     void call(const admin::AdminCall& call, std::function<void(admin::AdminReply)> reply);
     Gauges gauges() const;
 
   private:
-    // An invocation from its arrival until the last of its calls has come back.
-    struct Open {
-        std::uint64_t number = 0;
-        std::string id;   // the module's name for it: short, and unlike the consumer's never repeated
-        std::shared_ptr<client::ClientRequest> invocation;
-        std::shared_ptr<client::ResponseWriter> consumer;          // empty once it is answered
-        std::vector<std::shared_ptr<backend::Connection>> calls;   // by attempt; empty once ended
-        int out = 0;
-        std::string provider;   // the last one called, where somebody records it
-        std::array<FilterState, kMaxRequestFilters> marks{};   // of the judges, in their order
-        std::size_t judged = 0;                                // by so many of them
-        std::size_t over = 0;                                  // whose wait it was that the module heard
-        bool ran = false;                                      // an attempt that has ended may have run
-    };
-    struct DueTimer {
-        double due;
-        std::uint64_t tag;
-        bool operator>(const DueTimer& other) const { return due > other.due; }
-    };
-    struct WatchLink;
-
-    std::uint64_t on_request(std::shared_ptr<client::ResponseWriter> consumer,
-                             std::shared_ptr<client::ClientRequest> invocation) override;
-    void on_client_disconnected(std::uint64_t number) override;
-    // A process that has handed over answers for the new one: the two are one ingress.
+    // client::SessionController
+    std::uint64_t on_request(std::shared_ptr<client::ResponseWriter> response_writer,
+                             std::shared_ptr<client::ClientRequest> client_request) override;
+    void on_client_disconnected(std::uint64_t number) override {
+        dispatcher_.on_client_disconnected(number);
+    }
+    // A process that has handed over is ready: the new one is, and the two are one ingress.
     bool ready() const override {
-        return (!shutdown_.stop_requested() || handover_.role().draining()) && !operations_.drained();
+        return (!shutdown_.stop_requested() || restart_channel_.role().draining()) &&
+               !operator_overrides_.drained();
     }
     bool stopping() const override {
-        return shutdown_.stop_requested() || operations_.drained() || handover_.role().draining();
+        return shutdown_.stop_requested() || operator_overrides_.drained() ||
+               restart_channel_.role().draining();
     }
     const slatejunction::Settings& settings() const override { return config_.settings; }
-    bool is_request_open(std::string_view request_id) const override { return ids_.contains(request_id); }
-    bool wants_headers() const override;
-    http::ByteBudget& budget() override { return consumer_bytes_; }
-    void on_bad_request(int status, std::string_view why) override;
+    bool is_request_open(std::string_view request_id) const override {
+        return dispatcher_.is_request_open(request_id);
+    }
+    bool wants_headers() const override { return dispatcher_.wants_headers(); }
+    http::ByteBudget& budget() override { return client_bytes_; }
+    void on_bad_request(int status, std::string_view why) override {
+        dispatcher_.on_bad_request(status, why);
+    }
     void on_accept_error(const char* why) override;
-    void on_closed(client::Session& session) override;
-    void on_call_end(const backend::AttemptTag& tag, const backend::CallResult& end) override;
-    void on_health_check_end(const std::string& provider, const backend::CallResult& end) override;
-    void on_endpoint_list(discovery::EndpointList& listing) override;
-    void on_watch_lost(const char* why) override;
+    void on_closed(client::Session& session) override { server_.forget(session); }
+
+    // admin::AdminCallHandler
     void on_call(const admin::AdminCall& call, std::function<void(admin::AdminReply)> reply) override;
     void on_admin_error(const char* why) override;
 
+    // hot_restart::RestartHost
     hot_restart::RestartMessage state() const override;
-    int listening_descriptor() override;
+    int listening_descriptor() override { return server_.descriptor(); }
     hot_restart::ResourceUse resource_use() const override;
     void on_role_changed() override;
     void on_peer_resource_use(const hot_restart::ResourceUse& theirs) override;
     bool on_operator_order(const hot_restart::OperatorOrder& order) override;
     void on_transferred_state(std::size_t place, std::string_view what) override;
 
-    bool listen(std::string& why);   // at the addresses where it does not listen yet
-    bool listen_in_time(std::string& why, const std::function<bool(double)>& pause);
-    admin::AdminReply ready_call() const;
-    admin::OverrideResult carry_out(const hot_restart::OperatorOrder& order, bool from_other);
-    bool take_over_list(discovery::EndpointList& list);   // false: there is none
-    void share_out();                                     // of the limits, with the other process
-    void tell_change(discovery::EndpointList& change);    // of the list, as operators have it
-
-    void tell(slatejunction::Event event);   // to the module, after what is being carried out
-    void carry_out(const slatejunction::Action& action);
-    void carry_out(const slatejunction::StartAttempt& send);
-    void carry_out(const slatejunction::CancelAttempt& call_off);
-    void carry_out(const slatejunction::RejectRequest& refuse);
-    void carry_out(const slatejunction::FailRequest& abort);
-    void carry_out(const slatejunction::SetTimer& timer);
-    void carry_out(const slatejunction::StartHealthCheck& probe);
-    void carry_out(const slatejunction::WatchEndpoints& listen);
-    void carry_out(const slatejunction::LogMessage& note);
-    Open* find(const std::string& id);   // null: forgotten
-    Open* find(std::uint64_t number);
-    void carry_out(const slatejunction::AdmittedFraction& admitted);
-    // Gives the final answer, if one is owed still.
-    void answer(std::uint64_t number, const client::Response& answer, RequestSummary::Result how,
-                std::string_view reason, std::size_t refusal = 0);
-    void observe(const Open& open, RequestSummary::Result how, std::string_view reason,
-                 std::size_t refusal = 0);
-    void forget_if_over(std::uint64_t number);
-    void let_go(std::uint64_t number);   // nothing is owed any more for one that is open still
-    void judge(Open& open, slatejunction::Request& request);
-    void lay_over(slatejunction::EndpointUpdate& list);
-    void timers_due();
+    // Start. `listen` binds the addresses that are not bound yet.
+    bool listen(std::string& why);
+    bool listen_with_retries(std::string& why, const std::function<bool(double)>& pause);
+    void restore_state(hot_restart::RestartMessage& state);   // of the old process
+    // Periodic work and stop.
     void sweep();
-    bool wind_down(double now);   // true: it has ended
-    void answer_owed();
+    bool advance_shutdown(double now);   // true: the ingress has stopped
+    void answer_unfinished_requests();
+    // Hot restart.
+    void apply_resource_limits();
+    void hand_over();
+    // Operators.
+    admin::AdminReply readiness() const;
+    admin::OverrideResult execute(const hot_restart::OperatorOrder& order, bool from_other_process);
 
-    const discovery::UnixTimeConverter& clock_;
     Log& log_;
     std::function<void()> done_;
-    RequestObserver* const observer_;
     config::Config config_;
-    http::ByteBudget consumer_bytes_, provider_bytes_;   // live longer than all that holds bytes
-    net::Timers& timers_;
-    net::Timer module_timer_, sweep_timer_;
-    slatejunction::Gateway gateway_;
-    std::deque<slatejunction::Event> events_;
-    std::vector<slatejunction::Action> actions_;
-    bool telling_ = false;
-    std::priority_queue<DueTimer, std::vector<DueTimer>, std::greater<>> due_;
-    std::unordered_map<std::uint64_t, Open> open_;
-    std::unordered_set<std::string_view> ids_;   // the consumers' names of those open, in their bytes
-    std::uint64_t numbers_ = 0;
-    backend::ConnectionPool pool_;
+    http::ByteBudget client_bytes_, backend_bytes_;   // live longer than all that holds bytes
+    net::Timer sweep_timer_;
+    RequestDispatcher dispatcher_;
     client::Server server_;
-    std::unique_ptr<admin::Server> admin_;   // null: operators have no address
-    admin::OperatorOverrides operations_;
-    double drained_at_ = 0;
+    std::unique_ptr<admin::Server> admin_server_;   // null: operators have no address
+    admin::OperatorOverrides operator_overrides_;
+    double drained_at_ = 0;   // s, net::now(); by operators
     lifecycle::GracefulShutdown shutdown_;
-    double last_request_at_ = 0;
-    hot_restart::RestartChannel handover_;
-    net::Timer prepare_timer_;          // while taking over
-    hot_restart::ResourceUse theirs_;   // what the other process holds
-    std::shared_ptr<WatchLink> watch_;
-    discovery::EndpointStartTimes start_times_;
-    std::string lost_why_;   // the trouble with discovery that was logged last, and when (s)
-    double lost_told_at_ = 0;
-    std::vector<RequestFilter*> judges_;
-    std::vector<EndpointListFilter*> overlays_;
-    std::vector<AdminCallExtension*> takers_;
-    std::vector<StateTransfer*> inheritors_;
+    double last_request_at_ = 0;   // s, net::now()
+    hot_restart::RestartChannel restart_channel_;
+    net::Timer preparation_timer_;        // bounds a new process's wait for a list before it accepts
+    hot_restart::ResourceUse peer_use_;   // what the other process reported
+    EndpointUpdates endpoint_updates_;
+    std::vector<AdminCallExtension*> admin_extensions_;
+    std::vector<StateTransfer*> state_transfers_;
 };
 
 }   // namespace slatejunction::ingress
--- /dev/null
+++ b/src/ingress/request_dispatcher.hpp
@@ -0,0 +1,147 @@
+// Takes each request from a client to the gateway's decision, to a backend, and its answer back.
+//
+// Input: requests of client sessions, ends of attempts and health checks from the connection pool, and
+// events from the other modules of the ingress. Output: the actions that slatejunction::Gateway returns,
+// carried out; one final answer for each request. It takes no decision of its own.
+//
+// Order: the gateway gets one event at a time. An event that comes while actions are carried out waits in a
+// queue until all of them have been.
+//
+// Ownership: owned by Ingress, lives longer than the client sessions. Owns the gateway, the connection pool
+// and the open requests. Called by Ingress and EndpointUpdates; calls RequestFilter, RequestObserver and
+// ResponseWriter.
+#pragma once
+
+#include <array>
+#include <deque>
+#include <functional>
+#include <memory>
+#include <queue>
+#include <string>
+#include <string_view>
+#include <unordered_map>
+#include <unordered_set>
+#include <vector>
+
+#include "backend/connection_pool.hpp"
+#include "client/client_request.hpp"
+#include "config/config.hpp"
+#include "ingress/extensions.hpp"
+#include "ingress/observer.hpp"
+#include "log/log.hpp"
+#include "slatejunction/gateway.hpp"
+
+namespace slatejunction::ingress {
+
+class RequestDispatcher final : backend::CallCallbacks {
+  public:
+    /// `config`, `backend_bytes` and `observer` (null: none) live longer. `poll_endpoints` asks for the
+    /// endpoint list now.
+    RequestDispatcher(const config::Config& config, net::Timers& timers, Log& log,
+                      RequestObserver* observer, http::ByteBudget& backend_bytes,
+                      std::function<void()> poll_endpoints);
+
+    /// Passes an event to the gateway once the actions of the events before it are carried out.
+    void handle_event(slatejunction::Event event);
+
+    /// One final answer is owed to `response_writer` from here on. `stopping`: the answer is 503 at once.
+    /// Returns the request's number, 0 where it has been answered already.
+    std::uint64_t on_request(std::shared_ptr<client::ResponseWriter> response_writer,
+                             std::shared_ptr<client::ClientRequest> client_request, bool stopping);
+    /// The client has disconnected: it gets no answer any more.
+    void on_client_disconnected(std::uint64_t number);
+    void on_bad_request(int status, std::string_view why);
+
+    /// Numbers of the requests that have no final answer yet.
+    std::vector<std::uint64_t> unanswered_requests() const;
+    /// Answers those of `numbers` that are still unanswered: 504 where an attempt may have run, else 503.
+    void answer_unfinished(const std::vector<std::uint64_t>& numbers);
+    /// Calls RequestFilter::on_request_end for each request that is still open; the ingress is about to
+    /// end.
+    void end_open_requests();
+
+    /// At most kMaxRequestFilters; asked in the order of registration.
+    void register_filter(RequestFilter& filter) { filters_.push_back(&filter); }
+    bool wants_headers() const;
+    bool is_request_open(std::string_view request_id) const {
+        return open_request_ids_.contains(request_id);
+    }
+    std::size_t open_requests() const { return open_requests_.size(); }
+    backend::ConnectionPool& pool() { return pool_; }
+    const backend::ConnectionPool& pool() const { return pool_; }
+
+  private:
+    // A request from its arrival until it has been answered and the last of its attempts has ended.
+    struct OpenRequest {
+        std::uint64_t number = 0;
+        std::string id;   // the gateway's name for it: short and, unlike the client's, never repeated
+        std::shared_ptr<client::ClientRequest> client_request;
+        std::shared_ptr<client::ResponseWriter> response_writer;      // null once it has been answered
+        std::vector<std::shared_ptr<backend::Connection>> attempts;   // by attempt number; null once ended
+        int attempts_in_flight = 0;
+        std::string last_backend;   // of the latest attempt; only with an observer
+        std::array<FilterState, kMaxRequestFilters> filter_states{};   // in the order of filters_
+        std::size_t filters_applied = 0;                               // so many of filters_ have a state
+        std::size_t rate_limiting_filter = 0;   // the one whose Retry-After the gateway got
+        bool attempt_may_have_run = false;      // of the attempts that have ended
+    };
+    struct GatewayTimer {
+        double fire_at_s;
+        std::uint64_t tag;
+        bool operator>(const GatewayTimer& other) const { return fire_at_s > other.fire_at_s; }
+    };
+
+    void on_call_end(const backend::AttemptTag& tag, const backend::CallResult& end) override;
+    void on_health_check_end(const std::string& backend, const backend::CallResult& end) override;
+    void on_gateway_timer();
+
+    void execute(const slatejunction::Action& action);
+    void execute(const slatejunction::StartAttempt& start);
+    void execute(const slatejunction::CancelAttempt& cancel);
+    void execute(const slatejunction::RejectRequest& reject);
+    void execute(const slatejunction::FailRequest& fail);
+    void execute(const slatejunction::SetTimer& timer);
+    void execute(const slatejunction::StartHealthCheck& check);
+    void execute(const slatejunction::WatchEndpoints& watch);
+    void execute(const slatejunction::LogMessage& message);
+    void execute(const slatejunction::AdmittedFraction& admitted);
+
+    OpenRequest* find(const std::string& id);   // null: not open
+    OpenRequest* find(std::uint64_t number);    // null: not open
+    OpenRequest& add_open_request(std::shared_ptr<client::ResponseWriter> response_writer,
+                                  std::shared_ptr<client::ClientRequest> client_request);
+    void apply_filters(OpenRequest& open, slatejunction::Request& request);
+    void reject_at_arrival(client::ResponseWriter& response_writer,
+                           const client::ClientRequest& client_request, bool stopping);
+    void answer_ended_attempt(std::uint64_t number, const backend::CallResult& end, bool ran,
+                              bool body_bytes_lost);
+    // Gives the final answer, unless it has been given. It may bring the session's next request at once: no
+    // reference into open_requests_ is valid after it.
+    void answer(std::uint64_t number, const client::Response& response, RequestSummary::Result result,
+                std::string_view reason, std::size_t reject_reason_index = 0);
+    void observe_end(const OpenRequest& open, RequestSummary::Result result, std::string_view reason,
+                     std::size_t reject_reason_index = 0);
+    // Nobody waits for the answer any more: ends the attempts that have not been written, tells the
+    // gateway.
+    void abandon(std::uint64_t number);
+    void erase_if_ended(std::uint64_t number);
+
+    const config::Config& config_;
+    Log& log_;
+    RequestObserver* const observer_;
+    const std::function<void()> poll_endpoints_;
+    net::Timer gateway_timer_;
+    slatejunction::Gateway gateway_;
+    std::deque<slatejunction::Event> events_;   // wait for the gateway
+    std::vector<slatejunction::Action> actions_;
+    bool handling_event_ = false;
+    std::priority_queue<GatewayTimer, std::vector<GatewayTimer>, std::greater<>> gateway_timers_;
+    std::unordered_map<std::uint64_t, OpenRequest> open_requests_;   // by number
+    std::unordered_set<std::string_view>
+        open_request_ids_;   // clients' own; views into the requests' bytes
+    std::uint64_t last_number_ = 0;
+    std::vector<RequestFilter*> filters_;
+    backend::ConnectionPool pool_;
+};
+
+}   // namespace slatejunction::ingress
