--- a/src/admin/call.cpp
+++ b/src/admin/call.cpp
@@ -3,9 +3,9 @@
 namespace slatejunction::admin {
 namespace {
 
-constexpr std::size_t kIdMost = 1024;   // bytes
+constexpr std::size_t kMaxIdBytes = 1024;   // bytes
 
-int digit(char c) {
+int hex_digit(char c) {
     if (c >= '0' && c <= '9') return c - '0';
     if (c >= 'a' && c <= 'f') return c - 'a' + 10;
     if (c >= 'A' && c <= 'F') return c - 'A' + 10;
@@ -22,7 +22,7 @@
             continue;
         }
         if (i + 2 >= text.size()) return false;
-        const int high = digit(text[i + 1]), low = digit(text[i + 2]);
+        const int high = hex_digit(text[i + 1]), low = hex_digit(text[i + 2]);
         if (high < 0 || low < 0) return false;
         out += static_cast<char>(16 * high + low);
         i += 2;
@@ -36,14 +36,14 @@
 AdminCall read_change(std::string_view method, std::string_view key) {
     AdminCall call;
     if (key.empty() || key.find('/') != std::string_view::npos) {
-        call.fault = 404;
+        call.error_status = 404;
     } else if (method != "POST" && method != "DELETE") {
-        call.fault = 405;
+        call.error_status = 405;
         call.allow = "POST, DELETE";
-    } else if (key.size() > kIdMost || !decode(key, call.id)) {
-        call.fault = 400;
+    } else if (key.size() > kMaxIdBytes || !decode(key, call.id)) {
+        call.error_status = 400;
     }
-    if (call.fault != 404)
+    if (call.error_status != 404)
         call.kind = method == "DELETE" ? AdminCall::Kind::erase : AdminCall::Kind::propose;
     return call;
 }
@@ -77,15 +77,15 @@
         if (verb == "suspend") call.kind = AdminCall::Kind::suspend;
         if (verb == "resume") call.kind = AdminCall::Kind::resume;
         if (id.empty() || id.find('/') != std::string_view::npos) call.kind = AdminCall::Kind::none;
-        if (call.kind != AdminCall::Kind::none && (id.size() > kIdMost || !decode(id, call.id)))
-            call.fault = 400;
+        if (call.kind != AdminCall::Kind::none && (id.size() > kMaxIdBytes || !decode(id, call.id)))
+            call.error_status = 400;
     }
     if (call.kind == AdminCall::Kind::none) {
-        call.fault = 404;
+        call.error_status = 404;
     } else if (wanted == "GET" && method == "HEAD") {
-        call.head_alone = true;
+        call.omit_body = true;
     } else if (method != wanted) {
-        call.fault = 405;
+        call.error_status = 405;
         call.allow = wanted == "GET" ? "GET, HEAD" : "POST";
     }
     return call;
--- a/src/admin/operator_overrides.hpp
+++ b/src/admin/operator_overrides.hpp
@@ -1,6 +1,9 @@
-// What operators have said of this ingress: which providers are suspended, and whether it is drained. Pure:
-// no I/O, no clock. Lays suspension over the directory's list, so that the module learns a fact of that
-// list and goes on deciding all.
+// What operators have ordered at this ingress: which backends are suspended, and whether it is drained.
+//
+// Input: operators' calls and each endpoint list on its way from discovery. Output: the list with suspended
+// backends as draining ones, and changes of the list when a suspension begins or ends. It decides nothing
+// else about a backend. Pure: no I/O, no clock. Owned by ingress::Ingress; called by it and by
+// EndpointUpdates.
 #pragma once
 
 #include <cstdint>
@@ -15,52 +18,56 @@
 
 namespace slatejunction::admin {
 
-// Of ids that no list names any more the latest are remembered, so that an operator's call for one is not
-// taken for a mistake. Suspended ones are never forgotten, and no more than so many may be.
-inline constexpr std::size_t kGoneMost = 16384, kSuspendedMost = 4096;
+/// So many backends that no list names any more are remembered, the latest, so that an operator's call for
+/// one is no mistake. Suspended ones are never forgotten.
+inline constexpr std::size_t kMaxUnlistedBackends = 16384;
+inline constexpr std::size_t kMaxSuspendedBackends = 4096;
 
 enum class OverrideResult { done, never_listed, too_many };
 
 class OperatorOverrides {
   public:
-    // Puts those that the listing names without being read back into it, as they were listed last.
-    void restore_unread(discovery::EndpointList& listing) const;
-    // Remembers what the directory lists, and makes each suspended entry Terminating, whatever is listed.
-    void apply_to(discovery::EndpointList& listing);
+    /// Adds those backends that the list names without being read back to it, as they were listed last.
+    void restore_unread(discovery::EndpointList& endpoint_list) const;
+    /// Remembers what the list names, and makes each suspended backend that serves a draining one.
+    void apply_to(discovery::EndpointList& endpoint_list);
 
-    // `change` gets what has changed of the list as the module is to see it; nothing when nothing has.
+    /// `change` gets the backend if the list changes for the gateway; done also where nothing changes.
     OverrideResult suspend(std::string_view id, discovery::EndpointList& change);
     OverrideResult resume(std::string_view id, discovery::EndpointList& change);
-    // Suspended at another process of this ingress, which may have seen lists that this one has not.
+    /// A suspension at another process of this ingress, which may have seen other lists. Never
+    /// never_listed.
     OverrideResult adopt_suspension(std::string_view id, discovery::EndpointList& change);
-    void remember(std::string_view id);   // listed there at some time
+    /// Another process of this ingress has seen the backend listed.
+    void remember(std::string_view id);
 
     bool suspended(std::string_view id) const;
     std::vector<std::string> suspended() const;
     std::vector<std::string> ever_listed() const;
-    discovery::EndpointList current_list() const;   // the whole list in force, as the directory has it
+    /// The whole list in force as discovery has it, without suspensions.
+    discovery::EndpointList current_list() const;
     std::size_t suspensions() const { return suspensions_; }
 
-    // False when that was so already.
+    /// False: it was so already.
     bool drain() { return !std::exchange(drained_, true); }
     bool activate() { return std::exchange(drained_, false); }
     bool drained() const { return drained_; }
 
   private:
-    struct Known {
+    struct KnownBackend {
         slatejunction::Endpoint entry;   // as listed last
         std::string address;
         bool suspended = false;
-        std::uint64_t gone = 0;   // its place in gone_; 0: the list names it
+        std::uint64_t unlisted_place = 0;   // in unlisted_; 0: the list names it
     };
-    Known& known(const std::string& id);
-    OverrideResult suspend(Known& known, discovery::EndpointList& change);
-    void list(const std::string& id, Known& known, bool listed);
-    void forget_some();
+    KnownBackend& find_or_add(const std::string& id);
+    OverrideResult suspend(KnownBackend& backend, discovery::EndpointList& change);
+    void set_listed(const std::string& id, KnownBackend& backend, bool listed);
+    void forget_oldest_unlisted();
 
-    std::unordered_map<std::string, Known> known_;
-    std::map<std::uint64_t, std::string> gone_;   // not named by the list, the longest gone first
-    std::uint64_t goings_ = 0;
+    std::unordered_map<std::string, KnownBackend> backends_;
+    std::map<std::uint64_t, std::string> unlisted_;   // ids by place, the longest unlisted first
+    std::uint64_t last_unlisted_place_ = 0;
     std::size_t suspensions_ = 0;
     bool drained_ = false;
 };
--- a/src/admin/server.cpp
+++ b/src/admin/server.cpp
@@ -9,12 +9,12 @@
 namespace slatejunction::admin {
 namespace {
 
-constexpr std::size_t kBytes = 512 * 1024;       // of all callers' requests together
-constexpr std::size_t kDropMost = 1024 * 1024;   // bytes of a caller that was answered
-// s; until a call is whole, and until an answered caller ends its side. A stalled caller keeps no other one
-// from being answered, so there is no need to be strict.
-constexpr double kWhole = 10.0, kLinger = 2.0;
-constexpr double kSpareSoon = 0.02;   // s; one just made is about to ask
+constexpr std::size_t kMaxBufferedBytes = 512 * 1024;   // of all sessions' requests together
+constexpr std::size_t kMaxDroppedBytes = 1024 * 1024;   // of one session after its answer
+// Long: a stalled session does not delay the others.
+constexpr double kCallTimeoutS = 10.0;   // until a call is complete
+constexpr double kLingerS = 2.0;         // until the peer closes its side after the answer
+constexpr double kNewSessionGraceS = 0.02;
 constexpr int kPriority = G_PRIORITY_HIGH;
 
 const char* reason(int status) {
@@ -42,34 +42,35 @@
 
 }   // namespace
 
-struct Server::Linked : Session {
-    Linked(AdminCallHandler& host, Server& server) : Session(host, &server, server.bytes_) {
+struct Server::ConnectedSession : Session {
+    ConnectedSession(AdminCallHandler& host, Server& server) : Session(host, &server, server.bytes_) {
         attach(stream);
     }
     net::Stream stream{*this, kPriority};
 };
 
-Server::Server(AdminCallHandler& host, net::Timers& timers, std::size_t most)
-    : host_(host),
-      most_(most),
-      bytes_(kBytes),
+Server::Server(AdminCallHandler& host, net::Timers& timers, std::size_t max_sessions)
+    : handler_(host),
+      max_sessions_(max_sessions),
+      bytes_(kMaxBufferedBytes),
       listener_(
-          timers, [this] { return room(); }, [this](net::Ref<GSocket> socket) { take(std::move(socket)); },
-          [this](const char* why) { host_.on_admin_error(why); }, kPriority) {}
+          timers, [this] { return make_room(); },
+          [this](net::Ref<GSocket> socket) { add_session(std::move(socket)); },
+          [this](const char* why) { handler_.on_admin_error(why); }, kPriority) {}
 
 Server::~Server() = default;
 
-// Guards against callers that connect by hundreds and say nothing: the ones stalled longest go, those
-// without a byte before those in the middle of a call.
-bool Server::room() {
-    if (sessions_.size() < most_) return true;
-    Session* best = net::evict_idle(sessions_, net::now());
-    if (best) best->end();
-    return best != nullptr;
+// Evicts the session that has been stalled longest; those without a byte before those in the middle of a
+// call.
+bool Server::make_room() {
+    if (sessions_.size() < max_sessions_) return true;
+    Session* evicted = net::evict_idle(sessions_, net::now());
+    if (evicted) evicted->end();
+    return evicted != nullptr;
 }
 
-void Server::take(net::Ref<GSocket> socket) {
-    const auto linked = std::make_shared<Linked>(host_, *this);
+void Server::add_session(net::Ref<GSocket> socket) {
+    const auto linked = std::make_shared<ConnectedSession>(handler_, *this);
     sessions_.emplace(linked.get(), linked);
     linked->stream.adopt(std::move(socket));
 }
@@ -80,9 +81,9 @@
 }
 
 void Server::close_expired(double now) {
-    std::vector<std::shared_ptr<Linked>> all;
+    std::vector<std::shared_ptr<ConnectedSession>> all;
     for (const auto& [session, linked] : sessions_)
-        if (session->over(now) && !linked->stream.readable()) all.push_back(linked);
+        if (session->expired(now) && !linked->stream.readable()) all.push_back(linked);
     for (const auto& linked : all) linked->end();
     listener_.poke();
 }
@@ -97,7 +98,7 @@
         case http::Step::more:
             return;
         case http::Step::done:
-            return take();
+            return handle_call();
         case http::Step::bad:
             return answer({400, "malformed or ambiguous call"});
         case http::Step::no_room:
@@ -110,21 +111,21 @@
     }
 }
 
-void Session::take() {
+void Session::handle_call() {
     call_ = read_call(parser_.head().first, parser_.head().second);
-    state_ = State::asking;
+    state_ = State::awaiting_reply;
     if (call_.kind == AdminCall::Kind::propose) call_.body = parser_.body();
-    if (call_.fault == 404) return answer({404, "no such path"});
-    if (call_.fault == 405) return answer({405, "another method is wanted"});
-    if (call_.fault != 0) return answer({call_.fault, "the id can't be read"});
-    host_.on_call(call_, [self = std::static_pointer_cast<Session>(shared_from_this())](
-                             const AdminReply& reply) { self->answer(reply); });
+    if (call_.error_status == 404) return answer({404, "no such path"});
+    if (call_.error_status == 405) return answer({405, "another method is wanted"});
+    if (call_.error_status != 0) return answer({call_.error_status, "the id can't be read"});
+    handler_.on_call(call_, [self = std::static_pointer_cast<Session>(shared_from_this())](
+                                const AdminReply& reply) { self->answer(reply); });
 }
 
 void Session::answer(const AdminReply& reply) {
     if (state_ == State::closing || state_ == State::ended) return;
     state_ = State::closing;
-    since_ = net::now();
+    state_since_ = net::now();
     const std::string status = std::to_string(reply.status);
     const std::string length = std::to_string(reply.text.size() + 1);
     const bool allows = !call_.allow.empty();
@@ -138,12 +139,12 @@
         allows ? "\r\nAllow: " : "",
         call_.allow,
         "\r\nConnection: close\r\n\r\n",
-        call_.head_alone ? std::string_view() : reply.text,
-        call_.head_alone ? "" : "\n",
+        call_.omit_body ? std::string_view() : reply.text,
+        call_.omit_body ? "" : "\n",
         ""};
     if (!transport_->send(parts)) return end();
-    // Closing on bytes not read would reset the connection and could take the answer with it.
-    transport_->drop(kDropMost);
+    // Closing with unread bytes would reset the connection, and the peer might lose the answer.
+    transport_->drop(kMaxDroppedBytes);
     if (!transport_->unsent()) transport_->finish();
 }
 
@@ -155,19 +156,19 @@
 
 void Session::end() {
     if (std::exchange(state_, State::ended) == State::ended) return;
-    const auto keep = shared_from_this();
+    const auto self = shared_from_this();
     transport_->close();
     if (server_) server_->forget(*this);
 }
 
-bool Session::over(double now) const {
-    return now - since_ > (state_ == State::closing ? kLinger : kWhole);
+bool Session::expired(double now) const {
+    return now - state_since_ > (state_ == State::closing ? kLingerS : kCallTimeoutS);
 }
 
 int Session::eviction_rank(double now) const {
     if (state_ == State::closing) return transport_->unsent() ? 3 : 0;
     if (state_ != State::reading) return -1;
-    if (now - since_ < kSpareSoon) return 2;
+    if (now - state_since_ < kNewSessionGraceS) return 2;
     return buffer_.view().empty() ? 1 : 2;
 }
 
--- a/src/admin/server.hpp
+++ b/src/admin/server.hpp
@@ -1,6 +1,10 @@
-// The operators' address: takes their calls, one a connection, and answers. Its sources go before all
-// others of the loop, and its descriptors and bytes are its own, so that no load on the ingress delays an
-// answer.
+// The operators' address: takes HTTP calls, one a connection, and writes the answers.
+//
+// Input: connections at the address of the configuration. Output: AdminCallHandler::on_call for each
+// well-formed call. Its sources have a higher priority in the loop than all others, and its descriptors and
+// bytes are its own, so that no load on the ingress delays an answer.
+//
+// Ownership: Server is owned by ingress::Ingress, which is its handler; it owns its sessions.
 #pragma once
 
 #include <functional>
@@ -15,7 +19,7 @@
 
 namespace slatejunction::admin {
 
-// An answer in plain text, a line for a person.
+/// An answer in plain text: one line for a person.
 struct AdminReply {
     int status = 200;
     std::string text;
@@ -24,7 +28,7 @@
 class AdminCallHandler {
   public:
     virtual ~AdminCallHandler() = default;
-    // `reply` is to be called once, now or later; it may be called after the caller has gone.
+    /// Calls `reply` once, now or later, also if the peer has disconnected meanwhile.
     virtual void on_call(const AdminCall& call, std::function<void(AdminReply)> reply) = 0;
     virtual void on_admin_error(const char* why) = 0;
 };
@@ -33,33 +37,36 @@
 
 class Server {
   public:
-    // `most`: connections at once; beyond it the one that has been stalled longest goes.
-    Server(AdminCallHandler& host, net::Timers& timers, std::size_t most);
+    /// Beyond `max_sessions` the one that has been stalled longest is evicted. `host` and `timers` live
+    /// longer.
+    Server(AdminCallHandler& host, net::Timers& timers, std::size_t max_sessions);
     ~Server();
     bool start(const std::string& address, std::string& why) { return listener_.start(address, why); }
     bool listening() const { return listener_.descriptor() >= 0; }
-    void close_expired(double now);   // ends connections whose time is up
+    /// Closes sessions past their time limits.
+    void close_expired(double now);
     std::size_t sessions() const { return sessions_.size(); }
 
   private:
     friend class Session;
-    struct Linked;
-    bool room();
-    void take(net::Ref<GSocket> socket);
+    struct ConnectedSession;
+    bool make_room();
+    void add_session(net::Ref<GSocket> socket);
     void forget(Session& session);
 
-    AdminCallHandler& host_;
-    const std::size_t most_;
+    AdminCallHandler& handler_;
+    const std::size_t max_sessions_;
     http::ByteBudget bytes_;   // lives longer than the sessions that hold them
     net::Listener listener_;
-    std::unordered_map<Session*, std::shared_ptr<Linked>> sessions_;
+    std::unordered_map<Session*, std::shared_ptr<ConnectedSession>> sessions_;
 };
 
-// The state machine of one connection.
+/// State machine of one connection: a call is read, then its reply awaited and written, then the peer
+/// closes.
 class Session : public net::Protocol {
   public:
     Session(AdminCallHandler& host, Server* server, http::ByteBudget& bytes)
-        : host_(host), server_(server), parser_(http::Parser::Kind::request), buffer_(&bytes) {}
+        : handler_(host), server_(server), parser_(http::Parser::Kind::request), buffer_(&bytes) {}
     void attach(net::Transport& transport) { transport_ = &transport; }
 
     std::span<char> receive_buffer() override;
@@ -68,23 +75,25 @@
     void on_end(bool clean) override;
     void answer(const AdminReply& reply);
 
-    bool over(double now) const;           // its time is up
-    int eviction_rank(double now) const;   // how soon a full house gives it up: 0 first; below 0 not at all
-    double since() const { return since_; }
+    /// Past the time limit of its state.
+    bool expired(double now) const;
+    /// In which order sessions are evicted: 0 first; below 0: never.
+    int eviction_rank(double now) const;
+    double since() const { return state_since_; }
     void end();
 
   private:
-    enum class State { reading, asking, closing, ended };
-    void take();
+    enum class State { reading, awaiting_reply, closing, ended };
+    void handle_call();
 
-    AdminCallHandler& host_;
-    Server* server_;   // null: on its own, in tests
+    AdminCallHandler& handler_;
+    Server* server_;   // null in tests
     net::Transport* transport_ = nullptr;
     http::Parser parser_;
     http::Buffer buffer_;
     AdminCall call_;
     State state_ = State::reading;
-    double since_ = net::now();
+    double state_since_ = net::now();
 };
 
 }   // namespace slatejunction::admin
--- a/src/hot_restart/restart_message.cpp
+++ b/src/hot_restart/restart_message.cpp
@@ -9,62 +9,71 @@
 namespace slatejunction::hot_restart {
 namespace {
 
-constexpr std::array kWords{"hello", "busy", "socket", "state", "taken",
-                            "back",  "use",  "order",  "done",  "part"};
-constexpr std::array kOrders{"suspend", "resume", "drain", "activate"};
+// The words on the wire, in the order of RestartMessage::Kind and of OperatorOrder::Kind.
+constexpr std::array kKindWords{"hello", "busy", "socket", "state", "taken",
+                                "back",  "use",  "order",  "done",  "part"};
+constexpr std::array kOrderWords{"suspend", "resume", "drain", "activate"};
 
-template <class Words, class What>
-bool find(const Words& words, std::string_view word, What& what) {
+// False: `word` is none of `words`.
+template <class Words, class Kind>
+bool find(const Words& words, std::string_view word, Kind& kind) {
     for (std::size_t i = 0; i < words.size(); ++i)
         if (word == words[i]) {
-            what = static_cast<What>(i);
+            kind = static_cast<Kind>(i);
             return true;
         }
     return false;
 }
 
-// Fields of an object; the first that is missing or of another kind makes the whole unreadable.
+// Reads fields of an object. good() is false once one was missing or of another type.
 class Reader {
   public:
     explicit Reader(const rapidjson::Value& json) : json_(json) {}
     bool good() const { return good_; }
     std::string text(const char* name) {
         const auto* value = find(name);
-        if (!value || !value->IsString()) return good_ = false, "";
+        if (!value || !value->IsString()) return fail<std::string>();
         return {value->GetString(), value->GetStringLength()};
     }
     std::uint64_t number(const char* name) {
         const auto* value = find(name);
-        if (!value || !value->IsUint64()) return good_ = false, 0;
-        return value->GetUint64();
+        return value && value->IsUint64() ? value->GetUint64() : fail<std::uint64_t>();
     }
-    std::int64_t whole(const char* name) {
+    std::int64_t signed_number(const char* name) {
         const auto* value = find(name);
-        if (!value || !value->IsInt64()) return good_ = false, 0;
-        return value->GetInt64();
+        return value && value->IsInt64() ? value->GetInt64() : fail<std::int64_t>();
     }
     double real(const char* name) {
         const auto* value = find(name);
-        if (!value || !value->IsNumber()) return good_ = false, 0.0;
-        return value->GetDouble();
+        return value && value->IsNumber() ? value->GetDouble() : fail<double>();
     }
     bool flag(const char* name) {
         const auto* value = find(name);
-        if (!value || !value->IsBool()) return good_ = false;
-        return value->GetBool();
+        return value && value->IsBool() ? value->GetBool() : fail<bool>();
     }
     std::vector<std::string> texts(const char* name) {
         std::vector<std::string> all;
         const auto* value = find(name);
-        if (!value || !value->IsArray()) return good_ = false, all;
-        for (const auto& one : value->GetArray()) {
-            if (!one.IsString()) return good_ = false, all;
-            all.emplace_back(one.GetString(), one.GetStringLength());
+        if (!value || !value->IsArray()) {
+            good_ = false;
+            return all;
+        }
+        for (const auto& element : value->GetArray()) {
+            if (!element.IsString()) {
+                good_ = false;
+                return all;
+            }
+            all.emplace_back(element.GetString(), element.GetStringLength());
         }
         return all;
     }
 
   private:
+    template <class T>
+    T fail() {
+        good_ = false;
+        return T();
+    }
     const rapidjson::Value* find(const char* name) const {
         const auto at = json_.FindMember(name);
         return at == json_.MemberEnd() ? nullptr : &at->value;
@@ -73,12 +82,13 @@
     bool good_ = true;
 };
 
-constexpr std::array kPhases{"Ready", "Terminating"};   // in the order of ServerState
+constexpr std::array kPhases{"Ready", "Terminating"};   // of EndpointState serving and draining
 
 using Writer = rapidjson::Writer<rapidjson::StringBuffer>;
 
-// In the form of discovery's lists, with the start as the old process counts it: both processes have one
-// monotonic clock.
+constexpr std::size_t kReservedLineBytes = 1024;   // of a state line, for the fields of bounded length
+
+// In the form of discovery's lists, with the start on the monotonic clock, which both processes share.
 void write_list(const discovery::EndpointList& list, Writer& json) {
     if (list.revision) {
         json.Key("revision");
@@ -111,15 +121,15 @@
     json.EndArray();
 }
 
-// False where an entry can't be read: then there is no list.
+// False: an entry can't be read.
 bool read_list(const rapidjson::Value& json, discovery::EndpointList& list) {
     const auto members = json.FindMember("members");
     if (members == json.MemberEnd() || !members->value.IsArray()) return false;
     if (const auto at = json.FindMember("revision"); at != json.MemberEnd() && at->value.IsInt64())
         list.revision = at->value.GetInt64();
-    for (const auto& one : members->value.GetArray()) {
-        if (!one.IsObject()) return false;
-        Reader fields(one);
+    for (const auto& member : members->value.GetArray()) {
+        if (!member.IsObject()) return false;
+        Reader fields(member);
         slatejunction::Endpoint entry;
         entry.backend = fields.text("id");
         const std::string address = fields.text("host_port");
@@ -128,7 +138,7 @@
         const bool ready = fields.text("phase") == kPhases[0];
         entry.state =
             ready ? slatejunction::EndpointState::serving : slatejunction::EndpointState::draining;
-        entry.cell = fields.whole("cell");
+        entry.cell = fields.signed_number("cell");
         entry.capacity_hint = fields.real("size");
         entry.started_at_s = fields.real("born_s");
         const double up_since_ms = fields.real("up_since_ms");
@@ -140,83 +150,137 @@
     return true;
 }
 
+void write_text(Writer& json, const char* name, const std::string& value) {
+    json.Key(name);
+    json.String(value.data(), static_cast<rapidjson::SizeType>(value.size()));
+}
+
+void write_number(Writer& json, const char* name, std::uint64_t value) {
+    json.Key(name);
+    json.Uint64(value);
+}
+
+void write_flag(Writer& json, const char* name, bool value) {
+    json.Key(name);
+    json.Bool(value);
+}
+
+// As many as fit: `out`, to which `json` writes, stays below `max_bytes`.
+void write_texts(Writer& json, const rapidjson::StringBuffer& out, const char* name,
+                 const std::vector<std::string>& values, std::size_t max_bytes) {
+    constexpr std::size_t kMaxEscapedLength = 6;   // of one byte in JSON
+    json.Key(name);
+    json.StartArray();
+    for (const std::string& value : values) {
+        if (out.GetSize() + kMaxEscapedLength * value.size() > max_bytes) break;
+        json.String(value.data(), static_cast<rapidjson::SizeType>(value.size()));
+    }
+    json.EndArray();
+}
+
+void write_use(Writer& json, const ResourceUse& use) {
+    write_number(json, "consumers", use.client_connections);
+    write_number(json, "calls", use.backend_connections);
+    write_number(json, "open", use.open_requests);
+    write_number(json, "consumer_bytes", use.client_bytes);
+    write_number(json, "provider_bytes", use.backend_bytes);
+}
+
+ResourceUse read_use(Reader& fields) {
+    ResourceUse use;
+    use.client_connections = fields.number("consumers");
+    use.backend_connections = fields.number("calls");
+    use.open_requests = fields.number("open");
+    use.client_bytes = fields.number("consumer_bytes");
+    use.backend_bytes = fields.number("provider_bytes");
+    return use;
+}
+
+// Left out where the line would grow too long.
+void write_optional_list(Writer& json, const rapidjson::StringBuffer& out,
+                         const discovery::EndpointList& list) {
+    if (list.update.endpoints.empty()) return;
+    rapidjson::StringBuffer text;
+    Writer members(text);
+    members.StartObject();
+    write_list(list, members);
+    members.EndObject();
+    if (out.GetSize() + text.GetSize() >= kMaxLineBytes - kReservedLineBytes) return;
+    json.Key("list");
+    json.RawValue(text.GetString(), text.GetSize(), rapidjson::kObjectType);
+}
+
+void write_state(Writer& json, const rapidjson::StringBuffer& out, const RestartMessage& message) {
+    // All suspensions: if they make the line too long to be read, nothing is taken over.
+    write_texts(json, out, "suspended", message.suspended, ~std::size_t{0});
+    write_optional_list(json, out, message.endpoint_list);
+    write_texts(json, out, "listed", message.listed, kMaxLineBytes - kReservedLineBytes);
+    write_flag(json, "drained", message.drained);
+    write_use(json, message.resource_use);
+}
+
+void read_state(const rapidjson::Value& json, Reader& fields, RestartMessage& message) {
+    message.suspended = fields.texts("suspended");
+    message.listed = fields.texts("listed");
+    message.drained = fields.flag("drained");
+    const auto list = json.FindMember("list");
+    if (list != json.MemberEnd())
+        if (!list->value.IsObject() || !read_list(list->value, message.endpoint_list))
+            message.endpoint_list = {};
+    message.resource_use = read_use(fields);
+}
+
+std::string to_hex(std::string_view bytes) {
+    static constexpr char kDigits[] = "0123456789abcdef";
+    std::string hex;
+    for (const char c : bytes) {
+        hex += kDigits[static_cast<unsigned char>(c) >> 4];
+        hex += kDigits[static_cast<unsigned char>(c) & 15];
+    }
+    return hex;
+}
+
+// False: `hex` is no such text.
+bool from_hex(const std::string& hex, std::string& bytes) {
+    if (hex.size() % 2 != 0 || hex.find_first_not_of("0123456789abcdef") != std::string::npos) return false;
+    for (std::size_t i = 0; i < hex.size(); i += 2)
+        bytes += static_cast<char>(std::stoi(hex.substr(i, 2), nullptr, 16));
+    return true;
+}
+
 }   // namespace
 
-const char* word(OperatorOrder::Kind what) { return kOrders[static_cast<std::size_t>(what)]; }
+const char* order_name(OperatorOrder::Kind kind) { return kOrderWords[static_cast<std::size_t>(kind)]; }
 
 std::string write(const RestartMessage& message) {
     rapidjson::StringBuffer out;
     Writer json(out);
-    const auto text = [&](const char* name, const std::string& value) {
-        json.Key(name);
-        json.String(value.data(), static_cast<rapidjson::SizeType>(value.size()));
-    };
-    const auto number = [&](const char* name, std::uint64_t value) {
-        json.Key(name);
-        json.Uint64(value);
-    };
-    const auto texts = [&](const char* name, const std::vector<std::string>& values, std::size_t most) {
-        json.Key(name);
-        json.StartArray();
-        for (const std::string& value : values) {
-            if (out.GetSize() + 6 * value.size() > most) break;
-            json.String(value.data(), static_cast<rapidjson::SizeType>(value.size()));
-        }
-        json.EndArray();
-    };
     json.StartObject();
-    number("v", kVersion);
-    text("is", kWords[static_cast<std::size_t>(message.kind)]);
+    write_number(json, "v", kVersion);
+    write_text(json, "is", kKindWords[static_cast<std::size_t>(message.kind)]);
     switch (message.kind) {
         case RestartMessage::Kind::hello:
-            text("name", message.name);
-            text("listen", message.listen);
+            write_text(json, "name", message.name);
+            write_text(json, "listen", message.listen);
             break;
         case RestartMessage::Kind::state:
-            // Suspensions are all there, or the line is too long to be read and nothing is taken over.
-            texts("suspended", message.suspended, ~std::size_t{0});
-            if (const std::size_t begun = out.GetSize(); !message.endpoint_list.update.endpoints.empty()) {
-                rapidjson::StringBuffer list;
-                Writer members(list);
-                members.StartObject();
-                write_list(message.endpoint_list, members);
-                members.EndObject();
-                if (begun + list.GetSize() < kLineMost - 1024) {
-                    json.Key("list");
-                    json.RawValue(list.GetString(), list.GetSize(), rapidjson::kObjectType);
-                }
-            }
-            texts("listed", message.listed, kLineMost - 1024);
-            json.Key("drained");
-            json.Bool(message.drained);
-            [[fallthrough]];
-        case RestartMessage::Kind::use:
-            number("consumers", message.resource_use.client_connections);
-            number("calls", message.resource_use.backend_connections);
-            number("open", message.resource_use.open_requests);
-            number("consumer_bytes", message.resource_use.client_bytes);
-            number("provider_bytes", message.resource_use.backend_bytes);
+            write_state(json, out, message);
+            break;
+        case RestartMessage::Kind::resource_use:
+            write_use(json, message.resource_use);
             break;
         case RestartMessage::Kind::order:
-            number("number", message.number);
-            text("order", word(message.order.kind));
-            text("id", message.order.id);
+            write_number(json, "number", message.number);
+            write_text(json, "order", order_name(message.order.kind));
+            write_text(json, "id", message.order.id);
             break;
-        case RestartMessage::Kind::part: {
-            static constexpr char kDigits[] = "0123456789abcdef";
-            std::string hex;
-            for (const char c : message.name) {
-                hex += kDigits[static_cast<unsigned char>(c) >> 4];
-                hex += kDigits[static_cast<unsigned char>(c) & 15];
-            }
-            number("number", message.number);
-            text("bytes", hex);
+        case RestartMessage::Kind::extension_state:
+            write_number(json, "number", message.number);
+            write_text(json, "bytes", to_hex(message.extension_state));
             break;
-        }
-        case RestartMessage::Kind::done:
-            number("number", message.number);
-            json.Key("yes");
-            json.Bool(message.yes);
+        case RestartMessage::Kind::order_result:
+            write_number(json, "number", message.number);
+            write_flag(json, "yes", message.confirmed);
             break;
         default:
             break;
@@ -228,50 +292,36 @@
 bool read(std::string_view line, RestartMessage& message) {
     message = {};
     rapidjson::Document json;
-    // Iterative: noise must not take the stack.
+    // Iterative: the stack must not grow with what is nested.
     json.Parse<rapidjson::kParseIterativeFlag | rapidjson::kParseValidateEncodingFlag>(line.data(),
                                                                                        line.size());
     if (json.HasParseError() || !json.IsObject()) return false;
     Reader fields(json);
     if (fields.number("v") != kVersion || !fields.good()) return false;
-    if (!find(kWords, fields.text("is"), message.kind)) return false;
+    if (!find(kKindWords, fields.text("is"), message.kind)) return false;
     switch (message.kind) {
         case RestartMessage::Kind::hello:
             message.name = fields.text("name");
             message.listen = fields.text("listen");
             break;
         case RestartMessage::Kind::state:
-            message.suspended = fields.texts("suspended");
-            message.listed = fields.texts("listed");
-            message.drained = fields.flag("drained");
-            if (const auto list = json.FindMember("list"); list != json.MemberEnd())
-                if (!list->value.IsObject() || !read_list(list->value, message.endpoint_list))
-                    message.endpoint_list = {};
-            [[fallthrough]];
-        case RestartMessage::Kind::use:
-            message.resource_use.client_connections = fields.number("consumers");
-            message.resource_use.backend_connections = fields.number("calls");
-            message.resource_use.open_requests = fields.number("open");
-            message.resource_use.client_bytes = fields.number("consumer_bytes");
-            message.resource_use.backend_bytes = fields.number("provider_bytes");
+            read_state(json, fields, message);
+            break;
+        case RestartMessage::Kind::resource_use:
+            message.resource_use = read_use(fields);
             break;
         case RestartMessage::Kind::order:
             message.number = fields.number("number");
-            if (!find(kOrders, fields.text("order"), message.order.kind)) return false;
+            if (!find(kOrderWords, fields.text("order"), message.order.kind)) return false;
             message.order.id = fields.text("id");
             break;
-        case RestartMessage::Kind::part: {
+        case RestartMessage::Kind::extension_state:
             message.number = fields.number("number");
-            const std::string hex = fields.text("bytes");
-            if (hex.size() % 2 != 0 || hex.find_first_not_of("0123456789abcdef") != std::string::npos)
-                return false;
-            for (std::size_t i = 0; i < hex.size(); i += 2)
-                message.name += static_cast<char>(std::stoi(hex.substr(i, 2), nullptr, 16));
+            if (!from_hex(fields.text("bytes"), message.extension_state)) return false;
             break;
-        }
-        case RestartMessage::Kind::done:
+        case RestartMessage::Kind::order_result:
             message.number = fields.number("number");
-            message.yes = fields.flag("yes");
+            message.confirmed = fields.flag("yes");
             break;
         default:
             break;
--- a/src/hot_restart/restart_role.hpp
+++ b/src/hot_restart/restart_role.hpp
@@ -1,53 +1,68 @@
-// Who of an old and a new process of one ingress accepts connections, who tells its consumers to go, and
-// who answers the next one that comes. Pure: facts in, and what is to hold afterwards.
+// Which of the old and the new process of one ingress accepts connections, which one drains, and which one
+// answers a further process that asks to take over.
+//
+// Input: the events below. Output: state() and what it means. Pure: no I/O, no clock. Owned and called by
+// RestartChannel, which sends and receives the messages.
 #pragma once
 
 namespace slatejunction::hot_restart {
 
+/// State machine of one process. Each event returns false, and changes nothing, where it does not fit the
+/// state.
 class RestartRole {
   public:
     enum class State {
-        alone,                // no other process
-        takeover_requested,   // an heir has come and readies itself
-        handed_over,          // an heir accepts
-        preparing,            // took over from an elder, which accepts still
-        taken_over            // the elder finishes what it has
+        alone,                // there is no other process
+        takeover_requested,   // old process: a new one is preparing
+        handed_over,          // old process: the new one accepts
+        preparing,            // new process: the old one still accepts
+        taken_over            // new process: it accepts, the old one drains
     };
 
     State state() const { return state_; }
     bool accepts() const { return state_ != State::handed_over && state_ != State::preparing; }
-    bool draining() const { return state_ == State::handed_over; }   // consumers are to go, then it ends
-    bool answers() const { return accepts() && !yields_; }           // the next process that comes
-    bool paired() const { return state_ != State::alone; }           // there is another process
+    /// Clients are to disconnect, then the process ends.
+    bool draining() const { return state_ == State::handed_over; }
+    /// It answers the next process that asks to take over.
+    bool answers() const { return accepts() && !gives_back_; }
+    bool paired() const { return state_ != State::alone; }
     bool is_old_process() const {
         return state_ == State::takeover_requested || state_ == State::handed_over;
     }
 
-    // Facts. False: it is not the time for that, and nothing has changed.
-    bool on_takeover_requested() { return !yields_ && move(State::alone, State::takeover_requested); }
-    bool heir_took() { return move(State::takeover_requested, State::handed_over); }
-    // The heir ends, or has ended, before this process has: it accepts again.
-    bool heir_back() {
-        return move(State::takeover_requested, State::alone) || move(State::handed_over, State::alone);
+    /// Old process: a new one asks to take over. False: it is told that this one is busy.
+    bool on_takeover_requested() {
+        return !gives_back_ && transition(State::alone, State::takeover_requested);
     }
-    bool took_over() { return move(State::alone, State::preparing); }
-    bool prepared() { return move(State::preparing, State::taken_over); }
-    // Nobody else accepts any more then, be this process ready or not.
-    bool elder_gone() {
-        return move(State::preparing, State::alone) || move(State::taken_over, State::alone);
+    /// Old process: the new one accepts.
+    bool on_new_process_accepts() { return transition(State::takeover_requested, State::handed_over); }
+    /// Old process: the new one stops, or has gone. This one accepts again.
+    bool on_new_process_gone() {
+        return transition(State::takeover_requested, State::alone) ||
+               transition(State::handed_over, State::alone);
+    }
+    /// New process: the old one has sent its state.
+    bool on_state_received() { return transition(State::alone, State::preparing); }
+    /// New process: it is ready to accept.
+    bool on_prepared() { return transition(State::preparing, State::taken_over); }
+    /// New process: the old one has gone, so that nobody else accepts, be this one ready or not.
+    bool on_old_process_gone() {
+        return transition(State::preparing, State::alone) || transition(State::taken_over, State::alone);
     }
 
-    // Told to end. One that has an elder gives back to it, and must not stand in its way any more.
-    void end() { yields_ = yields_ || state_ == State::preparing || state_ == State::taken_over; }
+    /// The process is to stop. A new one gives back to the old one, and answers nobody any more.
+    void on_stop_requested() {
+        gives_back_ = gives_back_ || state_ == State::preparing || state_ == State::taken_over;
+    }
 
   private:
-    bool move(State from, State to) {
+    bool transition(State from, State to) {
         if (state_ != from) return false;
         state_ = to;
         return true;
     }
     State state_ = State::alone;
-    bool yields_ = false;
+    bool gives_back_ = false;
 };
 
 }   // namespace slatejunction::hot_restart
--- a/src/ingress/ingress_lifecycle.cpp
+++ b/src/ingress/ingress_lifecycle.cpp
@@ -117,8 +117,8 @@
     dispatcher_.pool().close_expired(now);
     if (admin_server_) admin_server_->close_expired(now);
     const bool drained = operator_overrides_.drained();
-    if (drained && now - drained_at_ > GracefulShutdown::kGraceS)
-        server_.close_idle(now, GracefulShutdown::kQuietS);
+    if (drained && now - drained_at_ > GracefulShutdown::kIdleGraceS)
+        server_.close_idle(now, GracefulShutdown::kMaxIdleS);
     if (shutdown_.draining()) {
         if (advance_shutdown(now)) return;
         sweep_timer_.arm(shutdown_.advance_again_at(now));
--- a/src/lifecycle/graceful_shutdown.cpp
+++ b/src/lifecycle/graceful_shutdown.cpp
@@ -6,124 +6,136 @@
 
 namespace slatejunction::lifecycle {
 
-static_assert(kKillAfterS - kMarginS - kPartsS - kAnswersS >= kArrivalsS - 1e-9,
-              "a request that comes last must have its whole time");
-static_assert(kMarginS > kHeldUpS, "a signal that is heard late must not let SIGKILL come first");
-static_assert(kHandshakesS < kLastCallsS, "what was accepted last must have time to be served");
+static_assert(kKillDelayS - kKillMarginS - kComponentStopS - kForcedAnswersS >= kLateConnectionsS - 1e-9,
+              "a request on the last connection must have its whole deadline");
+static_assert(kKillMarginS > kMaxSchedulingDelayS,
+              "SIGKILL must not come first if a signal is handled late");
+static_assert(kHandshakeDrainS < kLastRequestsS, "requests on the last connections need time");
 
 double longest_deadline_s(const slatejunction::Settings& settings) {
     double longest = 0;
-    for (const auto& one : settings.classes)
-        if (std::isfinite(one.deadline_s)) longest = std::max(longest, one.deadline_s);
+    for (const auto& service_class : settings.classes)
+        if (std::isfinite(service_class.deadline_s)) longest = std::max(longest, service_class.deadline_s);
     return longest;
 }
 
 double earliest_kill_s(double longest_deadline_s) {
-    const bool counted = longest_deadline_s > 0 && longest_deadline_s < kLongestCountedS;
-    return (counted ? longest_deadline_s : kLongestCountedS) + kKillAfterS;
+    const bool known_and_short = longest_deadline_s > 0 && longest_deadline_s < kMaxCountedDeadlineS;
+    return (known_and_short ? longest_deadline_s : kMaxCountedDeadlineS) + kKillDelayS;
 }
 
-double stop_bound_s(double longest_deadline_s) { return earliest_kill_s(longest_deadline_s) - kMarginS; }
+double stop_bound_s(double longest_deadline_s) {
+    return earliest_kill_s(longest_deadline_s) - kKillMarginS;
+}
 
 double force_after_s(double longest_deadline_s) {
-    return stop_bound_s(longest_deadline_s) - kPartsS - kAnswersS;
+    return stop_bound_s(longest_deadline_s) - kComponentStopS - kForcedAnswersS;
 }
 
 double close_after_s(double longest_deadline_s) {
-    return std::max(kArrivalsS, force_after_s(longest_deadline_s) - kLastCallsS);
+    return std::max(kLateConnectionsS, force_after_s(longest_deadline_s) - kLastRequestsS);
 }
 
 void GracefulShutdown::request_stop(double now) {
-    if (told_at_) return;
-    told_at_ = now;
+    if (stop_requested_at_) return;
+    stop_requested_at_ = now;
     if (state_ == State::serving) state_ = State::finishing;
 }
 
 void GracefulShutdown::hand_over(double now) {
-    handed_at_ = now;
+    handed_over_at_ = now;
     if (state_ == State::serving) state_ = State::finishing;
 }
 
-// The listening socket was never closed meanwhile, only held.
+// The listening socket was never closed, accepting was only paused.
 void GracefulShutdown::cancel_hand_over() {
     if (state_ == State::ended) return;
-    handed_at_.reset();
-    if (!told_at_) state_ = State::serving;
+    handed_over_at_.reset();
+    if (!stop_requested_at_) state_ = State::serving;
 }
 
-bool GracefulShutdown::over(double now, double told_s, double handed_s) const {
-    return (told_at_ && now - *told_at_ > told_s) || (handed_at_ && now - *handed_at_ > handed_s);
+bool GracefulShutdown::past_grace(double now) const {
+    return (stop_requested_at_ && now - *stop_requested_at_ > kIdleGraceS) ||
+           (handed_over_at_ && now - *handed_over_at_ > kIdleGraceS);
 }
 
 std::optional<double> GracefulShutdown::max_idle_s(double now) const {
     if (rejects_new_requests()) return 0;
-    if (told_at_ && now - *told_at_ > kGraceS) return kQuietS;
-    if (handed_at_ && now - *handed_at_ > kHandedStillComingS) return kHandedQuietS;
+    if (stop_requested_at_ && now - *stop_requested_at_ > kIdleGraceS) return kMaxIdleS;
+    if (handed_over_at_ && now - *handed_over_at_ > kDrainingIdleGraceS) return kDrainingMaxIdleS;
     return std::nullopt;
 }
 
-// Health checks count for nothing here, however many there are: they would never cease.
-bool GracefulShutdown::quiet(const Facts& facts) const {
-    return facts.in_use == 0 && facts.now - facts.last_request_at > kQuietS &&
-           facts.now - facts.last_unknown_at > kQuietS;
+// Health checks do not count: they never cease.
+bool GracefulShutdown::no_requests_arrive(const Facts& facts) const {
+    return facts.in_use == 0 && facts.now - facts.last_request_at > kMaxIdleS &&
+           facts.now - facts.last_unused_at > kMaxIdleS;
 }
 
-double GracefulShutdown::close_at() const {
-    if (told_at_) return *told_at_ + close_after_s(longest_deadline_s_);
-    return force_at() - kLastCallsS;
+double GracefulShutdown::stop_listening_at() const {
+    if (stop_requested_at_) return *stop_requested_at_ + close_after_s(longest_deadline_s_);
+    return force_answers_at() - kLastRequestsS;
 }
 
-double GracefulShutdown::force_at() const {
-    if (told_at_) return *told_at_ + force_after_s(longest_deadline_s_);
-    return *handed_at_ + std::max(longest_deadline_s_, kLongestCountedS) + kHandedMoreS;
+double GracefulShutdown::force_answers_at() const {
+    if (stop_requested_at_) return *stop_requested_at_ + force_after_s(longest_deadline_s_);
+    return *handed_over_at_ + std::max(longest_deadline_s_, kMaxCountedDeadlineS) + kDrainingExtraS;
 }
 
 double GracefulShutdown::ends_by() const {
     if (!draining()) return std::numeric_limits<double>::infinity();
-    return force_at() + kAnswersS + kPartsS;
+    return force_answers_at() + kForcedAnswersS + kComponentStopS;
+}
+
+GracefulShutdown::Action GracefulShutdown::enter(State state, Action action) {
+    state_ = state;
+    return action;
+}
+
+GracefulShutdown::Action GracefulShutdown::advance_finishing(const Facts& facts) {
+    const bool may_end = past_grace(facts.now);
+    if (facts.another_process_accepts) {
+        if (may_end && facts.connections == 0) return enter(State::ended, Action::end);
+        if (facts.now < force_answers_at()) return Action::none;
+        answers_forced_at_ = facts.now;
+        return enter(State::forcing, Action::answer_open_requests);
+    }
+    if (facts.now < stop_listening_at() && !(may_end && no_requests_arrive(facts))) return Action::none;
+    handshakes_refused_at_ = facts.now;
+    return enter(State::refusing, Action::refuse_handshakes);
 }
 
 GracefulShutdown::Action GracefulShutdown::advance(const Facts& facts) {
-    const bool may_end = over(facts.now, kGraceS, kGraceS);
     switch (state_) {
         case State::serving:
         case State::ended:
             return Action::none;
         case State::finishing:
-            if (facts.another_accepts) {
-                if (may_end && facts.connections == 0) return state_ = State::ended, Action::end;
-                if (facts.now >= force_at()) {
-                    forced_at_ = facts.now;
-                    return state_ = State::forcing, Action::answer_open_requests;
-                }
-                return Action::none;
-            }
-            if (facts.now < close_at() && !(may_end && quiet(facts))) return Action::none;
-            refused_at_ = facts.now;
-            return state_ = State::refusing, Action::refuse_handshakes;
+            return advance_finishing(facts);
         case State::refusing:
-            if (facts.now < refused_at_ + kHandshakesS) return Action::none;
-            return state_ = State::closed, Action::stop_listening;
+            if (facts.now < handshakes_refused_at_ + kHandshakeDrainS) return Action::none;
+            return enter(State::closed, Action::stop_listening);
         case State::closed:
-            if (facts.connections == 0) return state_ = State::ended, Action::end;
-            if (facts.now < force_at()) return Action::none;
-            forced_at_ = facts.now;
-            return state_ = State::forcing, Action::answer_open_requests;
+            if (facts.connections == 0) return enter(State::ended, Action::end);
+            if (facts.now < force_answers_at()) return Action::none;
+            answers_forced_at_ = facts.now;
+            return enter(State::forcing, Action::answer_open_requests);
         case State::forcing:
-            if (facts.connections > 0 && facts.now < forced_at_ + kAnswersS) return Action::none;
-            return state_ = State::ended, Action::end;
+            if (facts.connections > 0 && facts.now < answers_forced_at_ + kForcedAnswersS)
+                return Action::none;
+            return enter(State::ended, Action::end);
     }
     return Action::none;
 }
 
 double GracefulShutdown::advance_again_at(double now) const {
-    const double look = now + kCheckIntervalS;
-    double due = look;
-    if (state_ == State::finishing) due = close_at();
-    if (state_ == State::refusing) due = refused_at_ + kHandshakesS;
-    if (state_ == State::closed) due = force_at();
-    if (state_ == State::forcing) due = forced_at_ + kAnswersS;
-    return due > now ? std::min(due, look) : look;
+    const double next_check = now + kCheckIntervalS;
+    double transition_at = next_check;
+    if (state_ == State::finishing) transition_at = stop_listening_at();
+    if (state_ == State::refusing) transition_at = handshakes_refused_at_ + kHandshakeDrainS;
+    if (state_ == State::closed) transition_at = force_answers_at();
+    if (state_ == State::forcing) transition_at = answers_forced_at_ + kForcedAnswersS;
+    return transition_at > now ? std::min(transition_at, next_check) : next_check;
 }
 
 }   // namespace slatejunction::lifecycle
--- a/tests/admin/operator_overrides_test.cpp
+++ b/tests/admin/operator_overrides_test.cpp
@@ -185,12 +185,12 @@
     operations.apply_to(first);
     sj::discovery::EndpointList change;
     REQUIRE(operations.suspend("kept", change) == OverrideResult::done);
-    for (std::size_t i = 0; i < sj::admin::kGoneMost + 500; ++i) {
+    for (std::size_t i = 0; i < sj::admin::kMaxUnlistedBackends + 500; ++i) {
         const std::string id = "x" + std::to_string(i);
         auto comes = listing(EndpointUpdateKind::snapshot, {{id.c_str(), EndpointState::serving}});
         operations.apply_to(comes);
     }
-    REQUIRE(operations.ever_listed().size() <= sj::admin::kGoneMost + 3);
+    REQUIRE(operations.ever_listed().size() <= sj::admin::kMaxUnlistedBackends + 3);
     REQUIRE(operations.suspend("x0", change) == OverrideResult::never_listed);
     auto back = listing(EndpointUpdateKind::snapshot, {{"kept", EndpointState::serving}});
     operations.apply_to(back);
@@ -202,17 +202,18 @@
     OperatorOverrides operations;
     sj::discovery::EndpointList all, change;
     all.update.kind = EndpointUpdateKind::snapshot;
-    for (std::size_t i = 0; i <= sj::admin::kSuspendedMost; ++i) {
+    for (std::size_t i = 0; i <= sj::admin::kMaxSuspendedBackends; ++i) {
         sj::Endpoint entry;
         entry.backend = std::to_string(i);
         all.update.endpoints.push_back(entry);
         all.addresses.push_back("127.0.0.1:1");
     }
     operations.apply_to(all);
-    for (std::size_t i = 0; i < sj::admin::kSuspendedMost; ++i)
+    for (std::size_t i = 0; i < sj::admin::kMaxSuspendedBackends; ++i)
         REQUIRE(operations.suspend(std::to_string(i), change) == OverrideResult::done);
-    REQUIRE(operations.suspend(std::to_string(sj::admin::kSuspendedMost), change) ==
+    REQUIRE(operations.suspend(std::to_string(sj::admin::kMaxSuspendedBackends), change) ==
             OverrideResult::too_many);
     REQUIRE(operations.resume("0", change) == OverrideResult::done);
-    REQUIRE(operations.suspend(std::to_string(sj::admin::kSuspendedMost), change) == OverrideResult::done);
+    REQUIRE(operations.suspend(std::to_string(sj::admin::kMaxSuspendedBackends), change) ==
+            OverrideResult::done);
 }
--- a/tests/hot_restart/restart_role_test.cpp
+++ b/tests/hot_restart/restart_role_test.cpp
@@ -61,7 +61,7 @@
         if (at >= 0) {
             Process& elder = all[static_cast<std::size_t>(at)];
             if (!elder.role.on_takeover_requested()) return;   // busy: it asks again later
-            fresh.role.took_over();
+            fresh.role.on_state_received();
             fresh.peer = at;
             if (elder.peer >= 0)   // one that has said that it ends
                 all[static_cast<std::size_t>(elder.peer)].inbox.emplace_back(at, Process::Word::gone);
@@ -86,7 +86,7 @@
         if (!one.alive) return;
         switch (pick(7)) {
             case 0:
-                if (one.role.prepared()) settle(one), say(one, Process::Word::taken);
+                if (one.role.on_prepared()) settle(one), say(one, Process::Word::taken);
                 return;
             case 1:
                 if (pick(4) == 0) die(one);
@@ -97,7 +97,7 @@
             case 3:
                 if (pick(8) == 0 && !one.stopping) {
                     one.stopping = true;
-                    one.role.end();
+                    one.role.on_stop_requested();
                     if (!one.role.is_old_process()) say(one, Process::Word::back);
                 }
                 return;
@@ -112,15 +112,15 @@
         if (from != one.peer) return;
         switch (word) {
             case Process::Word::taken:
-                one.role.heir_took();
+                one.role.on_new_process_accepts();
                 break;
             case Process::Word::back:
-                if (one.role.is_old_process()) one.role.heir_back();
+                if (one.role.is_old_process()) one.role.on_new_process_gone();
                 break;
             case Process::Word::gone:
                 one.peer = -1;
                 if (spoil == 1) break;
-                if (!one.role.heir_back()) one.role.elder_gone();
+                if (!one.role.on_new_process_gone()) one.role.on_old_process_gone();
                 break;
         }
         settle(one);
@@ -133,7 +133,7 @@
             for (Process& one : all) {
                 if (!one.alive) continue;
                 hear(one);
-                if (one.role.prepared()) settle(one), say(one, Process::Word::taken);
+                if (one.role.on_prepared()) settle(one), say(one, Process::Word::taken);
             }
         int living = 0, accepting = 0;
         for (const Process& one : all) {
@@ -213,7 +213,7 @@
     for (int i = 0; i < 60000; ++i) message.listed.push_back("provider-number-" + std::to_string(i));
     for (int i = 0; i < 4096; ++i) message.suspended.push_back("provider-number-" + std::to_string(i));
     const std::string line = write(message);
-    REQUIRE(line.size() <= slatejunction::hot_restart::kLineMost);
+    REQUIRE(line.size() <= slatejunction::hot_restart::kMaxLineBytes);
     REQUIRE(read(line, got));
     REQUIRE(got.suspended == message.suspended);
     REQUIRE(got.listed.size() < message.listed.size());
--- a/tests/lifecycle/graceful_shutdown_test.cpp
+++ b/tests/lifecycle/graceful_shutdown_test.cpp
@@ -72,11 +72,11 @@
         // A request that comes 0.4 s after the signal still has its whole time, if it is no longer than 3
         // s.
         REQUIRE(op::force_after_s(deadline) >= counted + 0.4 - 1e-9);
-        REQUIRE(op::force_after_s(deadline) + op::kAnswersS + op::kPartsS <=
+        REQUIRE(op::force_after_s(deadline) + op::kForcedAnswersS + op::kComponentStopS <=
                 op::stop_bound_s(deadline) + 1e-9);
         // New connections come for up to 0.4 s.
         REQUIRE(op::close_after_s(deadline) >= 0.4 - 1e-9);
-        REQUIRE(op::close_after_s(deadline) + op::kHandshakesS <= op::force_after_s(deadline) + 1e-9);
+        REQUIRE(op::close_after_s(deadline) + op::kHandshakeDrainS <= op::force_after_s(deadline) + 1e-9);
     }
 }
 
@@ -142,13 +142,13 @@
         facts.connections = 1;
         if (kind == 0) facts.in_use = 1;                               // never done
         if (kind == 1) facts.last_request_at = kStart + since - 0.1;   // new requests, each done at once
-        if (kind == 2) facts.last_unknown_at = kStart + since - 0.1;   // new connections that say nothing
+        if (kind == 2) facts.last_unused_at = kStart + since - 0.1;    // new connections that say nothing
         return facts;
     });
     REQUIRE(acts(all) ==
             std::vector{Act::refuse_handshakes, Act::stop_listening, Act::answer_open_requests, Act::end});
     REQUIRE(all[0].at >= op::close_after_s(deadline) - 1e-9);
-    REQUIRE(all[1].at >= all[0].at + op::kHandshakesS - 1e-9);
+    REQUIRE(all[1].at >= all[0].at + op::kHandshakeDrainS - 1e-9);
     REQUIRE(all[2].at >= op::force_after_s(deadline) - 1e-9);
     REQUIRE(all[2].at < op::force_after_s(deadline) + 0.02);
     REQUIRE(all[3].at <= op::stop_bound_s(deadline) + 1e-9);
@@ -174,7 +174,7 @@
     REQUIRE(shutdown.advance(facts) == Act::stop_listening);
     REQUIRE(shutdown.advance(facts) == Act::answer_open_requests);
     REQUIRE(shutdown.advance(facts) == Act::none);   // what it took at last is read meanwhile
-    facts.now = shutdown.advance_again_at(facts.now) + op::kAnswersS;
+    facts.now = shutdown.advance_again_at(facts.now) + op::kForcedAnswersS;
     REQUIRE(shutdown.advance(facts) == Act::end);
     REQUIRE(shutdown.advance(facts) == Act::none);
 }
@@ -187,7 +187,7 @@
     SECTION("the last one goes") {
         const auto all = run(shutdown, [](double since) {
             GracefulShutdown::Facts facts;
-            facts.another_accepts = true;
+            facts.another_process_accepts = true;
             facts.connections = since < 3 ? 1 : 0;
             facts.last_request_at = kStart + since;
             return facts;
@@ -198,12 +198,12 @@
     SECTION("one never goes") {
         const auto all = run(shutdown, [](double) {
             GracefulShutdown::Facts facts;
-            facts.another_accepts = true;
+            facts.another_process_accepts = true;
             facts.connections = facts.in_use = 1;
             return facts;
         });
         REQUIRE(acts(all) == std::vector{Act::answer_open_requests, Act::end});
-        REQUIRE(all.back().at <= 12 + 0.4 + op::kAnswersS + op::kHandedMoreS);
+        REQUIRE(all.back().at <= 12 + 0.4 + op::kForcedAnswersS + op::kDrainingExtraS);
     }
     SECTION("told to end beside: the bound counts from there") {
         shutdown.request_stop(kStart + 5);
@@ -229,10 +229,10 @@
     REQUIRE_FALSE(shutdown.max_idle_s(kStart));
     shutdown.hand_over(kStart);
     REQUIRE_FALSE(shutdown.max_idle_s(kStart + 1.1));
-    REQUIRE(shutdown.max_idle_s(kStart + 1.3) == GracefulShutdown::kHandedQuietS);
+    REQUIRE(shutdown.max_idle_s(kStart + 1.3) == GracefulShutdown::kDrainingMaxIdleS);
     shutdown.request_stop(kStart + 2);
-    REQUIRE(shutdown.max_idle_s(kStart + 2.5) == GracefulShutdown::kHandedQuietS);
-    REQUIRE(shutdown.max_idle_s(kStart + 2.7) == GracefulShutdown::kQuietS);
+    REQUIRE(shutdown.max_idle_s(kStart + 2.5) == GracefulShutdown::kDrainingMaxIdleS);
+    REQUIRE(shutdown.max_idle_s(kStart + 2.7) == GracefulShutdown::kMaxIdleS);
 }
 
 TEST_CASE("by seed: each act once and in order, none too early, all within the bound",
@@ -256,7 +256,7 @@
             facts.in_use = since < busy_until ? 1 : 0;
             facts.connections = facts.in_use + (drawn(1) < 0.5 ? 1 : 0);
             facts.last_request_at = kStart + std::min(since, asks_until) - drawn(0.1);
-            facts.last_unknown_at = kStart + std::min(since, silence_until) - drawn(0.1);
+            facts.last_unused_at = kStart + std::min(since, silence_until) - drawn(0.1);
             const Act act = shutdown.advance(facts);
             if (act != Act::none) all.push_back({since, act});
             // Not too early: it listens on while anything is going on that is no health check.
@@ -264,7 +264,7 @@
                 REQUIRE(since > 0.6);
                 REQUIRE(facts.in_use == 0);
                 REQUIRE(now - facts.last_request_at > 0.15);
-                REQUIRE(now - facts.last_unknown_at > 0.15);
+                REQUIRE(now - facts.last_unused_at > 0.15);
             }
             if (act == Act::answer_open_requests) REQUIRE(since >= op::force_after_s(deadline) - 1e-9);
             if (act == Act::end && facts.connections > 0) {
@@ -279,13 +279,13 @@
         REQUIRE(all.size() >= 3);
         REQUIRE(all[0].act == Act::refuse_handshakes);
         REQUIRE(all[1].act == Act::stop_listening);
-        REQUIRE(all[1].at - all[0].at >= op::kHandshakesS - 1e-9);
+        REQUIRE(all[1].at - all[0].at >= op::kHandshakeDrainS - 1e-9);
         REQUIRE(all.back().act == Act::end);
         REQUIRE(all.size() <= 4);
         if (all.size() == 4) REQUIRE(all[2].act == Act::answer_open_requests);
         // The parts have kPartsS then; less only where deadlines are shorter than the handshakes' time.
-        const double least = op::close_after_s(deadline) + op::kHandshakesS + op::kAnswersS;
-        const double bound = std::max(op::stop_bound_s(deadline) - op::kPartsS, least);
+        const double least = op::close_after_s(deadline) + op::kHandshakeDrainS + op::kForcedAnswersS;
+        const double bound = std::max(op::stop_bound_s(deadline) - op::kComponentStopS, least);
         REQUIRE(bound <= op::stop_bound_s(deadline) + 1e-9);
         REQUIRE(all.back().at <= bound + 0.01 + stands_s);
     }
--- a/tests/lifecycle/stop_test.cpp
+++ b/tests/lifecycle/stop_test.cpp
@@ -235,7 +235,7 @@
     program.tell();
     if (drained) kept.end();   // on each connection it is told to go, before the stop as well
     const double after = program.exited_after();
-    CHECK(after > op::GracefulShutdown::kGraceS);
+    CHECK(after > op::GracefulShutdown::kIdleGraceS);
     CHECK(after < 2);   // the bound is 3.5 s
     kept.end();
     CHECK(kept.lost() == 0);
--- a/tests/rollout/settings_test.cpp
+++ b/tests/rollout/settings_test.cpp
@@ -125,17 +125,17 @@
     using slatejunction::admin::read_call;
     using What = slatejunction::admin::AdminCall::Kind;
     CHECK(read_call("GET", "/v1/rollout").kind == What::rollout);
-    CHECK(read_call("HEAD", "/v1/rollout").head_alone);
-    CHECK(read_call("POST", "/v1/rollout").fault == 405);
+    CHECK(read_call("HEAD", "/v1/rollout").omit_body);
+    CHECK(read_call("POST", "/v1/rollout").error_status == 405);
     const auto proposed = read_call("POST", "/v1/rollout/limit%20a?x=1");
     CHECK(proposed.kind == What::propose);
-    CHECK(proposed.fault == 0);
+    CHECK(proposed.error_status == 0);
     CHECK(proposed.id == "limit a");
     CHECK(read_call("DELETE", "/v1/rollout/limit%20a").kind == What::erase);
-    CHECK(read_call("GET", "/v1/rollout/limit%20a").fault == 405);
+    CHECK(read_call("GET", "/v1/rollout/limit%20a").error_status == 405);
     CHECK(read_call("GET", "/v1/rollout/limit%20a").allow == "POST, DELETE");
-    CHECK(read_call("POST", "/v1/rollout/").fault == 404);
-    CHECK(read_call("POST", "/v1/rollout/a/b").fault == 404);
-    CHECK(read_call("POST", "/v1/rollout/limit%2").fault == 400);
-    CHECK(read_call("POST", "/v1/rollout/" + std::string(2000, 'a')).fault == 400);
+    CHECK(read_call("POST", "/v1/rollout/").error_status == 404);
+    CHECK(read_call("POST", "/v1/rollout/a/b").error_status == 404);
+    CHECK(read_call("POST", "/v1/rollout/limit%2").error_status == 400);
+    CHECK(read_call("POST", "/v1/rollout/" + std::string(2000, 'a')).error_status == 400);
 }
