--- a/bench/quota-model.cpp
+++ b/bench/quota-model.cpp
@@ -1,6 +1,6 @@
-// Runs quota banks against the model of tests/quota/model.hpp: quota-model COUNT [FIRST_SEED]. Prints each
+// Runs SharedQuota against the model of tests/quota/model.hpp: quota-model COUNT [FIRST_SEED]. Prints each
 // breach of the stated error with its seed, and a table by kind of fault. Exits with 1 on a breach.
-// quota-model site: the mix of a site, healthy and in each trouble, beside an even split; CREDIT, FREE_PART
+// quota-model site: the mix of a site, healthy and under each fault, beside an even split; CREDIT, FREE_PART
 // and FREE_UNITS set these.
 #include <cstdio>
 #include <cstdlib>
@@ -34,9 +34,9 @@
         const auto number = [](const char* name, double& value) {
             if (const char* text = std::getenv(name)) value = std::strtod(text, nullptr);
         };
-        number("CREDIT", plan.settings.credit);
-        number("FREE_PART", plan.settings.free_part);
-        number("FREE_UNITS", plan.settings.free_units);
+        number("CREDIT", plan.settings.max_unreported_units);
+        number("FREE_PART", plan.settings.local_fraction);
+        number("FREE_UNITS", plan.settings.min_local_burst);
         const auto run = [&](bool even) {
             model::World world(plan, 5);
             world.even_split = even;
--- a/bench/scale/configuration.cpp
+++ b/bench/scale/configuration.cpp
@@ -91,7 +91,7 @@
     platforms_file(run);
 }
 
-// One ingress of quota::kIngressesMost, whose counter answers at once; its calls_per_s is that of the
+// One ingress of quota::kMaxIngresses, whose counter answers at once; its calls_per_s is that of the
 // operator's file. Each customer is asked for by 257 requests a second, evenly.
 void quotas(const Run& run) {
     Table table{"quotas",
@@ -101,8 +101,8 @@
         const std::size_t before = allocated();
         quota::Settings settings;
         settings.plans = {{"basis", 12, 24, 0}};
-        settings.ingress_count = quota::kIngressesMost;
-        settings.customers_most = 150'000;
+        settings.ingress_count = quota::kMaxIngresses;
+        settings.max_customers = 150'000;
         quota::SharedQuota bank(settings, 1);
         std::unordered_map<std::string, double> counter;
         std::mt19937_64 random(4);
@@ -118,8 +118,8 @@
             {
                 const Booked booked(meter, &account);
                 if (bank.next_deadline() <= now) bank.on_timer(now);
-                if (bank.retry_after_s(now, customer, 0, {0, quota::kIngressesMost}, 1) <= 0) {
-                    bank.consume(now, customer, 0, {0, quota::kIngressesMost}, 1);
+                if (bank.retry_after_s(now, customer, 0, {0, quota::kMaxIngresses}, 1) <= 0) {
+                    bank.consume(now, customer, 0, {0, quota::kMaxIngresses}, 1);
                     bank.release(customer);
                     passed += 1;
                 }
@@ -127,7 +127,7 @@
             }
             for (const quota::CounterCall& call : out) {
                 calls += 1;
-                const double total = counter[call.name] += call.by;
+                const double total = counter[call.name] += call.amount;
                 const Booked booked(meter, &account);
                 bank.on_reply(now, call.id, total);
             }
--- a/src/app/program.cpp
+++ b/src/app/program.cpp
@@ -86,9 +86,9 @@
         if (options.fleet_counters.on())
             lines.push_back(fleet_counters::stated(options.fleet_counters, options.lease.times));
         if (!options.quota.on()) return;
-        quotas = quota::settings_of(options.quota, config.settings, fault);
+        quotas = quota::make_settings(options.quota, config.settings, fault);
         if (!fault.empty()) throw std::runtime_error(files.options + ": [quota] " + fault);
-        for (auto& line : quota::stated(quotas)) lines.push_back(line);
+        for (auto& line : quota::error_bound_lines(quotas)) lines.push_back(line);
     }
 };
 
--- a/src/app/quota_component.cpp
+++ b/src/app/quota_component.cpp
@@ -8,7 +8,7 @@
 namespace slatejunction::app {
 namespace {
 
-quota::IngressSet doors_of(const client::ClientRequest& i) {
+quota::IngressSet ingresses_of(const client::ClientRequest& i) {
     return {i.first_ingress, static_cast<unsigned>(i.ingress_count)};
 }
 
@@ -20,7 +20,7 @@
     : plans_(config.settings.plans),
       driver_(options.quota, settings, config.seed ^ draw_process(), timers, log) {
     ingress.register_extension(static_cast<ingress::RequestFilter&>(*this));
-    for (const std::string& line : quota::stated(settings))
+    for (const std::string& line : quota::error_bound_lines(settings))
         log.write(Log::Level::info, net::now(), "%s", line.c_str());
     if (telemetry)
         telemetry->join([this](metrics::Measures& measures) {
@@ -56,12 +56,12 @@
 
 void QuotaPart::on_request(client::ClientRequest& i, slatejunction::Request& request,
                            ingress::FilterState&) {
-    const double wait = driver_.retry_after_s(i.customer, plan_number(i.plan), doors_of(i), i.units);
+    const double wait = driver_.retry_after_s(i.customer, plan_number(i.plan), ingresses_of(i), i.units);
     request.rate_limit_retry_after_s = std::max(request.rate_limit_retry_after_s, wait);
 }
 
 void QuotaPart::on_first_attempt(const client::ClientRequest& i, ingress::FilterState& mark, bool) {
-    driver_.consume(i.customer, plan_number(i.plan), doors_of(i), i.units);
+    driver_.consume(i.customer, plan_number(i.plan), ingresses_of(i), i.units);
     mark = this;   // its units are drawn
 }
 
--- a/src/app/quota_component.hpp
+++ b/src/app/quota_component.hpp
@@ -11,7 +11,7 @@
 
 class QuotaPart final : public Part, ingress::RequestFilter {
   public:
-    // `settings` as quota::settings_of() made them, without a fault; `config` is told without quotas.
+    // `settings` as quota::make_settings() made them, without a fault; `config` is told without quotas.
     // `fleet`: null where there are no leases; then each ingress has its own check of the counter only.
     QuotaPart(const operator_config::Options& options, const quota::Settings& settings,
               const config::Config& config, ingress::Ingress& ingress, lease::FleetContext* fleet,
--- a/src/quota/admission.cpp
+++ b/src/quota/admission.cpp
@@ -1,4 +1,4 @@
-// Of the bank (bank.hpp): what a customer's stores have room for, and what a request takes of them.
+// Of SharedQuota (shared_quota.hpp): whether a customer's buckets have room, and consuming from them.
 #include <algorithm>
 #include <cmath>
 
@@ -7,17 +7,17 @@
 namespace slatejunction::quota {
 namespace {
 
-constexpr double kRereadEvery = 5;   // s, of a name that says that nothing may pass
-constexpr double kBlocked = 0.01;    // s to wait where only a report is awaited
-constexpr double kSoonest = 0.001;   // s; the least that is told as a time to wait
-constexpr double kPlainWait = 1;     // s, where nothing better is known
-constexpr double kRound = 1e-9;      // units; what sums may be off by
-constexpr std::size_t kForgetLooks = 16;
+constexpr double kRefreshPeriodS = 5;    // while the shared bucket has no room
+constexpr double kAwaitReportS = 0.01;   // retry-after while a report is in flight
+constexpr double kMinRetryAfterS = 0.001;
+constexpr double kDefaultRetryAfterS = 1;   // where no time can be computed
+constexpr double kUnitsTolerance = 1e-9;    // of sums of units
+constexpr std::size_t kEvictionCandidates = 16;
 
-// 0, or so many s until a store that has room for `room` units now has it for `units`.
-double time_until(double units, double room, double rate) {
-    if (room >= units - kRound) return 0;
-    return rate > 0 ? std::max(kSoonest, (units - room) / rate) : kPlainWait;
+// Time (s) until a bucket with room for `room` units has room for `units`; 0: now.
+double time_until_room_s(double units, double room, double rate) {
+    if (room >= units - kUnitsTolerance) return 0;
+    return rate > 0 ? std::max(kMinRetryAfterS, (units - room) / rate) : kDefaultRetryAfterS;
 }
 
 }   // namespace
@@ -26,165 +26,182 @@
     return static_cast<unsigned>(customer * 0x9e3779b97f4a7c15ULL >> 33) % settings_.parts;
 }
 
-BucketLayout SharedQuota::stores_of(const Account& account) const {
-    return bucket_layout(settings_, plan(account), account.doors.count);
+BucketLayout SharedQuota::layout_of(const CustomerState& state) const {
+    return bucket_layout(settings_, plan(state), state.ingresses.count);
 }
 
-// What a unit counts on the counter: more, while some of the customer's ingresses are cut off and spend
-// their share by themselves.
-double SharedQuota::factor(const Account& account) const {
-    const CounterPart& part = parts_[account.part];
+// Factor by which units are reported to the counter: above 1 while some of the customer's ingresses are cut
+// off and admit from their fallback buckets.
+double SharedQuota::cost_multiplier(const CustomerState& state) const {
+    const CounterPart& part = parts_[state.part];
     unsigned missing = 0;
-    for (unsigned i = 0; i < account.doors.count; ++i) {
-        const unsigned ingress = (account.doors.first + i) % settings_.ingress_count;
-        missing += ingress != settings_.ingress_index && now_ - part.beat_at[ingress] > kMissingAfter;
+    for (unsigned i = 0; i < state.ingresses.count; ++i) {
+        const unsigned ingress = (state.ingresses.first + i) % settings_.ingress_count;
+        missing += ingress != settings_.ingress_index &&
+                   now_ - part.last_heartbeat_at_s[ingress] > kIngressMissingAfterS;
     }
-    const double ingresses = account.doors.count;
+    const double ingresses = state.ingresses.count;
     return ingresses / (ingresses - std::min<double>(missing, ingresses - 1));
 }
 
-bool SharedQuota::sharing(const Account& account) const {
-    const CounterPart& part = parts_[account.part];
-    return part.lost || now_ < part.returned_at + kSettle;
+bool SharedQuota::uses_fallback(const CustomerState& state) const {
+    const CounterPart& part = parts_[state.part];
+    return part.unreachable || now_ < part.recovered_at_s + kRecoveryGraceS;
 }
 
-// As it will be once all is reported.
-double SharedQuota::level(const Account& account) const {
-    const BucketLayout s = stores_of(account);
-    const double news = account.unreported + account.in_flight;
-    double v = account.v;
-    if (news > 0)
-        v = std::max(v, account.in_flight > 0 ? account.flight_since : account.since) +
-            factor(account) * news / s.rate;
-    return s.burst - s.rate * std::max(0.0, v - clock());
+// Units in the shared bucket, as it will be once all usage is reported.
+double SharedQuota::level(const CustomerState& state) const {
+    const BucketLayout layout = layout_of(state);
+    const double not_on_counter = state.unreported_units + state.in_flight_units;
+    double full_at_s = state.full_at_s;
+    if (not_on_counter > 0)
+        full_at_s = std::max(full_at_s, state.in_flight_units > 0 ? state.in_flight_since_s
+                                                                  : state.unreported_since_s) +
+                    cost_multiplier(state) * not_on_counter / layout.rate;
+    return layout.burst - layout.rate * std::max(0.0, full_at_s - fleet_time_s());
 }
 
 double SharedQuota::level(std::uint64_t customer) const {
-    const auto at = accounts_.find(customer);
-    return at == accounts_.end() ? 0 : level(at->second);
-}
-
-double SharedQuota::free_level(const Account& account) const {
-    const BucketLayout s = stores_of(account);
-    return s.free_burst - s.free_rate * std::max(0.0, account.free_v - clock());
-}
-
-double SharedQuota::share_level(const Account& account) const {
-    const BucketLayout s = stores_of(account);
-    return s.share_burst - s.share_rate * std::max(0.0, account.share_v - clock());
-}
-
-// 0, or so many s until `units` have room.
-double SharedQuota::wait(const Account& account, double units) const {
-    const BucketLayout s = stores_of(account);
-    const double free = time_until(units, free_level(account), s.free_rate);
-    if (free == 0 || account.doors.count <= 1) return free;
-    if (sharing(account)) return std::min(free, time_until(units, share_level(account), s.share_rate));
-    const double unit = factor(account);
-    if (account.v != kNever) {
-        // An update of what is known may come with room sooner than this says, not later.
-        const double charged = time_until(units, level(account) / unit, s.rate / unit);
-        if (charged > 0) return std::min(free, charged);
+    const auto at = customers_.find(customer);
+    return at == customers_.end() ? 0 : level(at->second);
+}
+
+double SharedQuota::local_level(const CustomerState& state) const {
+    const BucketLayout layout = layout_of(state);
+    return layout.local_burst - layout.local_rate * std::max(0.0, state.local_full_at_s - fleet_time_s());
+}
+
+double SharedQuota::fallback_level(const CustomerState& state) const {
+    const BucketLayout layout = layout_of(state);
+    return layout.fallback_burst -
+           layout.fallback_rate * std::max(0.0, state.fallback_full_at_s - fleet_time_s());
+}
+
+// Time (s) until `units` are admitted; 0: now.
+double SharedQuota::time_until_admitted(const CustomerState& state, double units) const {
+    const BucketLayout layout = layout_of(state);
+    const double local_wait_s = time_until_room_s(units, local_level(state), layout.local_rate);
+    if (local_wait_s == 0 || state.ingresses.count <= 1) return local_wait_s;
+    if (uses_fallback(state))
+        return std::min(local_wait_s,
+                        time_until_room_s(units, fallback_level(state), layout.fallback_rate));
+    const double multiplier = cost_multiplier(state);
+    if (state.full_at_s != kNeverS) {
+        // A reply may show room sooner than this, not later.
+        const double shared_wait_s =
+            time_until_room_s(units, level(state) / multiplier, layout.rate / multiplier);
+        if (shared_wait_s > 0) return std::min(local_wait_s, shared_wait_s);
     }
-    const double news = account.unreported + account.in_flight;
-    return news + units <= s.credit + kRound || news == 0 ? 0 : std::min(free, kBlocked);
+    const double not_on_counter = state.unreported_units + state.in_flight_units;
+    const bool may_stay_unreported =
+        not_on_counter + units <= layout.max_unreported + kUnitsTolerance || not_on_counter == 0;
+    return may_stay_unreported ? 0 : std::min(local_wait_s, kAwaitReportS);
 }
 
 double SharedQuota::retry_after_s(double now, std::uint64_t customer, unsigned plan_number,
-                                  IngressSet doors, double units) {
+                                  IngressSet ingresses, double units) {
     advance(now);
     if (plan_number >= settings_.plans.size() || units <= 0) return 0;
-    const PlanQuota& quota = settings_.plans[plan_number];
-    const auto at = accounts_.find(customer);
-    Account fresh;
-    fresh.plan = plan_number;
-    fresh.doors = doors;
-    fresh.part = part_of(customer);
-    const bool known = at != accounts_.end() && at->second.plan == plan_number && at->second.doors == doors;
-    const Account& account = known ? at->second : fresh;
-    if (known && now_ - account.known_at > kRereadEvery) reread(customer, at->second);
-    if (quota.max_in_flight > 0 &&
-        account.out + 1 > std::max(1.0, std::floor(quota.max_in_flight / doors.count)))
-        return kPlainWait;
-    return quota.rate > 0 ? wait(account, units) : 0;
-}
-
-Account& SharedQuota::account(std::uint64_t customer, unsigned plan_number, IngressSet doors) {
-    auto [at, made] = accounts_.try_emplace(customer);
-    Account& account = at->second;
-    if (!made && account.plan == plan_number && account.doors == doors) return account;
-    // Of another plan its stores are others; what is known in s counts on.
-    account.plan = plan_number;
-    account.doors = doors;
-    account.part = part_of(customer);
-    if (!made || accounts_.size() <= settings_.customers_most) return account;
-    forget_some();
-    return accounts_[customer];
-}
-
-// One whose stores are full again is no loss; of those that are not the one that was used longest ago goes.
-void SharedQuota::forget_some() {
-    const double now = clock();
-    std::uint64_t coldest = 0;
-    double used_at = 0;
+    const PlanQuota& plan = settings_.plans[plan_number];
+    const auto at = customers_.find(customer);
+    CustomerState unknown;
+    unknown.plan = plan_number;
+    unknown.ingresses = ingresses;
+    unknown.part = part_of(customer);
+    const bool known =
+        at != customers_.end() && at->second.plan == plan_number && at->second.ingresses == ingresses;
+    const CustomerState& state = known ? at->second : unknown;
+    if (known && now_ - state.updated_at_s > kRefreshPeriodS) refresh(customer, at->second);
+    if (plan.max_in_flight > 0 &&
+        state.attempts_in_flight + 1 > std::max(1.0, std::floor(plan.max_in_flight / ingresses.count)))
+        return kDefaultRetryAfterS;
+    return plan.rate > 0 ? time_until_admitted(state, units) : 0;
+}
+
+CustomerState& SharedQuota::find_or_create(std::uint64_t customer, unsigned plan_number,
+                                           IngressSet ingresses) {
+    auto [found, created] = customers_.try_emplace(customer);
+    CustomerState& state = found->second;
+    if (!created && state.plan == plan_number && state.ingresses == ingresses) return state;
+    // Another plan has other buckets; what is known in s stays valid.
+    state.plan = plan_number;
+    state.ingresses = ingresses;
+    state.part = part_of(customer);
+    if (!created || customers_.size() <= settings_.max_customers) return state;
+    evict_one();
+    return customers_[customer];
+}
+
+// Forgets one of a few randomly chosen customers: one whose buckets are full, else the least recently used.
+void SharedQuota::evict_one() {
+    const double now = fleet_time_s();
+    std::uint64_t victim = 0;
+    double victim_used_at_s = 0;
     bool found = false;
-    std::size_t bucket = random_() % accounts_.bucket_count();
-    std::size_t looks = 0;
-    for (std::size_t i = 0; i < accounts_.bucket_count() && looks < kForgetLooks; ++i) {
-        for (auto one = accounts_.begin(bucket); one != accounts_.end(bucket); ++one) {
-            const Account& account = one->second;
-            if (account.calling || account.suspect || account.queued || account.out > 0) continue;
-            if (account.used_at == 0) continue;   // the one that is just made
-            ++looks;
-            const bool full = account.unreported == 0 && account.tally == 0 && account.v <= now &&
-                              account.free_v <= now && account.share_v <= now;
-            const double cold = full ? kNever : account.used_at;
-            if (found && cold >= used_at) continue;
-            coldest = one->first;
-            used_at = cold;
+    std::size_t bucket = random_() % customers_.bucket_count();
+    std::size_t candidates = 0;
+    for (std::size_t i = 0; i < customers_.bucket_count() && candidates < kEvictionCandidates; ++i) {
+        for (auto candidate = customers_.begin(bucket); candidate != customers_.end(bucket); ++candidate) {
+            const CustomerState& state = candidate->second;
+            if (state.call_in_flight || state.awaits_check || state.report_queued ||
+                state.attempts_in_flight > 0)
+                continue;
+            if (state.last_used_at_s == 0) continue;   // the one just created
+            ++candidates;
+            const bool full = state.unreported_units == 0 && state.fallback_units == 0 &&
+                              state.full_at_s <= now && state.local_full_at_s <= now &&
+                              state.fallback_full_at_s <= now;
+            const double last_used_at_s = full ? kNeverS : state.last_used_at_s;
+            if (found && last_used_at_s >= victim_used_at_s) continue;
+            victim = candidate->first;
+            victim_used_at_s = last_used_at_s;
             found = true;
         }
-        bucket = (bucket + 1) % accounts_.bucket_count();
+        bucket = (bucket + 1) % customers_.bucket_count();
     }
-    if (found) accounts_.erase(coldest);
+    if (found) customers_.erase(victim);
 }
 
-void SharedQuota::consume(double now, std::uint64_t customer, unsigned plan_number, IngressSet doors,
+void SharedQuota::consume(double now, std::uint64_t customer, unsigned plan_number, IngressSet ingresses,
                           double units) {
     advance(now);
     if (plan_number >= settings_.plans.size()) return;
-    Account& one = account(customer, plan_number, doors);
-    ++one.out;
-    one.used_at = clock();
-    if (plan(one).rate <= 0 || units <= 0) return;
-    if (free_level(one) >= units - kRound || doors.count <= 1)
-        one.free_v = std::max(one.free_v, clock()) + units / stores_of(one).free_rate;
-    else if (sharing(one))
-        take_share(customer, one, units);
+    CustomerState& state = find_or_create(customer, plan_number, ingresses);
+    ++state.attempts_in_flight;
+    state.last_used_at_s = fleet_time_s();
+    if (plan(state).rate <= 0 || units <= 0) return;
+    if (local_level(state) >= units - kUnitsTolerance || ingresses.count <= 1)
+        state.local_full_at_s =
+            std::max(state.local_full_at_s, fleet_time_s()) + units / layout_of(state).local_rate;
+    else if (uses_fallback(state))
+        consume_fallback(customer, state, units);
     else
-        take_charged(customer, one, units);
-    set_due();
+        consume_shared(customer, state, units);
+    update_deadline();
 }
 
-void SharedQuota::take_share(std::uint64_t customer, Account& account, double units) {
-    account.share_v = std::max(account.share_v, clock()) + units / stores_of(account).share_rate;
-    // Until the others can have noticed and left this ingress its share, it owes what it passes.
-    const CounterPart& part = parts_[account.part];
-    const bool left = part.lost && now_ > part.lost_at + kMissingAfter + kBeatLife;
-    if (!left) return take_charged(customer, account, units);
-    if (account.tally == 0) account.tally_since = clock();
-    account.tally += units;
+void SharedQuota::consume_fallback(std::uint64_t customer, CustomerState& state, double units) {
+    state.fallback_full_at_s =
+        std::max(state.fallback_full_at_s, fleet_time_s()) + units / layout_of(state).fallback_rate;
+    // Until the other ingresses can have noticed and reserved this one its share, its usage is reported as
+    // shared.
+    const CounterPart& part = parts_[state.part];
+    const bool share_reserved =
+        part.unreachable && now_ > part.unreachable_since_s + kIngressMissingAfterS + kHeartbeatTtlS;
+    if (!share_reserved) return consume_shared(customer, state, units);
+    if (state.fallback_units == 0) state.fallback_since_s = fleet_time_s();
+    state.fallback_units += units;
 }
 
-void SharedQuota::take_charged(std::uint64_t customer, Account& account, double units) {
-    if (account.unreported == 0) account.since = clock();
-    account.unreported += units;
-    report_if_due(customer, account);
+void SharedQuota::consume_shared(std::uint64_t customer, CustomerState& state, double units) {
+    if (state.unreported_units == 0) state.unreported_since_s = fleet_time_s();
+    state.unreported_units += units;
+    report_if_due(customer, state);
 }
 
 void SharedQuota::release(std::uint64_t customer) {
-    const auto at = accounts_.find(customer);
-    if (at != accounts_.end() && at->second.out > 0) --at->second.out;
+    const auto at = customers_.find(customer);
+    if (at != customers_.end() && at->second.attempts_in_flight > 0) --at->second.attempts_in_flight;
 }
 
 }   // namespace slatejunction::quota
--- a/src/quota/bucket_layout.cpp
+++ b/src/quota/bucket_layout.cpp
@@ -6,41 +6,44 @@
 
 BucketLayout bucket_layout(const Settings& settings, const PlanQuota& plan, unsigned spread) {
     const double ingresses = std::max(1U, spread);
-    const double free = spread <= 1 ? 1 : settings.free_part;
-    const double free_units = std::min(settings.free_units, plan.burst);
-    BucketLayout s{};
-    s.rate = plan.rate * (1 - free);
-    s.burst = plan.burst * (1 - free);
-    s.free_rate = plan.rate * free / ingresses;
-    s.free_burst = std::max({settings.largest, free_units, plan.burst * free / ingresses});
-    s.share_rate = s.rate / ingresses;
-    s.share_burst = std::max(settings.largest, s.burst / ingresses);
-    s.credit = std::max(settings.credit, settings.largest);
-    if (spread > 1) s.burst = std::max(settings.largest, s.burst);
-    return s;
+    const double local = spread <= 1 ? 1 : settings.local_fraction;
+    const double min_local_burst = std::min(settings.min_local_burst, plan.burst);
+    BucketLayout layout{};
+    layout.rate = plan.rate * (1 - local);
+    layout.burst = plan.burst * (1 - local);
+    layout.local_rate = plan.rate * local / ingresses;
+    layout.local_burst =
+        std::max({settings.max_request_units, min_local_burst, plan.burst * local / ingresses});
+    layout.fallback_rate = layout.rate / ingresses;
+    layout.fallback_burst = std::max(settings.max_request_units, layout.burst / ingresses);
+    layout.max_unreported = std::max(settings.max_unreported_units, settings.max_request_units);
+    if (spread > 1) layout.burst = std::max(settings.max_request_units, layout.burst);
+    return layout;
 }
 
-StatedError stated_error(const Settings& settings, const PlanQuota& plan, unsigned spread,
-                         unsigned cut_off) {
-    const BucketLayout s = bucket_layout(settings, plan, spread);
-    StatedError error;
+ErrorBound error_bound(const Settings& settings, const PlanQuota& plan, unsigned spread, unsigned cut_off) {
+    const BucketLayout layout = bucket_layout(settings, plan, spread);
+    ErrorBound bound;
     if (spread <= 1) {
-        error.restarted = s.free_burst;
-        return error;
+        bound.per_restart = layout.local_burst;
+        return bound;
     }
     const double ingresses = spread;
-    const double beyond_burst = s.burst + ingresses * (s.free_burst + s.credit) - plan.burst;
-    error.healthy = std::max(0.0, beyond_burst) + plan.rate * settings.skew_s;
-    error.lost = error.healthy + ingresses * s.share_burst;
-    const double unnoticed_s = kMissingAfter + kBeatLife + 2 * kBeatEvery + kSettle;
-    error.split = error.healthy + cut_off * (s.share_burst + s.share_rate * unnoticed_s);
-    // The first name that is met shows it; all stores count as empty from then on, and what was passed
-    // beyond them before is forgotten.
-    error.empty = error.healthy + ingresses * s.credit;
-    // What was reported since the last check may be gone unseen, a whole burst of it.
-    error.older = error.empty + s.burst;
-    error.restarted = s.credit + s.free_burst + s.burst;
-    return error;
+    const double beyond_burst =
+        layout.burst + ingresses * (layout.local_burst + layout.max_unreported) - plan.burst;
+    bound.healthy = std::max(0.0, beyond_burst) + plan.rate * settings.skew_s;
+    bound.counter_unreachable = bound.healthy + ingresses * layout.fallback_burst;
+    const double unnoticed_s =
+        kIngressMissingAfterS + kHeartbeatTtlS + 2 * kHeartbeatPeriodS + kRecoveryGraceS;
+    bound.partition =
+        bound.healthy + cut_off * (layout.fallback_burst + layout.fallback_rate * unnoticed_s);
+    // The first name that is read shows the loss. From then on all buckets count as empty, and what was
+    // admitted beyond them before is no longer accounted for.
+    bound.counter_state_lost = bound.healthy + ingresses * layout.max_unreported;
+    // Reports since the last check may be lost unnoticed: one whole burst.
+    bound.counter_state_rolled_back = bound.counter_state_lost + layout.burst;
+    bound.per_restart = layout.max_unreported + layout.local_burst + layout.burst;
+    return bound;
 }
 
 }   // namespace slatejunction::quota
--- a/src/quota/bucket_layout.hpp
+++ b/src/quota/bucket_layout.hpp
@@ -1,34 +1,34 @@
-// How a plan's quota is divided into stores, and the error that this division states.
+// How a plan's quota is divided into buckets, and the error bound that follows from the division. Pure
+// functions of the settings; SharedQuota admits by them, the settings and the models check the bound.
 #pragma once
 
 #include "quota/plan.hpp"
 
 namespace slatejunction::quota {
 
-/// The stores that one plan's quota is kept in, for a customer with so many ingresses. Rates are units a
-/// second, bursts and the credit units.
+/// The buckets that one plan's quota is kept in. Rates are in units a second, bursts in units.
 struct BucketLayout {
-    double rate, burst;               ///< on the counter
-    double free_rate, free_burst;     ///< of this ingress alone
-    double share_rate, share_burst;   ///< of this ingress, while the counter is lost
-    double credit;                    ///< unreported, at most
+    double rate, burst;                     ///< shared bucket, on the counter
+    double local_rate, local_burst;         ///< local bucket of this ingress
+    double fallback_rate, fallback_burst;   ///< of this ingress, while the counter is unreachable
+    double max_unreported;                  ///< units that an ingress may have admitted and not reported
 };
 
-/// `spread`: the ingresses that the customer's requests come through. With one of them all is free.
+/// `spread`: number of ingresses that the customer's requests come through. With one, all of the quota is
+/// local.
 BucketLayout bucket_layout(const Settings& settings, const PlanQuota& plan, unsigned spread);
 
-/// What may be sent on for one customer in any window of t seconds beyond burst + rate * t, in units.
-struct StatedError {
-    double healthy = 0;     ///< the counter answers, or slowly
-    double lost = 0;        ///< it answers nobody for any time, and after its return
-    double split = 0;       ///< it answers some
-    double empty = 0;       ///< it has lost all it held
-    double older = 0;       ///< it came back with an older state
-    double restarted = 0;   ///< for each restart of an ingress without its state
+/// Units that may be admitted for one customer in any window of t seconds beyond burst + rate * t.
+struct ErrorBound {
+    double healthy = 0;                     ///< the counter answers, however slowly
+    double counter_unreachable = 0;         ///< it answers no ingress for any time, and after its recovery
+    double partition = 0;                   ///< it answers some ingresses only
+    double counter_state_lost = 0;          ///< it has lost all that it held
+    double counter_state_rolled_back = 0;   ///< it came back with an older state
+    double per_restart = 0;                 ///< added by each restart of an ingress, which loses its state
 };
 
-/// `cut_off`: of the customer's ingresses, so many in a split.
-StatedError stated_error(const Settings& settings, const PlanQuota& plan, unsigned spread,
-                         unsigned cut_off);
+/// `cut_off`: number of the customer's ingresses that a partition cuts off.
+ErrorBound error_bound(const Settings& settings, const PlanQuota& plan, unsigned spread, unsigned cut_off);
 
 }   // namespace slatejunction::quota
--- a/src/quota/counter_incarnation.cpp
+++ b/src/quota/counter_incarnation.cpp
@@ -10,142 +10,183 @@
 namespace slatejunction::quota {
 namespace {
 
-constexpr double kNear = 0.5;   // totals are whole numbers
+constexpr double kIntegerTolerance = 0.5;   // totals are whole numbers
+constexpr std::size_t kMaxMessageBytes = 60;
 
 }   // namespace
 
-double sentinel_within_s(double call_s, double way_s) { return kSentinelEvery + 2 * call_s + 2 * way_s; }
+double loss_propagation_bound_s(double call_s, double one_way_s) {
+    return kIncarnationReadPeriodS + 2 * call_s + 2 * one_way_s;
+}
 
-std::string write(const IncarnationMessage& message) {
+std::string serialize(const IncarnationMessage& message) {
     char text[64];
     const int size = std::snprintf(text, sizeof text, "%d %u %llu", static_cast<int>(message.kind),
                                    message.part, static_cast<unsigned long long>(message.epoch));
     return {text, static_cast<std::size_t>(size)};
 }
 
-bool read(std::string_view bytes, IncarnationMessage& message) {
-    if (bytes.size() > 60) return false;
-    int kind = 0, used = 0;
+std::optional<IncarnationMessage> parse_incarnation_message(std::string_view bytes) {
+    if (bytes.size() > kMaxMessageBytes) return {};
+    int kind = 0;
+    int used = 0;
+    unsigned part = 0;
     unsigned long long epoch = 0;
     const std::string text(bytes);
-    if (std::sscanf(text.c_str(), "%d %u %llu%n", &kind, &message.part, &epoch, &used) != 3 ||
-        static_cast<std::size_t>(used) != text.size() || kind < 1 || kind > 2)
-        return false;
-    message.kind = static_cast<IncarnationMessage::Kind>(kind);
-    message.epoch = epoch;
-    return true;
+    const int fields = std::sscanf(text.c_str(), "%d %u %llu%n", &kind, &part, &epoch, &used);
+    if (fields != 3 || static_cast<std::size_t>(used) != text.size()) return {};
+    if (kind < static_cast<int>(IncarnationMessage::Kind::loss_suspected) ||
+        kind > static_cast<int>(IncarnationMessage::Kind::epoch_announced))
+        return {};
+    return IncarnationMessage{static_cast<IncarnationMessage::Kind>(kind), part, epoch};
 }
 
-void CounterIncarnation::on_leadership_change(double now, bool on) {
-    conducts_ = on;
-    for (Part& part : parts_) part.read_at = part.tell_at = 0, part.doubt = false;
+void CounterIncarnation::on_leadership_change(double now, bool is_leader) {
+    is_leader_ = is_leader;
+    for (PartState& state : parts_) {
+        state.last_read_at_s = 0;
+        state.next_broadcast_at_s = 0;
+        state.loss_to_verify = false;
+    }
     on_timer(now);
 }
 
-void CounterIncarnation::on_lost(double now, unsigned number) {
-    Part& part = parts_[number];
-    part.told_here = true;   // the bank knows
-    find(now, number);
+void CounterIncarnation::on_local_loss(double now, unsigned part) {
+    parts_[part].loss_known_locally = true;
+    suspect_loss(now, part);
 }
 
-// Something is gone that was there.
-void CounterIncarnation::find(double now, unsigned number) {
-    Part& part = parts_[number];
-    part.found = true;
-    if (conducts_) {
-        part.doubt = true;
-        read_now(now, number);
+// The leader verifies a suspected loss at once; any other ingress reports it to the leader.
+void CounterIncarnation::suspect_loss(double now, unsigned part) {
+    PartState& state = parts_[part];
+    state.loss_suspected = true;
+    if (is_leader_) {
+        state.loss_to_verify = true;
+        request_read(now, part);
         return;
     }
-    posts_.push_back({false, {IncarnationMessage::Kind::found, number, part.epoch}});
-    part.told_at = now;
-    due_ = std::min(due_, now + kSentinelAgain);
+    outgoing_.push_back({false, {IncarnationMessage::Kind::loss_suspected, part, state.epoch}});
+    state.last_reported_at_s = now;
+    next_deadline_s_ = std::min(next_deadline_s_, now + kLossReportRetryS);
 }
 
-void CounterIncarnation::read_now(double now, unsigned number) {
-    parts_[number].read_at = now;
-    adds_.push_back({number, generation_of(now), 0});
+void CounterIncarnation::request_read(double now, unsigned part) {
+    parts_[part].last_read_at_s = now;
+    pending_adds_.push_back({part, generation_of(now), 0});
 }
 
-void CounterIncarnation::on_read(double now, unsigned number, std::int64_t generation, double total) {
-    Part& part = parts_[number];
-    if (generation < part.generation) return;   // late
-    // Lower than it was: what was there is gone. A generation's name that was never seen set tells nothing.
-    const bool gone = generation == part.generation && total < part.total - kNear;
-    part.generation = generation;
-    part.total = total;
-    if (!conducts_) {
-        if (gone && !part.found) find(now, number);
+void CounterIncarnation::on_read(double now, unsigned part, std::int64_t generation, double total) {
+    PartState& state = parts_[part];
+    if (generation < state.generation) return;   // a late reply
+    // A total lower than before proves a loss. A generation's name that was never seen set proves nothing.
+    const bool state_lost = generation == state.generation && total < state.last_total - kIntegerTolerance;
+    state.generation = generation;
+    state.last_total = total;
+    if (!is_leader_) {
+        if (state_lost && !state.loss_suspected) suspect_loss(now, part);
         return;
     }
-    if (total < kNear) adds_.push_back({number, generation, 1});
-    if (gone) return raise(now, number);
-    // Whoever has found a loss was wrong, or it is the one that was told already.
-    if (!std::exchange(part.doubt, false)) return;
-    ++not_so_;
-    part.found = part.told_here = false;
-    tell(now, number);
+    if (total < kIntegerTolerance) pending_adds_.push_back({part, generation, 1});
+    if (state_lost) return confirm_loss(now, part);
+    // The suspected loss was none, or it is the one that was broadcast already.
+    if (!std::exchange(state.loss_to_verify, false)) return;
+    ++false_alarms_;
+    state.loss_suspected = false;
+    state.loss_known_locally = false;
+    broadcast_epoch(now, part);
 }
 
-void CounterIncarnation::raise(double now, unsigned number) {
-    Part& part = parts_[number];
-    ++part.epoch;
-    ++raised_;
-    if (!part.told_here) lost_.push_back(number);
-    part.found = part.told_here = part.doubt = false;
-    tell(now, number);
+void CounterIncarnation::confirm_loss(double now, unsigned part) {
+    PartState& state = parts_[part];
+    ++state.epoch;
+    ++confirmed_loss_count_;
+    if (!state.loss_known_locally) confirmed_losses_.push_back(part);
+    state.loss_suspected = false;
+    state.loss_known_locally = false;
+    state.loss_to_verify = false;
+    broadcast_epoch(now, part);
 }
 
-void CounterIncarnation::tell(double now, unsigned number) {
-    parts_[number].tell_at = now + kSentinelTell;
-    posts_.push_back({true, {IncarnationMessage::Kind::epoch, number, parts_[number].epoch}});
+void CounterIncarnation::broadcast_epoch(double now, unsigned part) {
+    parts_[part].next_broadcast_at_s = now + kEpochBroadcastPeriodS;
+    outgoing_.push_back({true, {IncarnationMessage::Kind::epoch_announced, part, parts_[part].epoch}});
 }
 
-// The fleet counts more losses than this one did.
-void CounterIncarnation::learn(double now, unsigned number, std::uint64_t epoch) {
-    Part& part = parts_[number];
-    if (epoch <= part.epoch) return;
-    // The first that is heard is no loss: it may have been long ago, before this process began.
-    if (part.epoch != 0 && now >= part.fresh_until && !part.told_here) lost_.push_back(number);
-    part.epoch = epoch;
-    part.found = part.told_here = false;
+// Takes over an epoch that is higher than this ingress's.
+void CounterIncarnation::adopt_epoch(double now, unsigned part, std::uint64_t epoch) {
+    PartState& state = parts_[part];
+    if (epoch <= state.epoch) return;
+    // The first epoch that is received is no loss: it may have been raised before this process started.
+    const bool provisional = state.epoch == 0 || now < state.epoch_provisional_until_s;
+    if (!provisional && !state.loss_known_locally) confirmed_losses_.push_back(part);
+    state.epoch = epoch;
+    state.loss_suspected = false;
+    state.loss_known_locally = false;
 }
 
 void CounterIncarnation::on_message(double now, const IncarnationMessage& message) {
     if (message.part >= parts_.size()) return;
-    Part& part = parts_[message.part];
-    if (message.kind == IncarnationMessage::Kind::found) {
-        if (!conducts_) return;
-        if (message.epoch < part.epoch) {   // it has missed the last one
-            tell(now, message.part);
-        } else if (!part.doubt) {
-            learn(now, message.part, message.epoch);
-            part.doubt = true;
-            read_now(now, message.part);
-        }
+    if (message.kind == IncarnationMessage::Kind::loss_suspected)
+        on_loss_suspected(now, message);
+    else
+        on_epoch_announced(now, message);
+}
+
+void CounterIncarnation::on_loss_suspected(double now, const IncarnationMessage& message) {
+    PartState& state = parts_[message.part];
+    if (!is_leader_) return;
+    if (message.epoch < state.epoch) {   // the sender has missed the last broadcast
+        broadcast_epoch(now, message.part);
         return;
     }
-    if (message.epoch < part.epoch && !conducts_)   // a new conductor, which does not know of the last one
-        posts_.push_back({false, {IncarnationMessage::Kind::epoch, message.part, part.epoch}});
-    if (message.epoch == part.epoch) part.found = part.told_here = false;   // the conductor has looked
-    learn(now, message.part, message.epoch);
+    if (state.loss_to_verify) return;
+    adopt_epoch(now, message.part, message.epoch);
+    state.loss_to_verify = true;
+    request_read(now, message.part);
+}
+
+void CounterIncarnation::on_epoch_announced(double now, const IncarnationMessage& message) {
+    PartState& state = parts_[message.part];
+    if (message.epoch < state.epoch && !is_leader_)   // a new leader that has missed the last loss
+        outgoing_.push_back(
+            {false, {IncarnationMessage::Kind::epoch_announced, message.part, state.epoch}});
+    if (message.epoch == state.epoch) {   // the leader has verified
+        state.loss_suspected = false;
+        state.loss_known_locally = false;
+    }
+    adopt_epoch(now, message.part, message.epoch);
 }
 
 void CounterIncarnation::on_timer(double now) {
-    due_ = now + kSentinelEvery;
-    for (unsigned number = 0; number < parts_.size(); ++number) {
-        Part& part = parts_[number];
-        if (now >= part.read_at + kSentinelEvery) read_now(now, number);
-        if (conducts_) {
-            if (part.epoch == 0) part.epoch = 1, part.fresh_until = now + 2 * kSentinelTell;
-            if (now >= part.tell_at) tell(now, number);
-        } else if (part.found && now >= part.told_at + kSentinelAgain) {
-            part.told_at = now;
-            posts_.push_back({false, {IncarnationMessage::Kind::found, number, part.epoch}});
-        }
-        if (part.found && !conducts_) due_ = std::min(due_, part.told_at + kSentinelAgain);
-        due_ = std::min(due_, part.read_at + kSentinelEvery);
+    next_deadline_s_ = now + kIncarnationReadPeriodS;
+    for (unsigned part = 0; part < parts_.size(); ++part) {
+        if (now >= parts_[part].last_read_at_s + kIncarnationReadPeriodS) request_read(now, part);
+        if (is_leader_)
+            on_leader_timer(now, part);
+        else
+            on_follower_timer(now, part);
+        next_deadline_s_ =
+            std::min(next_deadline_s_, parts_[part].last_read_at_s + kIncarnationReadPeriodS);
+    }
+}
+
+void CounterIncarnation::on_leader_timer(double now, unsigned part) {
+    PartState& state = parts_[part];
+    if (state.epoch == 0) {
+        state.epoch = 1;
+        state.epoch_provisional_until_s = now + 2 * kEpochBroadcastPeriodS;
+    }
+    if (now >= state.next_broadcast_at_s) broadcast_epoch(now, part);
+}
+
+void CounterIncarnation::on_follower_timer(double now, unsigned part) {
+    PartState& state = parts_[part];
+    if (!state.loss_suspected) return;
+    if (now >= state.last_reported_at_s + kLossReportRetryS) {
+        state.last_reported_at_s = now;
+        outgoing_.push_back({false, {IncarnationMessage::Kind::loss_suspected, part, state.epoch}});
     }
+    next_deadline_s_ = std::min(next_deadline_s_, state.last_reported_at_s + kLossReportRetryS);
 }
 
 }   // namespace slatejunction::quota
--- a/src/quota/counter_names.hpp
+++ b/src/quota/counter_names.hpp
@@ -1,4 +1,5 @@
-// The names that ingresses use on the shared counter. All ingresses must write them alike.
+// The names that ingresses use on the shared counter. They are a wire format: all ingresses, of any
+// version, must write them alike.
 #pragma once
 
 #include <cstdint>
@@ -6,18 +7,18 @@
 
 namespace slatejunction::quota {
 
-inline constexpr std::uint32_t kNameLifeMs = 60'000;   ///< ms that a new name lives
+inline constexpr std::uint32_t kNameTtlMs = 60'000;   ///< time to live of a new name
 
-/// What a customer has used, in s from the start of the generation.
+/// Name of a customer's theoretical arrival time, which is kept in s from the start of the generation.
 std::string customer_name(std::uint64_t customer, std::int64_t generation);
 
-/// One ingress's own check that the counter keeps what it holds. `nonce` tells its restarts apart.
+/// Name of one ingress's check that the counter keeps its state. `nonce` differs after each restart.
 std::string check_name(unsigned ingress, std::uint64_t nonce, std::int64_t generation);
 
-/// The beats of all ingresses on one part of the counter.
-std::string beat_name(unsigned part);
+/// Name of the heartbeats of all ingresses on one part of the counter.
+std::string heartbeat_name(unsigned part);
 
-/// The fleet's own check, see sentinel.hpp.
-std::string sentinel_name(std::int64_t generation);
+/// Name of the fleet's own check, see counter_incarnation.hpp.
+std::string incarnation_name(std::int64_t generation);
 
 }   // namespace slatejunction::quota
--- a/src/quota/counter_state.cpp
+++ b/src/quota/counter_state.cpp
@@ -1,5 +1,5 @@
-// Of the bank (bank.hpp): whether a part of the counter answers and keeps what it held, and which ingresses
-// use it.
+// Of SharedQuota (shared_quota.hpp): whether a part of the counter answers and kept its state, and which
+// ingresses use it.
 #include <algorithm>
 #include <cmath>
 #include <utility>
@@ -10,168 +10,176 @@
 namespace slatejunction::quota {
 namespace {
 
-constexpr double kCheckLife = 58;   // s; a name lives 60
-constexpr double kJitter = 0.25;    // of a period
-constexpr unsigned kBeatBase = 4;   // a beat is one digit of this base for each ingress
+constexpr double kCheckMaxAgeS = 58;          // a name lives 60 s
+constexpr double kPeriodJitter = 0.25;        // fraction of a period
+constexpr unsigned kHeartbeatDigitBase = 4;   // a heartbeat is one digit of this base for each ingress
 
 }   // namespace
 
-void SharedQuota::want_check(unsigned number) {
+void SharedQuota::request_check(unsigned number) {
     CounterPart& part = parts_[number];
     part.check_wanted = true;
-    if (part.checking) return;
+    if (part.check_in_flight) return;
     part.check_wanted = false;
-    part.checking = true;
-    part.next_check = now_ + kCheckEvery;
-    if (part.check_generation < 0) part.check_generation = generation_of(clock());
-    Pending pending;
-    pending.purpose = Purpose::check;
+    part.check_in_flight = true;
+    part.next_check_at_s = now_ + kCheckPeriodS;
+    if (part.check_generation < 0) part.check_generation = generation_of(fleet_time_s());
+    PendingCall pending;
+    pending.purpose = CallPurpose::check;
     pending.part = number;
-    pending.by = 1;
+    pending.amount = 1;
     pending.generation = part.check_generation;
-    pending.number = ++part.checks;
-    send(pending, check_name(settings_.ingress_index, nonce_, part.check_generation), kNameLifeMs);
+    pending.check_number = ++part.checks_sent;
+    send(pending, check_name(settings_.ingress_index, nonce_, part.check_generation), kNameTtlMs);
 }
 
-void SharedQuota::on_check(const Pending& pending, double total) {
+void SharedQuota::on_check(const PendingCall& pending, double total) {
     CounterPart& part = parts_[pending.part];
-    part.checking = false;
-    const std::int64_t generation = generation_of(clock());
-    // One that may have died of age tells nothing, which counts as the worse.
-    const bool aged = part.check_least > 0 && now_ > part.check_made_at + kCheckLife;
-    const bool intact = !aged && total > part.check_least + 0.5;
-    if (part.check_least == 0) part.check_made_at = now_;
+    part.check_in_flight = false;
+    const std::int64_t generation = generation_of(fleet_time_s());
+    // A name that may have expired proves nothing, which is treated as a loss.
+    const bool expired = part.check_min_total > 0 && now_ > part.check_created_at_s + kCheckMaxAgeS;
+    const bool intact = !expired && total > part.check_min_total + 0.5;
+    if (part.check_min_total == 0) part.check_created_at_s = now_;
     if (!intact) {
-        if (!aged) found_.push_back(pending.part);
-        empty(pending.part);
+        if (!expired) found_losses_.push_back(pending.part);
+        on_state_lost(pending.part);
     }
-    part.check_least = total;
+    part.check_min_total = total;
     if (part.check_generation != generation) {
         part.check_generation = generation;
-        part.check_least = 0;
+        part.check_min_total = 0;
     }
-    believe_checked(pending.part, pending.number);
-    if (!part.suspects.empty() || part.check_wanted || part.check_least == 0) want_check(pending.part);
+    confirm_replies_before(pending.part, pending.check_number);
+    if (!part.awaiting_check.empty() || part.check_wanted || part.check_min_total == 0)
+        request_check(pending.part);
 }
 
-// The customers whose answers came before that check was sent; the others wait for the next one.
-void SharedQuota::believe_checked(unsigned number, std::uint64_t check) {
+// Confirms the replies that came before that check was sent; the others wait for the next check.
+void SharedQuota::confirm_replies_before(unsigned number, std::uint64_t check) {
     CounterPart& part = parts_[number];
-    std::vector<std::uint64_t> later;
-    std::vector<std::uint64_t> all;
-    all.swap(part.suspects);
-    for (const std::uint64_t customer : all) {
-        const auto at = accounts_.find(customer);
-        if (at == accounts_.end() || !at->second.suspect) continue;
-        if (at->second.held.since < check)
-            believe(customer, at->second);
+    std::vector<std::uint64_t> remaining;
+    std::vector<std::uint64_t> waiting;
+    waiting.swap(part.awaiting_check);
+    for (const std::uint64_t customer : waiting) {
+        const auto found = customers_.find(customer);
+        if (found == customers_.end() || !found->second.awaits_check) continue;
+        if (found->second.unconfirmed.last_check_sent < check)
+            on_reply_confirmed(customer, found->second);
         else
-            later.push_back(customer);
+            remaining.push_back(customer);
     }
-    part.suspects.insert(part.suspects.end(), later.begin(), later.end());
+    part.awaiting_check.insert(part.awaiting_check.end(), remaining.begin(), remaining.end());
 }
 
-// All customers' stores of that part count as empty from now on.
-void SharedQuota::empty(unsigned number) {
+// All shared buckets of that part count as empty from now on.
+void SharedQuota::on_state_lost(unsigned number) {
     CounterPart& part = parts_[number];
     ++part.epoch;
-    ++empties_;
-    part.floor_at = clock();
+    ++counter_losses_;
+    part.state_lost_at_s = fleet_time_s();
 }
 
 void SharedQuota::on_counter_lost(double now, unsigned number) {
     advance(now);
-    empty(number);
-    // Its own check would only tell the same again: it begins anew, at once.
-    parts_[number].check_least = 0;
-    if (!parts_[number].lost) want_check(number);
-    set_due();
+    on_state_lost(number);
+    // This ingress's check would only show the same loss again: it starts anew at once.
+    parts_[number].check_min_total = 0;
+    if (!parts_[number].unreachable) request_check(number);
+    update_deadline();
 }
 
-void SharedQuota::add_incarnation(double now, unsigned number, std::int64_t generation, double by) {
+void SharedQuota::add_incarnation(double now, unsigned number, std::int64_t generation, double amount) {
     advance(now);
-    if (parts_[number].lost) return;
-    Pending pending;
-    pending.purpose = Purpose::sentinel;
+    if (parts_[number].unreachable) return;
+    PendingCall pending;
+    pending.purpose = CallPurpose::incarnation;
     pending.part = number;
-    pending.by = by;
+    pending.amount = amount;
     pending.generation = generation;
-    send(pending, sentinel_name(generation), kNameLifeMs);
+    send(pending, incarnation_name(generation), kNameTtlMs);
 }
 
-// The total has a digit for each ingress, which is 0 when its beat has died.
-void SharedQuota::on_beat(unsigned number, double total) {
+// The total has a digit for each ingress, which is 0 when its heartbeat has expired.
+void SharedQuota::on_heartbeat(unsigned number, double total) {
     CounterPart& part = parts_[number];
-    part.beat_out = false;
-    part.beat_total = total;
+    part.heartbeat_in_flight = false;
+    part.heartbeat_total = total;
     auto digits = static_cast<std::uint64_t>(total + 0.5);
-    for (unsigned i = 0; i < settings_.ingress_count; ++i, digits /= kBeatBase)
-        if (digits % kBeatBase != 0) part.beat_at[i] = now_;
+    for (unsigned i = 0; i < settings_.ingress_count; ++i, digits /= kHeartbeatDigitBase)
+        if (digits % kHeartbeatDigitBase != 0) part.last_heartbeat_at_s[i] = now_;
 }
 
-void SharedQuota::heard(unsigned number) {
+void SharedQuota::on_part_answered(unsigned number) {
     CounterPart& part = parts_[number];
-    part.failures = 0;
-    part.silent_since = part.owed > 0 ? now_ : 0;
-    if (!part.lost) return;
-    part.lost = false;
-    part.returned_at = now_;
-    for (double& at : part.beat_at) at = std::max(at, now_ - kMissingAfter + kBeatLife);
-    for (auto& [customer, account] : accounts_)
-        if (account.part == number) report_if_due(customer, account);
+    part.consecutive_failures = 0;
+    part.silent_since_s = part.calls_in_flight > 0 ? now_ : 0;
+    if (!part.unreachable) return;
+    part.unreachable = false;
+    part.recovered_at_s = now_;
+    for (double& heartbeat_at_s : part.last_heartbeat_at_s)
+        heartbeat_at_s = std::max(heartbeat_at_s, now_ - kIngressMissingAfterS + kHeartbeatTtlS);
+    for (auto& [customer, state] : customers_)
+        if (state.part == number) report_if_due(customer, state);
 }
 
-void SharedQuota::failed(unsigned number) {
+void SharedQuota::on_call_failed(unsigned number) {
     CounterPart& part = parts_[number];
-    part.silent_since = part.owed > 0 ? now_ : 0;
-    if (++part.failures >= kLostFailures && !part.lost) lose(number);
+    part.silent_since_s = part.calls_in_flight > 0 ? now_ : 0;
+    if (++part.consecutive_failures >= kUnreachableAfterFailures && !part.unreachable)
+        on_part_unreachable(number);
 }
 
-// From here on a share of what was known.
-void SharedQuota::lose(unsigned number) {
+// The fallback buckets start with an even share of what the shared ones are known to hold.
+void SharedQuota::on_part_unreachable(unsigned number) {
     CounterPart& part = parts_[number];
-    part.lost = true;
-    part.lost_at = part.next_probe = now_;
-    for (auto& [customer, account] : accounts_) {
-        if (account.part != number || account.v == kNever) continue;
-        const BucketLayout s = stores_of(account);
-        const double share = std::clamp(level(account), 0.0, s.burst) / account.doors.count;
-        account.share_v = std::max(account.share_v, clock() + (s.share_burst - share) / s.share_rate);
+    part.unreachable = true;
+    part.unreachable_since_s = now_;
+    part.next_probe_at_s = now_;
+    for (auto& [customer, state] : customers_) {
+        if (state.part != number || state.full_at_s == kNeverS) continue;
+        const BucketLayout layout = layout_of(state);
+        const double share = std::clamp(level(state), 0.0, layout.burst) / state.ingresses.count;
+        state.fallback_full_at_s =
+            std::max(state.fallback_full_at_s,
+                     fleet_time_s() + (layout.fallback_burst - share) / layout.fallback_rate);
     }
 }
 
-void SharedQuota::wake_part(unsigned number) {
+void SharedQuota::on_part_timer(unsigned number) {
     CounterPart& part = parts_[number];
-    if (!part.lost && part.silent_since > 0 && now_ - part.silent_since >= kLostAfter) lose(number);
-    const double jitter = 1 + kJitter * (static_cast<double>(random_() >> 11) * 0x1p-53 - 0.5);
-    if (part.lost) {
-        if (now_ < part.next_probe) return;
-        part.next_probe = now_ + kProbeEvery * jitter;
-        part.checking = false;   // the one that is out may never be answered
-        return want_check(number);
+    if (!part.unreachable && part.silent_since_s > 0 && now_ - part.silent_since_s >= kUnreachableAfterS)
+        on_part_unreachable(number);
+    const double jitter = 1 + kPeriodJitter * (static_cast<double>(random_() >> 11) * 0x1p-53 - 0.5);
+    if (part.unreachable) {
+        if (now_ < part.next_probe_at_s) return;
+        part.next_probe_at_s = now_ + kProbePeriodS * jitter;
+        part.check_in_flight = false;   // the one in flight may never be answered
+        return request_check(number);
     }
-    const bool beat_due = settings_.ingress_count > 1 && now_ >= part.next_beat;
-    if (beat_due && !beat(number, jitter)) return;
-    if (!part.checking && !part.suspects.empty()) want_check(number);
+    const bool heartbeat_due = settings_.ingress_count > 1 && now_ >= part.next_heartbeat_at_s;
+    if (heartbeat_due && !send_heartbeat(number, jitter)) return;
+    if (!part.check_in_flight && !part.awaiting_check.empty()) request_check(number);
 }
 
-// False when the last one has not ended.
-bool SharedQuota::beat(unsigned number, double jitter) {
+// False: the last one has not ended.
+bool SharedQuota::send_heartbeat(unsigned number, double jitter) {
     CounterPart& part = parts_[number];
-    part.next_beat = now_ + kBeatEvery * jitter;
-    // So that an older state is found out, and each generation has its check.
-    if ((now_ >= part.next_check && std::exchange(part.reported, false)) ||
-        (part.check_generation >= 0 && part.check_generation != generation_of(clock())))
-        want_check(number);
-    if (part.beat_out) return false;
-    part.beat_out = true;
-    Pending pending;
-    pending.purpose = Purpose::beat;
+    part.next_heartbeat_at_s = now_ + kHeartbeatPeriodS * jitter;
+    // Finds a state that was rolled back, and gives each generation its check.
+    if ((now_ >= part.next_check_at_s && std::exchange(part.reported_since_check, false)) ||
+        (part.check_generation >= 0 && part.check_generation != generation_of(fleet_time_s())))
+        request_check(number);
+    if (part.heartbeat_in_flight) return false;
+    part.heartbeat_in_flight = true;
+    PendingCall pending;
+    pending.purpose = CallPurpose::heartbeat;
     pending.part = number;
-    const double digit = std::pow(double{kBeatBase}, settings_.ingress_index);
-    const bool there = static_cast<std::uint64_t>(part.beat_total / digit + 1e-6) % kBeatBase != 0;
-    pending.by = there ? 0 : digit;
-    send(pending, beat_name(number), static_cast<std::uint32_t>(kBeatLife * 1000));
+    const double digit = std::pow(double{kHeartbeatDigitBase}, settings_.ingress_index);
+    const bool present =
+        static_cast<std::uint64_t>(part.heartbeat_total / digit + 1e-6) % kHeartbeatDigitBase != 0;
+    pending.amount = present ? 0 : digit;
+    send(pending, heartbeat_name(number), static_cast<std::uint32_t>(kHeartbeatTtlS * 1000));
     return true;
 }
 
--- a/src/quota/driver.cpp
+++ b/src/quota/driver.cpp
@@ -8,8 +8,10 @@
 namespace slatejunction::quota {
 namespace {
 
-constexpr double kSilentMost = 2;   // s without an answer after which a connection is given up
-constexpr std::size_t kReadAtOnce = 8192;
+constexpr double kReplyTimeoutS = 2;   // without a reply, until a connection is closed
+constexpr double kNoDeadlineS = 1e18;
+constexpr double kNameUnset = 0.5;   // totals of the incarnation name are whole numbers
+constexpr std::size_t kReceiveBufferBytes = 8192;
 
 double unix_s() {
     return std::chrono::duration<double>(std::chrono::system_clock::now().time_since_epoch()).count();
@@ -17,208 +19,224 @@
 
 }   // namespace
 
-struct Driver::Link final : net::Protocol {
-    Link(Driver& driver, std::size_t part)
+struct Driver::Connection final : net::Protocol {
+    Connection(Driver& driver, std::size_t part)
         : driver_(driver),
           part_(part),
-          wire_(driver.options_.protocol == 0 ? http_counter_protocol(driver.parts_[part])
-                                              : resp_counter_protocol()) {}
+          protocol_(driver.options_.protocol == 0 ? http_counter_protocol(driver.parts_[part])
+                                                  : resp_counter_protocol()) {}
 
-    void call(const CounterCall& one) {
-        if (written_.empty() && waiting_.empty()) heard_at = net::now();
-        wire_->write(one, out_);
-        waiting_.push_back(one.id);
+    void call(const CounterCall& call) {
+        if (idle()) last_reply_at_s = net::now();
+        protocol_->write(call, unsent_bytes_);
+        unsent_calls_.push_back(call.id);
     }
-    // All that waits, in one write.
+    // Sends all unsent calls in one write.
     void flush() {
-        if (dialling || waiting_.empty()) return;
-        // From here on they may have reached the counter, whatever becomes of the connection.
-        written_.insert(written_.end(), waiting_.begin(), waiting_.end());
-        waiting_.clear();
-        const std::string bytes = std::exchange(out_, {});
+        if (connecting || unsent_calls_.empty()) return;
+        // From here on they may reach the counter, even if the connection fails.
+        sent_calls_.insert(sent_calls_.end(), unsent_calls_.begin(), unsent_calls_.end());
+        unsent_calls_.clear();
+        const std::string bytes = std::exchange(unsent_bytes_, {});
         const std::string_view part = bytes;
         if (!stream.send({&part, 1})) on_end(false);
     }
     void on_open() override {
-        dialling = false;
+        connecting = false;
         flush();
     }
-    std::span<char> receive_buffer() override { return room_; }
+    std::span<char> receive_buffer() override { return receive_buffer_; }
     void on_bytes(std::size_t size) override {
-        const auto keep = shared_from_this();
+        const auto self = shared_from_this();
         std::vector<Reply> replies;
-        const bool good = wire_->feed({room_, size}, replies);
-        if (!replies.empty()) heard_at = net::now();
+        const ProtocolStatus status = protocol_->parse({receive_buffer_, size}, replies);
+        if (!replies.empty()) last_reply_at_s = net::now();
         for (const Reply& reply : replies) {
-            if (written_.empty()) return on_end(false);   // an answer to nothing
-            const std::uint64_t id = written_.front();
-            written_.pop_front();
+            if (sent_calls_.empty()) return on_end(false);   // a reply without a call
+            const std::uint64_t id = sent_calls_.front();
+            sent_calls_.pop_front();
             if (reply.added)
-                driver_.bank_.on_reply(driver_.now(), id, reply.total);
+                driver_.shared_quota_.on_reply(driver_.now(), id, reply.total);
             else
-                driver_.bank_.on_rejected(driver_.now(), id);
+                driver_.shared_quota_.on_rejected(driver_.now(), id);
         }
-        if (!good || wire_->ending()) return on_end(good);
+        if (status == ProtocolStatus::violated || protocol_->connection_closing())
+            return on_end(status == ProtocolStatus::ok);
         driver_.pump();
     }
     void on_end(bool) override {
-        const auto keep = shared_from_this();
-        lose();
+        const auto self = shared_from_this();
+        close();
         driver_.pump();
     }
-    void lose() {
+    void close() {
         stream.close();
-        dialling = false;
-        if (driver_.links_[part_].get() == this) driver_.links_[part_].reset();
+        connecting = false;
+        if (driver_.connections_[part_].get() == this) driver_.connections_[part_].reset();
         const double now = driver_.now();
-        for (const std::uint64_t id : std::exchange(written_, {})) driver_.bank_.on_unknown_result(now, id);
-        for (const std::uint64_t id : std::exchange(waiting_, {})) driver_.bank_.on_rejected(now, id);
-    }
-    bool silent(double now) const {
-        return !(written_.empty() && waiting_.empty()) && now - heard_at > kSilentMost;
-    }
-    double silent_due() const {
-        return written_.empty() && waiting_.empty() ? 1e18 : heard_at + kSilentMost;
+        for (const std::uint64_t id : std::exchange(sent_calls_, {}))
+            driver_.shared_quota_.on_unknown_result(now, id);
+        for (const std::uint64_t id : std::exchange(unsent_calls_, {}))
+            driver_.shared_quota_.on_rejected(now, id);
     }
+    bool idle() const { return sent_calls_.empty() && unsent_calls_.empty(); }
+    bool timed_out(double now) const { return !idle() && now - last_reply_at_s > kReplyTimeoutS; }
+    double reply_deadline_s() const { return idle() ? kNoDeadlineS : last_reply_at_s + kReplyTimeoutS; }
 
     Driver& driver_;
     const std::size_t part_;
     net::Stream stream{*this};
-    std::unique_ptr<CounterProtocol> wire_;
-    std::string out_;
-    std::deque<std::uint64_t> written_, waiting_;   // calls
-    double heard_at = 0;
-    bool dialling = false;
-    char room_[kReadAtOnce];
+    std::unique_ptr<CounterProtocol> protocol_;
+    std::string unsent_bytes_;
+    std::deque<std::uint64_t> sent_calls_;     // ids of calls without a reply, in their order
+    std::deque<std::uint64_t> unsent_calls_;   // ids of the calls in unsent_bytes_
+    double last_reply_at_s = 0;
+    bool connecting = false;
+    char receive_buffer_[kReceiveBufferBytes];
 };
 
 Driver::Driver(const Options& options, const Settings& settings, std::uint64_t seed, net::Timers& timers,
                Log& log)
     : options_(options),
       parts_(options.parts()),
-      bank_(settings, seed),
+      shared_quota_(settings, seed),
       timers_(timers),
       log_(log),
-      timer_(timers, [this] { due(); }),
-      links_(settings.parts),
-      told_lost_(settings.parts),
-      unix_at_zero_(unix_s() - net::now()) {
-    for (const std::string& one : parts_) addresses_.push_back(net::parse_address(one));
+      timer_(timers, [this] { on_timer(); }),
+      connections_(settings.parts),
+      logged_unreachable_(settings.parts),
+      unix_offset_s_(unix_s() - net::now()) {
+    for (const std::string& part : parts_) addresses_.push_back(net::parse_address(part));
 }
 
 Driver::~Driver() {
-    for (const auto& link : links_)
-        if (link) link->stream.close();
+    for (const auto& connection : connections_)
+        if (connection) connection->stream.close();
 }
 
-double Driver::now() const { return unix_at_zero_ + net::now(); }
+double Driver::now() const { return unix_offset_s_ + net::now(); }
 
-void Driver::start() { due(); }
+void Driver::start() { on_timer(); }
 
 bool Driver::reload(const Options& options) {
-    Options moved = options_;
-    moved.counter = options.counter;
-    moved.protocol = options.protocol;
-    const bool as_many = options.parts().size() == parts_.size();
-    if (as_many && (moved.counter != options_.counter || moved.protocol != options_.protocol)) {
-        options_ = moved;
+    Options reloaded = options_;
+    reloaded.counter = options.counter;
+    reloaded.protocol = options.protocol;
+    const bool same_part_count = options.parts().size() == parts_.size();
+    if (same_part_count && reloaded != options_) {
+        options_ = reloaded;
         parts_ = options.parts();
         addresses_.clear();
-        for (const std::string& one : parts_) addresses_.push_back(net::parse_address(one));
-        for (std::size_t part = 0; part < links_.size(); ++part)
-            if (const auto link = links_[part]) link->lose();
+        for (const std::string& part : parts_) addresses_.push_back(net::parse_address(part));
+        for (std::size_t part = 0; part < connections_.size(); ++part)
+            if (const auto connection = connections_[part]) connection->close();
         pump();
     }
     return options == options_;
 }
 
-double Driver::retry_after_s(std::uint64_t customer, unsigned plan, IngressSet doors, double units) {
-    const double wait = bank_.retry_after_s(now(), customer, plan, doors, units);
-    if (bank_.has_calls()) pump();
+double Driver::retry_after_s(std::uint64_t customer, unsigned plan, IngressSet ingresses, double units) {
+    const double wait = shared_quota_.retry_after_s(now(), customer, plan, ingresses, units);
+    if (shared_quota_.has_calls()) pump();
     return wait;
 }
 
-void Driver::consume(std::uint64_t customer, unsigned plan, IngressSet doors, double units) {
-    bank_.consume(now(), customer, plan, doors, units);
-    if (bank_.has_calls() || bank_.next_deadline() - unix_at_zero_ < armed_for_) pump();
+void Driver::consume(std::uint64_t customer, unsigned plan, IngressSet ingresses, double units) {
+    shared_quota_.consume(now(), customer, plan, ingresses, units);
+    if (shared_quota_.has_calls() || shared_quota_.next_deadline() - unix_offset_s_ < timer_deadline_s_)
+        pump();
 }
 
-void Driver::join_fleet(FleetCallbacks ways) {
-    ways_ = std::move(ways);
-    sentinel_.emplace(static_cast<unsigned>(parts_.size()));
-    seen_.assign(parts_.size(), -1);
+void Driver::join_fleet(FleetCallbacks fleet) {
+    fleet_ = std::move(fleet);
+    incarnation_.emplace(static_cast<unsigned>(parts_.size()));
+    logged_generation_.assign(parts_.size(), -1);
 }
 
-void Driver::on_leadership_change(bool on) {
-    sentinel_->on_leadership_change(now(), on);
+void Driver::on_leadership_change(bool is_leader) {
+    incarnation_->on_leadership_change(now(), is_leader);
     pump();
 }
 
 void Driver::on_message(std::string_view body) {
-    IncarnationMessage message;
-    if (!read(body, message)) return;
-    sentinel_->on_message(now(), message);
+    const auto message = parse_incarnation_message(body);
+    if (!message) return;
+    incarnation_->on_message(now(), *message);
     pump();
 }
 
-// What the bank has found and read goes to the sentinel, what that wants to the bank.
-void Driver::pump_sentinel() {
-    for (const unsigned part : bank_.take_found_losses()) sentinel_->on_lost(now(), part);
-    for (const auto& one : bank_.take_incarnations()) {
-        sentinel_->on_read(now(), one.part, one.generation, one.total);
-        if (one.total < 0.5 || std::exchange(seen_[one.part], one.generation) == one.generation) continue;
+// Passes SharedQuota's findings and reads to CounterIncarnation, and its calls and verdicts back.
+void Driver::exchange_incarnation_events() {
+    for (const unsigned part : shared_quota_.take_found_losses()) incarnation_->on_local_loss(now(), part);
+    for (const auto& read : shared_quota_.take_incarnations()) {
+        incarnation_->on_read(now(), read.part, read.generation, read.total);
+        if (read.total < kNameUnset ||
+            std::exchange(logged_generation_[read.part], read.generation) == read.generation)
+            continue;
         const std::pair<std::string_view, std::string> fields[] = {
-            {"part", std::to_string(one.part)}, {"generation", std::to_string(one.generation)}};
+            {"part", std::to_string(read.part)}, {"generation", std::to_string(read.generation)}};
         log_.event("sentinel_seen", fields);
     }
-    for (const unsigned part : sentinel_->take_lost()) bank_.on_counter_lost(now(), part);
-    for (const auto& add : sentinel_->take_adds())
-        if (add.by == 0 || ways_.permit()) bank_.add_incarnation(now(), add.part, add.generation, add.by);
-    for (const auto& post : sentinel_->take_outgoing()) ways_.send(post.all, write(post.message));
+    for (const unsigned part : incarnation_->take_confirmed_losses())
+        shared_quota_.on_counter_lost(now(), part);
+    for (const auto& add : incarnation_->take_adds())
+        if (add.amount == 0 || fleet_.permit())
+            shared_quota_.add_incarnation(now(), add.part, add.generation, add.amount);
+    for (const auto& outgoing : incarnation_->take_outgoing())
+        fleet_.send(outgoing.broadcast, serialize(outgoing.message));
 }
 
 void Driver::pump() {
-    if (sentinel_) pump_sentinel();
-    // A call that fails at once may bring others: those of the next wake-up, so that this ends.
-    for (const CounterCall& call : bank_.take_calls()) {
-        ++calls_;
-        auto& link = links_[call.part];
-        if (!link) {
-            link = std::make_shared<Link>(*this, call.part);
-            link->dialling = true;
-            if (!link->stream.dial(addresses_[call.part].get())) {
-                link.reset();
-                bank_.on_rejected(now(), call.id);
+    if (incarnation_) exchange_incarnation_events();
+    send_calls();
+    arm_timer();
+    log_counter_state();
+}
+
+void Driver::send_calls() {
+    // A call that fails at once may cause others: they wait for the next timer, so that this loop ends.
+    for (const CounterCall& call : shared_quota_.take_calls()) {
+        ++calls_sent_;
+        auto& connection = connections_[call.part];
+        if (!connection) {
+            connection = std::make_shared<Connection>(*this, call.part);
+            connection->connecting = true;
+            if (!connection->stream.dial(addresses_[call.part].get())) {
+                connection.reset();
+                shared_quota_.on_rejected(now(), call.id);
                 continue;
             }
         }
-        link->call(call);
+        connection->call(call);
     }
-    for (std::size_t part = 0; part < links_.size(); ++part)
-        if (const auto link = links_[part]) link->flush();
-    double next = bank_.next_deadline() - unix_at_zero_;
-    if (sentinel_) next = std::min(next, sentinel_->next_deadline() - unix_at_zero_);
-    for (const auto& link : links_)
-        if (link) next = std::min(next, link->silent_due());
-    armed_for_ = next;
+    for (std::size_t part = 0; part < connections_.size(); ++part)
+        if (const auto connection = connections_[part]) connection->flush();
+}
+
+void Driver::arm_timer() {
+    double next = shared_quota_.next_deadline() - unix_offset_s_;
+    if (incarnation_) next = std::min(next, incarnation_->next_deadline() - unix_offset_s_);
+    for (const auto& connection : connections_)
+        if (connection) next = std::min(next, connection->reply_deadline_s());
+    timer_deadline_s_ = next;
     timer_.arm(next);
-    tell();
 }
 
-void Driver::due() {
-    for (std::size_t part = 0; part < links_.size(); ++part)
-        if (const auto link = links_[part]; link && link->silent(net::now())) link->lose();
-    if (bank_.next_deadline() <= now()) bank_.on_timer(now());
-    if (sentinel_ && sentinel_->next_deadline() <= now()) sentinel_->on_timer(now());
+void Driver::on_timer() {
+    for (std::size_t part = 0; part < connections_.size(); ++part)
+        if (const auto connection = connections_[part]; connection && connection->timed_out(net::now()))
+            connection->close();
+    if (shared_quota_.next_deadline() <= now()) shared_quota_.on_timer(now());
+    if (incarnation_ && incarnation_->next_deadline() <= now()) incarnation_->on_timer(now());
     pump();
 }
 
-void Driver::tell() {
-    for (std::size_t part = 0; part < told_lost_.size(); ++part) {
-        const bool lost = bank_.lost(static_cast<unsigned>(part));
-        if (lost == told_lost_[part]) continue;
-        told_lost_[part] = lost;
-        if (lost)
+void Driver::log_counter_state() {
+    for (std::size_t part = 0; part < logged_unreachable_.size(); ++part) {
+        const bool unreachable = shared_quota_.unreachable(static_cast<unsigned>(part));
+        if (unreachable == logged_unreachable_[part]) continue;
+        logged_unreachable_[part] = unreachable;
+        if (unreachable)
             log_.write(Log::Level::warning, net::now(),
                        "quota: the counter at %s is lost; this ingress keeps to its share",
                        parts_[part].c_str());
@@ -226,8 +244,8 @@
             log_.write(Log::Level::info, net::now(), "quota: the counter at %s answers again",
                        parts_[part].c_str());
     }
-    if (bank_.counter_losses() == told_empties_) return;
-    told_empties_ = bank_.counter_losses();
+    if (shared_quota_.counter_losses() == logged_losses_) return;
+    logged_losses_ = shared_quota_.counter_losses();
     log_.event("counter_emptied", {});
     log_.write(Log::Level::warning, net::now(),
                "quota: the counter has lost what it held; customers' stores count as empty from now on");
--- a/src/quota/driver.hpp
+++ b/src/quota/driver.hpp
@@ -1,5 +1,6 @@
-// Carries a Bank's calls to the counter and its answers back: a connection for each part, one timer.
-// Decides nothing.
+// Carries SharedQuota's and CounterIncarnation's calls to the counter and the replies back: one connection
+// for each part, one timer. Logs when a part becomes unreachable, answers again, or has lost its state.
+// Decides nothing; owned by app::QuotaPart.
 #pragma once
 
 #include <functional>
@@ -18,58 +19,63 @@
 
 namespace slatejunction::quota {
 
+/// The shared quota of this process.
 class Driver {
   public:
-    // `settings` as settings_of() made them, without a fault.
+    /// `settings`: of make_settings(), without a fault. `timers` and `log` outlive the driver.
     Driver(const Options& options, const Settings& settings, std::uint64_t seed, net::Timers& timers,
            Log& log);
     ~Driver();
     void start();
-    // The sentinel's way to the others; before start(). Lives longer.
+    /// What CounterIncarnation needs of the fleet.
     struct FleetCallbacks {
-        std::function<bool()> permit;   // an act of the conductor's may begin
-        std::function<void(bool all, const std::string& body)> send;   // else to the conductor
+        std::function<bool()> permit;   ///< whether this ingress may act as the leader now
+        /// Sends `body` to all ingresses if `broadcast`, else to the leader.
+        std::function<void(bool broadcast, const std::string& body)> send;
     };
-    void join_fleet(FleetCallbacks ways);
-    void on_leadership_change(bool on);
+    /// Before start(); the callbacks are valid as long as the driver.
+    void join_fleet(FleetCallbacks fleet);
+    void on_leadership_change(bool is_leader);
     void on_message(std::string_view body);
-    const CounterIncarnation* incarnation() const { return sentinel_ ? &*sentinel_ : nullptr; }
-    // Moves to other addresses or the other protocol; what is out at the old ones may or may not have been
-    // added. What else has changed waits for the next start. False: there is a change of that kind.
+    const CounterIncarnation* incarnation() const { return incarnation_ ? &*incarnation_ : nullptr; }
+    /// Moves to other addresses or the other protocol; the result of calls in flight is unknown then. Any
+    /// other change waits for the next start. False: there is a change of that kind.
     bool reload(const Options& options);
 
-    // See Bank; `plan`: its number in the settings.
-    double retry_after_s(std::uint64_t customer, unsigned plan, IngressSet doors, double units);
-    void consume(std::uint64_t customer, unsigned plan, IngressSet doors, double units);
-    void release(std::uint64_t customer) { bank_.release(customer); }
+    /// As of SharedQuota; `plan`: its index in the settings.
+    double retry_after_s(std::uint64_t customer, unsigned plan, IngressSet ingresses, double units);
+    void consume(std::uint64_t customer, unsigned plan, IngressSet ingresses, double units);
+    void release(std::uint64_t customer) { shared_quota_.release(customer); }
 
-    const SharedQuota& shared_quota() const { return bank_; }
-    std::uint64_t calls() const { return calls_; }
+    const SharedQuota& shared_quota() const { return shared_quota_; }
+    std::uint64_t calls_sent() const { return calls_sent_; }
 
   private:
-    struct Link;
-    double now() const;   // s of the clock that all ingresses read
+    struct Connection;
+    double now() const;   // s, Unix: of the clock that all ingresses read
     void pump();
-    void close(std::size_t part);
-    void due();
-    void tell();
-    void pump_sentinel();
+    void send_calls();
+    void arm_timer();
+    void on_timer();
+    void log_counter_state();
+    void exchange_incarnation_events();
 
     Options options_;
     std::vector<std::string> parts_;
     std::vector<net::Address> addresses_;
-    SharedQuota bank_;
-    std::optional<CounterIncarnation> sentinel_;
-    FleetCallbacks ways_;
-    std::vector<std::int64_t> seen_;   // by part: the generation in which the sentinel was last seen first
+    SharedQuota shared_quota_;
+    std::optional<CounterIncarnation> incarnation_;
+    FleetCallbacks fleet_;
+    std::vector<std::int64_t> logged_generation_;   // by part: of the last sentinel_seen event
     net::Timers& timers_;
     Log& log_;
     net::Timer timer_;
-    std::vector<std::shared_ptr<Link>> links_;   // by part; null: no connection
-    std::vector<bool> told_lost_;
-    std::uint64_t told_empties_ = 0, calls_ = 0;
-    double armed_for_ = 0;   // of net::now()
-    const double unix_at_zero_;
+    std::vector<std::shared_ptr<Connection>> connections_;   // by part; null: none
+    std::vector<bool> logged_unreachable_;                   // by part
+    std::uint64_t logged_losses_ = 0;
+    std::uint64_t calls_sent_ = 0;
+    double timer_deadline_s_ = 0;   // on the clock of net::now()
+    const double unix_offset_s_;    // Unix time at zero of net::now()
 };
 
 }   // namespace slatejunction::quota
--- a/src/quota/reports.cpp
+++ b/src/quota/reports.cpp
@@ -1,4 +1,5 @@
-// Of the bank (bank.hpp): what the counter is told of customers, and what its answers mean.
+// Of SharedQuota (shared_quota.hpp): what is reported of customers to the counter, and what its replies
+// mean.
 #include <algorithm>
 #include <cmath>
 #include <utility>
@@ -9,216 +10,228 @@
 namespace slatejunction::quota {
 namespace {
 
-constexpr double kExact = 1e-4;       // s; totals are exact to seven digits
-constexpr double kFixFrom = 0.3;      // units that a name must be off for a call of its own
-constexpr double kSlew = 0.02;        // s a second by which a slower clock moves up
-constexpr double kAheadAgain = 0.5;   // s between two names that are ahead, at least
-constexpr double kAheadFor = 5;       // s between them, at most
-constexpr double kFresh = 0.02;       // s in which what was read is taken as still so
-constexpr double kHeldFor = 0.25;     // s of the rate that an ingress may hold back even near the quota
-constexpr double kRound = 1e-9;       // units; what sums may be off by
-constexpr std::uint32_t kReadLifeMs = 1;   // ms that a name lives which was only read, and was not there
+constexpr double kCounterResolutionS = 1e-4;    // totals are exact to seven digits
+constexpr double kMinCorrectionUnits = 0.3;     // a smaller correction waits for the next report
+constexpr double kClockSlewRate = 0.02;         // s a second, at most
+constexpr double kClockEvidenceMinGapS = 0.5;   // between two replies from a clock that is ahead
+constexpr double kClockEvidenceMaxGapS = 5;
+constexpr double kFreshReadS = 0.02;          // age of a reply after which it is read again before a raise
+constexpr double kUnreportedHoldS = 0.25;     // of the rate, that may stay unreported even near the quota
+constexpr double kUnitsTolerance = 1e-9;      // of sums of units
+constexpr std::uint32_t kReadNameTtlMs = 1;   // a read creates a missing name
 
 }   // namespace
 
-// A name that was read while it was lifted twice says for long that nothing may pass.
-void SharedQuota::reread(std::uint64_t customer, Account& account) {
-    if (account.v == kNever || account.calling || account.suspect || account.queued ||
-        account.unreported > 0 || sharing(account) || level(account) >= settings_.largest ||
-        calls_left_ < 1)
+// Reads the customer's name again: a reply from while two ingresses raised the name shows no room for long.
+void SharedQuota::refresh(std::uint64_t customer, CustomerState& state) {
+    if (state.full_at_s == kNeverS || state.call_in_flight || state.awaits_check || state.report_queued ||
+        state.unreported_units > 0 || uses_fallback(state) || level(state) >= settings_.max_request_units ||
+        call_budget_ < 1)
         return;
-    calls_left_ -= 1;
-    account.known_at = now_;   // asked for
-    report(customer, account, 0, kNever, 0);
+    call_budget_ -= 1;
+    state.updated_at_s = now_;   // requested
+    send_report(customer, state, 0, kNeverS, 0);
 }
 
-// At once near the quota, only at the credit far from it.
-bool SharedQuota::report_wanted(const Account& account) const {
-    if (account.tally > 0) return true;
-    if (account.unreported <= 0) return false;
-    const BucketLayout s = stores_of(account);
-    const double full = std::clamp(level(account) / s.burst, 0.0, 1.0);
-    const double held = account.v == kNever ? 0
-                        : account.only      ? s.credit   // nobody else needs the news
-                                            : std::max(s.credit * full, kHeldFor * s.rate);
-    const bool room_for_more = account.unreported + settings_.largest <= std::min(s.credit, held) + kRound;
-    return !room_for_more;
+// Reports are sent at once near the quota, and only at the most that may be unreported far from it.
+bool SharedQuota::report_wanted(const CustomerState& state) const {
+    if (state.fallback_units > 0) return true;
+    if (state.unreported_units <= 0) return false;
+    const BucketLayout layout = layout_of(state);
+    const double fill = std::clamp(level(state) / layout.burst, 0.0, 1.0);
+    double limit = std::max(layout.max_unreported * fill, kUnreportedHoldS * layout.rate);
+    if (state.sole_reporter) limit = layout.max_unreported;   // no other ingress needs the report
+    if (state.full_at_s == kNeverS) limit = 0;
+    const bool fits_another = state.unreported_units + settings_.max_request_units <=
+                              std::min(layout.max_unreported, limit) + kUnitsTolerance;
+    return !fits_another;
 }
 
-void SharedQuota::report_if_due(std::uint64_t customer, Account& account) {
-    if (account.calling || account.suspect || account.queued || parts_[account.part].lost) return;
-    if (!report_wanted(account)) return;
-    if (calls_left_ < 1) {
-        account.queued = true;
-        waiting_.push_back(customer);
+void SharedQuota::report_if_due(std::uint64_t customer, CustomerState& state) {
+    if (state.call_in_flight || state.awaits_check || state.report_queued || parts_[state.part].unreachable)
+        return;
+    if (!report_wanted(state)) return;
+    if (call_budget_ < 1) {
+        state.report_queued = true;
+        queued_reports_.push_back(customer);
         return;
     }
-    calls_left_ -= 1;
-    report_news(customer, account);
+    call_budget_ -= 1;
+    report_usage(customer, state);
 }
 
-// The tally where there is one, else what is unreported.
+// Reports the fallback usage where there is any, else the unreported usage.
 //
-// Units are added only to a name that is lifted: a lift takes in what lies below it, and would take in
-// those of others. It is lifted blindly only where the others can't have done so meanwhile, as a name that
-// is lifted twice looks like an empty store to all who read it before the second takes its part back. Else
-// it is read first.
-void SharedQuota::report_news(std::uint64_t customer, Account& account) {
-    const bool tally = account.tally > 0;
-    const double units = tally ? account.tally : account.unreported;
-    const double since = tally ? account.tally_since : account.since;
-    account.flight_since = since;
-    const double lift = std::max(since, account.v);
-    const bool same = account.seen != kNever && account.generation == generation_of(clock()) &&
-                      account.epoch == parts_[account.part].epoch;
-    const double short_of = same ? lift - account.seen : 1;
-    if (short_of > 0 && (!same || (!account.only && now_ - account.known_at > kFresh)))
-        return report(customer, account, 0, lift, 0);
-    const double unit = tally ? 1 : factor(account);
-    report(customer, account, units, lift,
-           units * unit / stores_of(account).rate + std::max(0.0, short_of));
-    pending_[numbers_].tally = tally;
-    if (tally)
-        account.tally = 0;
+// Invariant: units are added only to a name that has been raised to the present, as a raise absorbs
+// whatever lies below it, also other ingresses' units. The name is raised without reading it first only
+// where no other ingress can have raised it meanwhile: a name that is raised twice shows an empty bucket to
+// all that read it before the second raise is taken back.
+void SharedQuota::report_usage(std::uint64_t customer, CustomerState& state) {
+    const bool fallback = state.fallback_units > 0;
+    const double units = fallback ? state.fallback_units : state.unreported_units;
+    const double since = fallback ? state.fallback_since_s : state.unreported_since_s;
+    state.in_flight_since_s = since;
+    const double raise_to_s = std::max(since, state.full_at_s);
+    const bool known = state.counter_full_at_s != kNeverS &&
+                       state.generation == generation_of(fleet_time_s()) &&
+                       state.counter_epoch == parts_[state.part].epoch;
+    const double raise_by_s = known ? raise_to_s - state.counter_full_at_s : 1;
+    const bool others_may_raise = !state.sole_reporter && now_ - state.updated_at_s > kFreshReadS;
+    if (raise_by_s > 0 && (!known || others_may_raise))
+        return send_report(customer, state, 0, raise_to_s, 0);
+    const double multiplier = fallback ? 1 : cost_multiplier(state);
+    send_report(customer, state, units, raise_to_s,
+                units * multiplier / layout_of(state).rate + std::max(0.0, raise_by_s));
+    pending_[last_call_id_].is_fallback_usage = fallback;
+    if (fallback)
+        state.fallback_units = 0;
     else
-        account.unreported = 0;
+        state.unreported_units = 0;
 }
 
-void SharedQuota::report(std::uint64_t customer, Account& account, double units, double lift, double by) {
-    account.calling = true;
-    account.in_flight += units;
-    parts_[account.part].reported = true;
-    Pending pending;
+void SharedQuota::send_report(std::uint64_t customer, CustomerState& state, double units, double raise_to_s,
+                              double amount) {
+    state.call_in_flight = true;
+    state.in_flight_units += units;
+    parts_[state.part].reported_since_check = true;
+    PendingCall pending;
     pending.customer = customer;
-    pending.part = account.part;
+    pending.part = state.part;
     pending.units = units;
-    pending.lift = lift;
-    pending.by = by;
-    pending.generation = generation_of(clock());
-    send(pending, customer_name(customer, pending.generation), kNameLifeMs);
+    pending.raise_to_s = raise_to_s;
+    pending.amount = amount;
+    pending.generation = generation_of(fleet_time_s());
+    send(pending, customer_name(customer, pending.generation), kNameTtlMs);
 }
 
-// As many of those that waited as the budget of calls has room for.
-void SharedQuota::report_queued() {
-    for (std::size_t left = waiting_.size(); left > 0 && calls_left_ >= 1; --left) {
-        const std::uint64_t customer = waiting_.front();
-        waiting_.pop_front();
-        const auto at = accounts_.find(customer);
-        if (at == accounts_.end()) continue;
-        at->second.queued = false;
-        report_if_due(customer, at->second);
+// Sends as many queued reports as the call budget has room for.
+void SharedQuota::send_queued_reports() {
+    for (std::size_t remaining = queued_reports_.size(); remaining > 0 && call_budget_ >= 1; --remaining) {
+        const std::uint64_t customer = queued_reports_.front();
+        queued_reports_.pop_front();
+        const auto found = customers_.find(customer);
+        if (found == customers_.end()) continue;
+        found->second.report_queued = false;
+        report_if_due(customer, found->second);
     }
 }
 
-Answer SharedQuota::answer_to(const Pending& pending, double total) const {
-    Answer answer;
-    answer.total = start_of(pending.generation) + total;
-    answer.before =
-        answer.total - std::max(0.0, pending.by);   // what was taken back is not there before either
-    answer.lift = pending.lift;
-    answer.units = pending.units;
-    answer.tally = pending.tally;
-    answer.generation = pending.generation;
-    answer.fresh = total - pending.by < kExact && pending.by >= 0;
-    answer.since = parts_[pending.part].checks;
-    return answer;
+CounterReply SharedQuota::decode_reply(const PendingCall& pending, double total) const {
+    CounterReply reply;
+    reply.full_at_s = generation_start_s(pending.generation) + total;
+    reply.full_at_before_s =
+        reply.full_at_s - std::max(0.0, pending.amount);   // a correction downwards is in both
+    reply.raise_to_s = pending.raise_to_s;
+    reply.units = pending.units;
+    reply.is_fallback_usage = pending.is_fallback_usage;
+    reply.generation = pending.generation;
+    reply.name_is_new = total - pending.amount < kCounterResolutionS && pending.amount >= 0;
+    reply.last_check_sent = parts_[pending.part].checks_sent;
+    return reply;
 }
 
-void SharedQuota::on_report(const Pending& pending, double total) {
-    const auto at = accounts_.find(pending.customer);
-    if (at == accounts_.end()) return;
-    Account& account = at->second;
-    account.calling = false;
-    CounterPart& part = parts_[account.part];
-    const Answer answer = answer_to(pending, total);
-    const bool placed =
-        account.seen != kNever && account.generation == pending.generation && account.epoch == part.epoch;
-    const bool back = placed && answer.before < account.seen - kExact;
-    account.only = placed && std::abs(answer.before - account.seen) < kExact;
-    if (!answer.fresh && !back) return settle(pending.customer, account, answer);
-    account.suspect = true;
-    account.held = answer;
-    part.suspects.push_back(pending.customer);
-    want_check(account.part);
+void SharedQuota::on_report(const PendingCall& pending, double total) {
+    const auto found = customers_.find(pending.customer);
+    if (found == customers_.end()) return;
+    CustomerState& state = found->second;
+    state.call_in_flight = false;
+    CounterPart& part = parts_[state.part];
+    const CounterReply reply = decode_reply(pending, total);
+    const bool known = state.counter_full_at_s != kNeverS && state.generation == pending.generation &&
+                       state.counter_epoch == part.epoch;
+    const bool went_back = known && reply.full_at_before_s < state.counter_full_at_s - kCounterResolutionS;
+    state.sole_reporter =
+        known && std::abs(reply.full_at_before_s - state.counter_full_at_s) < kCounterResolutionS;
+    if (!reply.name_is_new && !went_back) return apply_reply(pending.customer, state, reply);
+    state.awaits_check = true;
+    state.unconfirmed = reply;
+    part.awaiting_check.push_back(pending.customer);
+    request_check(state.part);
 }
 
-// A check has come back since: the counter holds what it should, or is known not to.
-void SharedQuota::believe(std::uint64_t customer, Account& account) {
-    account.suspect = false;
-    const Answer answer = account.held;
-    const BucketLayout s = stores_of(account);
-    const double ingresses = account.doors.count;
-    const double full_after = s.burst / s.rate + ingresses * s.credit / s.rate;
-    // The first of a generation, early in it: the last one's name still matters, as others may have
-    // reported there after this ingress did.
-    const bool early = answer.fresh && clock() < start_of(answer.generation) + full_after;
-    if (!early) return settle(customer, account, answer);
-    account.suspect = true;   // until that is read
-    read_before(customer, account);
+// A check has come back since: whether the counter kept its state is known.
+void SharedQuota::on_reply_confirmed(std::uint64_t customer, CustomerState& state) {
+    state.awaits_check = false;
+    const CounterReply reply = state.unconfirmed;
+    const BucketLayout layout = layout_of(state);
+    const double ingresses = state.ingresses.count;
+    const double full_after = layout.burst / layout.rate + ingresses * layout.max_unreported / layout.rate;
+    // The first report of a generation, early in it: the previous generation's name still matters, as other
+    // ingresses may have reported there after this one did.
+    const bool early =
+        reply.name_is_new && fleet_time_s() < generation_start_s(reply.generation) + full_after;
+    if (!early) return apply_reply(customer, state, reply);
+    state.awaits_check = true;   // until the previous generation is read
+    read_previous_generation(customer, state);
 }
 
-// Reads the customer's name of the generation before the answer that is held.
-void SharedQuota::read_before(std::uint64_t customer, const Account& account) {
-    Pending pending;
-    pending.purpose = Purpose::before;
+// Reads the customer's name of the generation before the unconfirmed reply's.
+void SharedQuota::read_previous_generation(std::uint64_t customer, const CustomerState& state) {
+    PendingCall pending;
+    pending.purpose = CallPurpose::previous_generation;
     pending.customer = customer;
-    pending.part = account.part;
-    pending.generation = account.held.generation - 1;
-    send(pending, customer_name(customer, pending.generation), kReadLifeMs);
+    pending.part = state.part;
+    pending.generation = state.unconfirmed.generation - 1;
+    send(pending, customer_name(customer, pending.generation), kReadNameTtlMs);
 }
 
-void SharedQuota::on_before(const Pending& pending, double total) {
-    const auto at = accounts_.find(pending.customer);
-    if (at == accounts_.end() || !at->second.suspect) return;
-    at->second.suspect = false;
-    Answer answer = at->second.held;
-    if (total > kExact) answer.lift = std::max(answer.lift, start_of(pending.generation) + total);
-    settle(pending.customer, at->second, answer);
+void SharedQuota::on_previous_generation(const PendingCall& pending, double total) {
+    const auto found = customers_.find(pending.customer);
+    if (found == customers_.end() || !found->second.awaits_check) return;
+    found->second.awaits_check = false;
+    CounterReply reply = found->second.unconfirmed;
+    if (total > kCounterResolutionS)
+        reply.raise_to_s = std::max(reply.raise_to_s, generation_start_s(pending.generation) + total);
+    apply_reply(pending.customer, found->second, reply);
 }
 
-// V without the units of the report.
-double SharedQuota::base_of(const Account& account, const Answer& answer) const {
-    const BucketLayout s = stores_of(account);
-    const CounterPart& part = parts_[account.part];
-    const double base = std::max(answer.before, answer.lift);
-    // What others had reported is lost with what the counter held, so the store counts as empty since then.
-    const bool lost_since = account.v != kNever ? account.epoch != part.epoch : answer.fresh;
-    const double floor = part.floor_at + s.burst / s.rate;
-    return lost_since && clock() < floor ? std::max({base, account.v, floor}) : base;
+// Theoretical arrival time without the units of the report.
+double SharedQuota::full_at_before_report(const CustomerState& state, const CounterReply& reply) const {
+    const BucketLayout layout = layout_of(state);
+    const CounterPart& part = parts_[state.part];
+    const double base_s = std::max(reply.full_at_before_s, reply.raise_to_s);
+    // Other ingresses' reports were lost with the counter's state: the bucket counts as empty at that
+    // time.
+    const bool state_lost =
+        state.full_at_s != kNeverS ? state.counter_epoch != part.epoch : reply.name_is_new;
+    const double floor_s = part.state_lost_at_s + layout.burst / layout.rate;
+    return state_lost && fleet_time_s() < floor_s ? std::max({base_s, state.full_at_s, floor_s}) : base_s;
 }
 
-// `ahead`: s by which a V lies beyond what a clock as slow as this one can have made. Once may be a name
-// that was lifted twice; a clock that is ahead is so again a little later.
-void SharedQuota::follow_faster_clock(double ahead) {
-    const bool counts = ahead > 0 && now_ - ahead_at_ > kAheadAgain;
+// `ahead_s`: by which a theoretical arrival time lies beyond what an ingress with this clock can have made.
+// Once may be a name that was raised twice; only a second time soon after shows a clock that is ahead.
+void SharedQuota::follow_faster_clock(double ahead_s) {
+    const bool counts = ahead_s > 0 && now_ - clock_behind_at_s_ > kClockEvidenceMinGapS;
     if (!counts) return;
-    if (now_ - ahead_at_ < kAheadFor) offset_ += std::min(ahead, kSlew * (now_ - ahead_at_));
-    ahead_at_ = now_;
+    if (now_ - clock_behind_at_s_ < kClockEvidenceMaxGapS)
+        clock_offset_s_ += std::min(ahead_s, kClockSlewRate * (now_ - clock_behind_at_s_));
+    clock_behind_at_s_ = now_;
 }
 
-// Takes an answer as the customer's new state, and puts the name right where it is not as it should be.
-void SharedQuota::settle(std::uint64_t customer, Account& account, Answer answer) {
-    const BucketLayout s = stores_of(account);
-    const CounterPart& part = parts_[account.part];
-    const double ingresses = account.doors.count;
-    const double unit = factor(account);
-    const double base = base_of(account, answer);
-    const double empty = clock() + s.burst / s.rate;   // V of an empty store
-    double ideal = base + answer.units * (answer.tally ? 1 : unit) / s.rate;
-    // What was passed of the share may have been left to this ingress by the others already.
-    if (answer.tally) ideal = std::min(ideal, std::max(base, empty));
-    follow_faster_clock(answer.before - empty - ingresses * s.credit * unit / s.rate);
-    account.in_flight = std::max(0.0, account.in_flight - answer.units);
-    account.v = ideal;
-    account.seen = answer.total;
-    account.generation = answer.generation;
-    account.epoch = part.epoch;
-    account.known_at = now_;
-    const double off = ideal - answer.total;
-    const bool to_fix = std::abs(off) * s.rate > kFixFrom && !part.lost;
-    if (!to_fix) return report_if_due(customer, account);
-    calls_left_ -= 1;
-    report(customer, account, 0, off > 0 ? ideal : kNever, off);
+// Takes a reply as the customer's new state, and corrects the name on the counter where it differs from it.
+void SharedQuota::apply_reply(std::uint64_t customer, CustomerState& state, const CounterReply& reply) {
+    const BucketLayout layout = layout_of(state);
+    const CounterPart& part = parts_[state.part];
+    const double ingresses = state.ingresses.count;
+    const double multiplier = cost_multiplier(state);
+    const double base_s = full_at_before_report(state, reply);
+    const double empty_full_at_s = fleet_time_s() + layout.burst / layout.rate;   // of an empty bucket
+    double ideal_s = base_s + reply.units * (reply.is_fallback_usage ? 1 : multiplier) / layout.rate;
+    // Other ingresses may already have left this one its share of what it admitted by the fallback bucket.
+    if (reply.is_fallback_usage) ideal_s = std::min(ideal_s, std::max(base_s, empty_full_at_s));
+    follow_faster_clock(reply.full_at_before_s - empty_full_at_s -
+                        ingresses * layout.max_unreported * multiplier / layout.rate);
+    state.in_flight_units = std::max(0.0, state.in_flight_units - reply.units);
+    state.full_at_s = ideal_s;
+    state.counter_full_at_s = reply.full_at_s;
+    state.generation = reply.generation;
+    state.counter_epoch = part.epoch;
+    state.updated_at_s = now_;
+    const double correction_s = ideal_s - reply.full_at_s;
+    const bool correct = std::abs(correction_s) * layout.rate > kMinCorrectionUnits && !part.unreachable;
+    if (!correct) return report_if_due(customer, state);
+    call_budget_ -= 1;
+    send_report(customer, state, 0, correction_s > 0 ? ideal_s : kNeverS, correction_s);
 }
 
 }   // namespace slatejunction::quota
--- a/src/quota/settings.cpp
+++ b/src/quota/settings.cpp
@@ -9,19 +9,78 @@
 namespace slatejunction::quota {
 namespace {
 
-constexpr std::size_t kPartsMost = 3;
+constexpr std::size_t kMaxParts = 3;
+constexpr int kBisectionSteps = 60;
+
+/// The plan with the highest healthy error bound, and the bound.
+struct PlanBound {
+    std::string plan;
+    double units = 0;
+};
+
+PlanBound worst_healthy_bound(const Settings& settings) {
+    PlanBound worst;
+    for (const PlanQuota& plan : settings.plans) {
+        if (plan.rate <= 0) continue;
+        const double units = error_bound(settings, plan, settings.ingress_count, 0).healthy;
+        if (units > worst.units) worst = {plan.name, units};
+    }
+    return worst;
+}
+
+// The largest max_unreported_units from `least` on that keeps every plan's healthy bound within
+// `bound_units`.
+double largest_within_bound(Settings settings, double least, double bound_units) {
+    double most = std::max(least, bound_units);
+    for (int step = 0; step < kBisectionSteps; ++step) {
+        settings.max_unreported_units = (least + most) / 2;
+        if (worst_healthy_bound(settings).units <= bound_units)
+            least = settings.max_unreported_units;
+        else
+            most = settings.max_unreported_units;
+    }
+    return least;
+}
+
+Settings settings_without_bound(const Options& options, const slatejunction::Settings& platform) {
+    Settings settings;
+    for (const slatejunction::Plan& plan : platform.plans)
+        settings.plans.push_back({plan.name, plan.rate, plan.burst, plan.max_in_flight});
+    settings.ingress_count = static_cast<unsigned>(std::max(1.0, platform.ingress_count));
+    settings.ingress_index = static_cast<unsigned>(platform.ingress_index);
+    settings.parts = static_cast<unsigned>(std::max<std::size_t>(1, options.parts().size()));
+    settings.max_unreported_units = options.credit;
+    settings.local_fraction = options.free_part;
+    settings.min_local_burst = options.free_units;
+    settings.max_request_units = platform.max_request_units > 0 ? platform.max_request_units : 1;
+    settings.calls_per_s = options.calls_per_s;
+    settings.skew_s = options.skew_ms / 1000;
+    settings.max_customers = static_cast<std::size_t>(options.customers_max);
+    return settings;
+}
+
+// The check of the key `counter`; "" where it is well-formed.
+std::string check_counter(const std::string& text) {
+    Options read;
+    read.counter = text;
+    const auto parts = read.parts();
+    if (parts.size() > kMaxParts) return "more than " + std::to_string(kMaxParts) + " parts";
+    for (const std::string& part : parts)
+        if (!net::parse_address(part)) return "'" + part + "' is not ADDRESS:PORT";
+    return "";
+}
 
 }   // namespace
 
 std::vector<std::string> Options::parts() const {
-    std::vector<std::string> all;
+    std::vector<std::string> parts;
     std::istringstream rest(counter);
-    for (std::string one; std::getline(rest, one, ',');) {
-        one.erase(0, one.find_first_not_of(" \t"));
-        one.erase(one.find_last_not_of(" \t") + 1);
-        all.push_back(one);
+    for (std::string part; std::getline(rest, part, ',');) {
+        part.erase(0, part.find_first_not_of(" \t"));
+        part.erase(part.find_last_not_of(" \t") + 1);
+        parts.push_back(part);
     }
-    return all;
+    return parts;
 }
 
 ini::Section Options::section() {
@@ -29,16 +88,7 @@
         "quota",
         "Quotas kept over all ingresses by a shared counter: docs/shared-quota.md. Off without one.");
     section.text("counter", counter, "ADDRESS:PORT, up to three by commas: names are split over them",
-                 [](const std::string& text) -> std::string {
-                     Options read;
-                     read.counter = text;
-                     const auto parts = read.parts();
-                     if (parts.size() > kPartsMost)
-                         return "more than " + std::to_string(kPartsMost) + " parts";
-                     for (const std::string& one : parts)
-                         if (!net::parse_address(one)) return "'" + one + "' is not ADDRESS:PORT";
-                     return "";
-                 });
+                 check_counter);
     section.choice("protocol", protocol, {"http", "resp"}, "what the counter speaks; resp: version 2");
     section.real("credit", credit, 1, 1e6, "units",
                  "that an ingress may have passed for a customer without having reported them");
@@ -56,75 +106,54 @@
     return section;
 }
 
-Settings settings_of(const Options& options, const slatejunction::Settings& platform, std::string& fault) {
-    Settings made;
-    for (const slatejunction::Plan& plan : platform.plans)
-        made.plans.push_back({plan.name, plan.rate, plan.burst, plan.max_in_flight});
-    made.ingress_count = static_cast<unsigned>(std::max(1.0, platform.ingress_count));
-    made.ingress_index = static_cast<unsigned>(platform.ingress_index);
-    made.parts = static_cast<unsigned>(std::max<std::size_t>(1, options.parts().size()));
-    made.credit = options.credit;
-    made.free_part = options.free_part;
-    made.free_units = options.free_units;
-    made.largest = platform.max_request_units > 0 ? platform.max_request_units : 1;
-    made.calls_per_s = options.calls_per_s;
-    made.skew_s = options.skew_ms / 1000;
-    made.customers_most = static_cast<std::size_t>(options.customers_max);
-    if (made.ingress_count > kIngressesMost)
-        fault = "counter: quotas are kept for at most " + std::to_string(kIngressesMost) +
-                " ingresses, not " + std::to_string(made.ingress_count);
-    if (made.ingress_index >= made.ingress_count) fault = "counter: MyNumber is none of the ingresses'";
-    if (options.error_units <= 0 || !fault.empty()) return made;
-    const auto worst = [&](std::string* plan_name) {
-        double most = 0;
-        for (const PlanQuota& plan : made.plans) {
-            const double error =
-                plan.rate > 0 ? stated_error(made, plan, made.ingress_count, 0).healthy : 0;
-            if (error <= most) continue;
-            most = error;
-            if (plan_name) *plan_name = plan.name;
-        }
-        return most;
-    };
-    double least = made.largest, most = std::max(made.largest, options.error_units);
-    made.credit = least;
-    std::string name;
-    if (const double error = worst(&name); error > options.error_units) {
+Settings make_settings(const Options& options, const slatejunction::Settings& platform,
+                       std::string& fault) {
+    Settings settings = settings_without_bound(options, platform);
+    if (settings.ingress_count > kMaxIngresses)
+        fault = "counter: quotas are kept for at most " + std::to_string(kMaxIngresses) +
+                " ingresses, not " + std::to_string(settings.ingress_count);
+    if (settings.ingress_index >= settings.ingress_count)
+        fault = "counter: MyNumber is none of the ingresses'";
+    if (options.error_units <= 0 || !fault.empty()) return settings;
+    const double min_unreported = settings.max_request_units;
+    settings.max_unreported_units = min_unreported;
+    const PlanBound least = worst_healthy_bound(settings);
+    if (least.units > options.error_units) {
         char text[160];
         std::snprintf(text, sizeof text,
-                      "error_units: plan %s can't be held within %g units; %.1f is the least", name.c_str(),
-                      options.error_units, error);
+                      "error_units: plan %s can't be held within %g units; %.1f is the least",
+                      least.plan.c_str(), options.error_units, least.units);
         fault = text;
-        return made;
+        return settings;
     }
-    for (int i = 0; i < 60; ++i) {
-        made.credit = (least + most) / 2;
-        (worst(nullptr) <= options.error_units ? least : most) = made.credit;
-    }
-    made.credit = least;
-    return made;
+    settings.max_unreported_units = largest_within_bound(settings, min_unreported, options.error_units);
+    return settings;
 }
 
-std::vector<std::string> stated(const Settings& settings) {
-    std::vector<std::string> all;
+std::vector<std::string> error_bound_lines(const Settings& settings) {
+    std::vector<std::string> lines;
     for (const PlanQuota& plan : settings.plans) {
         if (plan.rate <= 0) continue;
-        const auto error = stated_error(settings, plan, settings.ingress_count, 1);
+        const auto error = error_bound(settings, plan, settings.ingress_count, 1);
         char text[320];
         std::snprintf(
             text, sizeof text,
             "quota of %s: %g a second, burst %g; beyond that in any window at most, in units: %.1f "
             "healthy, %.1f "
             "counter lost, %.1f one ingress cut off, %.1f empty, %.1f older, and %.1f for each restart",
-            plan.name.c_str(), plan.rate, plan.burst, error.healthy, error.lost, error.split, error.empty,
-            error.older, error.restarted);
-        all.emplace_back(text);
+            plan.name.c_str(), plan.rate, plan.burst, error.healthy, error.counter_unreachable,
+            error.partition, error.counter_state_lost, error.counter_state_rolled_back, error.per_restart);
+        lines.emplace_back(text);
     }
-    return all;
+    return lines;
 }
 
 slatejunction::Settings without_quotas(slatejunction::Settings platform) {
-    for (slatejunction::Plan& plan : platform.plans) plan.rate = plan.burst = plan.max_in_flight = 0;
+    for (slatejunction::Plan& plan : platform.plans) {
+        plan.rate = 0;
+        plan.burst = 0;
+        plan.max_in_flight = 0;
+    }
     return platform;
 }
 
--- a/src/quota/shared_quota.cpp
+++ b/src/quota/shared_quota.cpp
@@ -8,151 +8,157 @@
 namespace slatejunction::quota {
 namespace {
 
-constexpr double kExact = 1e-4;             // s; totals are exact to seven digits
-constexpr double kImplausible = 10;         // s beyond all that a name can hold
-constexpr double kImplausibleCount = 1e7;   // of a name that counts
-constexpr double kQueueEvery = 0.01;        // s between looks at reports that wait for the budget
-constexpr double kCallsBurst = 0.1;         // s of the calls' rate that may come at once
-
-bool holds_time(Purpose purpose) { return purpose == Purpose::report || purpose == Purpose::before; }
+constexpr double kCounterResolutionS = 1e-4;   // totals are exact to seven digits
+constexpr double kMaxAheadS = 10;              // beyond any theoretical arrival time that an ingress makes
+constexpr double kMaxPlausibleCount = 1e7;     // of a check or of heartbeats
+constexpr double kQueuePollPeriodS = 0.01;     // while reports wait for the call budget
+constexpr double kCallBudgetBurstS = 0.1;      // of the rate of calls
+
+bool holds_arrival_time(CallPurpose purpose) {
+    return purpose == CallPurpose::report || purpose == CallPurpose::previous_generation;
+}
 
 }   // namespace
 
 SharedQuota::SharedQuota(Settings settings, std::uint64_t seed)
     : settings_(std::move(settings)), random_(seed) {
-    if (settings_.ingress_count < 1 || settings_.ingress_count > kIngressesMost)
-        throw std::invalid_argument("1 to " + std::to_string(kIngressesMost) + " ingresses");
+    if (settings_.ingress_count < 1 || settings_.ingress_count > kMaxIngresses)
+        throw std::invalid_argument("1 to " + std::to_string(kMaxIngresses) + " ingresses");
     if (settings_.ingress_index >= settings_.ingress_count)
         throw std::invalid_argument("a number beyond the ingresses");
     if (settings_.parts < 1) throw std::invalid_argument("a counter of no parts");
     nonce_ = random_() >> 24;
     parts_.resize(settings_.parts);
-    for (CounterPart& part : parts_) part.beat_at.assign(settings_.ingress_count, kNever);
+    for (CounterPart& part : parts_) part.last_heartbeat_at_s.assign(settings_.ingress_count, kNeverS);
 }
 
 void SharedQuota::advance(double now) {
     if (std::isfinite(now) && now > now_) {
         if (now_ == 0) {
-            calls_at_ = now;
-            calls_left_ = settings_.calls_per_s * kCallsBurst;
+            call_budget_updated_at_s_ = now;
+            call_budget_ = settings_.calls_per_s * kCallBudgetBurstS;
             for (CounterPart& part : parts_) {
-                part.next_beat = now;
-                part.beat_at.assign(settings_.ingress_count, now);
+                part.next_heartbeat_at_s = now;
+                part.last_heartbeat_at_s.assign(settings_.ingress_count, now);
             }
         }
         now_ = now;
     }
-    calls_left_ = std::min(std::max(1.0, settings_.calls_per_s * kCallsBurst),
-                           calls_left_ + settings_.calls_per_s * (now_ - calls_at_));
-    calls_at_ = now_;
+    call_budget_ = std::min(std::max(1.0, settings_.calls_per_s * kCallBudgetBurstS),
+                            call_budget_ + settings_.calls_per_s * (now_ - call_budget_updated_at_s_));
+    call_budget_updated_at_s_ = now_;
 }
 
 std::vector<CounterCall> SharedQuota::take_calls() {
-    std::vector<CounterCall> all;
-    all.swap(calls_);
-    return all;
+    std::vector<CounterCall> calls;
+    calls.swap(outgoing_calls_);
+    return calls;
 }
 
-std::uint64_t SharedQuota::send(Pending pending, std::string name, std::uint32_t life_ms) {
+std::uint64_t SharedQuota::send(PendingCall pending, std::string name, std::uint32_t ttl_ms) {
     CounterPart& part = parts_[pending.part];
-    if (part.owed++ == 0) part.silent_since = now_;
-    const std::uint64_t id = ++numbers_;
-    calls_.push_back({id, pending.part, std::move(name), pending.by, life_ms});
+    if (part.calls_in_flight++ == 0) part.silent_since_s = now_;
+    const std::uint64_t id = ++last_call_id_;
+    outgoing_calls_.push_back({id, pending.part, std::move(name), pending.amount, ttl_ms});
     pending_.emplace(id, std::move(pending));
     return id;
 }
 
 void SharedQuota::on_reply(double now, std::uint64_t call, double total) {
     advance(now);
-    const auto at = pending_.find(call);
-    if (at == pending_.end()) return;
-    const Pending pending = at->second;
-    // Noise: a total that the call can't have made.
-    const double most = holds_time(pending.purpose)
-                            ? now_ + offset_ - start_of(pending.generation) + kImplausible + kGeneration
-                            : kImplausibleCount;
-    if (!std::isfinite(total) || total < -kExact || total > most) return on_unknown_result(now, call);
-    pending_.erase(at);
-    --parts_[pending.part].owed;
-    heard(pending.part);
-    take_answer(pending, total);
-    set_due();
+    const auto found = pending_.find(call);
+    if (found == pending_.end()) return;
+    const PendingCall pending = found->second;
+    // A total that the call cannot have produced is no reply.
+    const double max_total =
+        holds_arrival_time(pending.purpose)
+            ? now_ + clock_offset_s_ - generation_start_s(pending.generation) + kMaxAheadS + kGenerationS
+            : kMaxPlausibleCount;
+    if (!std::isfinite(total) || total < -kCounterResolutionS || total > max_total)
+        return on_unknown_result(now, call);
+    pending_.erase(found);
+    --parts_[pending.part].calls_in_flight;
+    on_part_answered(pending.part);
+    dispatch_reply(pending, total);
+    update_deadline();
 }
 
-void SharedQuota::take_answer(const Pending& pending, double total) {
+void SharedQuota::dispatch_reply(const PendingCall& pending, double total) {
     switch (pending.purpose) {
-        case Purpose::report:
+        case CallPurpose::report:
             return on_report(pending, total);
-        case Purpose::before:
-            return on_before(pending, total);
-        case Purpose::check:
+        case CallPurpose::previous_generation:
+            return on_previous_generation(pending, total);
+        case CallPurpose::check:
             return on_check(pending, total);
-        case Purpose::beat:
-            return on_beat(pending.part, total);
-        case Purpose::sentinel:
-            sentinels_.push_back({pending.part, pending.generation, total});
+        case CallPurpose::heartbeat:
+            return on_heartbeat(pending.part, total);
+        case CallPurpose::incarnation:
+            incarnation_reads_.push_back({pending.part, pending.generation, total});
             return;
     }
 }
 
 void SharedQuota::on_rejected(double now, std::uint64_t call) {
     advance(now);
-    const auto at = pending_.find(call);
-    if (at == pending_.end()) return;
-    const Pending pending = at->second;
-    pending_.erase(at);
+    const auto found = pending_.find(call);
+    if (found == pending_.end()) return;
+    const PendingCall pending = found->second;
+    pending_.erase(found);
     CounterPart& part = parts_[pending.part];
-    --part.owed;
-    if (pending.purpose == Purpose::check) part.checking = false;
-    if (pending.purpose == Purpose::beat) part.beat_out = false;
-    const auto one = accounts_.find(pending.customer);
-    if (one != accounts_.end()) {
-        if (pending.purpose == Purpose::before && one->second.suspect)
-            part.suspects.push_back(pending.customer);   // to be read again behind the next check
-        else if (pending.purpose == Purpose::report)
-            take_back(pending, one->second);
+    --part.calls_in_flight;
+    if (pending.purpose == CallPurpose::check) part.check_in_flight = false;
+    if (pending.purpose == CallPurpose::heartbeat) part.heartbeat_in_flight = false;
+    const auto state = customers_.find(pending.customer);
+    if (state != customers_.end()) {
+        if (pending.purpose == CallPurpose::previous_generation && state->second.awaits_check)
+            part.awaiting_check.push_back(pending.customer);   // read again after the next check
+        else if (pending.purpose == CallPurpose::report)
+            requeue_report(pending, state->second);
     }
-    failed(pending.part);
-    set_due();
+    on_call_failed(pending.part);
+    update_deadline();
 }
 
-// All of a report that was not done is to be reported again.
-void SharedQuota::take_back(const Pending& pending, Account& account) {
-    account.calling = false;
-    account.in_flight = std::max(0.0, account.in_flight - pending.units);
-    double& units = pending.tally ? account.tally : account.unreported;
-    double& since = pending.tally ? account.tally_since : account.since;
-    const double from = pending.lift == kNever ? clock() : std::min(pending.lift, clock());
-    since = units > 0 ? std::min(since, from) : from;
+// The units of a report that was not carried out are to be reported again.
+void SharedQuota::requeue_report(const PendingCall& pending, CustomerState& state) {
+    state.call_in_flight = false;
+    state.in_flight_units = std::max(0.0, state.in_flight_units - pending.units);
+    double& units = pending.is_fallback_usage ? state.fallback_units : state.unreported_units;
+    double& since = pending.is_fallback_usage ? state.fallback_since_s : state.unreported_since_s;
+    const double from_s =
+        pending.raise_to_s == kNeverS ? fleet_time_s() : std::min(pending.raise_to_s, fleet_time_s());
+    since = units > 0 ? std::min(since, from_s) : from_s;
     units += pending.units;
 }
 
-// As if nothing had been added: what was is counted twice then, to the customer's loss, never to the
-// fleet's.
+// Treated as if nothing had been added: if it was, the units count twice, which may reject requests within
+// the quota but admits none beyond it.
 void SharedQuota::on_unknown_result(double now, std::uint64_t call) {
-    const auto at = pending_.find(call);
-    if (at == pending_.end()) return;
+    const auto found = pending_.find(call);
+    if (found == pending_.end()) return;
     on_rejected(now, call);
 }
 
 void SharedQuota::on_timer(double now) {
     advance(now);
-    for (unsigned number = 0; number < parts_.size(); ++number) wake_part(number);
-    report_queued();
-    set_due();
+    for (unsigned number = 0; number < parts_.size(); ++number) on_part_timer(number);
+    send_queued_reports();
+    update_deadline();
 }
 
-void SharedQuota::set_due() {
-    due_ = now_ + kBeatEvery;
+void SharedQuota::update_deadline() {
+    next_deadline_s_ = now_ + kHeartbeatPeriodS;
     for (const CounterPart& part : parts_) {
-        if (part.lost)
-            due_ = std::min(due_, part.next_probe);
+        if (part.unreachable)
+            next_deadline_s_ = std::min(next_deadline_s_, part.next_probe_at_s);
         else if (settings_.ingress_count > 1)
-            due_ = std::min(due_, part.next_beat);
-        if (!part.lost && part.silent_since > 0) due_ = std::min(due_, part.silent_since + kLostAfter);
+            next_deadline_s_ = std::min(next_deadline_s_, part.next_heartbeat_at_s);
+        if (!part.unreachable && part.silent_since_s > 0)
+            next_deadline_s_ = std::min(next_deadline_s_, part.silent_since_s + kUnreachableAfterS);
     }
-    if (!waiting_.empty()) due_ = std::min(due_, now_ + kQueueEvery);
-    due_ = std::max(due_, now_);
+    if (!queued_reports_.empty()) next_deadline_s_ = std::min(next_deadline_s_, now_ + kQueuePollPeriodS);
+    next_deadline_s_ = std::max(next_deadline_s_, now_);
 }
 
 }   // namespace slatejunction::quota
--- a/tests/fleet/counter_incarnation_test.cpp
+++ b/tests/fleet/counter_incarnation_test.cpp
@@ -30,8 +30,8 @@
 // All have seen the sentinel of a generation that does not end soon.
 void settle(const rig::Fleet& fleet) {
     for (;;) {
-        const double generation = std::floor(unix_s() / quota::kGeneration);
-        const double left = (generation + 1) * quota::kGeneration - unix_s();
+        const double generation = std::floor(unix_s() / quota::kGenerationS);
+        const double left = (generation + 1) * quota::kGenerationS - unix_s();
         if (left < 8) {
             sleep_s(left + 0.1);
             continue;
--- a/tests/quota/counter_protocol_test.cpp
+++ b/tests/quota/counter_protocol_test.cpp
@@ -1,4 +1,4 @@
-// The counter's two protocols, byte by byte; and drivers beside a counter that fails.
+// The counter's two protocols, byte by byte; and drivers with a counter that fails.
 #include "quota/counter_protocol.hpp"
 
 #include <catch2/catch.hpp>
@@ -19,11 +19,12 @@
 std::vector<Reply> feed(bool http, const std::string& bytes, bool good = true) {
     std::vector<Reply> first;
     for (std::size_t size = 1; size <= bytes.size(); ++size) {
-        const auto wire = http ? quota::http_counter_protocol("h") : quota::resp_counter_protocol();
+        const auto protocol = http ? quota::http_counter_protocol("h") : quota::resp_counter_protocol();
         std::vector<Reply> replies;
         bool fine = true;
         for (std::size_t at = 0; at < bytes.size() && fine; at += size)
-            fine = wire->feed(std::string_view(bytes).substr(at, size), replies);
+            fine = protocol->parse(std::string_view(bytes).substr(at, size), replies) ==
+                   quota::ProtocolStatus::ok;
         REQUIRE(fine == good);
         if (size == 1) first = replies;
         REQUIRE(replies.size() == first.size());
@@ -56,8 +57,8 @@
 };
 
 // A counter and three drivers, each at an address of its own.
-struct Hall {
-    explicit Hall(int protocol) {
+struct DriverFixture {
+    explicit DriverFixture(int protocol) {
         fakes::CounterSettings counting;
         for (int i = 0; i < 3; ++i) counting.listen.push_back(address_of(free_port()));
         counting.call_ms = 0.2;
@@ -75,10 +76,10 @@
             all.push_back(std::make_unique<quota::Driver>(options, settings, i + 1, loop.timers, log));
             all.back()->start();
         }
-        error = quota::stated_error({.plans = {}, .ingress_count = 3}, {"p", 4, 12, 0}, 3, 1);
+        error = quota::error_bound({.plans = {}, .ingress_count = 3}, {"p", 4, 12, 0}, 3, 1);
         loop.run(0.1);
     }
-    // Asks once at each ingress; so many passed.
+    // One request at each ingress; returns how many were admitted.
     int try_once() {
         int sent = 0;
         for (auto& one : all)
@@ -89,8 +90,8 @@
             }
         return sent;
     }
-    // Asks much more than may pass for so long; units sent on beyond burst and rate.
-    double press(double s) {
+    // Requests far more than the quota for `s`; returns the units admitted beyond burst and rate.
+    double overload(double s) {
         const double begun = net::now();
         int sent = 0;
         double worst = 0;
@@ -107,7 +108,7 @@
     Log log{logging::Settings()};
     std::unique_ptr<fakes::Counter> counter;
     std::vector<std::unique_ptr<quota::Driver>> all;
-    quota::StatedError error;
+    quota::ErrorBound error;
     int passed = 0;
 };
 
@@ -161,49 +162,49 @@
 
 TEST_CASE("three ingresses keep a customer's quota through each fault of the counter") {
     const int protocol = GENERATE(0, 1);
-    Hall hall(protocol);
-    CHECK(hall.press(1.5) <= hall.error.healthy);
-    CHECK(hall.passed >= 12);
+    DriverFixture fixture(protocol);
+    CHECK(fixture.overload(1.5) <= fixture.error.healthy);
+    CHECK(fixture.passed >= 12);
     const std::vector<const char*> all{"refuse", "silent", "down", "lost", "noise", "slow 20", "twice"};
     for (const char* fault : protocol == 0 ? all : std::vector<const char*>{"refuse", "lost", "down"}) {
-        hall.loop.run(0.6);
-        REQUIRE(hall.counter->set_fault(fault));
+        fixture.loop.run(0.6);
+        REQUIRE(fixture.counter->set_fault(fault));
         INFO(fault);
-        CHECK(hall.press(0.8) <= hall.error.lost);
+        CHECK(fixture.overload(0.8) <= fixture.error.counter_unreachable);
         // A share at least: of one unit within 1.1 s at each ingress, also where nothing was left before.
-        CHECK((hall.passed > 0 || hall.loop.until([&] { return hall.try_once() > 0; }, 5)));
-        REQUIRE(hall.counter->set_fault("none"));
+        CHECK((fixture.passed > 0 || fixture.loop.until([&] { return fixture.try_once() > 0; }, 5)));
+        REQUIRE(fixture.counter->set_fault("none"));
     }
-    hall.loop.run(0.5);
-    hall.counter->empty();
-    CHECK(hall.press(1) <= hall.error.empty);
-    CHECK(hall.loop.until([&] { return !hall.all[0]->shared_quota().lost(0); }, 5));
+    fixture.loop.run(0.5);
+    fixture.counter->empty();
+    CHECK(fixture.overload(1) <= fixture.error.counter_state_lost);
+    CHECK(fixture.loop.until([&] { return !fixture.all[0]->shared_quota().unreachable(0); }, 5));
 }
 
 TEST_CASE("a reload moves to another counter under load and loses no ingress") {
-    Hall hall(0);
-    hall.press(1.5);
+    DriverFixture fixture(0);
+    fixture.overload(1.5);
     fakes::CounterSettings counting;
     counting.listen = {address_of(free_port())};
-    fakes::Counter other(hall.loop.timers, counting);
+    fakes::Counter other(fixture.loop.timers, counting);
     std::string why;
     REQUIRE(other.start(why));
-    for (auto& one : hall.all) {
+    for (auto& one : fixture.all) {
         quota::Options options;
         options.counter = counting.listen[0];
         CHECK(one->reload(options));
     }
-    CHECK(hall.press(1.5) <= hall.error.empty + hall.error.lost);
+    CHECK(fixture.overload(1.5) <= fixture.error.counter_state_lost + fixture.error.counter_unreachable);
     CHECK(other.summary().find("\"calls\":0,") == std::string::npos);
     std::uint64_t noticed = 0;
-    for (const auto& one : hall.all) noticed += one->shared_quota().counter_losses();
+    for (const auto& one : fixture.all) noticed += one->shared_quota().counter_losses();
     CHECK(noticed >= 1);
     quota::Options options;
     options.counter = counting.listen[0] + ", " + counting.listen[0];
-    CHECK_FALSE(hall.all[0]->reload(options));   // another number of parts waits for the next start
+    CHECK_FALSE(fixture.all[0]->reload(options));   // another number of parts waits for the next start
 }
 
-TEST_CASE("the error that an operator wants sets the credit, or is told to be too small") {
+TEST_CASE("the error that an operator wants sets the credit, or is rejected as too small") {
     slatejunction::Settings platform;
     platform.ingress_count = 3;
     platform.plans = {{"basis", 0.8, 3.6}, {"pro", 7, 15}};
@@ -211,17 +212,17 @@
     options.counter = "127.0.0.1:1";
     options.error_units = 12;
     std::string fault;
-    const auto made = quota::settings_of(options, platform, fault);
+    const auto made = quota::make_settings(options, platform, fault);
     CHECK(fault.empty());
     double worst = 0;
     for (const auto& plan : made.plans)
-        worst = std::max(worst, quota::stated_error(made, plan, 3, 0).healthy);
+        worst = std::max(worst, quota::error_bound(made, plan, 3, 0).healthy);
     CHECK(worst == Approx(12).margin(0.01));
     options.error_units = 2;
-    quota::settings_of(options, platform, fault);
+    quota::make_settings(options, platform, fault);
     CHECK(fault.starts_with("error_units: plan basis can't be held within 2 units; "));
     fault.clear();
     platform.ingress_count = 12;
-    quota::settings_of(options, platform, fault);
+    quota::make_settings(options, platform, fault);
     CHECK(fault.starts_with("counter: quotas are kept for at most 11 ingresses"));
 }
--- a/tests/quota/decision_digest_test.cpp
+++ b/tests/quota/decision_digest_test.cpp
@@ -1,4 +1,4 @@
-// That the decisions of quota banks are what they were: digests of seeded schedules, taken before the code
+// That the decisions of SharedQuota are what they were: digests of seeded schedules, taken before the code
 // was changed. One that differs means that a message, an admitted or refused request, a level or a due time
 // differs. A change that is meant to do so takes new digests; each failed check prints its own.
 #include <array>
@@ -25,7 +25,7 @@
 
 }   // namespace
 
-TEST_CASE("digests of quota banks' decisions", "[quota]") {
+TEST_CASE("digests of SharedQuota's decisions", "[quota]") {
     for (std::uint64_t seed = 1; seed <= kDigests.size(); ++seed) {
         INFO("seed " << seed);
         model::World world(model::random_plan(seed), seed);
@@ -34,7 +34,7 @@
     }
 }
 
-TEST_CASE("one digest of quota banks' decisions over more seeds", "[quota]") {
+TEST_CASE("one digest of SharedQuota's decisions over more seeds", "[quota]") {
     Digest all;
     for (std::uint64_t seed = kDigests.size() + 1; seed <= 1000; ++seed) {
         model::World world(model::random_plan(seed), seed);
@@ -44,12 +44,12 @@
     CHECK(all.value() == 0xc4d49e8fc1286924ULL);
 }
 
-TEST_CASE("the digest of all small schedules of two quota banks", "[quota]") {
+TEST_CASE("the digest of all small schedules of two ingresses' SharedQuota", "[quota]") {
     slatejunction::quota::Settings settings;
     settings.ingress_count = 2;
     settings.plans = {{"p", 2, 3, 0}};
-    settings.credit = 2;
-    settings.free_part = 0.3;
+    settings.max_unreported_units = 2;
+    settings.local_fraction = 0.3;
     model::Small small(5, settings);
     CHECK_FALSE(small.find());
     CHECK(small.digest() == 0xf2a1e9fef7d53705ULL);
--- a/tests/quota/model.hpp
+++ b/tests/quota/model.hpp
@@ -1,6 +1,6 @@
-// A world for quota banks: an exact model of the counter, with its faults, the true store of each customer,
-// and requests by a seeded schedule. Time is the model's own. A store that goes further below nothing than
-// the stated error is a breach; the schedule's numbers repeat it.
+// A simulation for SharedQuota: an exact model of the counter, with its faults, the true bucket of each
+// customer, and requests by a seeded schedule. Time is the model's own. A bucket that goes further below
+// empty than the error bound is a breach; the seed repeats it.
 #pragma once
 
 #include <algorithm>
@@ -50,10 +50,10 @@
 };
 
 struct Result {
-    double worst = 0, allowed = 0;                     // units below an empty store; the stated error
-    std::uint64_t asked = 0, passed = 0, inside = 0;   // inside: what a perfect store would have passed
+    double worst = 0, allowed = 0;                     // units below an empty bucket; the stated error
+    std::uint64_t asked = 0, passed = 0, inside = 0;   // inside: what a perfect bucket would have passed
     std::uint64_t refused_with_room = 0, calls = 0;
-    std::uint64_t good = 0;   // passed with room in the true store
+    std::uint64_t good = 0;   // passed with room in the true bucket
     bool breach() const { return worst > allowed + 1e-6; }
 };
 
@@ -66,8 +66,8 @@
           start_(1e6 + 0.37 * static_cast<double>(seed % 137)) {
         for (unsigned i = 0; i < plan_.settings.ingress_count; ++i) start(i);
         for (unsigned c = 0; c < plan_.customers; ++c)
-            stores_.push_back({quota_of(c).burst, 0, quota_of(c).burst, 0, quota_of(c).burst, 0,
-                               c % plan_.settings.ingress_count});
+            buckets_.push_back({quota_of(c).burst, 0, quota_of(c).burst, 0, quota_of(c).burst, 0,
+                                c % plan_.settings.ingress_count});
     }
 
     // A split of the quota by itself: each ingress an even share, no calls.
@@ -77,7 +77,7 @@
         for (unsigned c = 0; c < plan_.customers; ++c) next_request(c, 0);
         for (std::size_t f = 0; f < plan_.faults.size(); ++f)
             at(plan_.faults[f].at, [this, f] { begin(f); });
-        for (unsigned i = 0; i < banks_.size(); ++i) wake_later(i, 0);
+        for (unsigned i = 0; i < ingresses_.size(); ++i) schedule_timer(i, 0);
         if (wants_snapshots()) at(0, [this] { snapshot(); });
         while (!events_.empty() && events_.top().at <= plan_.length) {
             auto event = std::move(const_cast<Event&>(events_.top()));
@@ -88,7 +88,7 @@
         result_.allowed = allowed();
         return result_;
     }
-    // Of all that the banks have put out so far: how long each request is to wait, and calls to the
+    // Of all that the ingresses have put out so far: how long each request is to wait, and calls to the
     // counter.
     std::uint64_t digest() const { return digest_.value(); }
 
@@ -100,9 +100,10 @@
             fastest = std::max(fastest, rate), slowest = std::min(slowest, rate);
         settings.skew_s += (fastest - slowest) * plan_.length;
         const auto& quota = settings.plans[0];
-        const auto error = quota::stated_error(settings, quota, plan_.spread, 1);
+        const auto error = quota::error_bound(settings, quota, plan_.spread, 1);
         double all = error.healthy + quota.rate * (fastest - 1) * plan_.length;
-        if (plan_.unanswered > 0) all += error.lost - error.healthy;   // silence now and then is a loss
+        if (plan_.unanswered > 0)
+            all += error.counter_unreachable - error.healthy;   // silence now and then is a loss
         for (const Fault& fault : plan_.faults) {
             switch (fault.kind) {
                 case Fault::Kind::down:
@@ -110,20 +111,20 @@
                 case Fault::Kind::slow:
                 case Fault::Kind::noise:
                 case Fault::Kind::duplicate:
-                    all += error.lost - error.healthy;
+                    all += error.counter_unreachable - error.healthy;
                     break;
                 case Fault::Kind::split:
-                    all +=
-                        static_cast<double>(std::popcount(fault.ingress)) * (error.split - error.healthy);
+                    all += static_cast<double>(std::popcount(fault.ingress)) *
+                           (error.partition - error.healthy);
                     break;
                 case Fault::Kind::empty:
-                    all += error.empty - error.healthy;
+                    all += error.counter_state_lost - error.healthy;
                     break;
                 case Fault::Kind::older:
-                    all += error.older - error.healthy;
+                    all += error.counter_state_rolled_back - error.healthy;
                     break;
                 case Fault::Kind::restart:
-                    all += error.restarted;
+                    all += error.per_restart;
                     break;
             }
         }
@@ -141,16 +142,16 @@
             return at != other.at ? at > other.at : number > other.number;
         }
     };
-    struct Bank {
-        std::unique_ptr<quota::SharedQuota> bank;
-        std::uint64_t life = 0;
-        double wake_at = 1e18;
+    struct Ingress {
+        std::unique_ptr<quota::SharedQuota> shared_quota;
+        std::uint64_t incarnation = 0;
+        double timer_at = 1e18;
         std::map<std::uint64_t, double> out;   // calls without an end
     };
     struct Named {
         double value = 0, dies = 0;
     };
-    struct Store {
+    struct Bucket {
         double level, at, perfect, perfect_at;
         double room, room_at;   // what is passed without room takes nothing
         unsigned busiest;
@@ -163,7 +164,7 @@
         return plan_.mix.empty() ? Customer{0, plan_.load, plan_.surge} : plan_.mix[c];
     }
     const quota::PlanQuota& quota_of(unsigned c) const { return plan_.settings.plans[customer(c).plan]; }
-    double share_of(unsigned c, unsigned i) {
+    double even_share_of(unsigned c, unsigned i) {
         const auto& quota = quota_of(c);
         const double burst = std::max(1.0, quota.burst / plan_.spread);
         auto [at, made] = shares_.try_emplace({c, i}, burst, now_);
@@ -178,12 +179,12 @@
     double clock(unsigned i) const { return start_ + now_ * (i < plan_.clock.size() ? plan_.clock[i] : 1); }
 
     void start(unsigned i) {
-        if (banks_.size() <= i) banks_.resize(i + 1);
+        if (ingresses_.size() <= i) ingresses_.resize(i + 1);
         quota::Settings settings = plan_.settings;
         settings.ingress_index = i;
-        banks_[i].bank =
-            std::make_unique<quota::SharedQuota>(settings, seed_ * 31 + i + 1'000 * ++banks_[i].life);
-        banks_[i].out.clear();
+        ingresses_[i].shared_quota = std::make_unique<quota::SharedQuota>(
+            settings, seed_ * 31 + i + 1'000 * ++ingresses_[i].incarnation);
+        ingresses_[i].out.clear();
     }
 
     bool active(Fault::Kind kind, unsigned ingress = ~0U) const {
@@ -207,19 +208,19 @@
         if (fault.kind == Fault::Kind::older) names_ = older_;
         if (fault.kind == Fault::Kind::restart) {
             start(fault.ingress);
-            wake_later(fault.ingress, now_);
+            schedule_timer(fault.ingress, now_);
         }
     }
 
     // Requests. ---------------------------------------------------------------------------------------
 
     void next_request(unsigned c, double from) {
-        Store& store = stores_[c];
-        if (from >= store.surge_ends) {
-            store.surging = uniform() < customer(c).surge;
-            store.surge_ends = from + 2;
+        Bucket& bucket = buckets_[c];
+        if (from >= bucket.surge_ends) {
+            bucket.surging = uniform() < customer(c).surge;
+            bucket.surge_ends = from + 2;
         }
-        const double rate = quota_of(c).rate * customer(c).load * (store.surging ? 5 : 1);
+        const double rate = quota_of(c).rate * customer(c).load * (bucket.surging ? 5 : 1);
         const double when = from + waiting(rate);
         at(when, [this, c] {
             request(c);
@@ -233,87 +234,90 @@
     }
 
     void request(unsigned c) {
-        Store& store = stores_[c];
+        Bucket& bucket = buckets_[c];
         const auto& quota = quota_of(c);
-        if (now_ >= store.moves_at) {
-            store.busiest = static_cast<unsigned>(random_() % plan_.spread);
-            store.moves_at = now_ + plan_.move_every * (0.5 + uniform());
+        if (now_ >= bucket.moves_at) {
+            bucket.busiest = static_cast<unsigned>(random_() % plan_.spread);
+            bucket.moves_at = now_ + plan_.move_every * (0.5 + uniform());
         }
         const unsigned nth =
-            uniform() < 0.6 ? store.busiest : static_cast<unsigned>(random_() % plan_.spread);
-        const quota::IngressSet doors{c % plan_.settings.ingress_count, plan_.spread};
-        const unsigned i = (doors.first + nth) % plan_.settings.ingress_count;
-        refill(store.level, store.at, now_, quota);
-        refill(store.perfect, store.perfect_at, now_, quota);
-        refill(store.room, store.room_at, now_, quota);
+            uniform() < 0.6 ? bucket.busiest : static_cast<unsigned>(random_() % plan_.spread);
+        const quota::IngressSet ingresses{c % plan_.settings.ingress_count, plan_.spread};
+        const unsigned i = (ingresses.first + nth) % plan_.settings.ingress_count;
+        refill(bucket.level, bucket.at, now_, quota);
+        refill(bucket.perfect, bucket.perfect_at, now_, quota);
+        refill(bucket.room, bucket.room_at, now_, quota);
         ++result_.asked;
-        if (store.perfect >= 1) {
-            store.perfect -= 1;
+        if (bucket.perfect >= 1) {
+            bucket.perfect -= 1;
             ++result_.inside;
         }
-        quota::SharedQuota& bank = *banks_[i].bank;
+        quota::SharedQuota& shared_quota = *ingresses_[i].shared_quota;
         const double wait_s =
-            even_split ? 0 : bank.retry_after_s(clock(i), c + 1, customer(c).plan, doors, 1);
-        digest_.add(now_, i, c, wait_s, bank.level(c + 1));
-        if (even_split ? share_of(c, i) < 1 : wait_s > 0) {
-            result_.refused_with_room += store.room >= quota.burst / 2;
+            even_split ? 0 : shared_quota.retry_after_s(clock(i), c + 1, customer(c).plan, ingresses, 1);
+        digest_.add(now_, i, c, wait_s, shared_quota.level(c + 1));
+        if (even_split ? even_share_of(c, i) < 1 : wait_s > 0) {
+            result_.refused_with_room += bucket.room >= quota.burst / 2;
             return;
         }
         if (even_split) {
             shares_[{c, i}].first -= 1;
         } else {
-            bank.consume(clock(i), c + 1, customer(c).plan, doors, 1);
-            bank.release(c + 1);
+            shared_quota.consume(clock(i), c + 1, customer(c).plan, ingresses, 1);
+            shared_quota.release(c + 1);
         }
         ++result_.passed;
-        if (store.room >= 1) {
-            store.room -= 1;
+        if (bucket.room >= 1) {
+            bucket.room -= 1;
             ++result_.good;
         }
-        store.level -= 1;
-        result_.worst = std::max(result_.worst, -store.level);
+        bucket.level -= 1;
+        result_.worst = std::max(result_.worst, -bucket.level);
         flush(i);
     }
 
     // Calls. ------------------------------------------------------------------------------------------
 
-    void wake_later(unsigned i, double when) {
-        banks_[i].wake_at = when;
-        at(when, [this, i, when, life = banks_[i].life] {
-            if (banks_[i].life != life || banks_[i].wake_at != when) return;
-            banks_[i].bank->on_timer(clock(i));
+    void schedule_timer(unsigned i, double when) {
+        ingresses_[i].timer_at = when;
+        at(when, [this, i, when, incarnation = ingresses_[i].incarnation] {
+            if (ingresses_[i].incarnation != incarnation || ingresses_[i].timer_at != when) return;
+            ingresses_[i].shared_quota->on_timer(clock(i));
             flush(i);
         });
     }
 
     void flush(unsigned i) {
-        for (quota::CounterCall& call : banks_[i].bank->take_calls()) {
+        for (quota::CounterCall& call : ingresses_[i].shared_quota->take_calls()) {
             ++result_.calls;
-            digest_.add(now_, i, call.id, call.part, call.name, call.by, call.ttl_ms);
-            banks_[i].out[call.id] = now_;
+            digest_.add(now_, i, call.id, call.part, call.name, call.amount, call.ttl_ms);
+            ingresses_[i].out[call.id] = now_;
             const double there = now_ + kWay * (0.7 + 0.6 * uniform());
             const bool cut = active(Fault::Kind::split, i) || active(Fault::Kind::down);
-            at(now_ + kGiveUp, [this, i, id = call.id, life = banks_[i].life] {
-                if (banks_[i].life == life && banks_[i].out.erase(id) > 0) {
-                    banks_[i].bank->on_unknown_result(clock(i), id);
+            at(now_ + kGiveUp, [this, i, id = call.id, incarnation = ingresses_[i].incarnation] {
+                if (ingresses_[i].incarnation == incarnation && ingresses_[i].out.erase(id) > 0) {
+                    ingresses_[i].shared_quota->on_unknown_result(clock(i), id);
                     flush(i);
                 }
             });
             if (cut) continue;
-            at(there, [this, i, call, life = banks_[i].life] { arrive(i, call, life); });
+            at(there,
+               [this, i, call, incarnation = ingresses_[i].incarnation] { arrive(i, call, incarnation); });
         }
         const double rate = i < plan_.clock.size() ? plan_.clock[i] : 1;
-        const double due = (banks_[i].bank->next_deadline() - start_) / rate;
-        digest_.add(banks_[i].bank->next_deadline(), banks_[i].bank->counter_losses());
-        if (due != banks_[i].wake_at || banks_[i].wake_at < now_) wake_later(i, std::max(now_ + 1e-6, due));
+        const double due = (ingresses_[i].shared_quota->next_deadline() - start_) / rate;
+        digest_.add(ingresses_[i].shared_quota->next_deadline(),
+                    ingresses_[i].shared_quota->counter_losses());
+        if (due != ingresses_[i].timer_at || ingresses_[i].timer_at < now_)
+            schedule_timer(i, std::max(now_ + 1e-6, due));
     }
 
-    void arrive(unsigned i, const quota::CounterCall& call, std::uint64_t life) {
+    void arrive(unsigned i, const quota::CounterCall& call, std::uint64_t incarnation) {
         free_at_ = std::max(free_at_, now_) + kCallTime * (active(Fault::Kind::slow) ? 10 : 1);
-        at(free_at_, [this, i, call, life] { carry_out(i, call, life); });
+        at(free_at_, [this, i, call, incarnation] { carry_out(i, call, incarnation); });
     }
 
-    void carry_out(unsigned i, const quota::CounterCall& call, std::uint64_t life) {
+    void carry_out(unsigned i, const quota::CounterCall& call, std::uint64_t incarnation) {
         if (active(Fault::Kind::down)) return;
         const bool refuses = active(Fault::Kind::refuse);
         double total = 0;
@@ -322,18 +326,18 @@
             for (int n = 0; n < times; ++n) {
                 Named& named = names_[call.name];
                 if (named.dies <= now_) named = {0, now_ + call.ttl_ms / 1000.0};
-                total = named.value += call.by;
+                total = named.value += call.amount;
             }
             total = std::strtod(std::to_string(total).c_str(), nullptr);
         }
         if (active(Fault::Kind::noise)) total = uniform() < 0.5 ? -1e6 * uniform() : 1e9 * uniform();
         if (active(Fault::Kind::split, i) || uniform() < plan_.unanswered) return;
-        at(now_ + kWay * (0.7 + 0.6 * uniform()), [this, i, id = call.id, total, refuses, life] {
-            if (banks_[i].life != life || banks_[i].out.erase(id) == 0) return;
+        at(now_ + kWay * (0.7 + 0.6 * uniform()), [this, i, id = call.id, total, refuses, incarnation] {
+            if (ingresses_[i].incarnation != incarnation || ingresses_[i].out.erase(id) == 0) return;
             if (refuses)
-                banks_[i].bank->on_rejected(clock(i), id);
+                ingresses_[i].shared_quota->on_rejected(clock(i), id);
             else
-                banks_[i].bank->on_reply(clock(i), id, total);
+                ingresses_[i].shared_quota->on_reply(clock(i), id, total);
             flush(i);
         });
     }
@@ -341,11 +345,11 @@
     Plan plan_;
     std::mt19937_64 random_;
     std::uint64_t seed_, numbers_ = 0;
-    double start_;   // s of the banks' clocks; generations change at any time of a run
+    double start_;   // s of the shared_quotas' clocks; generations change at any time of a run
     double now_ = 0, free_at_ = 0;
     std::priority_queue<Event, std::vector<Event>, std::greater<>> events_;
-    std::vector<Bank> banks_;
-    std::vector<Store> stores_;
+    std::vector<Ingress> ingresses_;
+    std::vector<Bucket> buckets_;
     std::map<std::string, Named> names_, older_;
     std::map<std::pair<unsigned, unsigned>, std::pair<double, double>> shares_;   // level and since
     Result result_;
@@ -387,8 +391,8 @@
     plan.customers = 1 + static_cast<unsigned>(random() % 3);
     const double rate = std::exp(uniform(std::log(0.6), std::log(9)));
     plan.settings.plans = {{"p", rate, std::max(1.0, rate * uniform(1.2, 6)), 0}};
-    plan.settings.credit = 1 + static_cast<double>(random() % 4);
-    plan.settings.free_part = random() % 4 == 0 ? 0 : uniform(0.1, 0.6);
+    plan.settings.max_unreported_units = 1 + static_cast<double>(random() % 4);
+    plan.settings.local_fraction = random() % 4 == 0 ? 0 : uniform(0.1, 0.6);
     const bool lasting = random() % 16 == 0;   // a fault that lasts
     plan.length = lasting ? uniform(60, 130) : uniform(10, 25);
     plan.load = std::exp(uniform(std::log(0.2), std::log(5)));
--- a/tests/quota/shared_quota_test.cpp
+++ b/tests/quota/shared_quota_test.cpp
@@ -19,27 +19,27 @@
 }
 
 // Passes until it is refused; so many.
-int drain(SharedQuota& bank, double now, std::uint64_t customer, quota::IngressSet doors) {
+int drain(SharedQuota& shared_quota, double now, std::uint64_t customer, quota::IngressSet ingresses) {
     int passed = 0;
-    for (; passed < 1000 && bank.retry_after_s(now, customer, 0, doors, 1) == 0; ++passed) {
-        bank.consume(now, customer, 0, doors, 1);
-        bank.release(customer);
+    for (; passed < 1000 && shared_quota.retry_after_s(now, customer, 0, ingresses, 1) == 0; ++passed) {
+        shared_quota.consume(now, customer, 0, ingresses, 1);
+        shared_quota.release(customer);
     }
     return passed;
 }
 
-// A counter that answers at once, to any number of banks.
+// A counter that answers at once, to any number of shared_quotas.
 struct Counter {
     std::map<std::string, double> names;
     std::uint64_t calls = 0;
-    void serve(double now, std::vector<SharedQuota*> banks) {
+    void serve(double now, std::vector<SharedQuota*> shared_quotas) {
         for (bool more = true; more;) {
             more = false;
-            for (SharedQuota* bank : banks)
-                for (const quota::CounterCall& call : bank->take_calls()) {
+            for (SharedQuota* shared_quota : shared_quotas)
+                for (const quota::CounterCall& call : shared_quota->take_calls()) {
                     ++calls;
                     more = true;
-                    bank->on_reply(now, call.id, names[call.name] += call.by);
+                    shared_quota->on_reply(now, call.id, names[call.name] += call.amount);
                 }
         }
     }
@@ -73,8 +73,8 @@
 
 TEST_CASE("all schedules of up to five steps keep the stated error") {
     quota::Settings one = settings(2, {"p", 2, 3, 0});
-    one.credit = 2;
-    one.free_part = 0.3;
+    one.max_unreported_units = 2;
+    one.local_fraction = 0.3;
     model::Small small(5, one);
     const auto found = small.find();
     INFO(found.value_or(""));
@@ -91,11 +91,11 @@
 }
 
 TEST_CASE("a customer with one ingress has its whole store there, without a call") {
-    SharedQuota bank(settings(3, {"p", 2, 5, 0}), 1);
-    CHECK(drain(bank, 100, 9, {0, 1}) == 5);
-    CHECK(bank.retry_after_s(100, 9, 0, {0, 1}, 1) == Approx(0.5));
-    CHECK(drain(bank, 101, 9, {0, 1}) == 2);
-    CHECK(bank.take_calls().empty());
+    SharedQuota shared_quota(settings(3, {"p", 2, 5, 0}), 1);
+    CHECK(drain(shared_quota, 100, 9, {0, 1}) == 5);
+    CHECK(shared_quota.retry_after_s(100, 9, 0, {0, 1}, 1) == Approx(0.5));
+    CHECK(drain(shared_quota, 101, 9, {0, 1}) == 2);
+    CHECK(shared_quota.take_calls().empty());
 }
 
 TEST_CASE("what one ingress has spent another sees in its first answer") {
@@ -152,47 +152,48 @@
 }
 
 TEST_CASE("noise from the counter is no answer, and many of it are a loss") {
-    SharedQuota bank(settings(2, {"p", 1, 4, 0}), 1);
-    bank.on_timer(1000);
+    SharedQuota shared_quota(settings(2, {"p", 1, 4, 0}), 1);
+    shared_quota.on_timer(1000);
     for (const double total : {-5.0, 1e12, std::nan("")}) {
-        const auto calls = bank.take_calls();
-        for (const auto& call : calls) bank.on_reply(1000, call.id, total);
-        for (std::uint64_t customer = 1; customer < 4; ++customer) drain(bank, 1000, customer, {0, 2});
+        const auto calls = shared_quota.take_calls();
+        for (const auto& call : calls) shared_quota.on_reply(1000, call.id, total);
+        for (std::uint64_t customer = 1; customer < 4; ++customer)
+            drain(shared_quota, 1000, customer, {0, 2});
     }
-    for (const auto& call : bank.take_calls()) bank.on_reply(1000, call.id, std::nan(""));
-    CHECK(bank.lost(0));
-    CHECK(drain(bank, 1000, 50, {0, 2}) <= 4);
-    bank.on_timer(1001);
-    for (const auto& call : bank.take_calls()) bank.on_reply(1001, call.id, 1);
-    CHECK_FALSE(bank.lost(0));
+    for (const auto& call : shared_quota.take_calls()) shared_quota.on_reply(1000, call.id, std::nan(""));
+    CHECK(shared_quota.unreachable(0));
+    CHECK(drain(shared_quota, 1000, 50, {0, 2}) <= 4);
+    shared_quota.on_timer(1001);
+    for (const auto& call : shared_quota.take_calls()) shared_quota.on_reply(1001, call.id, 1);
+    CHECK_FALSE(shared_quota.unreachable(0));
 }
 
 TEST_CASE("customers that come once take no lasting memory") {
     quota::Settings one = settings(2, {"p", 1, 4, 0});
-    one.customers_most = 1'000;
-    SharedQuota bank(one, 1);
+    one.max_customers = 1'000;
+    SharedQuota shared_quota(one, 1);
     Counter counter;
     for (std::uint64_t customer = 1; customer <= 100'000; ++customer) {
         const double now = 1000 + static_cast<double>(customer) * 0.001;
-        REQUIRE(bank.retry_after_s(now, customer, 0, {0, 2}, 1) == 0);
-        bank.consume(now, customer, 0, {0, 2}, 1);
-        bank.release(customer);
-        if (bank.next_deadline() <= now) bank.on_timer(now);
-        counter.serve(now, {&bank});
+        REQUIRE(shared_quota.retry_after_s(now, customer, 0, {0, 2}, 1) == 0);
+        shared_quota.consume(now, customer, 0, {0, 2}, 1);
+        shared_quota.release(customer);
+        if (shared_quota.next_deadline() <= now) shared_quota.on_timer(now);
+        counter.serve(now, {&shared_quota});
     }
-    CHECK(bank.customers() <= 1'000);
+    CHECK(shared_quota.customers() <= 1'000);
     CHECK(counter.calls < 1'000);   // the free part does for them
 }
 
 TEST_CASE("attempts out are shared out evenly") {
-    SharedQuota bank(settings(3, {"p", 0, 0, 6}), 1);
+    SharedQuota shared_quota(settings(3, {"p", 0, 0, 6}), 1);
     for (int i = 0; i < 2; ++i) {
-        CHECK(bank.retry_after_s(10, 4, 0, {0, 3}, 1) == 0);
-        bank.consume(10, 4, 0, {0, 3}, 1);
+        CHECK(shared_quota.retry_after_s(10, 4, 0, {0, 3}, 1) == 0);
+        shared_quota.consume(10, 4, 0, {0, 3}, 1);
     }
-    CHECK(bank.retry_after_s(10, 4, 0, {0, 3}, 1) > 0);
-    bank.release(4);
-    CHECK(bank.retry_after_s(10, 4, 0, {0, 3}, 1) == 0);
+    CHECK(shared_quota.retry_after_s(10, 4, 0, {0, 3}, 1) > 0);
+    shared_quota.release(4);
+    CHECK(shared_quota.retry_after_s(10, 4, 0, {0, 3}, 1) == 0);
 }
 
 TEST_CASE("settings that can't be are refused, and a plan that is not known is nobody's quota") {
@@ -202,20 +203,20 @@
     one.ingress_index = 3;
     CHECK_THROWS_AS(SharedQuota(one, 1), std::invalid_argument);
     one.ingress_index = 0;
-    SharedQuota bank(one, 1);
-    CHECK(bank.retry_after_s(1, 4, 7, {0, 3}, 1) == 0);
-    bank.consume(1, 4, 7, {0, 3}, 1);
-    CHECK(bank.customers() == 0);
+    SharedQuota shared_quota(one, 1);
+    CHECK(shared_quota.retry_after_s(1, 4, 7, {0, 3}, 1) == 0);
+    shared_quota.consume(1, 4, 7, {0, 3}, 1);
+    CHECK(shared_quota.customers() == 0);
 }
 
 TEST_CASE("the stated error grows with credit, ingresses and trouble") {
     quota::Settings one = settings(3, {"p", 1.8, 8, 0});
-    const auto small = quota::stated_error(one, one.plans[0], 3, 1);
-    CHECK(small.lost > small.healthy);
-    CHECK(small.split > small.healthy);
-    CHECK(small.empty > small.healthy);
-    CHECK(small.older > small.empty);
-    one.credit *= 2;
-    CHECK(quota::stated_error(one, one.plans[0], 3, 1).healthy == Approx(small.healthy + 12));
-    CHECK(quota::stated_error(one, one.plans[0], 1, 0).healthy == 0);
+    const auto small = quota::error_bound(one, one.plans[0], 3, 1);
+    CHECK(small.counter_unreachable > small.healthy);
+    CHECK(small.partition > small.healthy);
+    CHECK(small.counter_state_lost > small.healthy);
+    CHECK(small.counter_state_rolled_back > small.counter_state_lost);
+    one.max_unreported_units *= 2;
+    CHECK(quota::error_bound(one, one.plans[0], 3, 1).healthy == Approx(small.healthy + 12));
+    CHECK(quota::error_bound(one, one.plans[0], 1, 0).healthy == 0);
 }
