--- a/bench/scale/fleet.cpp
+++ b/bench/scale/fleet.cpp
@@ -299,7 +299,7 @@
             if (!node.limits) return;
             {
                 const Booked booked(meter_, account(i, duty));
-                node.limits->receive(now(), ingress_name(from), process, body);
+                node.limits->on_datagram(now(), ingress_name(from), process, body);
             }
             return pump_limits(i);
         }
--- a/bench/scale/limits.cpp
+++ b/bench/scale/limits.cpp
@@ -129,7 +129,7 @@
         item.set_units(1);
         const std::string body = batch.SerializeAsString();
         bytes_ += static_cast<double>(body.size() + kEnvelope);
-        booked(own_s_, [&] { room_.receive(now_, names_[i], 100 + i, body); });
+        booked(own_s_, [&] { room_.on_datagram(now_, names_[i], 100 + i, body); });
         reports_ += 1;
         deliver();
     }
@@ -143,7 +143,7 @@
         while (!answers_.empty() && answers_.front().at <= now_) {
             const Answer& one = answers_.front();
             bytes_ += static_cast<double>(one.body.size() + kEnvelope);
-            booked(ask_s_, [&] { room_.receive(now_, one.from, 99, one.body); });
+            booked(ask_s_, [&] { room_.on_datagram(now_, one.from, 99, one.body); });
             answers_.pop_front();
             deliver();
         }
--- a/src/app/fleet_rate_limit_component.cpp
+++ b/src/app/fleet_rate_limit_component.cpp
@@ -27,8 +27,8 @@
             "healthy, %.1f more while answers are late or lost, %.1f one ingress cut off, %.1f a key's "
             "owner "
             "lost, and %.1f for each restart",
-            one.name.c_str(), all, one.rate, one.burst, b.healthy, b.late, b.cut_off, b.owner_lost,
-            b.restarted);
+            one.name.c_str(), all, one.rate, one.burst, b.healthy, b.late_replies, b.partition, b.owner_lost,
+            b.per_restart);
         lines.emplace_back(text);
     }
     return lines;
@@ -47,7 +47,7 @@
           pump();
       }) {
     fleet_.listen(membership::Channel::rate_limits, [this](const membership::ReceivedMessage& heard) {
-        room_.receive(net::now(), heard.from, heard.process, heard.body);
+        room_.on_datagram(net::now(), heard.from, heard.process, heard.body);
         pump();
     });
     fleet_.on_members([this](const std::vector<std::string>& there) {
--- a/src/fleet_rate_limit/rate_limit_node.cpp
+++ b/src/fleet_rate_limit/rate_limit_node.cpp
@@ -10,14 +10,19 @@
 namespace slatejunction::fleet_rate_limit {
 namespace {
 
-constexpr double kRound = 1e-9;        // units
-constexpr double kAnswerSoon = 0.01;   // s; until an answer is likely to be there
-constexpr double kUnitsMost = 1e9;
-constexpr std::size_t kLooked = 8;   // that are looked at to forget one
+constexpr double kUnitsTolerance = 1e-9;   // of sums of units
+constexpr double kAwaitReplyS = 0.01;      // retry-after while a reply of the owner is awaited
+constexpr double kMaxUnits = 1e9;          // in a datagram; more is not plausible
+constexpr double kUnresponsive = -1;       // in awaiting_reply_since_s_
+constexpr double kNoDeadlineS = 1e18;
+constexpr double kLongestPauseS = 1e17;   // longer: the first event of the process
+constexpr double kUnresponsiveRetransmitFactor = 4;
+constexpr std::size_t kEvictionCandidates = 8;
 
-bool plain(double value) { return std::isfinite(value) && std::abs(value) <= kUnitsMost; }
+bool plausible(double value) { return std::isfinite(value) && std::abs(value) <= kMaxUnits; }
 
-std::uint64_t weight(std::uint32_t limit, std::uint64_t key, const std::string& name) {
+// Highest random weight: D. Thaler, C. Ravishankar, 1998.
+std::uint64_t rendezvous_weight(std::uint32_t limit, std::uint64_t key, const std::string& name) {
     return XXH64(name.data(), name.size(), key ^ (limit * 0x9e3779b97f4a7c15ULL));
 }
 
@@ -25,7 +30,7 @@
 
 RateLimitNode::RateLimitNode(Settings settings, std::uint64_t seed)
     : settings_(std::move(settings)), random_(seed) {
-    there_ = {settings_.name};
+    alive_members_ = {settings_.name};
 }
 
 const LimitSpec* RateLimitNode::spec(std::uint32_t limit) const {
@@ -33,361 +38,429 @@
     return at == specs_.end() ? nullptr : &at->second;
 }
 
-// Of those that are gone nobody knows whether they are dead or only out of sight: they keep their parts.
-double RateLimitNode::part() const {
-    const double all = static_cast<double>(std::max<std::size_t>(1, settings_.all.size()));
-    return std::min(1.0, static_cast<double>(there_.size()) / all);
+// Fraction of rate and burst that the ingresses visible from here may grant. Ingresses that are not visible
+// may be dead or only partitioned: their fractions stay reserved for them.
+double RateLimitNode::visible_fraction() const {
+    const double ingresses = static_cast<double>(std::max<std::size_t>(1, settings_.ingresses.size()));
+    return std::min(1.0, static_cast<double>(alive_members_.size()) / ingresses);
 }
 
 const std::string& RateLimitNode::owner(std::uint32_t limit, std::uint64_t key) const {
-    const std::string* best = &there_.front();
-    std::uint64_t most = 0;
-    for (const std::string& name : there_) {
-        const std::uint64_t one = weight(limit, key, name);
-        if (one < most) continue;
-        most = one;
+    const std::string* best = &alive_members_.front();
+    std::uint64_t highest = 0;
+    for (const std::string& name : alive_members_) {
+        const std::uint64_t weight = rendezvous_weight(limit, key, name);
+        if (weight < highest) continue;
+        highest = weight;
         best = &name;
     }
     return *best;
 }
 
-void RateLimitNode::set_alive_members(double now, std::vector<std::string> there) {
-    std::erase_if(there, [&](const auto& name) {
-        return !std::binary_search(settings_.all.begin(), settings_.all.end(), name);
+void RateLimitNode::set_alive_members(double now, std::vector<std::string> alive) {
+    std::erase_if(alive, [&](const auto& name) {
+        return !std::binary_search(settings_.ingresses.begin(), settings_.ingresses.end(), name);
     });
-    if (there.empty()) there = {settings_.name};
-    if (there == there_) return;
-    const double before = part();
-    there_ = std::move(there);
-    // Stores hold their level, whatever the part of the burst they are of now.
-    if (const double after = part(); after != before)
-        for (auto& [id, store] : stores_) {
-            const LimitSpec& s = *spec(id.limit);
-            if (s.rate <= 0) continue;
-            const double level =
-                std::min(s.burst * before, s.burst * before - (store.full_at - now) * s.rate * before);
-            store.full_at = now + (s.burst * after - std::min(level, s.burst * after)) / (s.rate * after);
-        }
-    // What is out at one that is gone is told to the next owner.
-    for (auto at = out_.begin(); at != out_.end();) {
-        if (std::binary_search(there_.begin(), there_.end(), at->second.owner)) {
-            ++at;
+    if (alive.empty()) alive = {settings_.name};
+    if (alive == alive_members_) return;
+    const double before = visible_fraction();
+    alive_members_ = std::move(alive);
+    rescale_owned_buckets(now, before, visible_fraction());
+    requeue_reports_to_departed_owners(now);
+    requeue_all(now);
+    on_timer(now);
+}
+
+// Buckets keep their level when the fraction of rate and burst changes from `before` to `after`.
+void RateLimitNode::rescale_owned_buckets(double now, double before, double after) {
+    if (after == before) return;
+    for (auto& [id, bucket] : owned_buckets_) {
+        const LimitSpec& limit = *spec(id.limit);
+        if (limit.rate <= 0) continue;
+        const double old_burst = limit.burst * before;
+        const double new_burst = limit.burst * after;
+        const double level =
+            std::min(old_burst, old_burst - (bucket.full_at_s - now) * limit.rate * before);
+        bucket.full_at_s = now + (new_burst - std::min(level, new_burst)) / (limit.rate * after);
+    }
+}
+
+// Usage in flight to an owner that has departed is reported to the next owner.
+void RateLimitNode::requeue_reports_to_departed_owners(double now) {
+    for (auto report = reports_in_flight_.begin(); report != reports_in_flight_.end();) {
+        const std::string& owner = report->second.owner;
+        if (std::binary_search(alive_members_.begin(), alive_members_.end(), owner)) {
+            ++report;
             continue;
         }
-        give_up(now, at->second);
-        owed_since_.erase(at->second.owner);
-        at = out_.erase(at);
+        requeue_report(now, report->second);
+        awaiting_reply_since_s_.erase(owner);
+        report = reports_in_flight_.erase(report);
     }
-    auto queues = std::exchange(queues_, {});
-    for (auto& [owner, ids] : queues)
-        for (const Id& id : ids)
-            if (const auto at = accounts_.find(id); at != accounts_.end()) {
-                at->second.queued = false;
-                report(now, id, at->second);
-            }
-    on_timer(now);
 }
 
-bool RateLimitNode::owner_silent(const std::string& owner) const {
-    return owed_since_.contains(owner) && owed_since_.at(owner) < 0;
+// Assigns queued reports to the owners of now.
+void RateLimitNode::requeue_all(double now) {
+    const auto queues = std::exchange(queued_reports_, {});
+    for (const auto& [owner, ids] : queues)
+        for (const BucketId& id : ids) {
+            const auto state = reporter_states_.find(id);
+            if (state == reporter_states_.end()) continue;
+            state->second.report_queued = false;
+            report_if_due(now, id, state->second);
+        }
+}
+
+bool RateLimitNode::owner_unresponsive(const std::string& owner) const {
+    const auto since = awaiting_reply_since_s_.find(owner);
+    return since != awaiting_reply_since_s_.end() && since->second < 0;
 }
 
-double RateLimitNode::level(const LimitSpec& s, const Account& account, double now) const {
-    const double burst = s.burst * part();
-    return std::min(burst, account.level + s.rate * part() * (now - account.known_at)) -
-           account.unreported - account.flying - account.tally - account.flying_tally;
+double RateLimitNode::available_units(const LimitSpec& s, const ReporterState& state, double now) const {
+    const double burst = s.burst * visible_fraction();
+    return std::min(burst,
+                    state.owner_level + s.rate * visible_fraction() * (now - state.owner_level_at_s)) -
+           state.unreported_units - state.in_flight_units - state.fallback_units -
+           state.in_flight_fallback_units;
 }
 
-double RateLimitNode::share_level(const LimitSpec& s, const Account& account, double now) const {
-    const double burst = share_burst(s, settings_.all.size());
+double RateLimitNode::fallback_units_available(const LimitSpec& s, const ReporterState& state,
+                                               double now) const {
+    const double burst = fallback_burst(s, settings_.ingresses.size());
     if (s.rate <= 0) return burst;
-    return burst - std::max(0.0, account.share_full_at - now) * share_rate(s, settings_.all.size());
+    return burst -
+           std::max(0.0, state.fallback_full_at_s - now) * fallback_rate(s, settings_.ingresses.size());
 }
 
-// What was kept when this process stood still is old, others may have owned its keys: its stores count as
-// empty, and what owners had said is forgotten.
-void RateLimitNode::notice(double now) {
-    const double gap = now - std::exchange(noticed_at_, now);
-    if (gap < kStoodStill || gap > 1e17 || there_.size() < 2) return;
-    ++doubts_;
-    for (auto& [id, store] : stores_)
-        if (const LimitSpec& s = *spec(id.limit); s.rate > 0)
-            store.full_at = std::max(store.full_at, now + s.burst / s.rate);
-    for (auto& [id, account] : accounts_) account.known_at = kNever;
+// After a pause of this process its state is stale, and other ingresses may have owned its keys meanwhile:
+// its owned buckets count as empty, and the owners' last replies are dropped.
+void RateLimitNode::detect_process_pause(double now) {
+    const double gap = now - std::exchange(last_event_at_s_, now);
+    if (gap < kProcessPauseS || gap > kLongestPauseS || alive_members_.size() < 2) return;
+    ++process_pauses_;
+    for (auto& [id, bucket] : owned_buckets_)
+        if (const LimitSpec& limit = *spec(id.limit); limit.rate > 0)
+            bucket.full_at_s = std::max(bucket.full_at_s, now + limit.burst / limit.rate);
+    for (auto& [id, state] : reporter_states_) state.owner_level_at_s = kNeverS;
+}
+
+// As the key's owner: by the owned bucket.
+double RateLimitNode::owner_retry_after_s(double now, const BucketId& id, const LimitSpec& s,
+                                          double units) const {
+    const auto bucket = owned_buckets_.find(id);
+    const double rate = s.rate * visible_fraction();
+    const double burst = s.burst * visible_fraction();
+    const double room = bucket == owned_buckets_.end()
+                            ? burst
+                            : burst - std::max(0.0, bucket->second.full_at_s - now) * rate;
+    const double wanted = std::min(units, burst);
+    return room >= wanted - kUnitsTolerance ? 0 : (wanted - room) / rate;
 }
 
 double RateLimitNode::retry_after_s(double now, std::uint32_t limit, std::uint64_t key, double units) {
-    notice(now);
+    detect_process_pause(now);
     const LimitSpec* const s = spec(limit);
     if (!s || s->rate <= 0) return 0;
     units = std::min(units, s->burst);
-    const Id id{limit, key};
+    const BucketId id{limit, key};
     const std::string& owner = this->owner(limit, key);
-    if (owner == settings_.name) {
-        const auto at = stores_.find(id);
-        const double rate = s->rate * part(), burst = s->burst * part();
-        const double room =
-            at == stores_.end() ? burst : burst - std::max(0.0, at->second.full_at - now) * rate;
-        const double wanted = std::min(units, burst);
-        return room >= wanted - kRound ? 0 : (wanted - room) / rate;
+    if (owner == settings_.name) return owner_retry_after_s(now, id, *s, units);
+    const auto found = reporter_states_.find(id);
+    const ReporterState state = found == reporter_states_.end() ? ReporterState{} : found->second;
+    if (owner_unresponsive(owner)) {
+        const double room = fallback_units_available(*s, state, now);
+        return room >= units - kUnitsTolerance
+                   ? 0
+                   : (units - room) / fallback_rate(*s, settings_.ingresses.size());
     }
-    const auto at = accounts_.find(id);
-    const Account account = at == accounts_.end() ? Account{} : at->second;
-    if (owner_silent(owner)) {
-        const double room = share_level(*s, account, now);
-        return room >= units - kRound ? 0 : (units - room) / share_rate(*s, settings_.all.size());
+    if (state.owner_level_at_s > kNeverS) {
+        const double room = available_units(*s, state, now);
+        if (room < std::min(units, s->burst * visible_fraction()) - kUnitsTolerance)
+            return (units - room) / (s->rate * visible_fraction());
     }
-    if (account.known_at > kNever) {
-        const double room = level(*s, account, now);
-        if (room < std::min(units, s->burst * part()) - kRound) return (units - room) / (s->rate * part());
-    }
-    const double held = account.unreported + account.flying;
-    return held + units <= credit(*s, settings_.credit) + kRound ? 0 : kAnswerSoon;
+    const double not_at_owner = state.unreported_units + state.in_flight_units;
+    return not_at_owner + units <= max_unreported(*s, settings_.max_unreported_units) + kUnitsTolerance
+               ? 0
+               : kAwaitReplyS;
 }
 
 void RateLimitNode::consume(double now, std::uint32_t limit, std::uint64_t key, double units) {
     const LimitSpec* const s = spec(limit);
     if (!s || s->rate <= 0) return;
-    const Id id{limit, key};
+    const BucketId id{limit, key};
     const std::string& owner = this->owner(limit, key);
-    if (owner == settings_.name) return void(spend(now, id, *s, units, false, 0));
-    if (!accounts_.contains(id) && accounts_.size() >= settings_.keys_most)
-        forget(accounts_, [&](const Id& one, const Account& a) {
-            const LimitSpec* const of = spec(one.limit);
-            return a.unreported + a.flying + a.tally + a.flying_tally == 0 && !a.queued &&
-                   (!of || a.known_at <= kNever || level(*of, a, now) >= of->burst * part() - kRound);
+    if (owner == settings_.name) {
+        charge_owned_bucket(now, id, *s, units, {});
+        return;
+    }
+    if (!reporter_states_.contains(id) && reporter_states_.size() >= settings_.max_keys)
+        evict_one(reporter_states_, [&](const BucketId& other, const ReporterState& state) {
+            const LimitSpec* const of = spec(other.limit);
+            return state.unreported_units + state.in_flight_units + state.fallback_units +
+                           state.in_flight_fallback_units ==
+                       0 &&
+                   !state.report_queued &&
+                   (!of || state.owner_level_at_s <= kNeverS ||
+                    available_units(*of, state, now) >= of->burst * visible_fraction() - kUnitsTolerance);
         });
-    Account& account = accounts_[id];
-    account.used_at = now;
-    if (account.unreported + account.tally <= 0) account.since = now;
-    if (owner_silent(owner)) {
-        const double rate = share_rate(*s, settings_.all.size());
-        account.share_full_at = std::max(account.share_full_at, now) + units / rate;
-        account.tally += units;
+    ReporterState& state = reporter_states_[id];
+    state.last_used_at_s = now;
+    if (state.unreported_units + state.fallback_units <= 0) state.unreported_since_s = now;
+    if (owner_unresponsive(owner)) {
+        const double rate = fallback_rate(*s, settings_.ingresses.size());
+        state.fallback_full_at_s = std::max(state.fallback_full_at_s, now) + units / rate;
+        state.fallback_units += units;
     } else {
-        account.unreported += units;
+        state.unreported_units += units;
     }
-    report(now, id, account);
+    report_if_due(now, id, state);
 }
 
-// At once near the limit; far from it what is held waits a little, so that several units and keys go
-// together.
-void RateLimitNode::report(double now, const Id& id, Account& account) {
+// Queues a report for the owner: at once near the limit, and up to kReportDelayS later far from it, so that
+// several units and keys go in one datagram.
+void RateLimitNode::report_if_due(double now, const BucketId& id, ReporterState& state) {
     const LimitSpec* const s = spec(id.limit);
-    if (!s || account.queued || account.unreported + account.tally <= 0) return;
+    if (!s || state.report_queued || state.unreported_units + state.fallback_units <= 0) return;
     const std::string& owner = this->owner(id.limit, id.key);
-    if (owner == settings_.name) {   // it has become this one's
-        const bool knows = account.known_at > kNever;
-        const double hint = std::min(s->burst, account.level + s->rate * (now - account.known_at));
-        spend(now, id, *s, account.unreported + account.tally, knows, hint);
-        account.unreported = account.tally = 0;
+    if (owner == settings_.name) {   // this ingress has become the owner
+        std::optional<double> last_known_level;
+        if (state.owner_level_at_s > kNeverS)
+            last_known_level =
+                std::min(s->burst, state.owner_level + s->rate * (now - state.owner_level_at_s));
+        charge_owned_bucket(now, id, *s, state.unreported_units + state.fallback_units, last_known_level);
+        state.unreported_units = 0;
+        state.fallback_units = 0;
         return;
     }
-    const double held = account.unreported + account.flying;
-    const bool far = account.known_at > kNever && level(*s, account, now) > s->burst * part() / 2;
-    const bool room = held + s->max_request_units <= credit(*s, settings_.credit) - kRound;
-    if (far && room && now < account.since + kHeldFor) {
-        held_due_ = std::min(held_due_, account.since + kHeldFor);
+    const double not_at_owner = state.unreported_units + state.in_flight_units;
+    const bool far_from_limit = state.owner_level_at_s > kNeverS &&
+                                available_units(*s, state, now) > s->burst * visible_fraction() / 2;
+    const bool fits_another = not_at_owner + s->max_request_units <=
+                              max_unreported(*s, settings_.max_unreported_units) - kUnitsTolerance;
+    if (far_from_limit && fits_another && now < state.unreported_since_s + kReportDelayS) {
+        deferred_reports_at_s_ = std::min(deferred_reports_at_s_, state.unreported_since_s + kReportDelayS);
         return;
     }
-    // One report of a key at a time: what comes meanwhile goes with the next.
-    if (account.flying + account.flying_tally > 0) return;
-    account.queued = true;
-    queues_[owner].push_back(id);
+    // At most one report of a key is in flight; usage meanwhile goes with the next.
+    if (state.in_flight_units + state.in_flight_fallback_units > 0) return;
+    state.report_queued = true;
+    queued_reports_[owner].push_back(id);
 }
 
-void RateLimitNode::flush(double now, const std::string& owner) {
-    auto& ids = queues_[owner];
+void RateLimitNode::send_reports(double now, const std::string& owner) {
+    auto& ids = queued_reports_[owner];
     while (!ids.empty()) {
-        const std::size_t count = std::min(ids.size(), kBatchMost);
+        const std::size_t count = std::min(ids.size(), kMaxBatchKeys);
         wire::Batch batch;
-        Report made;
-        batch.set_number(made.number = ++numbers_);
-        made.owner = owner;
+        Report report;
+        report.number = ++last_report_number_;
+        batch.set_number(report.number);
+        report.owner = owner;
         for (std::size_t i = 0; i < count; ++i) {
-            const Id& id = ids[i];
-            const auto at = accounts_.find(id);
-            if (at == accounts_.end()) continue;
-            Account& account = at->second;
-            account.queued = false;
-            account.flying = std::exchange(account.unreported, 0);
-            account.flying_tally = std::exchange(account.tally, 0);
+            const BucketId& id = ids[i];
+            const auto at = reporter_states_.find(id);
+            if (at == reporter_states_.end()) continue;
+            ReporterState& state = at->second;
+            state.report_queued = false;
+            state.in_flight_units = std::exchange(state.unreported_units, 0);
+            state.in_flight_fallback_units = std::exchange(state.fallback_units, 0);
             wire::Item& item = *batch.add_item();
             item.set_limit(id.limit);
             item.set_key(id.key);
-            item.set_units(account.flying + account.flying_tally);
-            if (account.known_at > kNever) {
+            item.set_units(state.in_flight_units + state.in_flight_fallback_units);
+            if (state.owner_level_at_s > kNeverS) {
                 const LimitSpec& s = *spec(id.limit);
                 item.set_knows(true);
-                item.set_level(
-                    std::min(s.burst, account.level + s.rate * part() * (now - account.known_at)));
+                item.set_level(std::min(s.burst, state.owner_level + s.rate * visible_fraction() *
+                                                                         (now - state.owner_level_at_s)));
             }
-            made.ids.push_back(id);
+            report.buckets.push_back(id);
         }
         ids.erase(ids.begin(), ids.begin() + static_cast<std::ptrdiff_t>(count));
-        if (made.ids.empty()) continue;
-        made.body = batch.SerializeAsString();
-        made.sent_at = made.first_at = now;
-        ++sent_;
-        posts_.push_back({owner, made.body});
-        owed_since_.emplace(owner, now);
-        out_.emplace(made.number, std::move(made));
+        if (report.buckets.empty()) continue;
+        report.body = batch.SerializeAsString();
+        report.last_sent_at_s = now;
+        ++datagrams_sent_;
+        outgoing_.push_back({owner, report.body});
+        awaiting_reply_since_s_.emplace(owner, now);
+        reports_in_flight_.emplace(report.number, std::move(report));
     }
 }
 
-// The owner's store.
-double RateLimitNode::spend(double now, const Id& id, const LimitSpec& s, double units, bool knows,
-                            double hint) {
-    const double rate = s.rate * part(), burst = s.burst * part();
-    auto at = stores_.find(id);
-    if (at == stores_.end()) {
-        if (stores_.size() >= settings_.keys_most)
-            forget(stores_, [&](const Id&, const Store& one) { return one.full_at <= now; });
-        // The owner before this one told who reports what there was; nobody else can know.
-        const double level = knows ? std::clamp(hint, -burst, burst) : burst;
-        at = stores_.emplace(id, Store{now + (burst - level) / rate, now}).first;
+// Charges the owner's bucket; returns the units left. `last_known_level`: of the reporter, for a bucket
+// that does not exist here yet.
+double RateLimitNode::charge_owned_bucket(double now, const BucketId& id, const LimitSpec& s, double units,
+                                          std::optional<double> last_known_level) {
+    const double rate = s.rate * visible_fraction();
+    const double burst = s.burst * visible_fraction();
+    auto at = owned_buckets_.find(id);
+    if (at == owned_buckets_.end()) {
+        if (owned_buckets_.size() >= settings_.max_keys)
+            evict_one(owned_buckets_,
+                      [&](const BucketId&, const OwnedBucket& bucket) { return bucket.full_at_s <= now; });
+        // Only the reporter can know the level that the previous owner had.
+        const double level = last_known_level ? std::clamp(*last_known_level, -burst, burst) : burst;
+        at = owned_buckets_.emplace(id, OwnedBucket{now + (burst - level) / rate, now}).first;
     }
-    Store& store = at->second;
-    store.used_at = now;
-    store.full_at = std::max(store.full_at, now) + units / rate;
-    return burst - (store.full_at - now) * rate;
+    OwnedBucket& bucket = at->second;
+    bucket.last_used_at_s = now;
+    bucket.full_at_s = std::max(bucket.full_at_s, now) + units / rate;
+    return burst - (bucket.full_at_s - now) * rate;
 }
 
-void RateLimitNode::receive(double now, const std::string& from, std::uint64_t process,
-                            std::string_view body) {
-    notice(now);
+void RateLimitNode::on_datagram(double now, const std::string& from, std::uint64_t process,
+                                std::string_view body) {
+    detect_process_pause(now);
     wire::Batch batch;
     if (!batch.ParseFromArray(body.data(), static_cast<int>(body.size())) || batch.number() == 0 ||
-        batch.item_size() > static_cast<int>(kBatchMost)) {
-        ++unreadable_;
+        batch.item_size() > static_cast<int>(kMaxBatchKeys)) {
+        ++malformed_datagrams_;
         return;
     }
     if (batch.answer())
-        answered(now, batch);
+        on_reply(now, batch);
     else
-        answer(now, from, process, batch);
+        on_report(now, from, process, batch);
 }
 
-// Each report counts once, however often it comes; one that is so old that its answer is forgotten has
-// none.
-void RateLimitNode::answer(double now, const std::string& from, std::uint64_t process,
-                           const wire::Batch& batch) {
+// Invariant: each report is counted once, however often it arrives. A report so old that its reply is no
+// longer kept gets none.
+void RateLimitNode::on_report(double now, const std::string& from, std::uint64_t process,
+                              const wire::Batch& batch) {
     const std::uint64_t number = batch.number();
-    if (reporters_.size() >= kReporters && !reporters_.contains(process))
-        reporters_.erase(std::min_element(
-            reporters_.begin(), reporters_.end(),
-            [](const auto& a, const auto& b) { return a.second.heard_at < b.second.heard_at; }));
+    if (reporters_.size() >= kMaxReporters && !reporters_.contains(process))
+        reporters_.erase(
+            std::min_element(reporters_.begin(), reporters_.end(), [](const auto& left, const auto& right) {
+                return left.second.last_received_at_s < right.second.last_received_at_s;
+            }));
     Reporter& reporter = reporters_[process];
-    reporter.heard_at = now;
-    for (const auto& [known, text] : reporter.answers)
-        if (known == number) return posts_.push_back({from, text});
-    if (number + kRemembered <= reporter.highest) return;
-    wire::Batch made;
-    made.set_answer(true);
-    made.set_number(number);
-    for (const wire::Item& one : batch.item()) {
-        const LimitSpec* const s = spec(one.limit());
-        if (!s || s->rate <= 0 || !plain(one.units()) || one.units() < 0 || !plain(one.level())) continue;
-        wire::Item& item = *made.add_item();
-        item.set_limit(one.limit());
-        item.set_key(one.key());
-        item.set_level(spend(now, {one.limit(), one.key()}, *s, one.units(), one.knows(), one.level()));
+    reporter.last_received_at_s = now;
+    for (const auto& [replied_number, body] : reporter.recent_replies)
+        if (replied_number == number) return outgoing_.push_back({from, body});
+    if (number + kRepliesKept <= reporter.highest_number) return;
+    wire::Batch reply;
+    reply.set_answer(true);
+    reply.set_number(number);
+    for (const wire::Item& reported : batch.item()) {
+        const LimitSpec* const s = spec(reported.limit());
+        if (!s || s->rate <= 0 || !plausible(reported.units()) || reported.units() < 0 ||
+            !plausible(reported.level()))
+            continue;
+        std::optional<double> last_known_level;
+        if (reported.knows()) last_known_level = reported.level();
+        wire::Item& item = *reply.add_item();
+        item.set_limit(reported.limit());
+        item.set_key(reported.key());
+        item.set_level(charge_owned_bucket(now, {reported.limit(), reported.key()}, *s, reported.units(),
+                                           last_known_level));
         item.set_knows(true);
     }
-    reporter.highest = std::max(reporter.highest, number);
-    reporter.answers.emplace_back(number, made.SerializeAsString());
-    if (reporter.answers.size() > kRemembered) reporter.answers.pop_front();
-    ++sent_;
-    posts_.push_back({from, reporter.answers.back().second});
+    reporter.highest_number = std::max(reporter.highest_number, number);
+    reporter.recent_replies.emplace_back(number, reply.SerializeAsString());
+    if (reporter.recent_replies.size() > kRepliesKept) reporter.recent_replies.pop_front();
+    ++datagrams_sent_;
+    outgoing_.push_back({from, reporter.recent_replies.back().second});
 }
 
-void RateLimitNode::answered(double now, const wire::Batch& batch) {
-    const auto at = out_.find(batch.number());
-    if (at == out_.end()) return;   // come twice, or given up
+void RateLimitNode::on_reply(double now, const wire::Batch& batch) {
+    const auto at = reports_in_flight_.find(batch.number());
+    if (at == reports_in_flight_.end()) return;   // a duplicate, or requeued since
     const Report report = std::move(at->second);
-    out_.erase(at);
-    owed_since_.erase(report.owner);
-    for (const auto& [other, one] : out_)
-        if (one.owner == report.owner) owed_since_.emplace(one.owner, now);
-    for (const Id& id : report.ids)
-        if (const auto one = accounts_.find(id); one != accounts_.end())
-            one->second.flying = one->second.flying_tally = 0;
+    reports_in_flight_.erase(at);
+    awaiting_reply_since_s_.erase(report.owner);
+    for (const auto& [number, other] : reports_in_flight_)
+        if (other.owner == report.owner) awaiting_reply_since_s_.emplace(other.owner, now);
+    for (const BucketId& id : report.buckets)
+        if (const auto state = reporter_states_.find(id); state != reporter_states_.end()) {
+            state->second.in_flight_units = 0;
+            state->second.in_flight_fallback_units = 0;
+        }
     for (const wire::Item& item : batch.item()) {
-        const Id id{item.limit(), item.key()};
-        const auto one = accounts_.find(id);
-        if (one == accounts_.end() || !plain(item.level())) continue;
-        one->second.level = item.level();
-        one->second.known_at = now;
+        const BucketId id{item.limit(), item.key()};
+        const auto state = reporter_states_.find(id);
+        if (state == reporter_states_.end() || !plausible(item.level())) continue;
+        state->second.owner_level = item.level();
+        state->second.owner_level_at_s = now;
     }
-    for (const Id& id : report.ids)
-        if (const auto one = accounts_.find(id); one != accounts_.end()) {
-            if (one->second.unreported + one->second.tally > 0) one->second.since = now;
-            this->report(now, id, one->second);
+    for (const BucketId& id : report.buckets)
+        if (const auto state = reporter_states_.find(id); state != reporter_states_.end()) {
+            if (state->second.unreported_units + state->second.fallback_units > 0)
+                state->second.unreported_since_s = now;
+            this->report_if_due(now, id, state->second);
         }
-    flush(now, report.owner);
+    send_reports(now, report.owner);
 }
 
-// Whether the owner has counted it is not known: it is told again to the next one, to the key's loss.
-void RateLimitNode::give_up(double now, Report& report) {
-    for (const Id& id : report.ids) {
-        const auto at = accounts_.find(id);
-        if (at == accounts_.end()) continue;
-        Account& account = at->second;
-        if (account.unreported + account.tally <= 0) account.since = now;
-        account.unreported += std::exchange(account.flying, 0);
-        account.tally += std::exchange(account.flying_tally, 0);
-        this->report(now, id, account);
+// Whether the owner has counted the report is unknown: it is reported again, which may reject requests
+// within the limit but admits none beyond it.
+void RateLimitNode::requeue_report(double now, Report& report) {
+    for (const BucketId& id : report.buckets) {
+        const auto at = reporter_states_.find(id);
+        if (at == reporter_states_.end()) continue;
+        ReporterState& state = at->second;
+        if (state.unreported_units + state.fallback_units <= 0) state.unreported_since_s = now;
+        state.unreported_units += std::exchange(state.in_flight_units, 0);
+        state.fallback_units += std::exchange(state.in_flight_fallback_units, 0);
+        this->report_if_due(now, id, state);
     }
 }
 
+double RateLimitNode::retransmit_period_s(const std::string& owner) const {
+    return kRetransmitS * (owner_unresponsive(owner) ? kUnresponsiveRetransmitFactor : 1);
+}
+
 void RateLimitNode::on_timer(double now) {
-    notice(now);
-    for (auto& [owner, since] : owed_since_)
-        if (since >= 0 && now >= since + kSilentAfter) since = -1;   // silent
-    for (auto& [number, report] : out_)
-        if (now >= report.sent_at + kAgain * (owner_silent(report.owner) ? 4 : 1)) {
-            report.sent_at = now;
-            ++sent_;
-            posts_.push_back({report.owner, report.body});
+    detect_process_pause(now);
+    for (auto& [owner, since] : awaiting_reply_since_s_)
+        if (since >= 0 && now >= since + kUnresponsiveAfterS) since = kUnresponsive;
+    for (auto& [number, report] : reports_in_flight_)
+        if (now >= report.last_sent_at_s + retransmit_period_s(report.owner)) {
+            report.last_sent_at_s = now;
+            ++datagrams_sent_;
+            outgoing_.push_back({report.owner, report.body});
         }
-    if (now >= held_due_) {
-        held_due_ = 1e18;
-        for (auto& [id, account] : accounts_) report(now, id, account);
+    if (now >= deferred_reports_at_s_) {
+        deferred_reports_at_s_ = kNoDeadlineS;
+        for (auto& [id, state] : reporter_states_) report_if_due(now, id, state);
     }
-    for (auto& [owner, ids] : queues_)
-        if (!ids.empty()) flush(now, owner);
+    for (auto& [owner, ids] : queued_reports_)
+        if (!ids.empty()) send_reports(now, owner);
 }
 
 double RateLimitNode::next_deadline() const {
-    double next = there_.size() < 2 ? held_due_ : std::min(held_due_, noticed_at_ + kNoticeEvery);
-    for (const auto& [owner, since] : owed_since_)
-        if (since >= 0) next = std::min(next, since + kSilentAfter);
-    for (const auto& [number, report] : out_)
-        next = std::min(next, report.sent_at + kAgain * (owner_silent(report.owner) ? 4 : 1));
-    for (const auto& [owner, ids] : queues_)
+    double next = alive_members_.size() < 2
+                      ? deferred_reports_at_s_
+                      : std::min(deferred_reports_at_s_, last_event_at_s_ + kPauseCheckPeriodS);
+    for (const auto& [owner, since] : awaiting_reply_since_s_)
+        if (since >= 0) next = std::min(next, since + kUnresponsiveAfterS);
+    for (const auto& [number, report] : reports_in_flight_)
+        next = std::min(next, report.last_sent_at_s + retransmit_period_s(report.owner));
+    for (const auto& [owner, ids] : queued_reports_)
         if (!ids.empty()) next = std::min(next, 0.0);
     return next;
 }
 
-// The least used of a few, those that lose nothing by it first.
-template <class Table, class Full>
-void RateLimitNode::forget(Table& table, Full full) {
+// Evicts one of a few randomly chosen entries: one that loses nothing by it, else the least recently used.
+template <class Table, class LosesNothing>
+void RateLimitNode::evict_one(Table& table, LosesNothing loses_nothing_by_it) {
     if (table.empty()) return;
-    auto worst = table.end();
-    bool worst_full = false;
+    auto victim = table.end();
+    bool victim_loses_nothing = false;
     std::size_t bucket = random_() % table.bucket_count();
-    for (std::size_t looked = 0; looked < kLooked; bucket = (bucket + 1) % table.bucket_count())
-        for (auto at = table.begin(bucket); at != table.end(bucket) && looked < kLooked; ++at, ++looked) {
-            const bool loses_nothing = full(at->first, at->second);
-            if (worst != table.end() &&
-                (worst_full > loses_nothing ||
-                 (worst_full == loses_nothing && worst->second.used_at <= at->second.used_at)))
+    for (std::size_t candidates = 0; candidates < kEvictionCandidates;
+         bucket = (bucket + 1) % table.bucket_count())
+        for (auto at = table.begin(bucket); at != table.end(bucket) && candidates < kEvictionCandidates;
+             ++at, ++candidates) {
+            const bool loses_nothing = loses_nothing_by_it(at->first, at->second);
+            if (victim != table.end() && (victim_loses_nothing > loses_nothing ||
+                                          (victim_loses_nothing == loses_nothing &&
+                                           victim->second.last_used_at_s <= at->second.last_used_at_s)))
                 continue;
-            worst = table.find(at->first);
-            worst_full = loses_nothing;
+            victim = table.find(at->first);
+            victim_loses_nothing = loses_nothing;
         }
-    forgotten_ += !worst_full;
-    table.erase(worst);
+    lossy_evictions_ += !victim_loses_nothing;
+    table.erase(victim);
 }
 
 }   // namespace slatejunction::fleet_rate_limit
--- a/src/fleet_rate_limit/rate_limit_node.hpp
+++ b/src/fleet_rate_limit/rate_limit_node.hpp
@@ -1,16 +1,25 @@
-// Limits by key that hold for all ingresses together. Each key has an owner among them (the highest of a
-// hash of key and name: Thaler, Ravishankar 1998), which keeps its store; the others let requests pass on
-// what the owner said last, hold at most a credit of units that it has not heard of, and report. Nothing is
-// waited for. Where the owner does not answer each keeps to its share of rate and burst.
+// Rate limits by key that hold over all ingresses of a fleet.
 //
-// A decision room: asks, datagrams, who is there and the time in; verdicts and datagrams out. What it
-// promises: bound.hpp. Who is there is a hint: two that take themselves for a key's owner give their parts
-// of the rate by how many each sees, so a list that is wrong costs what bound() says, and only while it is.
+// Rule: the owner of a key, one of the alive ingresses, keeps its token bucket; every other ingress admits
+// a request if the level that the owner last replied has room for it, or at most
+// Settings::max_unreported_units are not yet known to the owner, and reports what it admitted. While the
+// owner does not answer, an ingress admits from its fallback bucket, an even share of rate and burst. No
+// request waits for a reply. Inputs: requests (limit, key, units), datagrams, the alive members, the time
+// (s). Output: whether to admit and how long to wait (s), datagrams, the next deadline. Error bound:
+// error_bound() (staleness_bound.hpp), units beyond burst + rate * t. Reason: the owner is the alive
+// ingress with the highest random weight of name and key (rendezvous hashing: Thaler, Ravishankar 1998), so
+// a change of members moves the keys of the changed ones alone. Membership is a hint: two ingresses that
+// both take themselves for the owner each grant the fraction of the rate that the members they see have, so
+// a wrong list costs what error_bound() states, only while it is wrong. Where to see it: the measures and
+// the status page of app::FleetLimitPart.
+//
+// A state machine without I/O or clock. Equal settings, seed and inputs give equal outputs.
 #pragma once
 
 #include <cstdint>
 #include <deque>
 #include <map>
+#include <optional>
 #include <random>
 #include <string>
 #include <string_view>
@@ -26,122 +35,145 @@
 class Batch;
 }
 
-inline constexpr double kSilentAfter = 0.25;   // s without an answer, from where on shares are kept to
-inline constexpr double kNoticeEvery = 0.25;   // s, between looks at the time at most
-inline constexpr double kStoodStill = 1;   // s without one: others may have taken its keys over meanwhile
-inline constexpr double kAgain = 0.08;     // s, until a report that has no answer is sent again
-inline constexpr double kHeldFor =
-    0.5;   // s at most that units far from the limit are kept before they are told
-inline constexpr std::size_t kBatchMost = 30;     // keys in one datagram
-inline constexpr std::size_t kRemembered = 16;    // reports of one process whose answers are kept
-inline constexpr std::size_t kReporters = 1024;   // processes whose reports are remembered
+inline constexpr double kUnresponsiveAfterS = 0.25;   ///< without a reply, until fallback buckets are used
+inline constexpr double kPauseCheckPeriodS = 0.25;    ///< between two checks for a process pause, at most
+inline constexpr double kProcessPauseS =
+    1;   ///< without an event: others may have owned its keys meanwhile
+inline constexpr double kRetransmitS = 0.08;       ///< until a report without a reply is sent again
+inline constexpr double kReportDelayS = 0.5;       ///< by which a report far from the limit may be delayed
+inline constexpr std::size_t kMaxBatchKeys = 30;   ///< in one datagram
+inline constexpr std::size_t kRepliesKept = 16;    ///< for each reporting process
+inline constexpr std::size_t kMaxReporters = 1024;   ///< processes whose reports are remembered
 
+/// Settings of one ingress.
 struct Settings {
-    std::string name;                  // this ingress
-    std::vector<std::string> all;      // every ingress of the fleet, this one too; sorted
-    double credit = 2;                 // units
-    std::size_t keys_most = 100'000;   // accounts here, and as many stores as an owner
+    std::string name;                     ///< of this ingress
+    std::vector<std::string> ingresses;   ///< of the whole fleet with this one; sorted
+    double max_unreported_units = 2;      ///< of a key
+    std::size_t max_keys = 100'000;       ///< as a reporter, and as many as an owner
 };
 
+/// One ingress's part in the fleet's rate limits.
 class RateLimitNode {
   public:
     RateLimitNode(Settings settings, std::uint64_t seed);
 
-    // The limit of that number by its definition, the same at all ingresses.
+    /// Defines or changes a limit. `limit` is derived from its definition and is equal at all ingresses.
     void define(std::uint32_t limit, const LimitSpec& spec) { specs_[limit] = spec; }
-    // Who is there, this one with them; sorted.
-    void set_alive_members(double now, std::vector<std::string> there);
+    /// `alive`: sorted, with this ingress; names that are not in Settings::ingresses are ignored.
+    void set_alive_members(double now, std::vector<std::string> alive);
 
-    // 0: a request of so many units may pass; else so many seconds until it may. Draws nothing.
+    /// Time (s) until a request of `units` may be admitted; 0: it may be now. Consumes nothing.
     double retry_after_s(double now, std::uint32_t limit, std::uint64_t key, double units);
+    /// The request was admitted.
     void consume(double now, std::uint32_t limit, std::uint64_t key, double units);
 
-    void receive(double now, const std::string& from, std::uint64_t process, std::string_view body);
+    /// A datagram of ingress `from`; `process` identifies its incarnation.
+    void on_datagram(double now, const std::string& from, std::uint64_t process, std::string_view body);
     void on_timer(double now);
     double next_deadline() const;
     struct OutgoingDatagram {
         std::string to;
         std::string body;
     };
-    std::vector<OutgoingDatagram> take_outgoing() { return std::exchange(posts_, {}); }
+    std::vector<OutgoingDatagram> take_outgoing() { return std::exchange(outgoing_, {}); }
 
     const std::string& owner(std::uint32_t limit, std::uint64_t key) const;
-    bool owner_silent(const std::string& owner) const;   // it has not answered for kSilentAfter
-    std::size_t accounts() const { return accounts_.size(); }
-    std::size_t owned_buckets() const { return stores_.size(); }
-    std::uint64_t forgotten() const { return forgotten_; }   // accounts or stores that were not full
-    std::uint64_t unreadable() const { return unreadable_; }
-    std::uint64_t process_pauses() const { return doubts_; }   // times that this one had stood still
-    std::uint64_t sent() const { return sent_; }               // datagrams
+    /// It has not replied for kUnresponsiveAfterS.
+    bool owner_unresponsive(const std::string& owner) const;
+    std::size_t reported_keys() const { return reporter_states_.size(); }
+    std::size_t owned_buckets() const { return owned_buckets_.size(); }
+    /// Evictions of a key whose bucket was not full or whose usage was not reported.
+    std::uint64_t lossy_evictions() const { return lossy_evictions_; }
+    std::uint64_t malformed_datagrams() const { return malformed_datagrams_; }
+    /// Pauses of this process of at least kProcessPauseS.
+    std::uint64_t process_pauses() const { return process_pauses_; }
+    std::uint64_t datagrams_sent() const { return datagrams_sent_; }
 
   private:
-    static constexpr double kNever = -1e18;
-    struct Id {
+    static constexpr double kNeverS = -1e18;
+    struct BucketId {
         std::uint32_t limit = 0;
         std::uint64_t key = 0;
-        bool operator==(const Id&) const = default;
+        bool operator==(const BucketId&) const = default;
     };
-    struct Hash {
-        std::size_t operator()(const Id& id) const {
+    struct BucketIdHash {
+        std::size_t operator()(const BucketId& id) const {
             return static_cast<std::size_t>(id.key ^ (id.limit * 0x9e3779b97f4a7c15ULL));
         }
     };
-    // At the ingress.
-    struct Account {
-        double level = 0, known_at = kNever;   // as the owner said last; kNever: never
-        double unreported = 0, flying = 0;     // units passed on credit; flying: in the report that is out
-        double tally = 0, flying_tally = 0;    // units passed of the share
-        double since = 0;                      // the first unit of either that is not reported
-        double share_full_at = kNever;         // of the share
-        double used_at = 0;
-        bool queued = false;
+    // What this ingress knows of a key that another one owns.
+    struct ReporterState {
+        double owner_level = 0;              // units left, by the owner's last reply
+        double owner_level_at_s = kNeverS;   // of that reply; kNeverS: none
+        double unreported_units = 0;         // admitted by the owner's level
+        double in_flight_units = 0;          // of them, in the report in flight
+        double fallback_units = 0;           // admitted from the fallback bucket
+        double in_flight_fallback_units = 0;
+        double unreported_since_s = 0;   // of the first unit that is not reported
+        double fallback_full_at_s = kNeverS;
+        double last_used_at_s = 0;
+        bool report_queued = false;
     };
-    // At the owner: full again at that time.
-    struct Store {
-        double full_at = 0, used_at = 0;
+    // The bucket of a key that this ingress owns.
+    struct OwnedBucket {
+        double full_at_s = 0;   // theoretical arrival time
+        double last_used_at_s = 0;
     };
+    // A report that has no reply yet.
     struct Report {
         std::uint64_t number = 0;
         std::string owner;
-        std::vector<Id> ids;
+        std::vector<BucketId> buckets;
         std::string body;
-        double sent_at = 0, first_at = 0;
+        double last_sent_at_s = 0;
     };
+    // A process that reports to this ingress as the owner.
     struct Reporter {
-        std::deque<std::pair<std::uint64_t, std::string>> answers;   // by number
-        std::uint64_t highest = 0;
-        double heard_at = 0;
+        std::deque<std::pair<std::uint64_t, std::string>>
+            recent_replies;   // number of the report, datagram
+        std::uint64_t highest_number = 0;
+        double last_received_at_s = 0;
     };
 
-    void notice(double now);
+    void detect_process_pause(double now);
+    void rescale_owned_buckets(double now, double before, double after);
+    void requeue_reports_to_departed_owners(double now);
+    void requeue_all(double now);
     const LimitSpec* spec(std::uint32_t limit) const;
-    double part() const;   // of rate and burst that this side has
-    double level(const LimitSpec& spec, const Account& account, double now) const;
-    double share_level(const LimitSpec& spec, const Account& account, double now) const;
-    double spend(double now, const Id& id, const LimitSpec& spec, double units, bool knows, double hint);
-    void report(double now, const Id& id, Account& account);
-    void flush(double now, const std::string& owner);
-    void answer(double now, const std::string& from, std::uint64_t process, const wire::Batch& batch);
-    void answered(double now, const wire::Batch& batch);
-    void give_up(double now, Report& report);
-    template <class Table, class Full>
-    void forget(Table& table, Full full);
+    double visible_fraction() const;
+    double owner_retry_after_s(double now, const BucketId& id, const LimitSpec& spec, double units) const;
+    double available_units(const LimitSpec& spec, const ReporterState& state, double now) const;
+    double fallback_units_available(const LimitSpec& spec, const ReporterState& state, double now) const;
+    double charge_owned_bucket(double now, const BucketId& id, const LimitSpec& spec, double units,
+                               std::optional<double> last_known_level);
+    void report_if_due(double now, const BucketId& id, ReporterState& state);
+    void send_reports(double now, const std::string& owner);
+    void on_report(double now, const std::string& from, std::uint64_t process, const wire::Batch& batch);
+    void on_reply(double now, const wire::Batch& batch);
+    void requeue_report(double now, Report& report);
+    double retransmit_period_s(const std::string& owner) const;
+    template <class Table, class LosesNothing>
+    void evict_one(Table& table, LosesNothing loses_nothing_by_it);
 
     const Settings settings_;
     std::mt19937_64 random_;
     std::map<std::uint32_t, LimitSpec> specs_;
-    std::vector<std::string> there_;
-    std::unordered_map<Id, Account, Hash> accounts_;
-    std::unordered_map<Id, Store, Hash> stores_;
-    std::map<std::string, std::vector<Id>> queues_;   // to be reported, by owner
-    std::map<std::uint64_t, Report> out_;             // by number
-    std::map<std::string, double> owed_since_;        // owners that owe an answer, since when
-    std::map<std::uint64_t, Reporter> reporters_;     // by process
-    std::vector<OutgoingDatagram> posts_;
-    std::uint64_t numbers_ = 0, forgotten_ = 0, unreadable_ = 0, sent_ = 0;
-    double held_due_ = 1e18;
-    double noticed_at_ = kNever;
-    std::uint64_t doubts_ = 0;
+    std::vector<std::string> alive_members_;
+    std::unordered_map<BucketId, ReporterState, BucketIdHash> reporter_states_;
+    std::unordered_map<BucketId, OwnedBucket, BucketIdHash> owned_buckets_;
+    std::map<std::string, std::vector<BucketId>> queued_reports_;   // by owner
+    std::map<std::uint64_t, Report> reports_in_flight_;             // by number
+    std::map<std::string, double> awaiting_reply_since_s_;          // by owner; negative: unresponsive
+    std::map<std::uint64_t, Reporter> reporters_;                   // by process
+    std::vector<OutgoingDatagram> outgoing_;
+    std::uint64_t last_report_number_ = 0;
+    std::uint64_t lossy_evictions_ = 0;
+    std::uint64_t malformed_datagrams_ = 0;
+    std::uint64_t datagrams_sent_ = 0;
+    std::uint64_t process_pauses_ = 0;
+    double deferred_reports_at_s_ = 1e18;   // when the first delayed report is due
+    double last_event_at_s_ = kNeverS;
 };
 
 }   // namespace slatejunction::fleet_rate_limit
--- a/src/fleet_rate_limit/settings.hpp
+++ b/src/fleet_rate_limit/settings.hpp
@@ -1,10 +1,12 @@
-// The operator's [fleet_limits] section: what all limits with scope = fleet have in common.
+// The operator's [fleet_limits] section: settings that all limits with scope = fleet share. A field is
+// named as its key.
 #pragma once
 
 #include "ini/ini.hpp"
 
 namespace slatejunction::fleet_rate_limit {
 
+/// credit: Settings::max_unreported_units; keys_max: Settings::max_keys.
 struct Options {
     double credit = 2;
     std::int64_t keys_max = 100'000;
--- a/src/fleet_rate_limit/staleness_bound.hpp
+++ b/src/fleet_rate_limit/staleness_bound.hpp
@@ -1,5 +1,6 @@
-// What a limit of the whole fleet promises, as functions of its settings: code, docs, check-config,
-// measures and tests call these. Units that may pass beyond burst + rate * t in any window of t seconds.
+// Error bound of a limit that holds over the fleet, as pure functions of its settings: units that may be
+// admitted beyond burst + rate * t in any window of t seconds. Called by RateLimitNode, the checks of the
+// configuration, measures and tests.
 #pragma once
 
 #include <algorithm>
@@ -7,62 +8,68 @@
 
 namespace slatejunction::fleet_rate_limit {
 
+/// A limit's definition.
 struct LimitSpec {
-    double rate = 0;                // units a second, over all ingresses
-    double burst = 1;               // units
-    double max_request_units = 1;   // units of the largest request
+    double rate = 0;                ///< units a second, over all ingresses
+    double burst = 1;               ///< units
+    double max_request_units = 1;   ///< of one request
     bool operator==(const LimitSpec&) const = default;
 };
 
-inline constexpr double kLateMost = 2;   // s
+inline constexpr double kMaxReplyDelayS = 2;   ///< s, that the `late_replies` bound holds for
 
-// Units that one ingress may have let pass without its owner's word on them.
-inline double credit(const LimitSpec& s, double wanted) { return std::max(wanted, s.max_request_units); }
+/// Units that one ingress may have admitted of a key and not reported.
+inline double max_unreported(const LimitSpec& s, double wanted) {
+    return std::max(wanted, s.max_request_units);
+}
 
-// One ingress's own part, while no owner answers it.
-inline double share_rate(const LimitSpec& s, std::size_t ingresses) {
+/// An even share of rate (units a second) and burst (units), for an ingress whose owner does not answer.
+inline double fallback_rate(const LimitSpec& s, std::size_t ingresses) {
     return s.rate / static_cast<double>(ingresses);
 }
-inline double share_burst(const LimitSpec& s, std::size_t ingresses) {
+inline double fallback_burst(const LimitSpec& s, std::size_t ingresses) {
     return std::max(s.burst / static_cast<double>(ingresses), s.max_request_units);
 }
 
+/// Units, by what is wrong in the fleet.
 struct ErrorBound {
-    double healthy = 0;      // all hear one another within kSilentAfter
-    double late = 0;         // answers are lost or late, none longer than kLateMost: beside any other
-    double cut_off = 0;      // some are cut off, or the fleet is split in two, and it heals
-    double owner_lost = 0;   // a key's owner is killed
-    double stopped = 0;      // an ingress stands still, and wakes
-    double restarted = 0;    // for each restart of an ingress
+    double healthy = 0;         ///< all replies arrive within kUnresponsiveAfterS
+    double late_replies = 0;    ///< replies are lost or late by up to kMaxReplyDelayS; adds to any other
+    double partition = 0;       ///< ingresses are cut off or the fleet is split in two, and heals
+    double owner_lost = 0;      ///< a key's owner crashes
+    double process_pause = 0;   ///< an ingress is suspended and resumes
+    double per_restart = 0;     ///< added by each restart of an ingress
 };
 
-// `ingresses`: of the whole fleet; `apart`: of them, those on the smaller sides; `known_s`: until all know
-// who is gone or back (membership::known_within_s).
-//
-//   healthy: each ingress may hold a credit that its owner has not heard of.
-//
-//   late: an ingress that waits spends its share and tells of it afterwards; that is the error.
-//
-//   cut off: whoever is apart from a key's owner, be it all but the owner, spends a store of its share,
-//   then those apart have an owner of their own; until lists have changed, at the fault and again when it
-//   heals, their part of the rate and of the store is given twice.
-//
-//   owner lost: every ingress spends its share's store, and the next owner may begin with a full one.
-//
-//   stopped: the same; it wakes with empty stores (Room::notice), and gives the whole rate until its list
-//   has changed.
+/// `wanted_credit`: Settings::max_unreported_units; `ingresses`: number of the whole fleet; `apart`: number
+/// on the smaller side of a partition; `known_s`: time (s) until all know which members are alive
+/// (membership::known_within_s).
+///
+/// - healthy: each ingress may have max_unreported() units that the owner does not know of.
+/// - late_replies: an ingress that waits admits from its fallback bucket and reports that afterwards.
+/// - partition: every ingress separated from a key's owner, at most all others, empties its fallback
+/// bucket; then the
+///   separated ones have an owner of their own. Until the membership has changed, when the partition begins
+///   and again when it heals, their fraction of rate and burst is granted twice.
+/// - owner_lost: every ingress empties its fallback bucket, and the next owner may start with a full
+/// bucket.
+/// - process_pause: the same; the process resumes with empty buckets (RateLimitNode::detect_process_pause)
+/// and grants the
+///   whole rate until its membership has changed.
 inline ErrorBound error_bound(const LimitSpec& s, double wanted_credit, std::size_t ingresses,
                               std::size_t apart, double known_s) {
-    const double n = static_cast<double>(ingresses), away = static_cast<double>(apart);
-    const double held = n * credit(s, wanted_credit), shares = share_burst(s, ingresses);
-    ErrorBound b;
-    b.healthy = held;
-    b.late = n * shares + s.rate * kLateMost;
-    b.cut_off = held + n * shares + 2 * (s.burst + s.rate * known_s) * away / n;
-    b.owner_lost = held + n * shares + s.burst;
-    b.restarted = credit(s, wanted_credit) + shares;
-    b.stopped = b.owner_lost + b.restarted + s.rate * known_s;
-    return b;
+    const double n = static_cast<double>(ingresses);
+    const double separated = static_cast<double>(apart);
+    const double unreported = n * max_unreported(s, wanted_credit);
+    const double fallback = fallback_burst(s, ingresses);
+    ErrorBound bound;
+    bound.healthy = unreported;
+    bound.late_replies = n * fallback + s.rate * kMaxReplyDelayS;
+    bound.partition = unreported + n * fallback + 2 * (s.burst + s.rate * known_s) * separated / n;
+    bound.owner_lost = unreported + n * fallback + s.burst;
+    bound.per_restart = max_unreported(s, wanted_credit) + fallback;
+    bound.process_pause = bound.owner_lost + bound.per_restart + s.rate * known_s;
+    return bound;
 }
 
 }   // namespace slatejunction::fleet_rate_limit
--- a/tests/fleet/limits_test.cpp
+++ b/tests/fleet/limits_test.cpp
@@ -65,7 +65,7 @@
     // Cut off from both others: it keeps to its share.
     fleet.cut_off(0);
     press(150);
-    CHECK(store.worst <= bound.cut_off);
+    CHECK(store.worst <= bound.partition);
     fleet.heal();
     REQUIRE(wait_for([&] { return fleet.all_know_all(); }, 30));
     for (std::size_t victim = 1; victim < 3; ++victim) {
@@ -77,8 +77,8 @@
         down.erase(victim);
         REQUIRE(wait_for([&] { return fleet.all_know_all(); }, 30));
         // What passed beyond the limit is owed first: as much as the bound allows, at the limit's rate.
-        const double owed_s = (bound.owner_lost + bound.restarted + 1) / spec.rate;
+        const double owed_s = (bound.owner_lost + bound.per_restart + 1) / spec.rate;
         CHECK(wait_for([&] { return press(10) > 0; }, owed_s));
     }
-    CHECK(store.worst <= bound.owner_lost + bound.restarted);
+    CHECK(store.worst <= bound.owner_lost + bound.per_restart);
 }
--- a/tests/fleet_rate_limit/rate_limit_node_test.cpp
+++ b/tests/fleet_rate_limit/rate_limit_node_test.cpp
@@ -1,4 +1,4 @@
-// Limits over the fleet: rooms beside exact stores, and the plain cases.
+// Rate limits over the fleet: seeded schedules of faults compared with exact buckets, and single cases.
 #include <catch2/catch.hpp>
 
 #include "fleet_rate_limit/world.hpp"
@@ -33,56 +33,56 @@
 }
 
 TEST_CASE("floods of new keys take no lasting memory and forget no key that is asked for", "[fleetlimit]") {
-    RateLimitNode room({"n0", {"n0"}, 2, 1000}, 1);
-    room.define(1, {1, 5, 1});
+    RateLimitNode node({"n0", {"n0"}, 2, 1000}, 1);
+    node.define(1, {1, 5, 1});
     double now = 0;
     for (std::uint64_t key = 0; key < 20'000; ++key) {
-        room.consume(now, 1, 1'000'000 + key, 1);
-        if (key % 100 == 0) room.consume(now, 1, 7, 0.1);
+        node.consume(now, 1, 1'000'000 + key, 1);
+        if (key % 100 == 0) node.consume(now, 1, 7, 0.1);
         now += 1e-4;
     }
-    CHECK(room.owned_buckets() <= 1000);
-    CHECK(room.retry_after_s(now, 1, 7, 5) > 0);
+    CHECK(node.owned_buckets() <= 1000);
+    CHECK(node.retry_after_s(now, 1, 7, 5) > 0);
 }
 
 TEST_CASE("owners are spread evenly, and a death moves its keys alone", "[fleetlimit]") {
     std::vector<std::string> all;
     for (int i = 0; i < 10; ++i) all.push_back("n" + std::to_string(i));
-    RateLimitNode room({"n0", all, 2, 1000}, 1);
-    room.define(1, {1, 5, 1});
-    room.set_alive_members(0, all);
+    RateLimitNode node({"n0", all, 2, 1000}, 1);
+    node.define(1, {1, 5, 1});
+    node.set_alive_members(0, all);
     std::map<std::string, int> count;
     std::vector<std::string> before;
     for (std::uint64_t key = 0; key < 10'000; ++key)
-        ++count[room.owner(1, key)], before.push_back(room.owner(1, key));
+        ++count[node.owner(1, key)], before.push_back(node.owner(1, key));
     for (const auto& [name, keys] : count) CHECK(std::abs(keys - 1000) < 150);
     std::vector<std::string> less(all);
     less.erase(less.begin() + 3);
-    room.set_alive_members(1, less);
+    node.set_alive_members(1, less);
     for (std::uint64_t key = 0; key < 10'000; ++key)
-        if (before[key] != "n3") REQUIRE(room.owner(1, key) == before[key]);
+        if (before[key] != "n3") REQUIRE(node.owner(1, key) == before[key]);
 }
 
-TEST_CASE("who stood still gives nothing from its old stores", "[fleetlimit]") {
-    RateLimitNode room({"n0", {"n0", "n1"}, 2, 1000}, 1);
-    room.define(1, {1, 5, 1});
-    room.set_alive_members(0, {"n0", "n1"});
+TEST_CASE("a process that was paused grants nothing from its old buckets", "[fleetlimit]") {
+    RateLimitNode node({"n0", {"n0", "n1"}, 2, 1000}, 1);
+    node.define(1, {1, 5, 1});
+    node.set_alive_members(0, {"n0", "n1"});
     std::uint64_t own = 0;
-    while (room.owner(1, own) != "n0") ++own;
-    room.consume(0, 1, own, 1);
-    for (double now = 0; now < 3; now += kNoticeEvery) room.on_timer(now);
-    CHECK(room.process_pauses() == 0);
-    CHECK(room.retry_after_s(3, 1, own, 1) == 0);
-    CHECK(room.retry_after_s(3 + 2 * kStoodStill, 1, own, 1) > 0);
-    CHECK(room.process_pauses() == 1);
+    while (node.owner(1, own) != "n0") ++own;
+    node.consume(0, 1, own, 1);
+    for (double now = 0; now < 3; now += kPauseCheckPeriodS) node.on_timer(now);
+    CHECK(node.process_pauses() == 0);
+    CHECK(node.retry_after_s(3, 1, own, 1) == 0);
+    CHECK(node.retry_after_s(3 + 2 * kProcessPauseS, 1, own, 1) > 0);
+    CHECK(node.process_pauses() == 1);
 }
 
-TEST_CASE("what is no report changes nothing", "[fleetlimit]") {
-    RateLimitNode room({"n0", {"n0", "n1"}, 2, 1000}, 1);
-    room.define(1, {1, 5, 1});
-    room.receive(0, "n1", 9, "noise");
-    room.receive(0, "n1", 9, "");
-    CHECK(room.unreadable() == 2);
-    CHECK(room.take_outgoing().empty());
-    CHECK(room.retry_after_s(0, 2, 5, 100) == 0);   // a limit that is not known limits nothing
+TEST_CASE("a malformed datagram changes nothing", "[fleetlimit]") {
+    RateLimitNode node({"n0", {"n0", "n1"}, 2, 1000}, 1);
+    node.define(1, {1, 5, 1});
+    node.on_datagram(0, "n1", 9, "noise");
+    node.on_datagram(0, "n1", 9, "");
+    CHECK(node.malformed_datagrams() == 2);
+    CHECK(node.take_outgoing().empty());
+    CHECK(node.retry_after_s(0, 2, 5, 100) == 0);   // a limit that is not known limits nothing
 }
