--- a/bench/scale/crowd.cpp
+++ b/bench/scale/crowd.cpp
@@ -43,10 +43,10 @@
     }
     void run(double until) { events_.run_until(until); }
     double now() const { return events_.now(); }
-    double sent() const { return static_cast<double>(member_.tally().sent_bytes); }
+    double sent() const { return static_cast<double>(member_.traffic().sent_bytes); }
     double heard() const { return heard_; }
-    double datagrams() const { return static_cast<double>(member_.tally().sent); }
-    double held_back() const { return static_cast<double>(member_.tally().held_back); }
+    double datagrams() const { return static_cast<double>(member_.traffic().sent); }
+    double held_back() const { return static_cast<double>(member_.traffic().rate_limited); }
     double cpu() const { return cpu_; }
     double most_cpu() const { return most_cpu_; }
     double most_bytes() const { return most_bytes_; }
@@ -80,7 +80,7 @@
     }
     void give(std::size_t i, const Packet& packet) {
         const std::string bytes = packet.SerializeAsString();
-        heard_ += static_cast<double>(bytes.size() + membership::kSealBytes);
+        heard_ += static_cast<double>(bytes.size() + membership::kAuthOverheadBytes);
         {
             const Booked booked(meter_, &cpu_);
             member_.receive(now(), process(i), true, bytes);
@@ -130,8 +130,8 @@
             Packet ping = packet(i, kPing);
             ping.set_number(++numbers_);
             give(i, ping);
-            const double every =
-                membership::kSyncLeast + membership::kSyncPerMember * static_cast<double>(others_);
+            const double every = membership::kMinSyncPeriods +
+                                 membership::kSyncPeriodsPerMember * static_cast<double>(others_);
             if (std::uniform_real_distribution<double>(0, 1)(random_) < 1 / every) {
                 teach();
                 Packet sync = packet(i, kSync);
@@ -179,7 +179,8 @@
         crowd.forget_worst();
         const double from = crowd.now(), sent = crowd.sent(), heard = crowd.heard(), cpu = crowd.cpu();
         const double datagrams = crowd.datagrams(), held_back = crowd.held_back();
-        const double s = 3 * (membership::kSyncLeast + membership::kSyncPerMember * static_cast<double>(n));
+        const double s =
+            3 * (membership::kMinSyncPeriods + membership::kSyncPeriodsPerMember * static_cast<double>(n));
         crowd.run(from + s);
         steady.add({static_cast<double>(n), static_cast<double>(crowd.known()),
                     (crowd.sent() - sent + crowd.heard() - heard) / s, (crowd.datagrams() - datagrams) / s,
--- a/bench/scale/fleet.cpp
+++ b/bench/scale/fleet.cpp
@@ -56,7 +56,7 @@
         by_address_[ingress_address(i, zone(i))] = i;
     }
     std::sort(names_.begin(), names_.end());
-    for (std::size_t i = 0; i < plan_.voters; ++i) voters_.names.push_back(ingress_name(i));
+    for (std::size_t i = 0; i < plan_.voters; ++i) voters_.current.push_back(ingress_name(i));
     for (std::size_t i = 0; i < std::min(plan_.started, plan_.ingresses); ++i)
         events_.at(draw(0, plan_.start_s), [this, i] { start(i); });
     look();
@@ -89,7 +89,7 @@
         settings.address = ingress_address(i, zone(i));
         settings.site = zone_name(zone(i));
         settings.version = "0.1.0";
-        settings.interval_s = plan_.interval_s;
+        settings.protocol_period_s = plan_.interval_s;
         for (std::size_t s = 0; s < 5 && s < plan_.ingresses; ++s)
             settings.seeds.push_back(ingress_address(s, zone(s)));
         node.members = std::make_unique<membership::SwimMembership>(settings, node.process, random_());
@@ -162,7 +162,7 @@
 void Fleet::arrive(std::size_t to, std::uint64_t process, const std::string& bytes) {
     if (!nodes_[to]) return;
     Node& node = *nodes_[to];
-    const std::size_t size = bytes.size() + (node.seal ? 0 : membership::kSealBytes);
+    const std::size_t size = bytes.size() + (node.seal ? 0 : membership::kAuthOverheadBytes);
     spent_[to].heard[0] += size;
     {
         const Booked booked(meter_, account(to, Duty::membership));
@@ -190,16 +190,16 @@
     {
         const Booked booked(meter_, account(i, Duty::membership));
         datagrams = node.members->take_datagrams();
-        heard = node.members->take_heard();
+        heard = node.members->take_messages();
         changes = node.members->take_changes();
     }
     for (membership::Datagram& one : datagrams) {
         spent.datagrams[0] += 1;
-        spent.bytes[0] += one.payload.size() + membership::kSealBytes;
+        spent.bytes[0] += one.payload.size() + membership::kAuthOverheadBytes;
         const auto to = by_address_.find(one.address);
         if (to != by_address_.end()) carry(i, one.process, to->second, std::move(one.payload));
     }
-    spent.held_back = node.members->tally().held_back;
+    spent.held_back = node.members->traffic().rate_limited;
     const std::uint64_t process = node.process;
     for (const membership::ReceivedMessage& one : heard) {
         spent.heard[0] -= arrived;
@@ -208,7 +208,7 @@
         if (!nodes_[i] || nodes_[i]->process != process) return;
     }
     for (const membership::MemberChange& one : changes) {
-        if (one.what != membership::MemberChange::What::state ||
+        if (one.kind != membership::MemberChange::Kind::state_changed ||
             one.member.state != membership::MemberState::gone)
             continue;
         const auto& other = nodes_[by_name_.at(one.member.name)];
@@ -244,11 +244,11 @@
     }
     for (membership::Datagram& one : datagrams) {
         spent.datagrams[static_cast<std::size_t>(duty)] += 1;
-        spent.bytes[static_cast<std::size_t>(duty)] += one.payload.size() + membership::kSealBytes;
+        spent.bytes[static_cast<std::size_t>(duty)] += one.payload.size() + membership::kAuthOverheadBytes;
         const auto at = by_address_.find(one.address);
         if (at != by_address_.end()) carry(i, one.process, at->second, std::move(one.payload));
     }
-    spent.held_back = node.members->tally().held_back;
+    spent.held_back = node.members->traffic().rate_limited;
     return !datagrams.empty();
 }
 
@@ -286,9 +286,9 @@
             {
                 const Booked booked(meter_, account(i, duty));
                 fleet_counters::Report report;
-                if (!fleet_counters::read(body, report)) return;
+                if (!fleet_counters::decode(body, report)) return;
                 if (report.cuts.empty())
-                    node.teller->acknowledge(report.process, report.counted);
+                    node.teller->acknowledge(report.process, report.acknowledged_period);
                 else
                     more = node.collector->on_report(now(), unix_s(), ingress_name(from), report);
             }
@@ -326,9 +326,9 @@
         {
             const Booked booked(meter_, account(i, Duty::sums));
             if (change.kind == lease::LeaseEvent::Kind::lost)
-                node.collector->lose(), node.answers.clear();
+                node.collector->end_term(), node.answers.clear();
             else
-                node.collector->hold(now(), unix_s(), change.fencing_token);
+                node.collector->begin_term(now(), unix_s(), change.fencing_token);
         }
         pump_sums(i);
     }
@@ -340,9 +340,9 @@
                       lease::RegisterMessage& answer) {
     Node& node = *nodes_[i];
     const lease::Acceptor* const voter = node.leases ? node.leases->acceptor() : nullptr;
-    if (!node.notes || !voter || !voter->may_vote(now()) || message.epoch < voter->step()) return false;
+    if (!node.notes || !voter || !voter->is_voting(now()) || message.epoch < voter->epoch()) return false;
     if (!node.notes->receive(message, answer)) return false;
-    answer.epoch = voter->step();
+    answer.epoch = voter->epoch();
     return true;
 }
 
@@ -352,14 +352,14 @@
     bool answers = false;
     {
         const Booked booked(meter_, account(i, Duty::notes));
-        if (!lease::read(body, message)) return;
+        if (!lease::decode(body, message)) return;
         if (message.kind == Kind::read || message.kind == Kind::write) {
             answers = keep_note(i, message, answer);
         } else if (nodes_[i]->collector) {
-            nodes_[i]->collector->on_note(now(), unix_s(), ingress_name(from), message);
+            nodes_[i]->collector->on_register_message(now(), unix_s(), ingress_name(from), message);
         }
     }
-    if (answers) say(i, Duty::notes, ingress_name(from), lease::write(answer));
+    if (answers) say(i, Duty::notes, ingress_name(from), lease::encode(answer));
     if (nodes_[i]->collector) pump_sums(i);
 }
 
@@ -417,7 +417,7 @@
         report = node.teller->report();
         if (!report) return;
         to = conductor(i);
-        body = fleet_counters::write(*report);
+        body = fleet_counters::encode(*report);
     }
     if (to == ingress_name(i)) {
         {
@@ -440,35 +440,36 @@
         std::vector<fleet_counters::Row> rows;
         {
             const Booked booked(meter_, account(i, Duty::sums));
-            posts = node.collector->take_posts();
+            posts = node.collector->take_register_messages();
             rows = node.collector->take_rows();
-            for (auto& answer : node.collector->take_answers()) node.answers.push_back(std::move(answer));
+            for (auto& answer : node.collector->take_acknowledgements())
+                node.answers.push_back(std::move(answer));
         }
         for (const auto& post : posts) {
             if (post.to != ingress_name(i)) {
-                say(i, Duty::notes, post.to, lease::write(post.message));
+                say(i, Duty::notes, post.to, lease::encode(post.message));
                 continue;
             }
             lease::RegisterMessage answer;
             const Booked booked(meter_, account(i, Duty::notes));
             if (!keep_note(i, post.message, answer)) continue;
-            node.collector->on_note(now(), unix_s(), ingress_name(i), answer);
+            node.collector->on_register_message(now(), unix_s(), ingress_name(i), answer);
             more = true;
         }
         for (const fleet_counters::Row& row : rows) {
             ++rows_;
             row_delay_ = unix_s() - static_cast<double>(row.period) * plan_.period_s;
             row_processes_ = row.processes;
-            node.collector->on_sent(row.period);
+            node.collector->on_rows_delivered(row.period);
         }
     }
     for (std::size_t k = 0; k < kAnswersAtOnce && !node.answers.empty(); ++k) {
         const auto answer = std::move(node.answers.front());
         node.answers.pop_front();
         if (answer.to == ingress_name(i))
-            node.teller->acknowledge(answer.report.process, answer.report.counted);
+            node.teller->acknowledge(answer.report.process, answer.report.acknowledged_period);
         else
-            say(i, Duty::sums, answer.to, fleet_counters::write(answer.report));
+            say(i, Duty::sums, answer.to, fleet_counters::encode(answer.report));
     }
     if (!node.answers.empty() && !std::exchange(node.answering, true))
         events_.at(now() + kAnswersEvery, [this, i, process = node.process] {
@@ -477,13 +478,13 @@
             pump_sums(i);
         });
     if (plan_.membership) pump_members(i);
-    arm(i, Duty::sums, node.collector->due(now(), unix_s()));
+    arm(i, Duty::sums, node.collector->next_deadline(now(), unix_s()));
 }
 
 std::uint64_t Fleet::turned_away() const {
     std::uint64_t sum = 0;
     for (const auto& one : nodes_)
-        if (one && one->collector) sum += one->collector->turned_away();
+        if (one && one->collector) sum += one->collector->rejected_reports();
     return sum;
 }
 
@@ -544,7 +545,7 @@
         if (duty == Duty::membership && node.members->next_deadline() <= now())
             node.members->on_timer(now());
         if (duty == Duty::leases && node.leases->next_deadline() <= now()) node.leases->on_timer(now());
-        if (duty == Duty::sums) node.collector->wake(now(), unix_s());
+        if (duty == Duty::sums) node.collector->on_timer(now(), unix_s());
         if (duty == Duty::limits) node.limits->on_timer(now());
     }
     if (duty == Duty::membership) pump_members(i);
--- a/bench/scale/fleet.hpp
+++ b/bench/scale/fleet.hpp
@@ -132,7 +132,7 @@
         std::unique_ptr<lease::RegisterAcceptor> notes;
         std::unique_ptr<fleet_counters::Reporter> teller;
         std::unique_ptr<fleet_counters::Aggregator> collector;
-        std::deque<fleet_counters::Aggregator::Answer> answers;
+        std::deque<fleet_counters::Aggregator::Acknowledgement> answers;
         std::unique_ptr<fleet_rate_limit::RateLimitNode> limits;
         fleet_counters::Values values{};
         std::uint64_t period = 0, told_holds = 0;
--- a/bench/scale/membership.cpp
+++ b/bench/scale/membership.cpp
@@ -100,7 +100,8 @@
         const Look from = Look::of(fleet_);
         const std::uint64_t wrong = fleet_.false_deaths();
         // Two full exchanges, as src/membership/detection_bounds.hpp spaces them.
-        if (!fleet_.run(fleet_.now() + 2 * (membership::kSyncLeast + membership::kSyncPerMember * n_)))
+        if (!fleet_.run(fleet_.now() +
+                        2 * (membership::kMinSyncPeriods + membership::kSyncPeriodsPerMember * n_)))
             return false;
         const Look to = Look::of(fleet_);
         const double s = to.at - from.at;
--- a/bench/scale/rollout_fleet.cpp
+++ b/bench/scale/rollout_fleet.cpp
@@ -261,8 +261,8 @@
         const Booked booked(meter_, account(from));
         bytes = std::make_shared<const std::string>(it.seal->seal(process, *body));
     }
-    const std::size_t around =
-        (it.seal ? 0 : membership::kSealBytes) + (is_control(from) && is_control(to) ? kEnvelope : 0);
+    const std::size_t around = (it.seal ? 0 : membership::kAuthOverheadBytes) +
+                               (is_control(from) && is_control(to) ? kEnvelope : 0);
     spent_[from].sent_bytes += bytes->size() + around;
     ++spent_[from].sent;
     if (!nodes_[to].up) return;
--- a/src/app/fleet_component.cpp
+++ b/src/app/fleet_component.cpp
@@ -15,7 +15,7 @@
 namespace slatejunction::app {
 namespace {
 
-using lease::boot_s;
+using lease::boot_clock_s;
 using Json = rapidjson::Writer<rapidjson::StringBuffer>;
 
 constexpr double kQuorum = 3;   // times a grant's life in which a majority must have answered
@@ -70,7 +70,7 @@
     if (telemetry) telemetry->join([this](metrics::Measures& measures) { count(measures); });
     if (!options.lease.on()) return;
     const auto settings = lease::settings_of(options.lease, config.name);
-    const bool votes = settings.acceptors.all().contains(config.name);
+    const bool votes = settings.acceptors.members().contains(config.name);
     if (votes && !options.metrics.directory.empty()) {
         home_ = std::make_unique<lease::FileAcceptorStorage>(options.metrics.directory);
         if (!home_->quarantined_path().empty())
@@ -82,10 +82,10 @@
     // from.
     const std::uint64_t floor = unix_ms();
     leases_ = std::make_unique<lease::LeaseNode>(settings, peers_.process(), config.seed ^ peers_.process(),
-                                                 boot_s(), floor, home_ ? home_->restored() : nullptr,
+                                                 boot_clock_s(), floor, home_ ? home_->restored() : nullptr,
                                                  home_.get());
     peers_.listen(membership::Channel::lease, [this](const membership::ReceivedMessage& heard) {
-        leases_->receive(boot_s(), heard.from, heard.body);
+        leases_->receive(boot_clock_s(), heard.from, heard.body);
         pump();
     });
     if (!options.lease.announce_url.empty())
@@ -129,7 +129,7 @@
     ways.send_register_message = [this](const std::string& to, const std::string& body) {
         if (to != name_) return void(peers_.send(to, membership::Channel::registers, body));
         lease::RegisterMessage message, answer;
-        if (lease::read(body, message) && keep_note(message, answer))
+        if (lease::decode(body, message) && keep_note(message, answer))
             sums_->on_register_message(name_, answer);
     };
     sums_ = std::make_unique<fleet_counters::Driver>(
@@ -145,13 +145,13 @@
 void FleetPart::start() {
     peers_.start();
     if (!leases_) return;
-    leases_->campaign(boot_s(), kConductor);
+    leases_->campaign(boot_clock_s(), kConductor);
     if (sums_) sums_->start();
     pump();
 }
 
 bool FleetPart::leader_may_act(lease::Permit& permit) const {
-    return leases_ && leases_->permit(boot_s(), kConductor, permit);
+    return leases_ && leases_->permit(boot_clock_s(), kConductor, permit);
 }
 
 void FleetPart::on_members(std::function<void(const std::vector<std::string>&)> call) {
@@ -187,29 +187,30 @@
 // While the voter waits for what it may have granted, it keeps and tells none either.
 bool FleetPart::keep_note(const lease::RegisterMessage& message, lease::RegisterMessage& answer) {
     const lease::Acceptor* const voter = leases_->acceptor();
-    if (left_ || !notes_ || !voter || !voter->may_vote(boot_s())) return false;
-    if (message.epoch < voter->step() || !notes_->receive(message, answer)) return false;
-    answer.epoch = voter->step();
-    if (!notes_home_ || notes_->changes() == notes_kept_) return true;
+    if (left_ || !notes_ || !voter || !voter->is_voting(boot_clock_s())) return false;
+    if (message.epoch < voter->epoch() || !notes_->receive(message, answer)) return false;
+    answer.epoch = voter->epoch();
+    if (!notes_home_ || notes_->revision() == notes_kept_) return true;
     if (!notes_home_->save(notes_->registers())) {
         if (!std::exchange(told_not_kept_, true))
             log_.write(Log::Level::error, net::now(), "lease: a voter's note can't be written: %s",
                        notes_home_->last_error().c_str());
         return false;
     }
-    notes_kept_ = notes_->changes();
+    notes_kept_ = notes_->revision();
     return true;
 }
 
 void FleetPart::hear_note(const std::string& from, std::string_view body) {
     using Kind = lease::RegisterMessage::Kind;
     lease::RegisterMessage message, answer;
-    if (!lease::read(body, message)) return;
+    if (!lease::decode(body, message)) return;
     if (message.kind != Kind::read && message.kind != Kind::write) {
         if (sums_) sums_->on_register_message(from, message);
         return;
     }
-    if (keep_note(message, answer)) peers_.send(from, membership::Channel::registers, lease::write(answer));
+    if (keep_note(message, answer))
+        peers_.send(from, membership::Channel::registers, lease::encode(answer));
 }
 
 void FleetPart::stop(double, std::function<void()> done) {
@@ -226,7 +227,7 @@
     left_ = true;
     if (announce_) announce_->set_held(false);
     if (leases_) {
-        leases_->release(boot_s(), kConductor);
+        leases_->release(boot_clock_s(), kConductor);
         pump();
     }
     timer_.disarm();
@@ -239,19 +240,19 @@
     if (announce_) announce_->set_held(false);
     if (sums_) sums_->stop();
     lease::wire::Holds all;
-    for (const auto& hold : leases_->export_holds(boot_s())) {
+    for (const auto& hold : leases_->export_holds(boot_clock_s())) {
         lease::wire::Hold& one = *all.add_hold();
         one.set_lease(hold.lease);
         one.set_holder(hold.holder);
         one.set_round(hold.round);
         one.set_number(hold.fencing_token);
-        one.set_until(hold.until);
-        one.set_since(hold.since);
+        one.set_until(hold.valid_until);
+        one.set_since(hold.held_since);
     }
     const lease::Acceptor* const voter = leases_->acceptor();
-    if (voter && voter->may_vote(boot_s())) {
-        lease::write({voter->step(), voter->grants()}, *all.mutable_voter());
-        if (notes_ && notes_->remembers()) lease::write(notes_->registers(), *all.mutable_notes());
+    if (voter && voter->is_voting(boot_clock_s())) {
+        lease::encode({voter->epoch(), voter->grants()}, *all.mutable_voter());
+        if (notes_ && notes_->remembers()) lease::encode(notes_->registers(), *all.mutable_notes());
     }
     on_process_leaving();
     return all.SerializeAsString();
@@ -265,18 +266,19 @@
         holds.push_back({one.lease(), one.holder(), one.round(), one.number(), one.until(), one.since()});
         if (one.lease().starts_with(drain_lease()) && !leases_->campaigning(drain_lease())) {
             draining_ = drained_ = true;
-            leases_->campaign(boot_s(), drain_lease(), static_cast<unsigned>(options_.lease.drains));
+            leases_->campaign(boot_clock_s(), drain_lease(),
+                              static_cast<unsigned>(options_.lease.max_draining));
         }
     }
-    if (all.has_voter()) leases_->restore_acceptor(boot_s(), lease::read(all.voter()));
-    if (all.has_notes() && notes_) notes_->restore(lease::read(all.notes()));
-    leases_->import_holds(boot_s(), holds);
+    if (all.has_voter()) leases_->restore_acceptor(boot_clock_s(), lease::decode(all.voter()));
+    if (all.has_notes() && notes_) notes_->restore(lease::decode(all.notes()));
+    leases_->import_holds(boot_clock_s(), holds);
     pump();
 }
 
 void FleetPart::wake() {
     if (left_) return;
-    if (leases_->next_deadline() <= boot_s()) leases_->on_timer(boot_s());
+    if (leases_->next_deadline() <= boot_clock_s()) leases_->on_timer(boot_clock_s());
     pump();
 }
 
@@ -297,7 +299,7 @@
                    "lease: the voter's memory can't be written, it does not vote: %s",
                    home_->last_error().c_str());
     if (const double next = leases_->next_deadline(); next < 1e17 && !left_)
-        timer_.arm(net::now() + std::max(0.0, next - boot_s()));
+        timer_.arm(net::now() + std::max(0.0, next - boot_clock_s()));
     else
         timer_.disarm();
 }
@@ -358,15 +360,16 @@
             reply({404, "no leases here"});
         } else {
             const bool good =
-                leases_->has_quorum(boot_s(), kQuorum * options_.lease.times.grant_duration_s);
+                leases_->has_quorum(boot_clock_s(), kQuorum * options_.lease.times.grant_duration_s);
             reply({good ? 200 : 503, good ? "quorum" : "no quorum"});
         }
         return true;
     }
-    if (!leases_ || options_.lease.drains == 0 || left_) return false;
+    if (!leases_ || options_.lease.max_draining == 0 || left_) return false;
     if (call.kind == What::drain) {
         draining_ = true;
-        leases_->campaign(boot_s(), drain_lease(), static_cast<unsigned>(options_.lease.drains));
+        leases_->campaign(boot_clock_s(), drain_lease(),
+                          static_cast<unsigned>(options_.lease.max_draining));
         pump();
         if (drained_) return false;   // the ingress answers, as ever
         reply({202, "waits for a slot"});
@@ -375,7 +378,7 @@
     if (call.kind == What::activate && draining_) {
         draining_ = false;
         drained_ = false;
-        leases_->release(boot_s(), drain_lease());
+        leases_->release(boot_clock_s(), drain_lease());
         pump();
     }
     return false;
@@ -394,19 +397,19 @@
     double disputed = 0;
     for (const membership::Member& one : peers_.members().list()) {
         ++states[static_cast<std::size_t>(one.state)];
-        disputed += one.disputed;
+        disputed += one.name_conflict;
     }
     for (std::size_t i = 0; i < states.size(); ++i) set(Id::peers_members, states[i], i);
     set(Id::peers_disputed, disputed);
-    const membership::TrafficCounts& tally = peers_.members().tally();
+    const membership::TrafficCounts& tally = peers_.members().traffic();
     moved(Id::peers_sent, tally.sent);
     moved(Id::peers_sent_bytes, tally.sent_bytes);
     constexpr std::size_t kRead = 2;   // kinds of opened datagrams that are read
-    for (std::size_t i = kRead; i < membership::kOpened.size(); ++i)
-        moved(Id::peers_dropped, peers_.seal().counts()[i], i - kRead);
-    moved(Id::peers_dropped, tally.held_back, metrics::kNotRead.size() - 1);
+    for (std::size_t i = kRead; i < membership::kOpenResultNames.size(); ++i)
+        moved(Id::peers_dropped, peers_.auth().counts()[i], i - kRead);
+    moved(Id::peers_dropped, tally.rate_limited, metrics::kNotRead.size() - 1);
     if (!leases_) return;
-    const double now = boot_s();
+    const double now = boot_clock_s();
     double held = 0;
     for (const lease::LeaseStatus& one : leases_->statuses())
         held += one.state == lease::Candidate::State::held;
@@ -422,10 +425,10 @@
         moved(Id::lease_acts, announce_->failed(), 2);
     }
     if (!sums_) return;
-    moved(Id::sums_rows, sums_->rows());
-    moved(Id::sums_skipped, sums_->aggregator().skipped());
+    moved(Id::sums_rows, sums_->delivered_rows());
+    moved(Id::sums_skipped, sums_->aggregator().skipped_periods());
     moved(Id::sums_left_out, sums_->reporter().dropped_requests());
-    set(Id::sums_behind, static_cast<double>(sums_->behind()));
+    set(Id::sums_behind, static_cast<double>(sums_->periods_behind()));
 }
 
 // Operators. ------------------------------------------------------------------------------------------
@@ -433,16 +436,16 @@
 std::string FleetPart::describe() const {
     rapidjson::StringBuffer out;
     Json json(out);
-    const double now = net::now(), boot = boot_s();
+    const double now = net::now(), boot = boot_clock_s();
     const membership::SwimMembership& members = peers_.members();
     json.StartObject();
     text(json, "name", name_);
     json.Key("stale_s");
     json.Double(members.staleness_s());
     json.Key("waits_for_name");
-    json.Bool(members.waits_for_name());
+    json.Bool(members.awaiting_name());
     json.Key("health");
-    json.Int(members.health());
+    json.Int(members.local_health_score());
     json.Key("members");
     json.StartArray();
     for (const membership::Member& one : members.list()) {
@@ -451,22 +454,22 @@
         text(json, "site", one.site);
         text(json, "address", one.address);
         text(json, "version", one.version);
-        text(json, "state", membership::kStates[static_cast<int>(one.state)]);
+        text(json, "state", membership::kMemberStateNames[static_cast<int>(one.state)]);
         json.Key("incarnation");
         json.Uint(one.incarnation);
         json.Key("since_s");
-        json.Double(now - one.since);
+        json.Double(now - one.state_since);
         json.Key("disputed");
-        json.Bool(one.disputed);
+        json.Bool(one.name_conflict);
         json.EndObject();
     }
     json.EndArray();
     // Datagrams that were dropped before they were read, by why.
     json.Key("dropped");
     json.StartObject();
-    for (std::size_t i = 2; i < membership::kOpened.size(); ++i) {
-        json.Key(membership::kOpened[i].data());
-        json.Uint64(peers_.seal().counts()[i]);
+    for (std::size_t i = 2; i < membership::kOpenResultNames.size(); ++i) {
+        json.Key(membership::kOpenResultNames[i].data());
+        json.Uint64(peers_.auth().counts()[i]);
     }
     json.EndObject();
     if (leases_) {
@@ -475,7 +478,7 @@
         json.Key("quorum");
         json.Bool(leases_->has_quorum(boot, kQuorum * options_.lease.times.grant_duration_s));
         const lease::Acceptor* const voter = leases_->acceptor();
-        text(json, "voting", !voter ? "no" : voter->may_vote(boot) ? "yes" : "waits");
+        text(json, "voting", !voter ? "no" : voter->is_voting(boot) ? "yes" : "waits");
         json.Key("leases");
         json.StartArray();
         for (const lease::LeaseStatus& one : leases_->statuses()) {
@@ -490,7 +493,7 @@
             json.Key("number");
             json.Uint64(one.fencing_token);
             json.Key("left_s");
-            json.Double(held ? one.until - boot : 0);
+            json.Double(held ? one.valid_until - boot : 0);
             json.EndObject();
         }
         json.EndArray();
@@ -518,13 +521,13 @@
     lease.epoch = options_.lease.epoch;
     const bool later = as_here != options_.membership || lease != options_.lease;
     if (fresh.membership.on())
-        peers_.members().set_via(membership::settings_of(fresh.membership, name_,
-                                                         peers_.members().self().site,
-                                                         SLATEJUNCTION_VERSION)
-                                     .via);
+        peers_.members().set_address_overrides(membership::settings_of(fresh.membership, name_,
+                                                                       peers_.members().self().site,
+                                                                       SLATEJUNCTION_VERSION)
+                                                   .address_overrides);
     options_.membership.via = fresh.membership.via;
     if (leases_ && fresh.lease.on()) {
-        leases_->set_acceptors(boot_s(), lease::settings_of(fresh.lease, name_).acceptors);
+        leases_->set_acceptors(boot_clock_s(), lease::settings_of(fresh.lease, name_).acceptors);
         if (sums_) sums_->set_acceptors(leases_->settings().acceptors);
         options_.lease.acceptors = fresh.lease.acceptors;
         options_.lease.previous_acceptors = fresh.lease.previous_acceptors;
--- a/src/app/program.cpp
+++ b/src/app/program.cpp
@@ -50,7 +50,8 @@
 // Every ingress of the fleet by name, this one too; sorted.
 std::vector<std::string> ingresses_of(const operator_config::Options& options, const std::string& name) {
     std::vector<std::string> all{name};
-    for (const auto& [other, address] : membership::settings_of(options.membership, name, "", "").known)
+    for (const auto& [other, address] :
+         membership::settings_of(options.membership, name, "", "").static_members)
         all.push_back(other);
     std::sort(all.begin(), all.end());
     all.erase(std::unique(all.begin(), all.end()), all.end());
--- a/src/app/rollout_component.cpp
+++ b/src/app/rollout_component.cpp
@@ -27,7 +27,7 @@
 // The control machines: the voters of the lease.
 std::vector<std::string> replicas_of(const operator_config::Options& options, const std::string& name) {
     if (!options.rollout.control()) return {};
-    return lease::settings_of(options.lease, name).acceptors.names;
+    return lease::settings_of(options.lease, name).acceptors.current;
 }
 
 void text(Json& json, const char* key, const std::string& value) {
--- a/src/fleet_counters/aggregator.hpp
+++ b/src/fleet_counters/aggregator.hpp
@@ -21,22 +21,24 @@
 
 namespace slatejunction::fleet_counters {
 
-inline constexpr std::size_t kPages = 10;   // notes of entries, so that 300 processes and their heirs fit
-inline constexpr std::size_t kRowsKept = 14;      // rows in the totals' note: what a receiver may be behind
-inline constexpr std::size_t kEntriesMost = 85;   // a page
+inline constexpr std::size_t kPageCount =
+    10;   // notes of entries, so that 300 processes and their heirs fit
+inline constexpr std::size_t kMaxRetainedRows =
+    14;   // rows in the totals' note: what a receiver may be behind
+inline constexpr std::size_t kMaxPageEntries = 85;   // a page
 
 struct Settings {
-    double every_s = 0;   // a period
-    double grace_s = 1;   // after a period's end, until what has come is summed
+    double period_s = 0;   // a period
+    double grace_s = 1;    // after a period's end, until what has come is summed
 };
 
 // How late a period's row is handed to the receiver at most, after its end, while a majority of the voters
 // and the holder hear one another: the grace, then three rounds of notes (pages, totals; one more after a
 // change of holder).
-double row_within_s(const Settings& settings, const lease::LeaseTimes& times, double round_trip_s);
+double row_delay_bound_s(const Settings& settings, const lease::LeaseTimes& times, double round_trip_s);
 // After a holder's death the next one must first be found, and hears everybody's reports for a grace.
-double row_within_after_death_s(const Settings& settings, const lease::LeaseTimes& times,
-                                double round_trip_s, int seekers);
+double row_delay_bound_after_failover_s(const Settings& settings, const lease::LeaseTimes& times,
+                                        double round_trip_s, int seekers);
 
 struct Row {
     std::uint64_t period = 0;
@@ -50,74 +52,86 @@
                std::uint64_t seed);
 
     // Times: `now` s of the leases' clock, `unix_s` the wall clock's.
-    void hold(double now, double unix_s, std::uint64_t number);
-    void lose();
-    void set_voters(double now, const lease::AcceptorSet& voters) { book_.set_acceptors(now, voters); }
-    void on_note(double now, double unix_s, const std::string& voter,
-                 const lease::RegisterMessage& message);
+    void begin_term(double now, double unix_s, std::uint64_t number);
+    void end_term();
+    void set_acceptors(double now, const lease::AcceptorSet& voters) {
+        registers_.set_acceptors(now, voters);
+    }
+    void on_register_message(double now, double unix_s, const std::string& voter,
+                             const lease::RegisterMessage& message);
     // Whether anything came of it: who does not hold the lease sums nothing.
     bool on_report(double now, double unix_s, const std::string& from, const Report& report);
     // Rows up to this period have been taken by the receiver.
-    void on_sent(std::uint64_t period) { sent_ = std::max(sent_, period); }
-    void wake(double now, double unix_s);
-    double due(double now, double unix_s) const;   // of the leases' clock
+    void on_rows_delivered(std::uint64_t period) {
+        delivered_period_ = std::max(delivered_period_, period);
+    }
+    void on_timer(double now, double unix_s);
+    double next_deadline(double now, double unix_s) const;   // of the leases' clock
 
-    std::vector<lease::RegisterClient::OutgoingMessage> take_posts() { return book_.take_outgoing(); }
+    std::vector<lease::RegisterClient::OutgoingMessage> take_register_messages() {
+        return registers_.take_outgoing();
+    }
     // To be written, oldest first, if the lease still permits it.
     std::vector<Row> take_rows() { return std::exchange(rows_, {}); }
-    struct Answer {
+    struct Acknowledgement {
         std::string to;
         Report report;
     };
-    std::vector<Answer> take_answers() { return std::exchange(answers_, {}); }
+    std::vector<Acknowledgement> take_acknowledgements() { return std::exchange(acknowledgements_, {}); }
 
-    bool holds() const { return book_.has_term(); }
-    std::uint64_t done() const { return rows_kept_.empty() ? 0 : rows_kept_.back().period; }
-    std::uint64_t skipped() const { return skipped_; }   // periods without a row, as voters had forgotten
-    std::uint64_t anew() const { return anew_; }         // times that the sums began at 0
-    std::uint64_t turned_away() const { return turned_away_; }   // reports of processes over kEntriesMost
+    bool has_term() const { return registers_.has_term(); }
+    std::uint64_t last_committed_period() const {
+        return retained_rows_.empty() ? 0 : retained_rows_.back().period;
+    }
+    std::uint64_t skipped_periods() const {
+        return skipped_periods_;
+    }                                                  // periods without a row, as voters had forgotten
+    std::uint64_t resets() const { return resets_; }   // times that the sums began at 0
+    std::uint64_t rejected_reports() const {
+        return rejected_reports_;
+    }   // reports of processes over kEntriesMost
 
   private:
     // Reading the notes; taking them over under the new number; between periods; writing one.
-    enum class Stage { off, reading, taking, idle, pages, totals };
+    enum class Stage { off, reading, adopting, idle, writing_pages, writing_totals };
     struct Page {
         std::uint64_t period = 0;
         Values values{};
         std::map<std::uint64_t, std::uint64_t> entries;   // by process: what is counted
     };
-    struct Heard {
+    struct ReceivedReport {
         std::string from;
         Report report;
-        double at = 0;
+        double received_at = 0;
     };
     static std::string page_name(std::size_t page) { return "sums." + std::to_string(page); }
-    static constexpr const char* kTotals = "sums";
-    static std::vector<std::string> names();   // of all notes
-    static std::size_t page_of(std::uint64_t process) { return process % kPages; }
+    static constexpr const char* kTotalsRegister = "sums";
+    static std::vector<std::string> register_names();   // of all notes
+    static std::size_t page_of(std::uint64_t process) { return process % kPageCount; }
 
-    std::uint64_t period_at(double unix_s) const;   // the last one that has ended
-    void load(double unix_s);
-    void step(double now, double unix_s);
-    void begin(double now, std::uint64_t period);
-    void add(Page& page, std::uint64_t period);
-    std::string pack(const Page& page) const;
-    std::string pack_totals() const;
-    bool all_settled() const;
-    void finish();
-    void answer(std::uint64_t process, const Heard& heard);
+    std::uint64_t last_ended_period(double unix_s) const;   // the last one that has ended
+    void load_registers(double unix_s);
+    void advance(double now, double unix_s);
+    void begin_period(double now, std::uint64_t period);
+    void add_reports(Page& page, std::uint64_t period);
+    std::string encode_page(const Page& page) const;
+    std::string encode_totals() const;
+    bool all_committed() const;
+    void publish_rows();
+    void acknowledge(std::uint64_t process, const ReceivedReport& heard);
 
     const Settings settings_;
     const lease::LeaseTimes times_;
-    lease::RegisterClient book_;
+    lease::RegisterClient registers_;
     Stage stage_ = Stage::off;
-    double held_unix_ = 0;
-    std::array<Page, kPages> pages_;
-    std::deque<Row> rows_kept_;
-    std::uint64_t sent_ = 0, told_ = 0;      // the last row handed out
-    std::map<std::uint64_t, Heard> heard_;   // by process
+    double term_began_unix_s_ = 0;
+    std::array<Page, kPageCount> pages_;
+    std::deque<Row> retained_rows_;
+    std::uint64_t delivered_period_ = 0, published_period_ = 0;   // the last row handed out
+    std::map<std::uint64_t, ReceivedReport> reports_;             // by process
     std::vector<Row> rows_;
-    std::vector<Answer> answers_;
-    std::uint64_t skipped_ = 0, anew_ = 0, turned_away_ = 0;
+    std::vector<Acknowledgement> acknowledgements_;
+    std::uint64_t skipped_periods_ = 0, resets_ = 0, rejected_reports_ = 0;
 };
 
 }   // namespace slatejunction::fleet_counters
--- a/src/fleet_counters/driver.cpp
+++ b/src/fleet_counters/driver.cpp
@@ -64,144 +64,147 @@
       version_(std::move(version)),
       process_(process),
       seed_(seed),
-      ways_(std::move(ways)),
+      callbacks_(std::move(ways)),
       timers_(timers),
       log_(log),
       random_(static_cast<std::minstd_rand::result_type>(process)),
-      teller_(process),
-      collector_(options.settings(), times, voters, seed),
+      reporter_(process),
+      aggregator_(options.settings(), times, voters, seed),
       layout_(lay_out(receiver)),
-      cut_timer_(timers, [this] { cut(); }),
-      tell_timer_(timers, [this] { tell(); }),
-      due_timer_(timers, [this] { due(); }),
-      answer_timer_(timers, [this] { pump(); }) {}
+      period_timer_(timers, [this] { record_ended_period(); }),
+      report_timer_(timers, [this] { send_report(); }),
+      aggregator_timer_(timers, [this] { on_aggregator_timer(); }),
+      acknowledgement_timer_(timers, [this] { flush(); }) {}
 
 void Driver::start() {
     first_period_ = last_period_ = static_cast<std::uint64_t>(std::floor(unix_s() / options_.every_s));
-    cut();
+    record_ended_period();
 }
 
 // Wall clocks are set now and then, so the timer looks often and the period decides.
-void Driver::cut() {
+void Driver::record_ended_period() {
     const double unix = unix_s();
     const auto period = static_cast<std::uint64_t>(std::floor(unix / options_.every_s));
     if (period > last_period_) {
         last_period_ = period;
-        teller_.record_period(period, ways_.values());
+        reporter_.record_period(period, callbacks_.values());
         // Not all in one moment.
-        tell_timer_.arm(net::now() +
-                        options_.grace_s / 4 * std::uniform_real_distribution<double>(0, 1)(random_));
+        report_timer_.arm(net::now() +
+                          options_.grace_s / 4 * std::uniform_real_distribution<double>(0, 1)(random_));
     }
     const double left = (static_cast<double>(last_period_) + 1) * options_.every_s - unix;
-    cut_timer_.arm(net::now() + std::clamp(left, 0.001, std::min(kLookMost, options_.every_s)));
+    period_timer_.arm(net::now() + std::clamp(left, 0.001, std::min(kLookMost, options_.every_s)));
 }
 
-void Driver::tell() {
-    const auto report = teller_.report();
+void Driver::send_report() {
+    const auto report = reporter_.report();
     if (!report) return;
-    const std::string holder = ways_.holder();
+    const std::string holder = callbacks_.holder();
     if (holder == name_) {
-        collector_.on_report(lease::boot_s(), unix_s(), name_, *report);
-        pump();
+        aggregator_.on_report(lease::boot_clock_s(), unix_s(), name_, *report);
+        flush();
     } else if (!holder.empty()) {
-        ways_.send_report(holder, write(*report));
+        callbacks_.send_report(holder, encode(*report));
     }
     // Until it is answered; after the grace it waits for the next period's end first.
-    tell_timer_.arm(net::now() +
-                    options_.grace_s / 3 * std::uniform_real_distribution<double>(0.7, 1.3)(random_));
+    report_timer_.arm(net::now() +
+                      options_.grace_s / 3 * std::uniform_real_distribution<double>(0.7, 1.3)(random_));
 }
 
 void Driver::stop() {
     if (std::exchange(stopped_, true)) return;
-    const std::string holder = ways_.holder();
-    teller_.record_period(last_period_ + 1, ways_.values());
-    if (const auto report = teller_.report(); report && !holder.empty() && holder != name_)
-        for (int i = 0; i < kLastWords; ++i) ways_.send_report(holder, write(*report));
+    const std::string holder = callbacks_.holder();
+    reporter_.record_period(last_period_ + 1, callbacks_.values());
+    if (const auto report = reporter_.report(); report && !holder.empty() && holder != name_)
+        for (int i = 0; i < kLastWords; ++i) callbacks_.send_report(holder, encode(*report));
     on_lease_held(0);
-    for (net::Timer* timer : {&cut_timer_, &tell_timer_, &due_timer_, &answer_timer_}) timer->disarm();
+    for (net::Timer* timer : {&period_timer_, &report_timer_, &aggregator_timer_, &acknowledgement_timer_})
+        timer->disarm();
 }
 
 void Driver::on_lease_held(std::uint64_t number) {
     // What waits goes out by whoever holds it next: the rows are in the notes.
     writer_.reset();
-    handed_ = 0;
-    rows_waiting_.clear();
-    answers_.clear();
+    last_delivered_period_ = 0;
+    pending_rows_.clear();
+    pending_acknowledgements_.clear();
     if (number == 0) {
-        collector_.lose();
-        due_timer_.disarm();
+        aggregator_.end_term();
+        aggregator_timer_.disarm();
         return;
     }
     writer_ = std::make_unique<remotewrite::Driver>(receiver_, seed_, version_, timers_, log_);
-    collector_.hold(lease::boot_s(), unix_s(), number);
-    pump();
+    aggregator_.begin_term(lease::boot_clock_s(), unix_s(), number);
+    flush();
 }
 
 void Driver::set_acceptors(const lease::AcceptorSet& voters) {
-    collector_.set_voters(lease::boot_s(), voters);
-    pump();
+    aggregator_.set_acceptors(lease::boot_clock_s(), voters);
+    flush();
 }
 
 void Driver::on_report_message(const std::string& from, std::string_view body) {
     Report report;
-    if (!read(body, report)) return;
+    if (!decode(body, report)) return;
     if (report.cuts.empty())
-        teller_.acknowledge(report.process, report.counted);
-    else if (collector_.on_report(lease::boot_s(), unix_s(), from, report))
-        pump();
+        reporter_.acknowledge(report.process, report.acknowledged_period);
+    else if (aggregator_.on_report(lease::boot_clock_s(), unix_s(), from, report))
+        flush();
 }
 
 void Driver::on_register_message(const std::string& from, const lease::RegisterMessage& message) {
-    collector_.on_note(lease::boot_s(), unix_s(), from, message);
-    pump();
+    aggregator_.on_register_message(lease::boot_clock_s(), unix_s(), from, message);
+    flush();
 }
 
-void Driver::due() {
-    collector_.wake(lease::boot_s(), unix_s());
-    pump();
+void Driver::on_aggregator_timer() {
+    aggregator_.on_timer(lease::boot_clock_s(), unix_s());
+    flush();
 }
 
-void Driver::pump() {
-    if (stopped_ || std::exchange(pumping_, true)) return;
-    if (writer_ && writer_->sender().empty()) collector_.on_sent(handed_);
+void Driver::flush() {
+    if (stopped_ || std::exchange(flushing_, true)) return;
+    if (writer_ && writer_->sender().empty()) aggregator_.on_rows_delivered(last_delivered_period_);
     for (bool more = true; more;) {
         more = false;
-        for (const auto& post : collector_.take_posts()) {
+        for (const auto& post : aggregator_.take_register_messages()) {
             more = true;
-            ways_.send_register_message(post.to, lease::write(post.message));
+            callbacks_.send_register_message(post.to, lease::encode(post.message));
         }
-        for (const Row& row : collector_.take_rows()) rows_waiting_.push_back(row);
-        for (auto& answer : collector_.take_answers())
+        for (const Row& row : aggregator_.take_rows()) pending_rows_.push_back(row);
+        for (auto& answer : aggregator_.take_acknowledgements())
             if (answer.to == name_)
-                teller_.acknowledge(answer.report.process, answer.report.counted);
+                reporter_.acknowledge(answer.report.process, answer.report.acknowledged_period);
             else
-                answers_.push_back(std::move(answer));
+                pending_acknowledgements_.push_back(std::move(answer));
     }
-    hand_over();
-    for (std::size_t i = 0; i < kAnswersAtOnce && !answers_.empty(); ++i) {
-        ways_.send_report(answers_.front().to, write(answers_.front().report));
-        answers_.pop_front();
+    deliver_rows();
+    for (std::size_t i = 0; i < kAnswersAtOnce && !pending_acknowledgements_.empty(); ++i) {
+        callbacks_.send_report(pending_acknowledgements_.front().to,
+                               encode(pending_acknowledgements_.front().report));
+        pending_acknowledgements_.pop_front();
     }
-    if (!answers_.empty()) answer_timer_.arm(net::now() + kAnswersEvery);
-    if (collector_.anew() != std::exchange(told_anew_, collector_.anew()) && collector_.skipped() > 0)
+    if (!pending_acknowledgements_.empty()) acknowledgement_timer_.arm(net::now() + kAnswersEvery);
+    if (aggregator_.resets() != std::exchange(logged_resets_, aggregator_.resets()) &&
+        aggregator_.skipped_periods() > 0)
         log_.write(
             Log::Level::warning, net::now(),
             "fleet_sums: a majority of the voters has forgotten them; they begin at 0, and some periods "
             "have no row");
-    const double now = lease::boot_s(), next = collector_.due(now, unix_s());
-    if (next < 1e17 || !rows_waiting_.empty())
-        due_timer_.arm(net::now() +
-                       std::clamp(next - now, 0.001, rows_waiting_.empty() ? kLookMost : kAgain));
+    const double now = lease::boot_clock_s(), next = aggregator_.next_deadline(now, unix_s());
+    if (next < 1e17 || !pending_rows_.empty())
+        aggregator_timer_.arm(net::now() +
+                              std::clamp(next - now, 0.001, pending_rows_.empty() ? kLookMost : kAgain));
     else
-        due_timer_.disarm();
-    pumping_ = false;
+        aggregator_timer_.disarm();
+    flushing_ = false;
 }
 
 // Whoever is stopped between the permit and the bytes writes what the next holder writes, too.
-void Driver::hand_over() {
-    while (writer_ && !rows_waiting_.empty() && ways_.permit()) {
-        const Row row = rows_waiting_.front();
-        rows_waiting_.pop_front();
+void Driver::deliver_rows() {
+    while (writer_ && !pending_rows_.empty() && callbacks_.permit()) {
+        const Row row = pending_rows_.front();
+        pending_rows_.pop_front();
         remotewrite::Frame frame;
         const double end = static_cast<double>(row.period) * options_.every_s;
         frame.at_ms = std::llround(end * 1e3);
@@ -212,8 +215,8 @@
                                    (i >= weight_offered ? kWeightScale : 1));
         frame.values.push_back(static_cast<double>(row.processes));
         writer_->add(std::move(frame));
-        handed_ = row.period;
-        ++rows_;
+        last_delivered_period_ = row.period;
+        ++delivered_rows_;
         const std::pair<std::string_view, std::string> fields[] = {
             {"period", std::to_string(row.period)},
             {"served", std::to_string(row.values[served])},
--- a/src/fleet_counters/driver.hpp
+++ b/src/fleet_counters/driver.hpp
@@ -39,41 +39,42 @@
     void on_report_message(const std::string& from, std::string_view body);
     void on_register_message(const std::string& from, const lease::RegisterMessage& message);
 
-    const Aggregator& aggregator() const { return collector_; }
-    const Reporter& reporter() const { return teller_; }
-    std::uint64_t rows() const { return rows_; }   // handed to the receiver
+    const Aggregator& aggregator() const { return aggregator_; }
+    const Reporter& reporter() const { return reporter_; }
+    std::uint64_t delivered_rows() const { return delivered_rows_; }   // handed to the receiver
     // Periods that have ended since the last one in which this ingress is in the sums, or since the start.
-    std::uint64_t behind() const {
+    std::uint64_t periods_behind() const {
         return last_period_ -
-               std::min(last_period_, std::max(teller_.acknowledged_period(), first_period_));
+               std::min(last_period_, std::max(reporter_.acknowledged_period(), first_period_));
     }
 
   private:
-    void cut();
-    void tell();
-    void due();
-    void pump();
-    void hand_over();
+    void record_ended_period();
+    void send_report();
+    void on_aggregator_timer();
+    void flush();
+    void deliver_rows();
 
     const Options options_;
     const remotewrite::Settings receiver_;
     const std::string name_, version_;
     const std::uint64_t process_, seed_;
-    const Callbacks ways_;
+    const Callbacks callbacks_;
     net::Timers& timers_;
     Log& log_;
     std::minstd_rand random_;   // of waits only
-    Reporter teller_;
-    Aggregator collector_;
+    Reporter reporter_;
+    Aggregator aggregator_;
     std::shared_ptr<remotewrite::Layout> layout_;
     std::unique_ptr<remotewrite::Driver> writer_;   // while this is the holder
-    std::deque<Row> rows_waiting_;                  // for the lease's permit
-    std::deque<Aggregator::Answer> answers_;        // paced, so that no burst goes out to all
-    net::Timer cut_timer_, tell_timer_, due_timer_, answer_timer_;
-    std::uint64_t rows_ = 0, last_period_ = 0, told_anew_ = 0;
+    std::deque<Row> pending_rows_;                  // for the lease's permit
+    std::deque<Aggregator::Acknowledgement>
+        pending_acknowledgements_;   // paced, so that no burst goes out to all
+    net::Timer period_timer_, report_timer_, aggregator_timer_, acknowledgement_timer_;
+    std::uint64_t delivered_rows_ = 0, last_period_ = 0, logged_resets_ = 0;
     std::uint64_t first_period_ = 0;
-    std::uint64_t handed_ = 0;   // the last row handed over by this writer
-    bool pumping_ = false, stopped_ = false;
+    std::uint64_t last_delivered_period_ = 0;   // the last row handed over by this writer
+    bool flushing_ = false, stopped_ = false;
 };
 
 }   // namespace slatejunction::fleet_counters
--- a/src/fleet_counters/reporter.cpp
+++ b/src/fleet_counters/reporter.cpp
@@ -6,10 +6,10 @@
 
 namespace slatejunction::fleet_counters {
 
-std::string write(const Report& report) {
+std::string encode(const Report& report) {
     wire::Message out;
     out.set_process(report.process);
-    out.set_counted(report.counted);
+    out.set_counted(report.acknowledged_period);
     for (const PeriodCounters& cut : report.cuts) {
         wire::Cut& one = *out.add_cut();
         one.set_period(cut.period);
@@ -18,7 +18,7 @@
     return out.SerializeAsString();
 }
 
-bool read(std::string_view bytes, Report& report) {
+bool decode(std::string_view bytes, Report& report) {
     wire::Message in;
     if (!in.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())) || in.process() == 0) return false;
     report = {in.process(), in.counted(), {}};
@@ -34,22 +34,22 @@
         for (std::size_t i = 0; i < kValues; ++i)
             if (cut.values[i] < before.values[i]) return false;
     }
-    return report.cuts.empty() || report.cuts.front().period == report.counted;
+    return report.cuts.empty() || report.cuts.front().period == report.acknowledged_period;
 }
 
 void Reporter::record_period(std::uint64_t period, const Values& values) {
     if (period <= (cuts_.empty() ? base_.period : cuts_.back().period)) return;
     cuts_.push_back({period, values});
     // Nobody can have counted what was never told: the oldest become one.
-    if (told_first_ == 0) {
-        if (cuts_.size() > kCutsUntold) cuts_.pop_front();
+    if (first_reported_period_ == 0) {
+        if (cuts_.size() > kMaxUnreportedCuts) cuts_.pop_front();
         return;
     }
-    if (period < std::max(base_.period, told_first_) + kForget / 2) return;
-    for (const Value one : {served, refused, failed}) left_out_ += values[one] - base_.values[one];
+    if (period < std::max(base_.period, first_reported_period_) + kForgetPeriods / 2) return;
+    for (const Value one : {served, refused, failed}) dropped_requests_ += values[one] - base_.values[one];
     base_ = cuts_.back();
     cuts_.clear();
-    told_first_ = 0;
+    first_reported_period_ = 0;
 }
 
 std::optional<Report> Reporter::report() {
@@ -57,7 +57,7 @@
     Report made{process_, base_.period, {}};
     made.cuts.push_back(base_);
     for (const PeriodCounters& cut : cuts_) made.cuts.push_back(cut);
-    if (told_first_ == 0) told_first_ = cuts_.back().period;
+    if (first_reported_period_ == 0) first_reported_period_ = cuts_.back().period;
     return made;
 }
 
@@ -67,7 +67,7 @@
         base_ = cuts_.front();
         cuts_.pop_front();
     }
-    if (cuts_.empty()) told_first_ = 0;
+    if (cuts_.empty()) first_reported_period_ = 0;
 }
 
 }   // namespace slatejunction::fleet_counters
--- a/src/fleet_counters/reporter.hpp
+++ b/src/fleet_counters/reporter.hpp
@@ -20,11 +20,11 @@
 using Values = std::array<std::uint64_t, kValues>;
 inline constexpr double kWeightScale = 1e6;
 
-inline constexpr std::size_t kCutsUntold =
+inline constexpr std::size_t kMaxUnreportedCuts =
     8;   // that wait for somebody to tell them to; older ones become one
 // Periods after which the sums forget a process that is silent. One that has told and was not answered for
 // half of them leaves that out for good, as it can't know whether it was counted.
-inline constexpr std::uint64_t kForget = 24;
+inline constexpr std::uint64_t kForgetPeriods = 24;
 
 struct PeriodCounters {
     std::uint64_t period = 0;
@@ -33,11 +33,11 @@
 
 struct Report {
     std::uint64_t process = 0;
-    std::uint64_t counted = 0;          // 0: nothing yet
+    std::uint64_t acknowledged_period = 0;   // 0: nothing yet
     std::vector<PeriodCounters> cuts;   // the first is that of `counted`; empty: it says what was counted
 };
-std::string write(const Report& report);
-bool read(std::string_view bytes, Report& report);   // false: it is none
+std::string encode(const Report& report);
+bool decode(std::string_view bytes, Report& report);   // false: it is none
 
 class Reporter {
   public:
@@ -52,15 +52,16 @@
     std::uint64_t acknowledged_period() const { return base_.period; }
     std::size_t waiting() const { return cuts_.size(); }
     std::uint64_t dropped_requests() const {
-        return left_out_;
+        return dropped_requests_;
     }   // requests that are in no sum, see kForget
 
   private:
     const std::uint64_t process_;
     PeriodCounters base_;
     std::deque<PeriodCounters> cuts_;
-    std::uint64_t told_first_ = 0;   // the newest period when what waits was first told; 0: it was not
-    std::uint64_t left_out_ = 0;
+    std::uint64_t first_reported_period_ =
+        0;   // the newest period when what waits was first told; 0: it was not
+    std::uint64_t dropped_requests_ = 0;
 };
 
 }   // namespace slatejunction::fleet_counters
--- a/src/fleet_counters/settings.cpp
+++ b/src/fleet_counters/settings.cpp
@@ -26,8 +26,9 @@
         "fleet_sums: a row each %g s, handed over at most %.2f s after its period, %.2f s where its "
         "holder died (round trips of 20 ms); what a killed ingress had not told, at most the last "
         "%.2f s of it, is in no row",
-        options.every_s, row_within_s(options.settings(), times, 0.02),
-        row_within_after_death_s(options.settings(), times, 0.02, 1), options.every_s + options.grace_s);
+        options.every_s, row_delay_bound_s(options.settings(), times, 0.02),
+        row_delay_bound_after_failover_s(options.settings(), times, 0.02, 1),
+        options.every_s + options.grace_s);
     return text;
 }
 
--- a/src/lease/acceptor.cpp
+++ b/src/lease/acceptor.cpp
@@ -5,108 +5,139 @@
 namespace slatejunction::lease {
 namespace {
 
-constexpr std::size_t kNameMost = 80;   // bytes
-constexpr double kLivesMost = 3600;     // s
-constexpr double kMsOfWire = 0.002;     // s; a message tells whole ms
+constexpr std::size_t kMaxNameBytes = 80;
+constexpr double kMaxDurationS = 3600;
+constexpr double kDurationToleranceS = 0.002;   // a message carries whole ms, rounded up
+
+bool is_printable(const std::string& text) {
+    for (const char c : text)
+        if (c <= ' ' || c >= 127 || c == '"' || c == '\\') return false;
+    return true;
+}
+
+std::uint32_t to_wire_ms(double duration_s) {
+    return static_cast<std::uint32_t>(std::ceil(std::max(0.0, duration_s) * 1e3));
+}
 
 }   // namespace
 
-std::string write(const Message& message) {
+std::string encode(const Message& message) {
     wire::Message out;
     out.set_kind(static_cast<std::uint32_t>(message.kind));
     out.set_lease(message.lease);
     out.set_holder(message.holder);
     out.set_round(message.round);
-    out.set_number(message.number);
-    out.set_lives_ms(static_cast<std::uint32_t>(std::ceil(std::max(0.0, message.lives_s) * 1e3)));
-    out.set_step(message.step);
-    out.set_name(message.name);
+    out.set_number(message.fencing_token);
+    out.set_lives_ms(to_wire_ms(message.duration_s));
+    out.set_step(message.epoch);
+    out.set_name(message.holder_name);
     return out.SerializeAsString();
 }
 
-bool read(std::string_view bytes, Message& message) {
+bool decode(std::string_view bytes, Message& message) {
     wire::Message in;
     if (!in.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) return false;
-    if (in.kind() < 1 || in.kind() > 5 || in.lease().empty() || in.lease().size() > kNameMost ||
-        in.name().size() > kNameMost || in.holder() == 0 || in.round() == 0)
-        return false;
-    for (const char c : in.lease() + in.name())
-        if (c <= ' ' || c >= 127 || c == '"' || c == '\\') return false;
-    message = {static_cast<Kind>(in.kind()), in.lease(), in.holder(), in.round(), in.number(),
-               in.lives_ms() / 1e3,          in.step(),  in.name()};
-    return message.lives_s <= kLivesMost;
+    if (in.kind() < 1 || in.kind() > 5) return false;
+    if (in.lease().empty() || in.lease().size() > kMaxNameBytes) return false;
+    if (in.name().size() > kMaxNameBytes || in.holder() == 0 || in.round() == 0) return false;
+    if (!is_printable(in.lease()) || !is_printable(in.name())) return false;
+    message.kind = static_cast<MessageKind>(in.kind());
+    message.lease = in.lease();
+    message.holder = in.holder();
+    message.round = in.round();
+    message.fencing_token = in.number();
+    message.duration_s = in.lives_ms() / 1e3;
+    message.epoch = in.step();
+    message.holder_name = in.name();
+    return message.duration_s <= kMaxDurationS;
 }
 
-Acceptor::Acceptor(const LeaseTimes& times, double now, std::uint64_t floor, bool remembers,
-                   const std::map<std::string, Grant>& kept, std::uint32_t step)
-    : times_(times), floor_(floor), step_(step) {
-    if (!remembers) {
-        waits_until_ = now + amnesia_s(times_);
+Acceptor::Acceptor(const LeaseTimes& times, double now, std::uint64_t token_floor, bool has_state,
+                   const std::map<std::string, Grant>& stored, std::uint32_t epoch)
+    : times_(times), token_floor_(token_floor), epoch_(epoch) {
+    if (!has_state) {
+        recovery_ends_at_ = now + recovery_wait_s(times_);
         return;
     }
-    grants_ = kept;
+    grants_ = stored;
     for (auto& [lease, grant] : grants_)
-        if (grant.holder != 0) grant.until = now + times_.grant_duration_s;
+        if (grant.holder != 0) grant.expires_at = now + times_.grant_duration_s;
 }
 
 bool Acceptor::receive(double now, const Message& message, Message& answer) {
-    if (!may_vote(now)) return false;
+    if (!is_voting(now)) return false;
     answer = message;
-    answer.lives_s = 0;
-    answer.step = step_;
-    if (message.step < step_) {
-        answer.kind = Kind::stale;
-        return message.kind == Kind::ask;
+    answer.duration_s = 0;
+    answer.epoch = epoch_;
+    if (message.epoch < epoch_) {
+        answer.kind = MessageKind::stale_epoch;
+        return message.kind == MessageKind::request;
     }
-    auto at = grants_.find(message.lease);
-    if (at == grants_.end()) {
-        if (message.kind != Kind::ask || grants_.size() >= kLeasesMost) return false;
-        at = grants_.emplace(message.lease, Grant{}).first;
-        at->second.number = floor_;
-    }
-    Grant& grant = at->second;
-    if (message.kind == Kind::release) {
-        // Only what was granted up to that round: a later ask may have come before this.
-        if (grant.holder == message.holder && message.round >= grant.round) {
-            grant.until = now;
-            grant.round = message.round;
-            ++changes_;
-        }
-        return false;
+    Grant* const grant = find_or_create_grant(message);
+    if (!grant) return false;
+    if (message.kind == MessageKind::release) release(now, message, *grant);
+    if (message.kind != MessageKind::request) return false;
+    return handle_request(now, message, *grant, answer);
+}
+
+// Null: an unknown lease that this message does not begin, or too many leases.
+Grant* Acceptor::find_or_create_grant(const Message& message) {
+    const auto found = grants_.find(message.lease);
+    if (found != grants_.end()) return &found->second;
+    if (message.kind != MessageKind::request || grants_.size() >= kMaxLeases) return nullptr;
+    Grant& created = grants_[message.lease];
+    created.fencing_token = token_floor_;
+    return &created;
+}
+
+void Acceptor::release(double now, const Message& message, Grant& grant) {
+    // A later request of the same holder may have overtaken this release.
+    if (grant.holder == message.holder && message.round >= grant.round) {
+        grant.expires_at = now;
+        grant.round = message.round;
+        ++revision_;
     }
-    if (message.kind != Kind::ask) return false;
-    answer.number = grant.number;
-    // Guards against files that differ: nobody counts on a grant for longer than it is kept here.
-    if (message.lives_s > times_.grant_duration_s + kMsOfWire) {
-        answer.kind = Kind::denied;
+}
+
+bool Acceptor::handle_request(double now, const Message& request, Grant& grant, Message& answer) {
+    answer.fencing_token = grant.fencing_token;
+    // Configurations that differ: no candidate may rely on a grant for longer than it is kept here.
+    if (request.duration_s > times_.grant_duration_s + kDurationToleranceS) {
+        answer.kind = MessageKind::denied;
         return true;
     }
-    if (grant.holder != message.holder && now < grant.until) {
-        answer.kind = Kind::denied;
-        answer.lives_s = grant.until - now;
-        answer.name = grant.name;
+    if (grant.holder != request.holder && now < grant.expires_at) {
+        answer.kind = MessageKind::denied;
+        answer.duration_s = grant.expires_at - now;
+        answer.holder_name = grant.holder_name;
         return true;
     }
-    if (grant.holder == message.holder && message.round < grant.round) return false;   // late
-    const bool owns = grant.number_of == message.holder && grant.number == message.number;
-    if (message.number != 0 && !owns && message.number <= grant.number) {
-        answer.kind = Kind::denied;   // the number is another's, or passed: seek anew
+    const bool is_old_round = grant.holder == request.holder && request.round < grant.round;
+    if (is_old_round) return false;
+    const bool claims_token = request.fencing_token != 0;
+    const bool owns_token =
+        grant.token_owner == request.holder && grant.fencing_token == request.fencing_token;
+    if (claims_token && !owns_token && request.fencing_token <= grant.fencing_token) {
+        answer.kind = MessageKind::denied;   // the candidate must learn the highest token anew
         return true;
     }
-    if (grant.holder != message.holder || (message.number > grant.number)) ++changes_;
-    grant.holder = message.holder;
-    grant.round = message.round;
-    grant.name = message.name;
-    // By what the settings here say too: a grant never lives longer than amnesia_s() reckons with.
-    grant.until = now + times_.grant_duration_s;
-    if (message.number != 0 && !owns) {
-        grant.number = message.number;
-        grant.number_of = message.holder;
-    }
-    answer.kind = Kind::granted;
-    answer.number = grant.number;
-    answer.lives_s = times_.grant_duration_s;
+    store_grant(now, request, claims_token && !owns_token, grant);
+    answer.kind = MessageKind::granted;
+    answer.fencing_token = grant.fencing_token;
+    answer.duration_s = times_.grant_duration_s;
     return true;
 }
 
+void Acceptor::store_grant(double now, const Message& request, bool claims_token, Grant& grant) {
+    if (grant.holder != request.holder || request.fencing_token > grant.fencing_token) ++revision_;
+    grant.holder = request.holder;
+    grant.round = request.round;
+    grant.holder_name = request.holder_name;
+    // By the duration configured here: recovery_wait_s() relies on it.
+    grant.expires_at = now + times_.grant_duration_s;
+    if (!claims_token) return;
+    grant.fencing_token = request.fencing_token;
+    grant.token_owner = request.holder;
+}
+
 }   // namespace slatejunction::lease
--- a/src/lease/acceptor.hpp
+++ b/src/lease/acceptor.hpp
@@ -1,12 +1,20 @@
-// One voter: which lease it has granted to whom, until when by its own clock, and the highest fencing
-// number it knows of each. A decision room; the clock is one that also runs while the machine sleeps.
+// One acceptor (PaxosLease): to whom it has granted each lease, until when, and the highest fencing token.
 //
-// What it keeps to, and what the proof rests on (docs/design/fleet.md):
-//  1. While a grant lives it grants that lease to nobody else.
-//  2. It takes a number only if that is higher than any it knows, or its own holder's again.
-//  3. A round that is older than one it has seen of that holder changes nothing.
-//  4. Without its state it takes no part for amnesia_s(), and its numbers begin at `floor`.
-//  5. It refuses asks of an earlier step of the voter set than its own, for good.
+// Rule: a request is granted if no grant to another holder is live, its round is not older than the last of
+// that holder, its fencing token is above all known ones or already that holder's, its duration is not
+// longer than this acceptor's own, and its epoch is not older.
+// Inputs: messages, and `now` in s of a clock that also runs while the machine sleeps (boot_clock.hpp).
+// Output: one answer or none; grants() and revision() tell the owner what it must save before it sends it.
+// Invariants (docs/design/fleet.md):
+//  1. While a grant lives the lease is granted to nobody else.
+//  2. A fencing token is accepted only if it is higher than any known one, or its owner's again.
+//  3. A round older than the last one of that holder changes nothing.
+//  4. Without its state the acceptor is silent for recovery_wait_s(), and its tokens begin at
+//  `token_floor`.
+//  5. Requests of an older epoch of the acceptor set are refused, for good.
+// Reason: two majorities share an acceptor, so at most one candidate has a majority of live grants.
+// From: PaxosLease (Trencseni, Gazso, Reinhardt 2012). Seen in: the "voting" field of the admin page.
+// Never does: I/O, reading a clock. LeaseNode owns and calls it.
 #pragma once
 
 #include <cstdint>
@@ -18,53 +26,68 @@
 
 namespace slatejunction::lease {
 
-enum class Kind : std::uint32_t { ask = 1, granted, denied, release, stale };
+/// The values are on the wire.
+enum class MessageKind : std::uint32_t { request = 1, granted, denied, release, stale_epoch };
 
+/// One datagram between a candidate and an acceptor; an answer repeats lease, holder and round.
 struct Message {
-    Kind kind = Kind::ask;
+    MessageKind kind = MessageKind::request;
     std::string lease;
-    std::uint64_t holder = 0, round = 0, number = 0;
-    double lives_s = 0;
-    std::uint32_t step = 0;
-    std::string name;
+    std::uint64_t holder = 0;   ///< identity of the candidate's process, never 0
+    std::uint64_t round = 0;    ///< of that holder and lease; only ever higher
+    /// Of a request: the token claimed, 0 to learn the highest. Of an answer: the highest known.
+    std::uint64_t fencing_token = 0;
+    double duration_s = 0;   ///< of a request: of the grant; of a denial: that another's grant still lives
+    std::uint32_t epoch = 0;   ///< of the acceptor set, by the sender's configuration
+    std::string holder_name;   ///< for people
     bool operator==(const Message&) const = default;
 };
 
-std::string write(const Message& message);
-bool read(std::string_view bytes, Message& message);   // false: it is none
+std::string encode(const Message& message);
+/// False: `bytes` are no valid message.
+bool decode(std::string_view bytes, Message& message);
 
-// What a voter keeps of one lease, for people and for its home.
+/// What an acceptor stores of one lease.
 struct Grant {
-    std::uint64_t holder = 0, round = 0, number = 0, number_of = 0;
-    double until = 0;   // by the voter's clock; in the past: free
-    std::string name;
+    std::uint64_t holder = 0, round = 0;
+    std::uint64_t fencing_token = 0;   ///< the highest known
+    std::uint64_t token_owner = 0;     ///< the holder that claimed it; 0: nobody did
+    double expires_at = 0;             ///< s, the acceptor's clock; in the past: the lease is free
+    std::string holder_name;
 };
 
 class Acceptor {
   public:
-    static constexpr std::size_t kLeasesMost = 256;
+    static constexpr std::size_t kMaxLeases = 256;
 
-    // `floor`: numbers begin above it. `remembers`: `kept` is all that was granted before, and it may take
-    // part at once, each grant counted as if it were given now; else it waits.
-    Acceptor(const LeaseTimes& times, double now, std::uint64_t floor, bool remembers,
-             const std::map<std::string, Grant>& kept = {}, std::uint32_t step = 0);
+    /// `token_floor`: tokens begin above it. `has_state`: `stored` is all that was granted before, and each
+    /// grant counts as given at `now`; otherwise the acceptor is silent until recovery_ends_at().
+    Acceptor(const LeaseTimes& times, double now, std::uint64_t token_floor, bool has_state,
+             const std::map<std::string, Grant>& stored = {}, std::uint32_t epoch = 0);
 
-    // The answer; false: there is none. `ours`: the message's sender is in the set.
+    /// Handles a request or release. False: there is no answer to send.
     bool receive(double now, const Message& message, Message& answer);
-    bool may_vote(double now) const { return now >= waits_until_; }
-    double waits_until() const { return waits_until_; }
-    std::uint32_t step() const { return step_; }
-    void set_step(std::uint32_t step) { step_ = std::max(step_, step); }
+    bool is_voting(double now) const { return now >= recovery_ends_at_; }
+    double recovery_ends_at() const { return recovery_ends_at_; }
+    std::uint32_t epoch() const { return epoch_; }
+    /// The epoch never goes back.
+    void set_epoch(std::uint32_t epoch) { epoch_ = std::max(epoch_, epoch); }
     const std::map<std::string, Grant>& grants() const { return grants_; }
-    std::uint64_t changes() const { return changes_; }   // goes up when what must be kept has changed
+    /// Goes up with each change that must be saved.
+    std::uint64_t revision() const { return revision_; }
 
   private:
+    Grant* find_or_create_grant(const Message& message);
+    void release(double now, const Message& message, Grant& grant);
+    bool handle_request(double now, const Message& request, Grant& grant, Message& answer);
+    void store_grant(double now, const Message& request, bool claims_token, Grant& grant);
+
     const LeaseTimes times_;
-    const std::uint64_t floor_;
-    double waits_until_ = 0;
-    std::uint32_t step_ = 0;
+    const std::uint64_t token_floor_;
+    double recovery_ends_at_ = 0;
+    std::uint32_t epoch_ = 0;
     std::map<std::string, Grant> grants_;
-    std::uint64_t changes_ = 0;
+    std::uint64_t revision_ = 0;
 };
 
 }   // namespace slatejunction::lease
--- a/src/lease/acceptor_storage.cpp
+++ b/src/lease/acceptor_storage.cpp
@@ -6,82 +6,91 @@
 namespace slatejunction::lease {
 namespace {
 
-constexpr char kMagic[] = "sjlease1", kNotesMagic[] = "sjnotes1";   // and version
-constexpr char kFile[] = "leases", kNotesFile[] = "notes";
+constexpr char kGrantsMagic[] = "sjlease1", kRegistersMagic[] = "sjnotes1";   // with the format's version
+constexpr char kGrantsFile[] = "leases", kRegistersFile[] = "notes";
 
 // What the file holds; nothing where there is none or it is broken.
 template <class Wire>
-std::optional<Wire> take(const std::string& directory, const char* file, const char* magic,
-                         std::string& broken) {
-    const auto body = storage::read_checked_file(directory, file, magic, broken);
-    Wire all;
+std::optional<Wire> load(const std::string& directory, const char* file, const char* magic,
+                         std::string& quarantined_path) {
+    const auto body = storage::read_checked_file(directory, file, magic, quarantined_path);
     if (!body) return {};
-    if (all.ParseFromString(*body)) return all;
-    broken = storage::set_aside(directory + "/" + file);
+    Wire content;
+    if (content.ParseFromString(*body)) return content;
+    quarantined_path = storage::set_aside(directory + "/" + file);
     return {};
 }
 
 }   // namespace
 
-void write(const AcceptorState& memory, wire::Memory& out) {
-    out.set_step(memory.step);
-    for (const auto& [lease, grant] : memory.grants) {
-        wire::Granted& one = *out.add_granted();
-        one.set_lease(lease);
-        one.set_holder(grant.holder);
-        one.set_round(grant.round);
-        one.set_number(grant.number);
-        one.set_number_of(grant.number_of);
-        one.set_name(grant.name);
+void encode(const AcceptorState& state, wire::Memory& out) {
+    out.set_step(state.epoch);
+    for (const auto& [lease, grant] : state.grants) {
+        wire::Granted& entry = *out.add_granted();
+        entry.set_lease(lease);
+        entry.set_holder(grant.holder);
+        entry.set_round(grant.round);
+        entry.set_number(grant.fencing_token);
+        entry.set_number_of(grant.token_owner);
+        entry.set_name(grant.holder_name);
     }
 }
 
-AcceptorState read(const wire::Memory& in) {
-    AcceptorState memory;
-    memory.step = in.step();
-    for (const wire::Granted& one : in.granted())
-        memory.grants[one.lease()] = {one.holder(),    one.round(), one.number(),
-                                      one.number_of(), 0,           one.name()};
-    return memory;
+AcceptorState decode(const wire::Memory& in) {
+    AcceptorState state;
+    state.epoch = in.step();
+    for (const wire::Granted& entry : in.granted()) {
+        Grant grant;
+        grant.holder = entry.holder();
+        grant.round = entry.round();
+        grant.fencing_token = entry.number();
+        grant.token_owner = entry.number_of();
+        grant.holder_name = entry.name();
+        state.grants[entry.lease()] = grant;
+    }
+    return state;
 }
 
-void write(const RegisterAcceptor::Registers& kept, wire::Notes& out) {
-    for (const auto& [name, one] : kept) {
-        wire::NoteKept& to = *out.add_kept();
-        to.set_name(name);
-        to.set_promised(one.promised);
-        to.set_number(one.note.fencing_token);
-        to.set_sequence(one.note.sequence);
-        to.set_text(one.note.text);
+void encode(const RegisterAcceptor::Registers& registers, wire::Notes& out) {
+    for (const auto& [name, stored] : registers) {
+        wire::NoteKept& entry = *out.add_kept();
+        entry.set_name(name);
+        entry.set_promised(stored.promised_token);
+        entry.set_number(stored.value.fencing_token);
+        entry.set_sequence(stored.value.sequence);
+        entry.set_text(stored.value.text);
     }
 }
 
-RegisterAcceptor::Registers read(const wire::Notes& in) {
-    RegisterAcceptor::Registers all;
-    for (const wire::NoteKept& one : in.kept())
-        all[one.name()] = {one.promised(), {one.number(), one.sequence(), one.text()}};
-    return all;
+RegisterAcceptor::Registers decode(const wire::Notes& in) {
+    RegisterAcceptor::Registers registers;
+    for (const wire::NoteKept& entry : in.kept())
+        registers[entry.name()] = {entry.promised(), {entry.number(), entry.sequence(), entry.text()}};
+    return registers;
 }
 
 FileAcceptorStorage::FileAcceptorStorage(const std::string& directory) : directory_(directory) {
-    if (const auto all = take<wire::Memory>(directory, kFile, kMagic, broken_)) memory_ = lease::read(*all);
+    const auto content = load<wire::Memory>(directory, kGrantsFile, kGrantsMagic, quarantined_path_);
+    if (content) restored_ = lease::decode(*content);
 }
 
-bool FileAcceptorStorage::save(std::uint32_t step, const std::map<std::string, Grant>& grants) {
-    wire::Memory all;
-    write({step, grants}, all);
-    return storage::write_checked_file(directory_, kFile, kMagic, all.SerializeAsString(), why_);
+bool FileAcceptorStorage::save(std::uint32_t epoch, const std::map<std::string, Grant>& grants) {
+    wire::Memory content;
+    encode({epoch, grants}, content);
+    return storage::write_checked_file(directory_, kGrantsFile, kGrantsMagic, content.SerializeAsString(),
+                                       last_error_);
 }
 
 FileRegisterStorage::FileRegisterStorage(const std::string& directory) : directory_(directory) {
-    if (const auto all = take<wire::Notes>(directory, kNotesFile, kNotesMagic, broken_))
-        kept_ = lease::read(*all);
+    const auto content = load<wire::Notes>(directory, kRegistersFile, kRegistersMagic, quarantined_path_);
+    if (content) restored_ = lease::decode(*content);
 }
 
-bool FileRegisterStorage::save(const RegisterAcceptor::Registers& kept) {
-    wire::Notes all;
-    write(kept, all);
-    return storage::write_checked_file(directory_, kNotesFile, kNotesMagic, all.SerializeAsString(), why_);
+bool FileRegisterStorage::save(const RegisterAcceptor::Registers& registers) {
+    wire::Notes content;
+    encode(registers, content);
+    return storage::write_checked_file(directory_, kRegistersFile, kRegistersMagic,
+                                       content.SerializeAsString(), last_error_);
 }
 
 }   // namespace slatejunction::lease
--- a/src/lease/boot_clock.hpp
+++ b/src/lease/boot_clock.hpp
@@ -1,12 +1,12 @@
-// The clock of leases.
+// The clock of leases: CLOCK_BOOTTIME, which also runs while the machine sleeps.
 #pragma once
 
 #include <ctime>
 
 namespace slatejunction::lease {
 
-// s; goes on while the machine sleeps, and in step for all processes of one machine.
-inline double boot_s() {
+/// s since boot; the same for all processes of one machine.
+inline double boot_clock_s() {
     timespec at{};
     clock_gettime(CLOCK_BOOTTIME, &at);
     return static_cast<double>(at.tv_sec) + 1e-9 * static_cast<double>(at.tv_nsec);
--- a/src/lease/candidate.cpp
+++ b/src/lease/candidate.cpp
@@ -4,244 +4,291 @@
 #include <utility>
 
 namespace slatejunction::lease {
+namespace {
 
-std::set<std::string> AcceptorSet::all() const {
-    std::set<std::string> both(names.begin(), names.end());
-    both.insert(before.begin(), before.end());
+constexpr double kNever = 1e18;   // s
+
+}   // namespace
+
+std::set<std::string> AcceptorSet::members() const {
+    std::set<std::string> both(current.begin(), current.end());
+    both.insert(previous.begin(), previous.end());
     return both;
 }
 
-bool AcceptorSet::majority(const std::set<std::string>& of) const {
-    const auto more = [&](const std::vector<std::string>& set) {
-        const auto count =
-            std::count_if(set.begin(), set.end(), [&](const auto& one) { return of.contains(one); });
+bool AcceptorSet::has_majority(const std::set<std::string>& acceptors) const {
+    const auto is_majority_of = [&](const std::vector<std::string>& set) {
+        const auto count = std::count_if(set.begin(), set.end(),
+                                         [&](const auto& name) { return acceptors.contains(name); });
         return 2 * static_cast<std::size_t>(count) > set.size();
     };
-    return more(names) && (before.empty() || more(before));
+    return is_majority_of(current) && (previous.empty() || is_majority_of(previous));
 }
 
 Candidate::Candidate(std::string lease, std::string name, std::uint64_t holder, const LeaseTimes& times,
-                     const AcceptorSet& voters, std::uint64_t seed)
+                     const AcceptorSet& acceptors, std::uint64_t seed)
     : lease_(std::move(lease)),
       name_(std::move(name)),
       holder_(holder),
       times_(times),
-      voters_(voters),
+      acceptors_(acceptors),
       random_(seed) {}
 
-void Candidate::seek(double now) {
-    if (std::exchange(wanted_, true)) return;
-    state_ = State::waiting;
-    next_ = now + retry_s(times_) * std::uniform_real_distribution<double>(0, 0.5)(random_);
+// Between `least` and `most` of the longest retry delay.
+double Candidate::draw_backoff_s(double least, double most) {
+    return retry_delay_s(times_) * std::uniform_real_distribution<double>(least, most)(random_);
+}
+
+void Candidate::send(const std::string& acceptor, MessageKind kind, std::uint64_t token,
+                     double duration_s) {
+    outgoing_.push_back(
+        {acceptor, {kind, lease_, holder_, round_, token, duration_s, acceptors_.epoch, name_}});
+}
+
+void Candidate::campaign(double now) {
+    if (std::exchange(campaigning_, true)) return;
+    state_ = State::backoff;
+    next_attempt_at_ = now + draw_backoff_s(0, 0.5);
 }
 
 void Candidate::release(double) {
-    wanted_ = false;
+    campaigning_ = false;
     if (state_ == State::idle) return;
-    for (const std::string& voter : voters_.all())
-        out_.push_back({voter, {Kind::release, lease_, holder_, ++round_, 0, 0, voters_.epoch, name_}});
-    lose(true);
+    for (const std::string& acceptor : acceptors_.members()) {
+        ++round_;
+        send(acceptor, MessageKind::release, 0, 0);
+    }
+    drop_lease();
     state_ = State::idle;
 }
 
-double Candidate::due() const {
+double Candidate::next_deadline() const {
     switch (state_) {
         case State::idle:
-            return 1e18;
-        case State::waiting:
-            return next_;
-        case State::learning:
-        case State::taking:
-            return asked_at_ + request_timeout_s(times_);
+            return kNever;
+        case State::backoff:
+            return next_attempt_at_;
+        case State::preparing:
+        case State::proposing:
+            return round_started_at_ + request_timeout_s(times_);
         case State::held:
-            return std::min(until_, next_);
+            return std::min(valid_until_, next_attempt_at_);
     }
-    return 1e18;
+    return kNever;
 }
 
-void Candidate::wake(double now) {
+void Candidate::on_timer(double now) {
     switch (state_) {
         case State::idle:
             return;
-        case State::waiting:
-            if (now >= next_) {
-                highest_ = 0;
-                state_ = State::learning;
-                ask(now, 0);
-            }
+        case State::backoff:
+            if (now < next_attempt_at_) return;
+            highest_known_token_ = 0;
+            state_ = State::preparing;
+            start_round(now, 0);
             return;
-        case State::learning:
-        case State::taking:
-            if (now >= asked_at_ + request_timeout_s(times_)) fail(now, 0);
+        case State::preparing:
+        case State::proposing:
+            if (now >= round_started_at_ + request_timeout_s(times_)) fail_round(now, 0);
             return;
         case State::held:
-            if (now >= until_) {
-                give_back();
-                lose(false);
-                state_ = State::waiting;
-                next_ = now + times_.grant_duration_s / 2 +
-                        retry_s(times_) * std::uniform_real_distribution<double>(0.5, 1)(random_);
-            } else if (now >= next_) {
-                // A voter that knows a higher number than this hold's takes part once that is passed.
-                ask(now, highest_ > number_ ? highest_ + 1 : number_);
-                next_ = now + std::min(request_timeout_s(times_), renew_s(times_));
-            }
+            renew_or_expire(now);
             return;
     }
 }
 
-void Candidate::ask(double now, std::uint64_t number) {
+void Candidate::renew_or_expire(double now) {
+    if (now >= valid_until_) {
+        release_grants();
+        ++lost_;
+        drop_lease();
+        state_ = State::backoff;
+        next_attempt_at_ = now + times_.grant_duration_s / 2 + draw_backoff_s(0.5, 1);
+    } else if (now >= next_attempt_at_) {
+        // An acceptor that knows a higher token takes part again once that is exceeded.
+        const bool was_exceeded = highest_known_token_ > fencing_token_;
+        start_round(now, was_exceeded ? highest_known_token_ + 1 : fencing_token_);
+        next_attempt_at_ = now + std::min(request_timeout_s(times_), renew_delay_s(times_));
+    }
+}
+
+void Candidate::start_round(double now, std::uint64_t token) {
     ++round_;
-    asked_at_ = now;
-    asked_number_ = number;
-    asking_ = true;
-    granted_.clear();
-    answered_.clear();
-    denied_for_ = 0;
-    for (const std::string& voter : voters_.all())
-        out_.push_back(
-            {voter,
-             {Kind::ask, lease_, holder_, round_, number, times_.grant_duration_s, voters_.epoch, name_}});
-}
-
-// Voters that may have granted are told that they need not keep it: one that is heard and hears nothing
-// would have them wait for it without end. It then leaves the others half a life to get in.
-void Candidate::fail(double now, double wait_s) {
-    asking_ = false;
-    give_back();
-    if (answered_.empty()) wait_s += times_.grant_duration_s / 2;
-    granted_.clear();
-    state_ = State::waiting;
-    next_ = now + std::min(wait_s, std::max(retry_s(times_), answered_.empty() ? wait_s : 0)) +
-            retry_s(times_) * std::uniform_real_distribution<double>(0.25, 1)(random_);
-}
-
-void Candidate::give_back() {
+    round_started_at_ = now;
+    requested_token_ = token;
+    round_open_ = true;
+    granted_by_.clear();
+    answered_by_.clear();
+    denial_remaining_s_ = 0;
+    for (const std::string& acceptor : acceptors_.members())
+        send(acceptor, MessageKind::request, token, times_.grant_duration_s);
+}
+
+// A candidate that no acceptor answers may still be heard by them: it withdraws its grants and leaves the
+// others half a grant's duration to be elected.
+void Candidate::fail_round(double now, double wait_s) {
+    round_open_ = false;
+    release_grants();
+    const bool is_unanswered = answered_by_.empty();
+    if (is_unanswered) wait_s += times_.grant_duration_s / 2;
+    granted_by_.clear();
+    state_ = State::backoff;
+    const double longest_wait_s = std::max(retry_delay_s(times_), is_unanswered ? wait_s : 0);
+    next_attempt_at_ = now + std::min(wait_s, longest_wait_s) + draw_backoff_s(0.25, 1);
+}
+
+// Tells the acceptors that may have granted that the grant is not used.
+void Candidate::release_grants() {
     ++round_;
-    for (const std::string& voter : voters_.all())
-        if (granted_.contains(voter) || !answered_.contains(voter))
-            out_.push_back({voter, {Kind::release, lease_, holder_, round_, 0, 0, voters_.epoch, name_}});
-}
-
-void Candidate::lose(bool wanted) {
-    if (state_ == State::held && !wanted) ++lost_;
-    asking_ = false;
-    number_ = 0;
-    until_ = 0;
-}
-
-void Candidate::receive(double now, const std::string& voter, const Message& answer) {
-    if (!asking_ || answer.lease != lease_ || answer.holder != holder_ || answer.round != round_) return;
-    if (!voters_.all().contains(voter)) return;
-    // A voter of an earlier step counts for none: it may still serve that step's seekers.
-    if (answer.kind == Kind::granted && answer.step + 1 < voters_.epoch) return;
-    answered_.insert(voter);
-    if (voters_.majority(answered_)) majority_at_ = now;
-    highest_ = std::max(highest_, answer.number);
-    if (answer.kind == Kind::granted) granted_.insert(voter);
-    if (answer.kind == Kind::denied) {
-        other_ = answer.name;
+    for (const std::string& acceptor : acceptors_.members()) {
+        const bool may_have_granted = granted_by_.contains(acceptor) || !answered_by_.contains(acceptor);
+        if (may_have_granted) send(acceptor, MessageKind::release, 0, 0);
+    }
+}
+
+void Candidate::drop_lease() {
+    round_open_ = false;
+    fencing_token_ = 0;
+    valid_until_ = 0;
+}
+
+void Candidate::receive(double now, const std::string& acceptor, const Message& answer) {
+    const bool is_of_this_round =
+        round_open_ && answer.lease == lease_ && answer.holder == holder_ && answer.round == round_;
+    if (!is_of_this_round || !acceptors_.members().contains(acceptor)) return;
+    // A grant of an acceptor more than one epoch behind does not count: it may still serve candidates of
+    // that epoch.
+    if (answer.kind == MessageKind::granted && answer.epoch + 1 < acceptors_.epoch) return;
+    record_answer(now, acceptor, answer);
+    if (acceptors_.has_majority(granted_by_) && on_majority_granted(now)) return;
+    const bool may_fail = state_ == State::preparing || state_ == State::proposing;
+    if (may_fail && !majority_still_possible()) fail_round(now, denial_remaining_s_);
+}
+
+void Candidate::record_answer(double now, const std::string& acceptor, const Message& answer) {
+    answered_by_.insert(acceptor);
+    if (acceptors_.has_majority(answered_by_)) last_quorum_at_ = now;
+    highest_known_token_ = std::max(highest_known_token_, answer.fencing_token);
+    if (answer.kind == MessageKind::granted) granted_by_.insert(acceptor);
+    if (answer.kind == MessageKind::denied) {
+        other_holder_ = answer.holder_name;
         denied_at_ = now;
-        denied_for_ = std::max(denied_for_, answer.lives_s);
+        denial_remaining_s_ = std::max(denial_remaining_s_, answer.duration_s);
     }
+}
+
+// True: the round is over.
+bool Candidate::on_majority_granted(double now) {
     switch (state_) {
-        case State::learning:
-            if (voters_.majority(granted_)) {
-                learnt_at_ = asked_at_;
-                state_ = State::taking;
-                number_ = highest_ + 1;
-                ask(now, number_);
-            }
-            break;
-        case State::taking:
-            // Both rounds count only while the first one does: nobody else can have had a majority then.
-            if (voters_.majority(granted_)) {
-                if (now >= learnt_at_ + usable_duration_s(times_)) return fail(now, 0);
-                state_ = State::held;
-                ++gained_;
-                asking_ = false;
-                since_ = now;
-                highest_ = number_;
-                until_ = asked_at_ + usable_duration_s(times_);
-                next_ = asked_at_ + renew_s(times_);
-                return;
-            }
-            break;
+        case State::preparing:
+            complete_prepare(now);
+            return false;
+        case State::proposing:
+            complete_propose(now);
+            return true;
         case State::held:
-            if (voters_.majority(granted_)) {
-                asking_ = false;
-                number_ = highest_ = asked_number_;
-                until_ = std::max(until_, asked_at_ + usable_duration_s(times_));
-                next_ = asked_at_ + renew_s(times_);
-            }
-            return;
+            complete_renewal();
+            return true;
         case State::idle:
-        case State::waiting:
-            return;
+        case State::backoff:
+            return true;
     }
-    // No majority can come of this round any more.
-    std::set<std::string> still = voters_.all();
-    for (const std::string& one : answered_)
-        if (!granted_.contains(one)) still.erase(one);
-    if (!voters_.majority(still)) fail(now, denied_for_);
+    return true;
+}
+
+void Candidate::complete_prepare(double now) {
+    prepare_started_at_ = round_started_at_;
+    state_ = State::proposing;
+    fencing_token_ = highest_known_token_ + 1;
+    start_round(now, fencing_token_);
+}
+
+// Counts only while the prepare round does: until then nobody else can have had a majority.
+void Candidate::complete_propose(double now) {
+    if (now >= prepare_started_at_ + usable_duration_s(times_)) return fail_round(now, 0);
+    state_ = State::held;
+    ++gained_;
+    round_open_ = false;
+    held_since_ = now;
+    highest_known_token_ = fencing_token_;
+    valid_until_ = round_started_at_ + usable_duration_s(times_);
+    next_attempt_at_ = round_started_at_ + renew_delay_s(times_);
+}
+
+void Candidate::complete_renewal() {
+    round_open_ = false;
+    fencing_token_ = requested_token_;
+    highest_known_token_ = requested_token_;
+    valid_until_ = std::max(valid_until_, round_started_at_ + usable_duration_s(times_));
+    next_attempt_at_ = round_started_at_ + renew_delay_s(times_);
+}
+
+bool Candidate::majority_still_possible() const {
+    std::set<std::string> granted_or_open = acceptors_.members();
+    for (const std::string& acceptor : answered_by_)
+        if (!granted_by_.contains(acceptor)) granted_or_open.erase(acceptor);
+    return acceptors_.has_majority(granted_or_open);
 }
 
-void Candidate::set_voters(double now, const AcceptorSet& voters) {
-    if (voters == voters_) return;
-    voters_ = voters;
-    // What is held goes on until its end; a round of the old set counts no more.
+void Candidate::set_acceptors(double now, const AcceptorSet& acceptors) {
+    if (acceptors == acceptors_) return;
+    acceptors_ = acceptors;
+    // A hold goes on until its end; an open round of the old set no longer counts.
     if (state_ == State::held) {
-        asking_ = false;
-        next_ = now;
-    } else if (asking_) {
-        fail(now, 0);
+        round_open_ = false;
+        next_attempt_at_ = now;
+    } else if (round_open_) {
+        fail_round(now, 0);
     }
 }
 
-std::string Candidate::digest(double now) const {
-    std::string all;
+std::string Candidate::state_digest(double now) const {
+    std::string digest;
     const auto put = [&](std::uint64_t value) {
-        all.append(reinterpret_cast<const char*>(&value), sizeof value);
+        digest.append(reinterpret_cast<const char*>(&value), sizeof value);
     };
     const auto put_time = [&](double time) {
-        put(static_cast<std::uint64_t>(static_cast<std::int64_t>(std::round(
-            std::clamp(time - now, -2 * times_.grant_duration_s, 2 * times_.grant_duration_s) * 1e3))));
+        const double horizon_s = 2 * times_.grant_duration_s;
+        const double relative_ms = std::round(std::clamp(time - now, -horizon_s, horizon_s) * 1e3);
+        put(static_cast<std::uint64_t>(static_cast<std::int64_t>(relative_ms)));
     };
-    put(static_cast<std::uint64_t>(state_) | static_cast<std::uint64_t>(wanted_) << 8 |
-        static_cast<std::uint64_t>(asking_) << 9);
-    for (const std::uint64_t value : {round_, number_, highest_, asked_number_}) put(value);
-    for (const double time : {asked_at_, learnt_at_, until_, next_}) put_time(time);
-    for (const auto* set : {&granted_, &answered_}) {
-        for (const std::string& one : *set) all += one + ',';
-        all += ';';
+    put(static_cast<std::uint64_t>(state_) | static_cast<std::uint64_t>(campaigning_) << 8 |
+        static_cast<std::uint64_t>(round_open_) << 9);
+    for (const std::uint64_t value : {round_, fencing_token_, highest_known_token_, requested_token_})
+        put(value);
+    for (const double time : {round_started_at_, prepare_started_at_, valid_until_, next_attempt_at_})
+        put_time(time);
+    for (const auto* names : {&granted_by_, &answered_by_}) {
+        for (const std::string& name : *names) digest += name + ',';
+        digest += ';';
     }
-    return all;
+    return digest;
 }
 
-Candidate::HeldLease Candidate::give(double now) {
-    HeldLease hold{lease_, holder_, round_ + 1, number_, until_, since_};
+Candidate::HeldLease Candidate::export_hold(double now) {
+    HeldLease hold{lease_, holder_, round_ + 1, fencing_token_, valid_until_, held_since_};
     if (!holds(now)) hold.fencing_token = 0;
-    wanted_ = false;
-    lose(true);
+    campaigning_ = false;
+    drop_lease();
     state_ = State::idle;
     return hold;
 }
 
-void Candidate::adopt(double now, const HeldLease& hold) {
+void Candidate::import_hold(double now, const HeldLease& hold) {
     if (hold.lease != lease_ || hold.fencing_token == 0 || hold.holder == 0) return;
-    wanted_ = true;
+    campaigning_ = true;
     holder_ = hold.holder;
     round_ = hold.round;
-    if (now >= hold.until) {
-        state_ = State::waiting;
-        next_ = now;
+    next_attempt_at_ = now;
+    if (now >= hold.valid_until) {
+        state_ = State::backoff;
         return;
     }
-    number_ = highest_ = hold.fencing_token;
-    until_ = hold.until;
-    since_ = hold.since;
+    fencing_token_ = hold.fencing_token;
+    highest_known_token_ = hold.fencing_token;
+    valid_until_ = hold.valid_until;
+    held_since_ = hold.held_since;
     state_ = State::held;
-    next_ = now;
 }
 
 }   // namespace slatejunction::lease
--- a/src/lease/candidate.hpp
+++ b/src/lease/candidate.hpp
@@ -1,8 +1,17 @@
-// One process's try for one lease, and its hold: asks all voters, holds with a majority, renews, stops in
-// time. A decision room. Time is that of a clock that also runs while the machine sleeps.
+// One process's candidacy for one lease, and its hold: asks all acceptors, holds with a majority, renews,
+// and stops in time (PaxosLease with fencing tokens).
 //
-// A hold is two rounds: the first learns the highest number of a majority, the second has the next number
-// taken by a majority while the first still counts. Each later round renews both.
+// Rule: a lease is held from two rounds in which a majority of the acceptors granted it: the first
+// (preparing) learns the highest fencing token of that majority, the second (proposing) claims the next one
+// while the first still counts. Each later round renews both.
+// Inputs: campaign()/release(), answers of acceptors, and `now` in s of a clock that also runs while the
+// machine sleeps. Output: messages to acceptors; state(), fencing_token(), valid_until().
+// Invariants: valid_until() counts from before the request was sent, so it ends before a majority's grants
+// do; rounds only go up; a token is claimed only above all that a majority knows.
+// Reason: a holder that is paused or cut off must not act after another one was elected.
+// From: PaxosLease (Trencseni, Gazso, Reinhardt 2012); docs/design/fleet.md.
+// Seen in: LeaseStatus on the admin page, LeaseEvent of LeaseNode, which owns and calls it.
+// Never does: I/O, reading a clock. `seed` serves backoff jitter only.
 #pragma once
 
 #include <cstdint>
@@ -17,87 +26,109 @@
 
 namespace slatejunction::lease {
 
-// Who votes. While the set changes it has two: a majority of each is wanted (lease.md, "Change of voters").
+/// Who votes. While the set changes a majority of both sets is required (lease.md, "Change of voters").
 struct AcceptorSet {
-    std::vector<std::string> names, before;   // before: those of the last step; empty: the same
+    std::vector<std::string> current;
+    std::vector<std::string> previous;   ///< of the epoch before, while the set changes; else empty
     std::uint32_t epoch = 1;
     bool operator==(const AcceptorSet&) const = default;
-    std::set<std::string> all() const;
-    // Whether these are a majority of each set.
-    bool majority(const std::set<std::string>& of) const;
+    std::set<std::string> members() const;
+    /// Whether `acceptors` hold a majority of each set.
+    bool has_majority(const std::set<std::string>& acceptors) const;
 };
 
-struct Outgoing {
+struct AddressedMessage {
     std::string to;
     Message message;
 };
 
 class Candidate {
   public:
-    enum class State { idle, waiting, learning, taking, held };
+    enum class State { idle, backoff, preparing, proposing, held };
 
+    /// `name`: of this process, for people. `holder`: its identity, never 0.
     Candidate(std::string lease, std::string name, std::uint64_t holder, const LeaseTimes& times,
-              const AcceptorSet& voters, std::uint64_t seed);
+              const AcceptorSet& acceptors, std::uint64_t seed);
 
-    void seek(double now);      // wanted from now on
-    void release(double now);   // not wanted; what is held ends now
-    // An answer of that voter.
-    void receive(double now, const std::string& voter, const Message& answer);
-    void wake(double now);
-    double due() const;
-    void set_voters(double now, const AcceptorSet& voters);
-    std::vector<Outgoing> take() { return std::exchange(out_, {}); }
+    /// Seeks the lease from now on; without effect if it does already.
+    void campaign(double now);
+    /// Gives up the candidacy; what is held ends now.
+    void release(double now);
+    /// An answer of `acceptor`.
+    void receive(double now, const std::string& acceptor, const Message& answer);
+    void on_timer(double now);
+    double next_deadline() const;
+    void set_acceptors(double now, const AcceptorSet& acceptors);
+    std::vector<AddressedMessage> take_outgoing() { return std::exchange(outgoing_, {}); }
 
     State state() const { return state_; }
-    // Held, and an act that begins now ends before another can hold it.
-    bool may_act(double now) const { return state_ == State::held && lease::may_act(times_, now, until_); }
-    bool holds(double now) const { return state_ == State::held && now < until_; }
-    std::uint64_t number() const { return state_ == State::held ? number_ : 0; }
-    double until() const { return until_; }   // of a hold, by this clock
-    double held_since() const { return since_; }
+    /// Held, and an action that begins now ends before another process can hold the lease.
+    bool may_act(double now) const {
+        return state_ == State::held && lease::may_act(times_, now, valid_until_);
+    }
+    bool holds(double now) const { return state_ == State::held && now < valid_until_; }
+    /// 0: not held.
+    std::uint64_t fencing_token() const { return state_ == State::held ? fencing_token_ : 0; }
+    double valid_until() const { return valid_until_; }   ///< s, this process's clock; 0: not held
+    double held_since() const { return held_since_; }
     const std::string& lease() const { return lease_; }
     std::uint64_t holder() const { return holder_; }
-    // Denied: by whom's hold, as a voter told last, and when that was.
-    const std::string& other() const { return other_; }
+    /// The holder named by the last denial, and when that came; empty: none came.
+    const std::string& other_holder() const { return other_holder_; }
     double denied_at() const { return denied_at_; }
     std::uint64_t gained() const { return gained_; }
-    std::uint64_t lost() const { return lost_; }          // holds that ended unwanted
-    double majority_at() const { return majority_at_; }   // a majority answered, be it by a denial
+    std::uint64_t lost() const { return lost_; }   ///< holds that expired
+    /// When a majority last answered a round, be it by denials.
+    double last_quorum_at() const { return last_quorum_at_; }
 
-    // All that its future depends on, times as they are from now: for explorations of every schedule.
-    std::string digest(double now) const;
+    /// All that its future depends on, times relative to `now`: for model checking.
+    std::string state_digest(double now) const;
 
-    // The whole hold, for another process of this ingress on this machine; this one holds nothing after it.
+    /// A hold to be continued by another process of this ingress on this machine.
     struct HeldLease {
         std::string lease;
-        std::uint64_t holder = 0, round = 0, fencing_token = 0;
-        double until = 0, since = 0;
+        std::uint64_t holder = 0, round = 0, fencing_token = 0;   ///< token 0: nothing was held
+        double valid_until = 0, held_since = 0;                   ///< s, boot_clock_s()
     };
-    HeldLease give(double now);
-    void adopt(double now, const HeldLease& hold);
+    /// Ends the candidacy here without telling the acceptors.
+    HeldLease export_hold(double now);
+    /// Continues a hold under its holder's identity; ignored if it is of another lease or none.
+    void import_hold(double now, const HeldLease& hold);
 
   private:
-    void ask(double now, std::uint64_t number);
-    void fail(double now, double wait_s);
-    void give_back();
-    void lose(bool wanted);
-    bool has_majority() const;
+    void start_round(double now, std::uint64_t token);
+    void fail_round(double now, double wait_s);
+    void release_grants();
+    void drop_lease();
+    void send(const std::string& acceptor, MessageKind kind, std::uint64_t token, double duration_s);
+    void renew_or_expire(double now);
+    void record_answer(double now, const std::string& acceptor, const Message& answer);
+    bool on_majority_granted(double now);
+    void complete_prepare(double now);
+    void complete_propose(double now);
+    void complete_renewal();
+    bool majority_still_possible() const;
+    double draw_backoff_s(double least, double most);
 
     const std::string lease_, name_;
     std::uint64_t holder_;
     const LeaseTimes times_;
-    AcceptorSet voters_;
-    std::minstd_rand random_;   // of waits only
+    AcceptorSet acceptors_;
+    std::minstd_rand random_;   // backoff jitter only
     State state_ = State::idle;
-    bool wanted_ = false;
-    std::uint64_t round_ = 0, number_ = 0, highest_ = 0, asked_number_ = 0;
-    double asked_at_ = 0, learnt_at_ = 0, until_ = 0, since_ = 0, next_ = 0, majority_at_ = -1e18;
-    bool asking_ = false;   // a round is out
-    std::set<std::string> granted_, answered_;
-    std::vector<Outgoing> out_;
-    std::string other_;
+    bool campaigning_ = false;
+    std::uint64_t round_ = 0;
+    std::uint64_t fencing_token_ = 0, highest_known_token_ = 0, requested_token_ = 0;
+    double round_started_at_ = 0, prepare_started_at_ = 0;
+    double valid_until_ = 0, held_since_ = 0;
+    double next_attempt_at_ = 0;   // the end of a backoff, or the next renewal
+    double last_quorum_at_ = -1e18;
+    bool round_open_ = false;
+    std::set<std::string> granted_by_, answered_by_;
+    std::vector<AddressedMessage> outgoing_;
+    std::string other_holder_;
     double denied_at_ = -1e18;
-    double denied_for_ = 0;
+    double denial_remaining_s_ = 0;
     std::uint64_t gained_ = 0, lost_ = 0;
 };
 
--- a/src/lease/fleet_context.hpp
+++ b/src/lease/fleet_context.hpp
@@ -1,6 +1,6 @@
-// What the fleet's floor offers to those that do something together with other ingresses: words between
-// them, and the one conductor's lease. Implemented where peers and leases are (src/app), handed to whoever
-// needs it; who is given none is alone.
+// What the fleet offers to modules that act together with other ingresses: datagrams between them, and the
+// leader's lease. Implemented by src/app/fleet_component, which has membership and leases, and passed to
+// the modules that need it; a module without one acts alone.
 #pragma once
 
 #include <cstdint>
@@ -17,14 +17,15 @@
 class FleetContext {
   public:
     virtual ~FleetContext() = default;
-    // To be asked right before each act of the conductor's. False: it must not be begun.
+    /// Must be called right before each action of the leader. False: the action must not begin.
     virtual bool leader_may_act(Permit& permit) const = 0;
-    virtual std::string leader_name() const = 0;   // by name, as far as is known here; empty: nobody
-    virtual void on_leadership_change(
-        std::function<void(bool)> call) = 0;   // this one does from now on, or no longer
-    // Who is there, this one too, by name and sorted: at once, and with each change.
+    /// Name of the leader as far as it is known here; empty: none is known.
+    virtual std::string leader_name() const = 0;
+    /// `call(true)`: this process leads from now on; `call(false)`: no longer.
+    virtual void on_leadership_change(std::function<void(bool)> call) = 0;
+    /// Names of the alive members, sorted, this one among them: at once, and with each change.
     virtual void on_members(std::function<void(const std::vector<std::string>&)> call) = 0;
-    // Datagrams: lost, doubled or late ones are the caller's to bear. False: it was not sent.
+    /// Sends one datagram, which may be lost, duplicated or late. False: it was not sent.
     virtual bool send(const std::string& to, membership::Channel channel, std::string_view body) = 0;
     virtual void broadcast(membership::Channel channel, std::string_view body) = 0;
     virtual void listen(membership::Channel channel, membership::GossipTransport::Listener listener) = 0;
--- a/src/lease/holder_webhook.cpp
+++ b/src/lease/holder_webhook.cpp
@@ -4,25 +4,35 @@
 #include <cstdio>
 
 namespace slatejunction::lease {
+namespace {
 
-// One connection, kept between calls. An answer is known by its head.
-struct HolderWebhook::Link final : net::Protocol {
-    explicit Link(HolderWebhook& owner) : owner_(owner), parser_(http::Parser::Kind::response) {}
+constexpr int kStatusConflict = 409;
+constexpr char kLeaseName[] = "conductor";   // in the log events
+constexpr std::size_t kMaxBodyBytes = 200;
+
+bool is_success(int status) { return status / 100 == 2; }
+
+}   // namespace
+
+// One connection, reused between calls. A call is over with its response's head.
+struct HolderWebhook::Connection final : net::Protocol {
+    explicit Connection(HolderWebhook& owner) : owner_(owner), parser_(http::Parser::Kind::response) {}
 
     void on_open() override {
-        up = true;
-        call();
+        connected = true;
+        send_call();
     }
-    // Whoever was stopped between the permit and the write is told by the number, nothing else can.
-    void call() {
+
+    void send_call() {
         Permit permit;
-        if (!owner_.permit_(permit)) return owner_.ended(-1);
-        owner_.last_ = permit;
-        char body[200];
-        const int size =
-            std::snprintf(body, sizeof body, "{\"holder\":\"%s\",\"number\":%llu,\"sequence\":%llu}",
-                          owner_.name_.c_str(), static_cast<unsigned long long>(permit.fencing_token),
-                          static_cast<unsigned long long>(++owner_.sequence_));
+        if (!owner_.permit_(permit)) return owner_.on_call_finished(kNotPermitted);
+        owner_.last_permit_ = permit;
+        ++owner_.sequence_;
+        char body[kMaxBodyBytes];
+        const int size = std::snprintf(
+            body, sizeof body, "{\"holder\":\"%s\",\"number\":%llu,\"sequence\":%llu}",
+            owner_.holder_name_.c_str(), static_cast<unsigned long long>(permit.fencing_token),
+            static_cast<unsigned long long>(owner_.sequence_));
         const std::string length = std::to_string(size);
         const std::array<std::string_view, 8> parts{
             "POST ",
@@ -33,110 +43,126 @@
             length,
             "\r\n\r\n",
             std::string_view(body, static_cast<std::size_t>(size))};
-        busy = true;
-        const std::pair<std::string_view, std::string> fields[] = {
-            {"lease", "conductor"},
-            {"number", std::to_string(permit.fencing_token)},
-            {"sequence", std::to_string(owner_.sequence_)}};
-        owner_.log_.event("act_begin", fields);
+        awaiting_response = true;
+        owner_.log_call_begin();
         if (!stream.send(parts)) on_end(false);
     }
+
     std::span<char> receive_buffer() override { return parser_.room(buffer_); }
+
     void on_bytes(std::size_t size) override {
-        const auto keep = shared_from_this();
+        const auto self = shared_from_this();
         buffer_.commit(size);
         const http::Step step = parser_.feed(buffer_);
         if (step == http::Step::more && !parser_.has_head()) return;
-        const int status = step == http::Step::bad || !busy ? 0 : parser_.head().status;
-        const bool reusable = step == http::Step::done && parser_.head().keep_alive && busy;
-        busy = false;
+        const bool is_response = step != http::Step::bad && awaiting_response;
+        const int status = is_response ? parser_.head().status : kNoResponse;
+        const bool reusable = step == http::Step::done && parser_.head().keep_alive && awaiting_response;
+        awaiting_response = false;
         parser_.reset();
         buffer_.clear();
-        if (!reusable) lose();
-        owner_.ended(status);
+        if (!reusable) close();
+        owner_.on_call_finished(status);
     }
+
     void on_end(bool) override {
-        const auto keep = shared_from_this();
-        const bool was = busy || !up;
-        lose();
-        if (was) owner_.ended(0);
+        const auto self = shared_from_this();
+        const bool call_failed = awaiting_response || !connected;
+        close();
+        if (call_failed) owner_.on_call_finished(kNoResponse);
     }
-    void lose() {
+
+    void close() {
         stream.close();
-        busy = false;
-        if (owner_.link_.get() == this) owner_.link_.reset();
+        awaiting_response = false;
+        if (owner_.connection_.get() == this) owner_.connection_.reset();
     }
 
     HolderWebhook& owner_;
     net::Stream stream{*this};
     http::Parser parser_;
     http::Buffer buffer_;
-    bool busy = false, up = false;
+    bool awaiting_response = false, connected = false;
 };
 
-HolderWebhook::HolderWebhook(const std::string& url, double every_s, std::string name, double most_s,
-                             std::function<bool(Permit&)> permit, net::Timers& timers, Log& log)
-    : every_s_(every_s),
-      most_s_(most_s),
-      name_(std::move(name)),
+HolderWebhook::HolderWebhook(const std::string& url, double interval_s, std::string holder_name,
+                             double call_timeout_s, std::function<bool(Permit&)> permit,
+                             net::Timers& timers, Log& log)
+    : interval_s_(interval_s),
+      call_timeout_s_(call_timeout_s),
+      holder_name_(std::move(holder_name)),
       permit_(std::move(permit)),
       log_(log),
-      timer_(timers, [this] { due(); }),
-      most_(timers, [this] {
-          if (const auto link = link_) link->lose();
-          ended(0);
-      }) {
+      interval_timer_(timers, [this] { start_call(); }),
+      call_timeout_timer_(timers, [this] { on_call_timeout(); }) {
     remotewrite::read_url(url, url_);
     address_ = net::parse_address(url_.host_port);
 }
 
 HolderWebhook::~HolderWebhook() {
-    if (link_) link_->stream.close();
+    if (connection_) connection_->stream.close();
 }
 
 void HolderWebhook::set_held(bool held) {
     held_ = held;
-    if (held) return timer_.arm(net::now());
-    timer_.disarm();
-    most_.disarm();
-    if (const auto link = link_) link->lose();   // what it had begun is not waited for
+    if (held) return interval_timer_.arm(net::now());
+    interval_timer_.disarm();
+    call_timeout_timer_.disarm();
+    if (const auto connection = connection_) connection->close();
 }
 
-void HolderWebhook::due() {
+void HolderWebhook::start_call() {
     if (!held_) return;
-    if (link_ && (link_->busy || link_->stream.readable())) link_->lose();
-    most_.arm(net::now() + most_s_);
-    if (link_) return link_->call();
-    link_ = std::make_shared<Link>(*this);
-    const auto keep = link_;
-    if (!keep->stream.dial(address_.get())) keep->on_end(false);
+    if (connection_ && (connection_->awaiting_response || connection_->stream.readable()))
+        connection_->close();
+    call_timeout_timer_.arm(net::now() + call_timeout_s_);
+    if (connection_) return connection_->send_call();
+    connection_ = std::make_shared<Connection>(*this);
+    const auto connection = connection_;
+    if (!connection->stream.dial(address_.get())) connection->on_end(false);
 }
 
-// `status`: 0: none came, below 0: not begun.
-void HolderWebhook::ended(int status) {
-    most_.disarm();
-    if (status >= 0) {
-        const std::pair<std::string_view, std::string> fields[] = {
-            {"lease", "conductor"},
-            {"number", std::to_string(last_.fencing_token)},
-            {"sequence", std::to_string(sequence_)},
-            {"status", std::to_string(status)}};
-        log_.event("act_end", fields);
-    }
-    taken_ += status / 100 == 2;
-    if (status == 409) {
+void HolderWebhook::on_call_timeout() {
+    if (const auto connection = connection_) connection->close();
+    on_call_finished(kNoResponse);
+}
+
+// `status`: of the response, or kNoResponse or kNotPermitted.
+void HolderWebhook::on_call_finished(int status) {
+    call_timeout_timer_.disarm();
+    if (status != kNotPermitted) log_call_end(status);
+    if (is_success(status)) {
+        ++accepted_;
+        failure_logged_ = false;
+    } else if (status == kStatusConflict) {
         ++fenced_;
         log_.write(Log::Level::warning, net::now(),
                    "lease: an act with number %llu came too late and was turned down",
-                   static_cast<unsigned long long>(last_.fencing_token));
+                   static_cast<unsigned long long>(last_permit_.fencing_token));
+    } else if (status != kNotPermitted) {
+        ++failed_;
+        if (!std::exchange(failure_logged_, true))
+            log_.write(Log::Level::warning, net::now(), "announce: %s takes nothing (status %d)",
+                       url_.host_port.c_str(), status);
     }
-    const bool failed = status >= 0 && status / 100 != 2 && status != 409;
-    failed_ += failed;
-    if (failed && !std::exchange(failing_, true))
-        log_.write(Log::Level::warning, net::now(), "announce: %s takes nothing (status %d)",
-                   url_.host_port.c_str(), status);
-    if (status / 100 == 2) failing_ = false;
-    if (held_) timer_.arm(net::now() + every_s_);
+    if (held_) interval_timer_.arm(net::now() + interval_s_);
+}
+
+void HolderWebhook::log_call_begin() const {
+    const std::pair<std::string_view, std::string> fields[] = {
+        {"lease", kLeaseName},
+        {"number", std::to_string(last_permit_.fencing_token)},
+        {"sequence", std::to_string(sequence_)}};
+    log_.event("act_begin", fields);
+}
+
+void HolderWebhook::log_call_end(int status) const {
+    const std::pair<std::string_view, std::string> fields[] = {
+        {"lease", kLeaseName},
+        {"number", std::to_string(last_permit_.fencing_token)},
+        {"sequence", std::to_string(sequence_)},
+        {"status", std::to_string(status)}};
+    log_.event("act_end", fields);
 }
 
 }   // namespace slatejunction::lease
--- a/src/lease/holder_webhook.hpp
+++ b/src/lease/holder_webhook.hpp
@@ -1,5 +1,13 @@
-// A task's driver: while the lease is held its holder says so at an address outside, one call at a time,
-// each with the fencing number. Whoever listens there refuses a number lower than one it has seen.
+// Announces the holder of a lease at an address outside the fleet: one HTTP POST at a time, each with the
+// fencing token.
+//
+// Rule: while the lease is held a call is made every interval_s; the permit is checked right before its
+// bytes are sent, on a connection that is already open.
+// Inputs: whether the lease is held, permits, the receiver's status codes. Output: calls; counters.
+// Invariant: no call begins without a permit. A process that is stopped between permit and send is caught
+// by the receiver, which must refuse a token lower than the highest it has seen (status 409). Seen in: log
+// events act_begin and act_end; accepted(), fenced() and failed() as measures. src/app/fleet_component owns
+// it and calls set_held().
 #pragma once
 
 #include <functional>
@@ -17,31 +25,38 @@
 
 class HolderWebhook {
   public:
-    // `permit` is asked right before the bytes of a call go out, on a connection that is up already.
-    HolderWebhook(const std::string& url, double every_s, std::string name, double most_s,
+    /// `interval_s`: between a call's end and the next. `call_timeout_s`: that a call may take at most.
+    /// `permit`: false: the call must not begin. `timers` and `log` must outlive it.
+    HolderWebhook(const std::string& url, double interval_s, std::string holder_name, double call_timeout_s,
                   std::function<bool(Permit&)> permit, net::Timers& timers, Log& log);
     ~HolderWebhook();
-    void set_held(bool held);   // the lease is held from now on, or no longer
-    std::uint64_t accepted() const { return taken_; }
-    std::uint64_t fenced() const { return fenced_; }   // turned down for a number too low
+    /// The lease is held from now on, or no longer; a call under way is dropped then.
+    void set_held(bool held);
+    std::uint64_t accepted() const { return accepted_; }
+    std::uint64_t fenced() const { return fenced_; }   ///< refused for a token that is too low
     std::uint64_t failed() const { return failed_; }
 
   private:
-    struct Link;
-    void due();
-    void ended(int status);   // 0: no answer
+    struct Connection;
+    // How a call ended without a response.
+    static constexpr int kNoResponse = 0, kNotPermitted = -1;
+    void start_call();
+    void on_call_finished(int status);
+    void on_call_timeout();
+    void log_call_begin() const;
+    void log_call_end(int status) const;
 
     remotewrite::Url url_;
-    const double every_s_, most_s_;
-    const std::string name_;
+    const double interval_s_, call_timeout_s_;
+    const std::string holder_name_;
     const std::function<bool(Permit&)> permit_;
     Log& log_;
     net::Address address_;
-    net::Timer timer_, most_;
-    std::shared_ptr<Link> link_;
-    bool held_ = false, failing_ = false;
-    std::uint64_t sequence_ = 0, taken_ = 0, fenced_ = 0, failed_ = 0;
-    Permit last_;
+    net::Timer interval_timer_, call_timeout_timer_;
+    std::shared_ptr<Connection> connection_;
+    bool held_ = false, failure_logged_ = false;
+    std::uint64_t sequence_ = 0, accepted_ = 0, fenced_ = 0, failed_ = 0;
+    Permit last_permit_;
 };
 
 }   // namespace slatejunction::lease
--- a/src/lease/replicated_register.cpp
+++ b/src/lease/replicated_register.cpp
@@ -7,206 +7,236 @@
 namespace slatejunction::lease {
 namespace {
 
-constexpr std::size_t kNameMost = 80;           // bytes
-constexpr std::uint64_t kSequenceStep = 1000;   // over what the other process of an upgrade may still say
+constexpr std::size_t kMaxNameBytes = 80;
+constexpr double kNever = 1e18;   // s
+// Added to the sequence when a term is continued: exceeds what the other process of a hot restart may still
+// write.
+constexpr std::uint64_t kSequenceStep = 1000;
 
 }   // namespace
 
-std::string write(const RegisterMessage& message) {
+std::string encode(const RegisterMessage& message) {
     wire::NoteMessage out;
     out.set_kind(static_cast<std::uint32_t>(message.kind));
     out.set_name(message.name);
-    out.set_number(message.number);
-    out.set_ask(message.ask);
-    out.set_of_number(message.note.fencing_token);
-    out.set_sequence(message.note.sequence);
-    out.set_text(message.note.text);
-    out.set_knows(message.knows);
+    out.set_number(message.fencing_token);
+    out.set_ask(message.request_id);
+    out.set_of_number(message.value.fencing_token);
+    out.set_sequence(message.value.sequence);
+    out.set_text(message.value.text);
+    out.set_knows(message.remembers);
     out.set_step(message.epoch);
     return out.SerializeAsString();
 }
 
-bool read(std::string_view bytes, RegisterMessage& message) {
+bool decode(std::string_view bytes, RegisterMessage& message) {
     wire::NoteMessage in;
     if (!in.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) return false;
-    if (in.kind() < 1 || in.kind() > 5 || in.name().empty() || in.name().size() > kNameMost ||
-        in.number() == 0 || in.text().size() > kMaxValueBytes)
-        return false;
-    message = {static_cast<RegisterMessage::Kind>(in.kind()), in.name(),  in.number(), in.ask(),
-               {in.of_number(), in.sequence(), in.text()},    in.knows(), in.step()};
+    if (in.kind() < 1 || in.kind() > 5 || in.number() == 0) return false;
+    if (in.name().empty() || in.name().size() > kMaxNameBytes) return false;
+    if (in.text().size() > kMaxValueBytes) return false;
+    message.kind = static_cast<RegisterMessage::Kind>(in.kind());
+    message.name = in.name();
+    message.fencing_token = in.number();
+    message.request_id = in.ask();
+    message.value = {in.of_number(), in.sequence(), in.text()};
+    message.remembers = in.knows();
+    message.epoch = in.step();
     return true;
 }
 
-// The voter. ------------------------------------------------------------------------------------------
+// The acceptor. ---------------------------------------------------------------------------------------
 
 bool RegisterAcceptor::receive(const RegisterMessage& message, RegisterMessage& answer) {
     using Kind = RegisterMessage::Kind;
     if (message.kind != Kind::read && message.kind != Kind::write) return false;
-    auto at = kept_.find(message.name);
-    if (at == kept_.end() && kept_.size() >= kMaxRegisters) return false;
+    auto found = registers_.find(message.name);
+    if (found == registers_.end() && registers_.size() >= kMaxRegisters) return false;
     answer = message;
-    answer.note = {};
-    if (at != kept_.end() && message.number < at->second.promised) {
-        answer.kind = Kind::passed;
+    answer.value = {};
+    if (found != registers_.end() && message.fencing_token < found->second.promised_token) {
+        answer.kind = Kind::superseded;
         return true;
     }
-    // A name that was forgotten is known again from the first write on: whoever writes has read the others.
-    const bool knows = remembers_ || (at != kept_.end() && at->second.note.fencing_token != 0);
-    if (at == kept_.end()) at = kept_.emplace(message.name, StoredRegister{}).first;
-    StoredRegister& kept = at->second;
-    if (message.number > kept.promised) kept.promised = message.number, ++changes_;
+    // A forgotten register is known again from its first write on: the writer has read the other acceptors.
+    const bool was_written = found != registers_.end() && found->second.value.fencing_token != 0;
+    if (found == registers_.end()) found = registers_.emplace(message.name, StoredRegister{}).first;
+    StoredRegister& stored = found->second;
+    if (message.fencing_token > stored.promised_token) {
+        stored.promised_token = message.fencing_token;
+        ++revision_;
+    }
     if (message.kind == Kind::read) {
-        answer.kind = Kind::found;
-        answer.note = kept.note;
-        answer.knows = knows;
+        answer.kind = Kind::read_reply;
+        answer.value = stored.value;
+        answer.remembers = remembers_ || was_written;
         return true;
     }
-    if (kept.note.before(message.note)) {
-        kept.note = message.note;
-        ++changes_;
-    } else if (kept.note != message.note) {
-        return false;   // late: a later one of the same writer stands here
-    }
-    answer.kind = Kind::taken;
+    answer.kind = Kind::write_ack;
+    return write(message.value, stored);
+}
+
+// False: a later write of the same writer is stored here.
+bool RegisterAcceptor::write(const RegisterValue& value, StoredRegister& stored) {
+    if (!stored.value.before(value)) return stored.value == value;
+    stored.value = value;
+    ++revision_;
     return true;
 }
 
-void RegisterAcceptor::restore(const Registers& kept) {
-    for (const auto& [name, one] : kept) {
-        StoredRegister& here = kept_[name];
-        here.promised = std::max(here.promised, one.promised);
-        if (here.note.before(one.note)) here.note = one.note;
+void RegisterAcceptor::restore(const Registers& stored) {
+    for (const auto& [name, restored] : stored) {
+        StoredRegister& current = registers_[name];
+        current.promised_token = std::max(current.promised_token, restored.promised_token);
+        if (current.value.before(restored.value)) current.value = restored.value;
     }
     remembers_ = true;
-    ++changes_;
+    ++revision_;
 }
 
-// The holder. -----------------------------------------------------------------------------------------
+// The client. -----------------------------------------------------------------------------------------
 
 RegisterClient::RegisterClient(std::vector<std::string> names, const LeaseTimes& times,
-                               const AcceptorSet& voters, std::uint64_t seed)
-    : times_(times), voters_(voters), random_(static_cast<std::minstd_rand::result_type>(seed)) {
-    for (std::string& name : names) pages_[std::move(name)];
-}
-
-void RegisterClient::begin_term(double now, std::uint64_t number) {
-    number_ = number;
-    passed_ = lost_ = false;
-    for (auto& [name, page] : pages_) {
-        page = {};
-        page.state = State::reading;
-        page.asked_first = now;
-        ask(now, name, page, true);
+                               const AcceptorSet& acceptors, std::uint64_t seed)
+    : times_(times), acceptors_(acceptors), random_(static_cast<std::minstd_rand::result_type>(seed)) {
+    for (std::string& name : names) registers_[std::move(name)];
+}
+
+void RegisterClient::begin_term(double now, std::uint64_t fencing_token) {
+    fencing_token_ = fencing_token;
+    superseded_ = false;
+    lost_ = false;
+    for (auto& [name, reg] : registers_) {
+        reg = {};
+        reg.state = State::reading;
+        reg.read_started_at = now;
+        begin_request(now, name, reg);
     }
 }
 
 void RegisterClient::end_term() {
-    number_ = 0;
-    posts_.clear();
-    for (auto& [name, page] : pages_) page = {};
+    fencing_token_ = 0;
+    outgoing_.clear();
+    for (auto& [name, reg] : registers_) reg = {};
 }
 
-void RegisterClient::set_acceptors(double now, const AcceptorSet& voters) {
-    if (voters == voters_) return;
-    voters_ = voters;
+void RegisterClient::set_acceptors(double now, const AcceptorSet& acceptors) {
+    if (acceptors == acceptors_) return;
+    acceptors_ = acceptors;
     if (!has_term()) return;
-    for (auto& [name, page] : pages_) {
-        if (page.state == State::reading)
-            ask(now, name, page, true);
+    for (auto& [name, reg] : registers_) {
+        if (reg.state == State::reading)
+            begin_request(now, name, reg);
         else
-            begin_write(now, name, page);
+            begin_write(now, name, reg);
     }
 }
 
-bool RegisterClient::read() const {
-    return has_term() && !passed_ && std::all_of(pages_.begin(), pages_.end(), [](const auto& one) {
-               return one.second.state == State::known || one.second.state == State::writing;
-           });
+bool RegisterClient::all_known() const {
+    if (!has_term() || superseded_) return false;
+    return std::all_of(registers_.begin(), registers_.end(), [](const auto& entry) {
+        const State state = entry.second.state;
+        return state == State::known || state == State::writing;
+    });
 }
 
 bool RegisterClient::committed(const std::string& name) const {
-    return !passed_ && pages_.at(name).state == State::known;
+    return !superseded_ && registers_.at(name).state == State::known;
 }
 
 void RegisterClient::write(double now, const std::string& name, std::string text) {
-    Page& page = pages_.at(name);
-    const bool own = page.note.fencing_token == number_;
-    page.note = {number_, own ? page.note.sequence + 1 : 1, std::move(text)};
-    begin_write(now, name, page);
+    Register& reg = registers_.at(name);
+    const bool is_own = reg.value.fencing_token == fencing_token_;
+    reg.value = {fencing_token_, is_own ? reg.value.sequence + 1 : 1, std::move(text)};
+    begin_write(now, name, reg);
 }
 
-void RegisterClient::begin_write(double now, const std::string& name, Page& page) {
-    page.state = State::writing;
-    ask(now, name, page, true);
+void RegisterClient::begin_write(double now, const std::string& name, Register& reg) {
+    reg.state = State::writing;
+    begin_request(now, name, reg);
 }
 
-void RegisterClient::ask(double now, const std::string& name, Page& page, bool first) {
-    if (first) {
-        page.ask = ++asks_;
-        page.answered.clear();
-        page.knowing.clear();
-    }
+void RegisterClient::begin_request(double now, const std::string& name, Register& reg) {
+    reg.request_id = ++last_request_id_;
+    reg.answered_by.clear();
+    reg.remembered_by.clear();
+    send_request(now, name, reg);
+}
+
+// To the acceptors that have not answered yet.
+void RegisterClient::send_request(double now, const std::string& name, Register& reg) {
+    using Kind = RegisterMessage::Kind;
     RegisterMessage message;
-    message.kind =
-        page.state == State::reading ? RegisterMessage::Kind::read : RegisterMessage::Kind::write;
+    message.kind = reg.state == State::reading ? Kind::read : Kind::write;
     message.name = name;
-    message.number = number_;
-    message.ask = page.ask;
-    message.epoch = voters_.epoch;
-    if (page.state == State::writing) message.note = page.note;
-    for (const std::string& voter : voters_.all())
-        if (!page.answered.contains(voter)) posts_.push_back({voter, message});
-    page.again_at =
-        now + request_timeout_s(times_) * std::uniform_real_distribution<double>(0.8, 1.2)(random_);
+    message.fencing_token = fencing_token_;
+    message.request_id = reg.request_id;
+    message.epoch = acceptors_.epoch;
+    if (reg.state == State::writing) message.value = reg.value;
+    for (const std::string& acceptor : acceptors_.members())
+        if (!reg.answered_by.contains(acceptor)) outgoing_.push_back({acceptor, message});
+    const double jitter = std::uniform_real_distribution<double>(0.8, 1.2)(random_);
+    reg.retry_at = now + request_timeout_s(times_) * jitter;
 }
 
-void RegisterClient::receive(double now, const std::string& voter, const RegisterMessage& message) {
+void RegisterClient::receive(double now, const std::string& acceptor, const RegisterMessage& message) {
     using Kind = RegisterMessage::Kind;
-    if (!has_term() || message.number != number_) return;
-    const auto at = pages_.find(message.name);
-    if (at == pages_.end() || message.ask != at->second.ask || !voters_.all().contains(voter)) return;
-    Page& page = at->second;
-    if (message.kind == Kind::passed) {
-        passed_ = true;
-        return;
-    }
-    if (message.kind == Kind::found && page.state == State::reading) {
-        page.answered.insert(voter);
-        if (message.knows) page.knowing.insert(voter);
-        if (page.note.before(message.note)) page.note = message.note;
-        const bool all = page.answered.size() == voters_.all().size();
-        const bool late = now >= page.asked_first + kLostAfter * times_.grant_duration_s;
-        if (!voters_.majority(page.knowing)) {
-            if (!all && !(late && voters_.majority(page.answered))) return;
-            // Nobody is left to ask: a name that nobody ever wrote, or one that was forgotten.
-            lost_ = true;
-        }
-        if (page.note.fencing_token == number_) page.note.sequence += kSequenceStep;
-        page.state = State::known;
-        page.again_at = 1e18;
-    } else if (message.kind == Kind::taken && page.state == State::writing) {
-        page.answered.insert(voter);
-        if (!voters_.majority(page.answered)) return;
-        page.state = State::known;
-        page.again_at = 1e18;
+    if (!has_term() || message.fencing_token != fencing_token_) return;
+    const auto found = registers_.find(message.name);
+    if (found == registers_.end() || message.request_id != found->second.request_id) return;
+    if (!acceptors_.members().contains(acceptor)) return;
+    Register& reg = found->second;
+    if (message.kind == Kind::superseded)
+        superseded_ = true;
+    else if (message.kind == Kind::read_reply && reg.state == State::reading)
+        on_read_reply(now, acceptor, message, reg);
+    else if (message.kind == Kind::write_ack && reg.state == State::writing)
+        on_write_ack(acceptor, reg);
+}
+
+void RegisterClient::on_read_reply(double now, const std::string& acceptor, const RegisterMessage& message,
+                                   Register& reg) {
+    reg.answered_by.insert(acceptor);
+    if (message.remembers) reg.remembered_by.insert(acceptor);
+    if (reg.value.before(message.value)) reg.value = message.value;
+    if (!acceptors_.has_majority(reg.remembered_by)) {
+        const bool all_answered = reg.answered_by.size() == acceptors_.members().size();
+        const bool is_late_majority = read_is_late(now, reg) && acceptors_.has_majority(reg.answered_by);
+        if (!all_answered && !is_late_majority) return;
+        lost_ = true;   // never written, or forgotten: nobody is left to ask
     }
+    if (reg.value.fencing_token == fencing_token_) reg.value.sequence += kSequenceStep;
+    reg.state = State::known;
+    reg.retry_at = kNever;
+}
+
+void RegisterClient::on_write_ack(const std::string& acceptor, Register& reg) {
+    reg.answered_by.insert(acceptor);
+    if (!acceptors_.has_majority(reg.answered_by)) return;
+    reg.state = State::known;
+    reg.retry_at = kNever;
+}
+
+bool RegisterClient::read_is_late(double now, const Register& reg) const {
+    return now >= reg.read_started_at + kLostAfterGrants * times_.grant_duration_s;
 }
 
 void RegisterClient::on_timer(double now) {
-    if (!has_term() || passed_) return;
-    for (auto& [name, page] : pages_) {
-        if (now < page.again_at) continue;
-        // Those that have answered a read may know more by now: all are asked again once it is late.
-        const bool anew =
-            page.state == State::reading && now >= page.asked_first + kLostAfter * times_.grant_duration_s;
-        ask(now, name, page, anew);
+    if (!has_term() || superseded_) return;
+    for (auto& [name, reg] : registers_) {
+        if (now < reg.retry_at) continue;
+        // Acceptors that have answered a late read may remember more by now.
+        if (reg.state == State::reading && read_is_late(now, reg))
+            begin_request(now, name, reg);
+        else
+            send_request(now, name, reg);
     }
 }
 
 double RegisterClient::next_deadline() const {
-    double next = 1e18;
-    if (has_term() && !passed_)
-        for (const auto& [name, page] : pages_) next = std::min(next, page.again_at);
+    double next = kNever;
+    if (!has_term() || superseded_) return next;
+    for (const auto& [name, reg] : registers_) next = std::min(next, reg.retry_at);
     return next;
 }
 
--- a/src/lease/replicated_register.hpp
+++ b/src/lease/replicated_register.hpp
@@ -1,14 +1,18 @@
-// Notes: what the holder of a lease leaves for those who hold it after it, kept by the voters. A register a
-// name, fenced by the lease's numbers: a write counts once a majority has taken it, and whoever reads under
-// a higher number is told of it and shuts out all writes under lower ones (as in Gilbert, Lynch,
-// Shvartsman's RAMBO and in Disk Paxos, with the fencing number as the ballot: no two holders have the
-// same).
+// Replicated registers: small values that the holder of a lease leaves for the holders after it, stored by
+// the acceptors. One register per name, fenced by the lease's fencing tokens.
 //
-// Both are decision rooms: messages and the time in, messages out. Safety rests on the numbers alone, but
-// for voters that forget: they take no part while their votes wait (Voter::takes_part), and what they have
-// forgotten they say (`knows`). A name that fewer than a majority know, though a majority answers, is
-// `lost` once kLostAfter times a grant's life have passed: its reader goes on from the highest that was
-// seen.
+// Rule: a write is committed once a majority of the acceptors has stored it; an acceptor refuses everything
+// under a token lower than the highest it has seen.
+// Inputs: messages and `now` in s (RegisterClient). Output: messages; values once a majority has answered.
+// Invariant: whoever reads under a higher token sees all committed writes under lower ones and shuts out
+// those still under way.
+// Reason: two holders never have the same token, so tokens serve as ballots.
+// From: RAMBO (Gilbert, Lynch, Shvartsman 2010), Disk Paxos (Gafni, Lamport 2003); docs/design/fleet.md.
+// Safety rests on the tokens alone, but for acceptors that lost their state: they don't answer during
+// recovery (Acceptor::is_voting) and mark what they may have forgotten (`remembers`). A register that fewer
+// than a majority remember, though a majority answers, is `lost` after kLostAfterGrants grant durations:
+// its reader continues from the highest value seen. Never does: I/O, reading a clock.
+// src/app/fleet_component owns the acceptor, the users of registers (fleet_counters, rollout) the clients.
 #pragma once
 
 #include <cstdint>
@@ -24,108 +28,126 @@
 
 namespace slatejunction::lease {
 
-inline constexpr std::size_t kMaxValueBytes = 860;   // bytes, so that it fits into one datagram
-inline constexpr std::size_t kMaxRegisters = 64;     // names that a voter keeps
-inline constexpr double kLostAfter = 4;              // times a grant's life
+inline constexpr std::size_t kMaxValueBytes = 860;   // so that a message fits into one datagram
+inline constexpr std::size_t kMaxRegisters = 64;     // of one acceptor
+inline constexpr double kLostAfterGrants = 4;        // times the grant's duration
 
+/// A value with its version: the writer's fencing token, then the writer's own count.
 struct RegisterValue {
-    std::uint64_t fencing_token = 0, sequence = 0;   // of its writer: the lease's number, its own count
+    std::uint64_t fencing_token = 0, sequence = 0;
     std::string text;
     bool operator==(const RegisterValue&) const = default;
+    /// Whether this version is older.
     bool before(const RegisterValue& other) const {
-        return fencing_token != other.fencing_token ? fencing_token < other.fencing_token
-                                                    : sequence < other.sequence;
+        if (fencing_token != other.fencing_token) return fencing_token < other.fencing_token;
+        return sequence < other.sequence;
     }
 };
 
+/// One datagram between a client and an acceptor; an answer repeats name, fencing_token and request_id.
 struct RegisterMessage {
-    enum class Kind { read = 1, found, write, taken, passed } kind = Kind::read;
+    /// The values are on the wire.
+    enum class Kind { read = 1, read_reply, write, write_ack, superseded } kind = Kind::read;
     std::string name;
-    std::uint64_t number = 0;   // of who asks
-    std::uint64_t ask = 0;      // of the asker; an answer repeats it
-    RegisterValue note;         // of a write and of what was found
-    bool knows = false;         // of what was found: nothing of this name was forgotten
-    std::uint32_t epoch = 0;    // of the voter set
+    std::uint64_t fencing_token = 0;   ///< of the client
+    std::uint64_t request_id = 0;
+    RegisterValue value;       ///< of a write and a read_reply
+    bool remembers = false;    ///< of a read_reply: nothing of this name was forgotten
+    std::uint32_t epoch = 0;   ///< of the acceptor set
 };
-std::string write(const RegisterMessage& message);
-bool read(std::string_view bytes, RegisterMessage& message);   // false: it is none
+std::string encode(const RegisterMessage& message);
+/// False: `bytes` are no valid message.
+bool decode(std::string_view bytes, RegisterMessage& message);
 
-// A voter's side.
+/// An acceptor's registers.
 class RegisterAcceptor {
   public:
     struct StoredRegister {
-        std::uint64_t promised = 0;   // writes under lower numbers are shut out
-        RegisterValue note;
+        std::uint64_t promised_token = 0;   ///< requests under lower tokens are refused
+        RegisterValue value;
         bool operator==(const StoredRegister&) const = default;
     };
     using Registers = std::map<std::string, StoredRegister>;
 
-    // `remembers`: `kept` is all that was ever taken here.
-    RegisterAcceptor(bool remembers, Registers kept) : remembers_(remembers), kept_(std::move(kept)) {}
-    // False: there is nothing to answer.
+    /// `remembers`: `stored` is all that was ever stored here.
+    RegisterAcceptor(bool remembers, Registers stored)
+        : remembers_(remembers), registers_(std::move(stored)) {}
+    /// False: there is no answer to send.
     bool receive(const RegisterMessage& message, RegisterMessage& answer);
-    const Registers& registers() const { return kept_; }
-    std::uint64_t changes() const { return changes_; }   // to be kept before an answer leaves
-    // As the process before this one had them, if it remembered.
-    void restore(const Registers& kept);
+    const Registers& registers() const { return registers_; }
+    /// Goes up with each change that must be saved before the answer leaves.
+    std::uint64_t revision() const { return revision_; }
+    /// Continues the registers of the process before this one, which remembered all.
+    void restore(const Registers& stored);
     bool remembers() const { return remembers_; }
 
   private:
+    bool write(const RegisterValue& value, StoredRegister& stored);
+
     bool remembers_;
-    Registers kept_;
-    std::uint64_t changes_ = 0;
+    Registers registers_;
+    std::uint64_t revision_ = 0;
 };
 
-// The holder's side: all notes of one lease.
+/// The lease holder's access to a fixed set of registers.
 class RegisterClient {
   public:
-    RegisterClient(std::vector<std::string> names, const LeaseTimes& times, const AcceptorSet& voters,
+    RegisterClient(std::vector<std::string> names, const LeaseTimes& times, const AcceptorSet& acceptors,
                    std::uint64_t seed);
 
-    void begin_term(double now, std::uint64_t number);   // held under it from now on: all are read anew
+    /// The lease is held under this token from now on: all registers are read anew.
+    void begin_term(double now, std::uint64_t fencing_token);
     void end_term();
-    void set_acceptors(double now,
-                       const AcceptorSet& voters);   // what a majority of the old took is written again
-    void receive(double now, const std::string& voter, const RegisterMessage& message);
+    /// Writes again what a majority of the old set has stored.
+    void set_acceptors(double now, const AcceptorSet& acceptors);
+    void receive(double now, const std::string& acceptor, const RegisterMessage& message);
     void on_timer(double now);
     double next_deadline() const;
 
-    bool has_term() const { return number_ != 0; }
-    std::uint64_t number() const { return number_; }
-    bool read() const;   // all are known
-    // Fewer than a majority remembered something; what is told is the highest of what was seen.
+    bool has_term() const { return fencing_token_ != 0; }
+    std::uint64_t fencing_token() const { return fencing_token_; }
+    /// Whether every register has been read in this term.
+    bool all_known() const;
+    /// Fewer than a majority remembered some register; its value is the highest that was seen.
     bool lost() const { return lost_; }
-    const std::string& text(const std::string& name) const { return pages_.at(name).note.text; }
-    void write(double now, const std::string& name, std::string text);   // wants read()
-    bool committed(const std::string& name) const;   // a majority has what was written last
-    // Somebody holds a higher number: nothing that is written here counts any more.
-    bool superseded() const { return passed_; }
+    const std::string& text(const std::string& name) const { return registers_.at(name).value.text; }
+    /// Requires all_known().
+    void write(double now, const std::string& name, std::string text);
+    /// Whether a majority has stored the last write.
+    bool committed(const std::string& name) const;
+    /// Another process has a higher token: no write of this term counts any more.
+    bool superseded() const { return superseded_; }
 
     struct OutgoingMessage {
         std::string to;
         RegisterMessage message;
     };
-    std::vector<OutgoingMessage> take_outgoing() { return std::exchange(posts_, {}); }
+    std::vector<OutgoingMessage> take_outgoing() { return std::exchange(outgoing_, {}); }
 
   private:
-    enum class State { unread, reading, known, writing };
-    struct Page {
-        State state = State::unread;
-        RegisterValue note;
-        std::uint64_t ask = 0;
-        std::set<std::string> answered, knowing;
-        double again_at = 1e18, asked_first = 0;
+    enum class State { idle, reading, known, writing };
+    struct Register {
+        State state = State::idle;
+        RegisterValue value;
+        std::uint64_t request_id = 0;
+        std::set<std::string> answered_by, remembered_by;
+        double retry_at = 1e18, read_started_at = 0;
     };
-    void ask(double now, const std::string& name, Page& page, bool first);
-    void begin_write(double now, const std::string& name, Page& page);
+    void begin_request(double now, const std::string& name, Register& reg);
+    void send_request(double now, const std::string& name, Register& reg);
+    void begin_write(double now, const std::string& name, Register& reg);
+    void on_read_reply(double now, const std::string& acceptor, const RegisterMessage& message,
+                       Register& reg);
+    void on_write_ack(const std::string& acceptor, Register& reg);
+    bool read_is_late(double now, const Register& reg) const;
 
     const LeaseTimes times_;
-    AcceptorSet voters_;
-    std::minstd_rand random_;   // of waits only
-    std::map<std::string, Page> pages_;
-    std::uint64_t number_ = 0, asks_ = 0;
-    bool passed_ = false, lost_ = false;
-    std::vector<OutgoingMessage> posts_;
+    AcceptorSet acceptors_;
+    std::minstd_rand random_;   // retry jitter only
+    std::map<std::string, Register> registers_;
+    std::uint64_t fencing_token_ = 0, last_request_id_ = 0;
+    bool superseded_ = false, lost_ = false;
+    std::vector<OutgoingMessage> outgoing_;
 };
 
 }   // namespace slatejunction::lease
--- a/src/lease/settings.cpp
+++ b/src/lease/settings.cpp
@@ -8,25 +8,53 @@
 namespace slatejunction::lease {
 namespace {
 
-constexpr std::size_t kVotersMost = 9;
+constexpr std::size_t kMaxAcceptors = 9;
 
-std::vector<std::string> names_of(const std::string& text) {
-    std::vector<std::string> all;
+std::string trimmed(std::string text) {
+    text.erase(0, std::min(text.find_first_not_of(" \t"), text.size()));
+    text.erase(text.find_last_not_of(" \t") + 1);
+    return text;
+}
+
+std::vector<std::string> split_names(const std::string& text) {
+    std::vector<std::string> names;
     std::istringstream rest(text);
-    for (std::string one; std::getline(rest, one, ',');) {
-        one.erase(0, std::min(one.find_first_not_of(" \t"), one.size()));
-        one.erase(one.find_last_not_of(" \t") + 1);
-        all.push_back(one);
-    }
-    return all;
+    for (std::string name; std::getline(rest, name, ',');) names.push_back(trimmed(name));
+    return names;
 }
 
+// What is wrong with a list of acceptors; empty: nothing.
 std::string check_names(const std::string& text) {
-    const auto names = names_of(text);
-    if (names.size() > kVotersMost) return "more than " + std::to_string(kVotersMost) + " voters";
-    const std::set<std::string> once(names.begin(), names.end());
-    if (once.contains("")) return "a name is empty";
-    if (once.size() != names.size()) return "a name stands twice";
+    const auto names = split_names(text);
+    if (names.size() > kMaxAcceptors) return "more than " + std::to_string(kMaxAcceptors) + " voters";
+    const std::set<std::string> distinct(names.begin(), names.end());
+    if (distinct.contains("")) return "a name is empty";
+    if (distinct.size() != names.size()) return "a name stands twice";
+    return {};
+}
+
+// Names that stand in one list only.
+std::size_t count_differences(const std::string& left, const std::string& right) {
+    const auto left_names = split_names(left);
+    const auto right_names = split_names(right);
+    const std::set<std::string> a(left_names.begin(), left_names.end());
+    const std::set<std::string> b(right_names.begin(), right_names.end());
+    std::size_t count = 0;
+    for (const auto& name : a) count += !b.contains(name);
+    for (const auto& name : b) count += !a.contains(name);
+    return count;
+}
+
+// What is wrong with the section as a whole; empty: nothing.
+std::string check_section(const Options& options) {
+    if (!options.on()) return {};
+    // One change at a time: majorities of neighbouring sets share an acceptor.
+    if (!options.previous_acceptors.empty() &&
+        count_differences(options.acceptors, options.previous_acceptors) > 1)
+        return "voters_before: differs from voters by more than one name";
+    const LeaseTimes& times = options.times;
+    if (usable_duration_s(times) <= times.max_action_s + 2 * request_timeout_s(times))
+        return "lives_s: too short: after drift, margin_s and act_s nothing is left to renew in";
     return {};
 }
 
@@ -52,27 +80,13 @@
     section.choice("numbers", token_persistence, {"clock", "kept"},
                    "after all voters were restarted fencing numbers go on by the wall clock, or from "
                    "[state] directory");
-    section.integer("drains", drains, 0, kSlotsMost, "",
+    section.integer("drains", max_draining, 0, kMaxSlots, "",
                     "ingresses of a site that may be drained at once; 0: any number");
-    section.whole([this]() -> std::string {
-        if (!on()) return {};
-        const auto now = names_of(acceptors), then = names_of(previous_acceptors);
-        if (!previous_acceptors.empty()) {
-            // One step at a time: majorities of neighbouring sets have a voter in common.
-            const std::set<std::string> a(now.begin(), now.end()), b(then.begin(), then.end());
-            std::size_t differ = 0;
-            for (const auto& one : a) differ += !b.contains(one);
-            for (const auto& one : b) differ += !a.contains(one);
-            if (differ > 1) return "voters_before: differs from voters by more than one name";
-        }
-        if (usable_duration_s(times) <= times.max_action_s + 2 * request_timeout_s(times))
-            return "lives_s: too short: after drift, margin_s and act_s nothing is left to renew in";
-        return {};
-    });
+    section.whole([this]() -> std::string { return check_section(*this); });
     return section;
 }
 
-ini::Section Options::announce() {
+ini::Section Options::announce_section() {
     ini::Section section("announce",
                          "The one ingress that conducts the fleet's tasks says so at an address outside, "
                          "with its fencing number. Wants [lease].");
@@ -86,13 +100,14 @@
 }
 
 LeaseNodeSettings settings_of(const Options& options, const std::string& name) {
-    LeaseNodeSettings made;
-    made.name = name;
-    made.times = options.times;
-    made.acceptors.names = names_of(options.acceptors);
-    if (!options.previous_acceptors.empty()) made.acceptors.before = names_of(options.previous_acceptors);
-    made.acceptors.epoch = static_cast<std::uint32_t>(options.epoch);
-    return made;
+    LeaseNodeSettings settings;
+    settings.name = name;
+    settings.times = options.times;
+    settings.acceptors.current = split_names(options.acceptors);
+    if (!options.previous_acceptors.empty())
+        settings.acceptors.previous = split_names(options.previous_acceptors);
+    settings.acceptors.epoch = static_cast<std::uint32_t>(options.epoch);
+    return settings;
 }
 
 std::vector<std::string> stated(const Options& options) {
@@ -102,8 +117,8 @@
         text, sizeof text,
         "lease: %zu voters, a grant of %g s may be used for %.2f s; without a holder for at most %.2f s "
         "after it dies (round trips of 20 ms); a voter that forgot waits %.2f s",
-        names_of(options.acceptors).size(), t.grant_duration_s, usable_duration_s(t),
-        max_vacancy_s(t, 0.02), amnesia_s(t));
+        split_names(options.acceptors).size(), t.grant_duration_s, usable_duration_s(t),
+        max_vacancy_s(t, 0.02), recovery_wait_s(t));
     return {text};
 }
 
--- a/src/membership/datagram_auth.cpp
+++ b/src/membership/datagram_auth.cpp
@@ -10,59 +10,74 @@
 namespace {
 
 constexpr unsigned char kVersion = 1;
-constexpr std::size_t kHead = 28, kTag = 16;
+constexpr std::size_t kHeaderBytes = 28, kTagBytes = 16;
+constexpr std::size_t kFromOffset = 4, kToOffset = 12, kSequenceOffset = 20;
+constexpr std::size_t kMaxKeys = 2;
 
-void put(std::string& to, std::uint64_t value) {
+void append_u64(std::string& to, std::uint64_t value) {
     for (int i = 0; i < 8; ++i) to.push_back(static_cast<char>(value >> (8 * i)));
 }
-std::uint64_t get(std::string_view from, std::size_t at) {
+
+std::uint64_t read_u64(std::string_view from, std::size_t offset) {
     std::uint64_t value = 0;
     for (std::size_t i = 0; i < 8; ++i)
-        value |= static_cast<std::uint64_t>(static_cast<unsigned char>(from[at + i])) << (8 * i);
+        value |= static_cast<std::uint64_t>(static_cast<unsigned char>(from[offset + i])) << (8 * i);
     return value;
 }
-// Tells which key without trying all; nothing can be learnt of the key from it.
-unsigned char name_of(const AuthKey& key) {
-    unsigned char name[crypto_generichash_BYTES_MIN];
-    static constexpr unsigned char kWhat[] = "slatejunction key";
-    crypto_generichash(name, sizeof name, kWhat, sizeof kWhat - 1, key.data(), key.size());
-    return name[0];
+
+// A hash's first byte: nothing of the key can be learnt from it.
+unsigned char id_of(const AuthKey& key) {
+    unsigned char id[crypto_generichash_BYTES_MIN];
+    static constexpr unsigned char kText[] = "slatejunction key";
+    crypto_generichash(id, sizeof id, kText, sizeof kText - 1, key.data(), key.size());
+    return id[0];
 }
-std::array<unsigned char, kTag> tag_of(const AuthKey& key, std::string_view bytes) {
-    std::array<unsigned char, kTag> tag{};
+
+std::array<unsigned char, kTagBytes> tag_of(const AuthKey& key, std::string_view bytes) {
+    std::array<unsigned char, kTagBytes> tag{};
     crypto_generichash(tag.data(), tag.size(), reinterpret_cast<const unsigned char*>(bytes.data()),
                        bytes.size(), key.data(), key.size());
     return tag;
 }
 
+// A line without its comment and the blanks around it.
+std::string_view content_of(std::string_view line) {
+    line = line.substr(0, line.find('#'));
+    while (!line.empty() && (line.back() == ' ' || line.back() == '\r' || line.back() == '\t'))
+        line.remove_suffix(1);
+    while (!line.empty() && (line.front() == ' ' || line.front() == '\t')) line.remove_prefix(1);
+    return line;
+}
+
+bool parse_key(std::string_view text, AuthKey& key) {
+    if (text.size() != 2 * kKeyBytes) return false;
+    std::size_t size = 0;
+    const char* stop = nullptr;
+    const int result =
+        sodium_hex2bin(key.data(), key.size(), text.data(), text.size(), nullptr, &size, &stop);
+    return result == 0 && size == kKeyBytes && stop == text.data() + text.size();
+}
+
 }   // namespace
 
 std::string read_keys(std::string_view text, std::vector<AuthKey>& keys) {
     std::vector<AuthKey> found;
-    std::size_t line = 0;
+    std::size_t line_number = 0;
+    const auto fault = [&](const char* why) { return "line " + std::to_string(line_number) + why; };
     while (!text.empty()) {
-        ++line;
+        ++line_number;
         const std::size_t end = std::min(text.find('\n'), text.size());
-        std::string_view one = text.substr(0, end);
+        const std::string_view line = content_of(text.substr(0, end));
         text.remove_prefix(std::min(end + 1, text.size()));
-        one = one.substr(0, one.find('#'));
-        while (!one.empty() && (one.back() == ' ' || one.back() == '\r' || one.back() == '\t'))
-            one.remove_suffix(1);
-        while (!one.empty() && (one.front() == ' ' || one.front() == '\t')) one.remove_prefix(1);
-        if (one.empty()) continue;
+        if (line.empty()) continue;
         AuthKey key{};
-        std::size_t size = 0;
-        const char* stop = nullptr;
-        if (one.size() != 2 * kKeyBytes ||
-            sodium_hex2bin(key.data(), key.size(), one.data(), one.size(), nullptr, &size, &stop) != 0 ||
-            size != kKeyBytes || stop != one.data() + one.size())
-            return "line " + std::to_string(line) + ": a key is 64 hexadecimal digits";
-        if (found.size() == 2) return "line " + std::to_string(line) + ": two keys at most";
+        if (!parse_key(line, key)) return fault(": a key is 64 hexadecimal digits");
+        if (found.size() == kMaxKeys) return fault(": two keys at most");
         found.push_back(key);
     }
     if (found.empty()) return "line 1: there is no key";
-    if (found.size() == 2 && name_of(found[0]) == name_of(found[1]))
-        return "line " + std::to_string(line) + ": draw another key, these two can't be told apart";
+    if (found.size() == kMaxKeys && id_of(found[0]) == id_of(found[1]))
+        return fault(": draw another key, these two can't be told apart");
     keys = found;
     return {};
 }
@@ -74,72 +89,82 @@
 
 void DatagramAuth::set_keys(const std::vector<AuthKey>& keys) {
     keys_.clear();
-    for (const AuthKey& key : keys) keys_.push_back({key, name_of(key)});
+    for (const AuthKey& key : keys) keys_.push_back({key, id_of(key)});
 }
 
 std::string DatagramAuth::seal(std::uint64_t to, std::string_view payload) {
-    std::string made;
-    made.reserve(kSealBytes + payload.size());
-    made.push_back(static_cast<char>(kVersion));
-    made.push_back(static_cast<char>(keys_.front().name));
-    made.append(2, '\0');
-    put(made, process_);
-    put(made, to);
-    put(made, ++number_);
-    made.append(payload);
-    const auto tag = tag_of(keys_.front().key, made);
-    made.append(reinterpret_cast<const char*>(tag.data()), tag.size());
-    return made;
+    std::string datagram;
+    datagram.reserve(kAuthOverheadBytes + payload.size());
+    datagram.push_back(static_cast<char>(kVersion));
+    datagram.push_back(static_cast<char>(keys_.front().id));
+    datagram.append(2, '\0');
+    append_u64(datagram, process_);
+    append_u64(datagram, to);
+    append_u64(datagram, ++last_sequence_);
+    datagram.append(payload);
+    const auto tag = tag_of(keys_.front().key, datagram);
+    datagram.append(reinterpret_cast<const char*>(tag.data()), tag.size());
+    return datagram;
 }
 
 OpenResult DatagramAuth::open(std::string_view bytes, std::uint64_t& from, std::string_view& payload) {
-    const OpenResult result = look(bytes, from, payload);
+    const OpenResult result = verify(bytes, from, payload);
     ++counts_[static_cast<std::size_t>(result)];
     return result;
 }
 
-OpenResult DatagramAuth::look(std::string_view bytes, std::uint64_t& from, std::string_view& payload) {
-    if (bytes.size() < kSealBytes || bytes.size() > kDatagramMost) return OpenResult::short_or_long;
+OpenResult DatagramAuth::verify(std::string_view bytes, std::uint64_t& from, std::string_view& payload) {
+    if (bytes.size() < kAuthOverheadBytes || bytes.size() > kMaxDatagramBytes) return OpenResult::bad_size;
     if (static_cast<unsigned char>(bytes[0]) != kVersion || bytes[2] != 0 || bytes[3] != 0)
-        return OpenResult::version;
-    const std::string_view body = bytes.substr(0, bytes.size() - kTag);
-    bool good = false;
-    for (const Named& one : keys_) {
-        if (one.name != static_cast<unsigned char>(bytes[1])) continue;
-        const auto tag = tag_of(one.key, body);
-        good = sodium_memcmp(tag.data(), bytes.data() + body.size(), kTag) == 0;
-        if (good) break;
+        return OpenResult::bad_version;
+    if (!has_valid_tag(bytes)) return OpenResult::bad_key;
+    from = read_u64(bytes, kFromOffset);
+    payload = bytes.substr(kHeaderBytes, bytes.size() - kAuthOverheadBytes);
+    const bool is_own = from == process_;
+    if (is_own || from == 0) return OpenResult::replayed;
+    if (read_u64(bytes, kToOffset) != process_) return OpenResult::unknown_sender;
+    const bool is_new = accept_sequence(from, read_u64(bytes, kSequenceOffset));
+    return is_new ? OpenResult::fresh : OpenResult::replayed;
+}
+
+bool DatagramAuth::has_valid_tag(std::string_view bytes) const {
+    const std::string_view body = bytes.substr(0, bytes.size() - kTagBytes);
+    for (const IdentifiedKey& key : keys_) {
+        if (key.id != static_cast<unsigned char>(bytes[1])) continue;
+        const auto tag = tag_of(key.key, body);
+        if (sodium_memcmp(tag.data(), bytes.data() + body.size(), kTagBytes) == 0) return true;
     }
-    if (!good) return OpenResult::key;
-    from = get(bytes, 4);
-    payload = body.substr(kHead);
-    if (from == process_ || from == 0) return OpenResult::replayed;   // its own, come back
-    if (get(bytes, 12) != process_) return OpenResult::unknown_sender;
-    return take_number(from, get(bytes, 20)) ? OpenResult::fresh : OpenResult::replayed;
+    return false;
 }
 
-bool DatagramAuth::take_number(std::uint64_t from, std::uint64_t number) {
-    auto at = senders_.find(from);
-    if (at == senders_.end()) {
-        if (senders_.size() >= kSendersMost) {
-            senders_.erase(order_.front());
-            order_.pop_front();
-        }
-        at = senders_.emplace(from, Sender{}).first;
-        at->second.place = order_.insert(order_.end(), from);
-    } else {
-        order_.splice(order_.end(), order_, at->second.place);
+DatagramAuth::Sender& DatagramAuth::find_or_create_sender(std::uint64_t from) {
+    const auto found = senders_.find(from);
+    if (found != senders_.end()) {
+        least_recently_heard_.splice(least_recently_heard_.end(), least_recently_heard_,
+                                     found->second.recency);
+        return found->second;
     }
-    Sender& sender = at->second;
-    if (number > sender.newest) {
-        const std::uint64_t by = number - sender.newest;
-        sender.seen = by >= kWindow ? std::bitset<kWindow>() : sender.seen << by;
-        sender.newest = number;
+    if (senders_.size() >= kMaxSenders) {
+        senders_.erase(least_recently_heard_.front());
+        least_recently_heard_.pop_front();
+    }
+    Sender& sender = senders_[from];
+    sender.recency = least_recently_heard_.insert(least_recently_heard_.end(), from);
+    return sender;
+}
+
+// False: the sequence was accepted before, or is too old to know.
+bool DatagramAuth::accept_sequence(std::uint64_t from, std::uint64_t sequence) {
+    Sender& sender = find_or_create_sender(from);
+    if (sequence > sender.highest_sequence) {
+        const std::uint64_t ahead = sequence - sender.highest_sequence;
+        sender.seen = ahead >= kReplayWindow ? std::bitset<kReplayWindow>() : sender.seen << ahead;
+        sender.highest_sequence = sequence;
         sender.seen.set(0);
         return true;
     }
-    const std::uint64_t behind = sender.newest - number;
-    if (behind >= kWindow || sender.seen.test(behind)) return false;
+    const std::uint64_t behind = sender.highest_sequence - sequence;
+    if (behind >= kReplayWindow || sender.seen.test(behind)) return false;
     sender.seen.set(behind);
     return true;
 }
--- a/src/membership/datagram_auth.hpp
+++ b/src/membership/datagram_auth.hpp
@@ -1,11 +1,15 @@
-// Authenticates datagrams: whose they are, for whom, and that none is taken twice. Pure: bytes in, bytes
-// out. By libsodium's keyed BLAKE2b (crypto_generichash), 16 bytes.
+// Authenticates datagrams: who sent them, for whom, and that none is accepted twice.
 //
-//   version 1, key 1, zero 2, from 8, to 8, number 8, payload, tag 16   (bytes; numbers little-endian)
+//   version 1, key id 1, zero 2, from 8, to 8, sequence 8, payload, tag 16   (bytes; numbers little-endian)
 //
-// `from` and `to` are processes, drawn at each start. What is sealed for this very process can't be older
-// than its start; of each sender the numbers are taken once. Sealed for another process, or for nobody
-// (to 0), it may be old: the receiver only ever answers such a one by telling who is here.
+// Rule: a datagram is fresh if a known key made its tag, it is addressed to this very process, and its
+// sequence was not accepted from that sender before. The tag is libsodium's keyed BLAKE2b
+// (crypto_generichash).
+// Inputs: bytes, keys. Output: an OpenResult, the sender's process and the payload.
+// Invariant: `from` and `to` are processes, drawn at each start, so nothing fresh is older than this
+// process. Addressed to another process, or to nobody (to 0), a datagram may be a replay: the receiver only
+// answers who is here.
+// Seen in: counts() as a measure. Never does: I/O, encryption. GossipTransport owns it.
 #pragma once
 
 #include <array>
@@ -19,49 +23,54 @@
 
 namespace slatejunction::membership {
 
-inline constexpr std::size_t kSealBytes = 28 + 16;
+inline constexpr std::size_t kAuthOverheadBytes = 28 + 16;
 inline constexpr std::size_t kKeyBytes = 32;
 
 using AuthKey = std::array<unsigned char, kKeyBytes>;
 
-// Keys of a file: one a line, 64 hexadecimal digits, the first seals and both open; '#' begins a comment.
-// Returns what is wrong, "line N: why", and takes nothing then.
+/// Parses a key file: one key a line, 64 hexadecimal digits; '#' begins a comment. The first key signs,
+/// both verify. Returns what is wrong, "line N: why", and leaves `keys` as they were then.
 std::string read_keys(std::string_view text, std::vector<AuthKey>& keys);
 
-enum class OpenResult { fresh, unknown_sender, short_or_long, version, key, replayed };
-inline constexpr std::array<std::string_view, 6> kOpened{"fresh",   "stranger", "size",
-                                                         "version", "key",      "replayed"};
+enum class OpenResult { fresh, unknown_sender, bad_size, bad_version, bad_key, replayed };
+/// The measure's label.
+inline constexpr std::array<std::string_view, 6> kOpenResultNames{"fresh",   "stranger", "size",
+                                                                  "version", "key",      "replayed"};
 
 class DatagramAuth {
   public:
-    static constexpr std::size_t kSendersMost = 4096;   // whose numbers are remembered
+    static constexpr std::size_t kMaxSenders = 4096;   ///< whose sequences are remembered
 
+    /// Throws std::runtime_error when libsodium can't be used.
     DatagramAuth(const std::vector<AuthKey>& keys, std::uint64_t process);
     void set_keys(const std::vector<AuthKey>& keys);
+    /// The datagram for process `to`; 0: for whichever is there.
     std::string seal(std::uint64_t to, std::string_view payload);
-    // `payload` is a part of `bytes`. Counts by result.
+    /// `payload` points into `bytes`. Counts by result.
     OpenResult open(std::string_view bytes, std::uint64_t& from, std::string_view& payload);
-    const std::array<std::uint64_t, 6>& counts() const { return counts_; }
+    const std::array<std::uint64_t, 6>& counts() const { return counts_; }   ///< by OpenResult
 
   private:
-    static constexpr std::size_t kWindow = 256;   // numbers that may come out of their order
+    static constexpr std::size_t kReplayWindow = 256;   // sequences that may arrive out of order
     struct Sender {
-        std::uint64_t newest = 0;
-        std::bitset<kWindow> seen;
-        std::list<std::uint64_t>::iterator place;
+        std::uint64_t highest_sequence = 0;
+        std::bitset<kReplayWindow> seen;   // bit i: highest_sequence - i was accepted
+        std::list<std::uint64_t>::iterator recency;
     };
-    OpenResult look(std::string_view bytes, std::uint64_t& from, std::string_view& payload);
-    bool take_number(std::uint64_t from, std::uint64_t number);
+    OpenResult verify(std::string_view bytes, std::uint64_t& from, std::string_view& payload);
+    bool has_valid_tag(std::string_view bytes) const;
+    bool accept_sequence(std::uint64_t from, std::uint64_t sequence);
+    Sender& find_or_create_sender(std::uint64_t from);
 
-    struct Named {
+    struct IdentifiedKey {
         AuthKey key;
-        unsigned char name = 0;   // in each datagram: tells which key without trying all
+        unsigned char id = 0;   // in each datagram: selects the key
     };
-    std::vector<Named> keys_;
+    std::vector<IdentifiedKey> keys_;
     const std::uint64_t process_;
-    std::uint64_t number_ = 0;
+    std::uint64_t last_sequence_ = 0;
     std::unordered_map<std::uint64_t, Sender> senders_;
-    std::list<std::uint64_t> order_;   // the one heard longest ago first
+    std::list<std::uint64_t> least_recently_heard_;   // first: heard longest ago
     std::array<std::uint64_t, 6> counts_{};
 };
 
--- a/src/membership/gossip_transport.cpp
+++ b/src/membership/gossip_transport.cpp
@@ -5,112 +5,146 @@
 namespace slatejunction::membership {
 namespace {
 
-constexpr double kBindAgain = 0.1;             // s
-constexpr std::size_t kAddressesMost = 4096;   // kept as they were read
+constexpr double kBindRetryS = 0.1;
+constexpr std::size_t kMaxCachedAddresses = 4096;
+constexpr double kNoDeadline = 1e17;   // s; from there on no timer is wanted
+
+// As in the log line of a change.
+const char* state_name(const MemberChange& change) {
+    switch (change.kind) {
+        case MemberChange::Kind::joined:
+            return "there";
+        case MemberChange::Kind::restarted:
+            return "there anew";
+        default:
+            return kMemberStateNames[static_cast<int>(change.member.state)];
+    }
+}
 
 }   // namespace
 
 GossipTransport::GossipTransport(const Settings& settings, const std::vector<AuthKey>& keys,
                                  std::uint64_t process, std::uint64_t seed, net::Timers& timers, Log& log)
     : process_(process),
-      listen_(settings.address),
+      listen_address_(settings.address),
       members_(settings, process, seed),
-      seal_(keys, process),
+      auth_(keys, process),
       log_(log),
-      timer_(timers, [this] { due(); }),
+      timer_(timers, [this] { on_timer(); }),
       bind_timer_(timers, [this] { bind(); }),
-      socket_(timers, [this](std::string_view bytes) { taken(bytes); }) {}
+      socket_(timers, [this](std::string_view bytes) { on_datagram(bytes); }) {}
 
 void GossipTransport::start() { bind(); }
 
 void GossipTransport::bind() {
-    std::string why;
-    if (!socket_.start(address(listen_), why)) {
-        if (!std::exchange(told_held_, true))
+    std::string error;
+    if (!socket_.start(resolve(listen_address_), error)) {
+        if (!std::exchange(bind_failure_logged_, true))
             log_.write(Log::Level::warning, net::now(),
-                       "peers: %s can't be listened at, it is tried again: %s", listen_.c_str(),
-                       why.c_str());
-        bind_timer_.arm(net::now() + kBindAgain);
+                       "peers: %s can't be listened at, it is tried again: %s", listen_address_.c_str(),
+                       error.c_str());
+        bind_timer_.arm(net::now() + kBindRetryS);
         return;
     }
     log_.write(Log::Level::info, net::now(), "peers: %s at %s", members_.self().name.c_str(),
-               listen_.c_str());
+               listen_address_.c_str());
     members_.start(net::now());
-    pump();
+    flush();
 }
 
 void GossipTransport::leave() {
-    if (std::exchange(left_, true)) return;
+    if (std::exchange(departed_, true)) return;
     bind_timer_.disarm();
     timer_.disarm();
     members_.leave(net::now());
-    pump();
+    flush();
     timer_.disarm();
     socket_.stop();
 }
 
-GSocketAddress* GossipTransport::address(const std::string& text) {
-    auto at = addresses_.find(text);
-    if (at == addresses_.end()) {
-        if (addresses_.size() >= kAddressesMost) addresses_.clear();
-        at = addresses_.emplace(text, net::parse_address(text)).first;
+GSocketAddress* GossipTransport::resolve(const std::string& text) {
+    auto found = addresses_.find(text);
+    if (found == addresses_.end()) {
+        if (addresses_.size() >= kMaxCachedAddresses) addresses_.clear();
+        found = addresses_.emplace(text, net::parse_address(text)).first;
     }
-    return at->second.get();
+    return found->second.get();
 }
 
 bool GossipTransport::send(const std::string& name, Channel channel, std::string_view body) {
     if (!socket_.open()) return false;
     const bool sent = members_.send(net::now(), name, static_cast<std::uint32_t>(channel), body);
-    pump();
+    flush();
     return sent;
 }
 
-void GossipTransport::taken(std::string_view bytes) {
+void GossipTransport::on_datagram(std::string_view bytes) {
     std::uint64_t from = 0;
     std::string_view payload;
-    const OpenResult opened = seal_.open(bytes, from, payload);
-    if (opened != OpenResult::fresh && opened != OpenResult::unknown_sender) return;
-    members_.receive(net::now(), from, opened == OpenResult::fresh, payload);
-    pump();
+    const OpenResult result = auth_.open(bytes, from, payload);
+    if (result != OpenResult::fresh && result != OpenResult::unknown_sender) return;
+    members_.receive(net::now(), from, result == OpenResult::fresh, payload);
+    flush();
 }
 
-void GossipTransport::due() {
+void GossipTransport::on_timer() {
     if (members_.next_deadline() <= net::now()) members_.on_timer(net::now());
-    pump();
+    flush();
 }
 
-// A listener may send in its turn: that goes out in the same round, not inside it.
-void GossipTransport::pump() {
-    if (std::exchange(pumping_, true)) return;
-    for (bool more = true; more;) {
-        more = false;
-        for (const Datagram& one : members_.take_datagrams())
-            if (GSocketAddress* to = address(one.address))
-                socket_.send(to, seal_.seal(one.process, one.payload));
-        for (const ReceivedMessage& heard : members_.take_heard()) {
-            more = true;
-            if (const auto at = listeners_.find(heard.channel); at != listeners_.end()) at->second(heard);
-        }
-        for (const MemberChange& change : members_.take_changes()) {
-            more = true;
-            const Member& m = change.member;
-            if (change.what == MemberChange::What::disputed)
-                log_.write(Log::Level::error, net::now(),
-                           "peers: two processes claim the name %s, one at %s", m.name.c_str(),
-                           m.address.c_str());
-            else if (change.what != MemberChange::What::forgotten)
-                log_.write(Log::Level::info, net::now(), "peers: %s of %s at %s is %s", m.name.c_str(),
-                           m.site.c_str(), m.address.c_str(),
-                           change.what == MemberChange::What::joined ? "there"
-                           : change.what == MemberChange::What::restarted
-                               ? "there anew"
-                               : kStates[static_cast<int>(m.state)]);
-            for (const auto& call : changed_) call(change);
-        }
+// A listener may send in its turn: that goes out in the next pass, not inside the call.
+void GossipTransport::flush() {
+    if (std::exchange(flushing_, true)) return;
+    bool listeners_called = true;
+    while (listeners_called) {
+        send_datagrams();
+        const bool delivered = deliver_messages();
+        const bool reported = report_changes();
+        listeners_called = delivered || reported;
     }
-    pumping_ = false;
+    flushing_ = false;
+    arm_timer();
+}
+
+void GossipTransport::send_datagrams() {
+    for (const Datagram& datagram : members_.take_datagrams())
+        if (GSocketAddress* to = resolve(datagram.address))
+            socket_.send(to, auth_.seal(datagram.process, datagram.payload));
+}
+
+bool GossipTransport::deliver_messages() {
+    const std::vector<ReceivedMessage> messages = members_.take_messages();
+    for (const ReceivedMessage& message : messages) {
+        const auto listener = listeners_.find(message.channel);
+        if (listener != listeners_.end()) listener->second(message);
+    }
+    return !messages.empty();
+}
+
+bool GossipTransport::report_changes() {
+    const std::vector<MemberChange> changes = members_.take_changes();
+    for (const MemberChange& change : changes) {
+        log_change(change);
+        for (const auto& call : change_listeners_) call(change);
+    }
+    return !changes.empty();
+}
+
+void GossipTransport::log_change(const MemberChange& change) {
+    const Member& member = change.member;
+    if (change.kind == MemberChange::Kind::forgotten) return;
+    if (change.kind == MemberChange::Kind::name_conflict) {
+        log_.write(Log::Level::error, net::now(), "peers: two processes claim the name %s, one at %s",
+                   member.name.c_str(), member.address.c_str());
+        return;
+    }
+    log_.write(Log::Level::info, net::now(), "peers: %s of %s at %s is %s", member.name.c_str(),
+               member.site.c_str(), member.address.c_str(), state_name(change));
+}
+
+void GossipTransport::arm_timer() {
     const double next = members_.next_deadline();
-    if (next < 1e17)
+    if (next < kNoDeadline)
         timer_.arm(next);
     else
         timer_.disarm();
--- a/src/membership/settings.cpp
+++ b/src/membership/settings.cpp
@@ -10,7 +10,8 @@
 namespace slatejunction::membership {
 namespace {
 
-constexpr std::size_t kKeyFileMost = 4096;   // bytes
+constexpr std::size_t kMaxKeyFileBytes = 4096;
+constexpr std::size_t kMaxSiteBytes = 64;
 
 std::string trimmed(std::string text) {
     text.erase(0, std::min(text.find_first_not_of(" \t"), text.size()));
@@ -18,45 +19,69 @@
     return text;
 }
 
-std::vector<std::string> split(const std::string& text, char mark) {
-    std::vector<std::string> all;
+std::vector<std::string> split(const std::string& text, char separator) {
+    std::vector<std::string> parts;
     std::istringstream rest(text);
-    for (std::string one; std::getline(rest, one, mark);)
-        if (one = trimmed(one); !one.empty()) all.push_back(one);
-    return all;
+    for (std::string part; std::getline(rest, part, separator);) {
+        part = trimmed(part);
+        if (!part.empty()) parts.push_back(part);
+    }
+    return parts;
 }
 
-// NAME=ADDRESS:PORT a line; what is wrong with it.
+// Lines of NAME=ADDRESS:PORT. Returns what is wrong; empty: nothing.
 std::string read_pairs(const std::string& text, std::map<std::string, std::string>& pairs) {
     for (const std::string& line : split(text, '\n')) {
-        const std::size_t mark = line.find('=');
-        if (mark == std::string::npos) return "'" + line + "' is not NAME=ADDRESS:PORT";
-        const std::string name = trimmed(line.substr(0, mark)), address = trimmed(line.substr(mark + 1));
-        if (name.empty() || !net::parse_address(address)) return "'" + line + "' is not NAME=ADDRESS:PORT";
+        const std::string fault = "'" + line + "' is not NAME=ADDRESS:PORT";
+        const std::size_t separator = line.find('=');
+        if (separator == std::string::npos) return fault;
+        const std::string name = trimmed(line.substr(0, separator));
+        const std::string address = trimmed(line.substr(separator + 1));
+        if (name.empty() || !net::parse_address(address)) return fault;
         if (!pairs.emplace(name, address).second) return "'" + name + "' stands twice";
     }
     return {};
 }
 
+std::string check_address(const std::string& text) {
+    return net::parse_address(text) ? "" : "'" + text + "' is not ADDRESS:PORT";
+}
+
+std::string check_site(const std::string& text) {
+    return text.size() <= kMaxSiteBytes ? "" : "longer than 64 bytes";
+}
+
+std::string check_seeds(const std::string& text) {
+    for (const std::string& address : split(text, ',')) {
+        const std::string fault = check_address(address);
+        if (!fault.empty()) return fault;
+    }
+    return {};
+}
+
+// What is wrong with the section as a whole; empty: nothing.
+std::string check_section(const Options& options) {
+    if (!options.on()) return {};
+    std::map<std::string, std::string> pairs;
+    const std::string members_fault = read_pairs(options.members, pairs);
+    if (!members_fault.empty()) return "members: " + members_fault;
+    pairs.clear();
+    const std::string via_fault = read_pairs(options.via, pairs);
+    if (!via_fault.empty()) return "via: " + via_fault;
+    if (options.key_file.empty()) return "key_file: is wanted, what ingresses say is authenticated";
+    return {};
+}
+
 }   // namespace
 
 ini::Section Options::section() {
     ini::Section section(
         "peers", "Ingresses that know one another: docs/fleet.md. Off without an address to listen at.");
     section.text("listen", listen, "ADDRESS:PORT for UDP, where the other ingresses reach this one",
-                 [](const std::string& text) -> std::string {
-                     return net::parse_address(text) ? "" : "'" + text + "' is not ADDRESS:PORT";
-                 });
-    section.text("site", site, "where this ingress stands; empty: the platform's zone",
-                 [](const std::string& text) -> std::string {
-                     return text.size() <= 64 ? "" : "longer than 64 bytes";
-                 });
+                 check_address);
+    section.text("site", site, "where this ingress stands; empty: the platform's zone", check_site);
     section.text("seeds", seeds, "ADDRESS:PORT, by commas: members to join by; this one may be among them",
-                 [](const std::string& text) -> std::string {
-                     for (const std::string& one : split(text, ','))
-                         if (!net::parse_address(one)) return "'" + one + "' is not ADDRESS:PORT";
-                     return "";
-                 });
+                 check_seeds);
     section.lines("members", members, "NAME=ADDRESS:PORT, one a line: members that are known ahead");
     section.lines(
         "via", via,
@@ -65,51 +90,43 @@
                  "a file with one key, or two while one is replaced: 64 hexadecimal digits a line");
     section.real("interval_s", interval_s, 0.02, 60, "s",
                  "between probes; all times of membership follow it");
-    section.whole([this]() -> std::string {
-        if (!on()) return {};
-        std::map<std::string, std::string> pairs;
-        if (const std::string why = read_pairs(members, pairs); !why.empty()) return "members: " + why;
-        pairs.clear();
-        if (const std::string why = read_pairs(via, pairs); !why.empty()) return "via: " + why;
-        if (key_file.empty()) return "key_file: is wanted, what ingresses say is authenticated";
-        return {};
-    });
+    section.whole([this]() -> std::string { return check_section(*this); });
     return section;
 }
 
 Settings settings_of(const Options& options, const std::string& name, const std::string& zone,
                      const std::string& version) {
-    Settings made;
-    made.name = name;
-    made.address = options.listen;
-    made.site = options.site.empty() ? zone : options.site;
-    made.version = version;
-    made.seeds = split(options.seeds, ',');
-    read_pairs(options.members, made.known);
-    read_pairs(options.via, made.via);
-    made.interval_s = options.interval_s;
-    return made;
+    Settings settings;
+    settings.name = name;
+    settings.address = options.listen;
+    settings.site = options.site.empty() ? zone : options.site;
+    settings.version = version;
+    settings.seeds = split(options.seeds, ',');
+    read_pairs(options.members, settings.static_members);
+    read_pairs(options.via, settings.address_overrides);
+    settings.protocol_period_s = options.interval_s;
+    return settings;
 }
 
 std::string load_keys(const Options& options, std::vector<AuthKey>& keys) {
     std::ifstream in(options.key_file, std::ios::binary);
     if (!in) return "key_file: '" + options.key_file + "' can't be read";
     std::string text((std::istreambuf_iterator<char>(in)), std::istreambuf_iterator<char>());
-    if (text.size() > kKeyFileMost) return "key_file: is longer than 4096 bytes";
+    if (text.size() > kMaxKeyFileBytes) return "key_file: is longer than 4096 bytes";
     const std::string why = read_keys(text, keys);
     return why.empty() ? why : "key_file: " + options.key_file + ", " + why;
 }
 
 std::vector<std::string> stated(const Options& options) {
     std::vector<std::string> all;
-    for (const std::size_t members : {std::size_t{3}, std::size_t{30}, kMembersMost}) {
+    for (const std::size_t members : {std::size_t{3}, std::size_t{30}, kMaxMembers}) {
         char text[200];
         std::snprintf(
             text, sizeof text,
             "peers: of %zu members a death is known to all within %.1f s (999 of 1,000, links whole); "
             "at most %.0f datagrams a second",
             members, detection_bound_s(members, options.interval_s),
-            kDatagramsPerInterval / options.interval_s);
+            kDatagramsPerPeriod / options.interval_s);
         all.emplace_back(text);
     }
     return all;
--- a/src/membership/settings.hpp
+++ b/src/membership/settings.hpp
@@ -1,4 +1,5 @@
-// The operator's [peers] section.
+// The operator's [peers] section and the key file, and what check-config says of them. The INI keys are the
+// operator's words; they are mapped to the code's terms here and nowhere else.
 #pragma once
 
 #include <string>
@@ -11,25 +12,25 @@
 namespace slatejunction::membership {
 
 struct Options {
-    std::string listen;    // ADDRESS:PORT, UDP; empty: off
-    std::string site;      // empty: the platform's zone
-    std::string seeds;     // by commas
-    std::string members;   // NAME=ADDRESS:PORT, one a line
-    std::string via;       // the same
+    std::string listen;    ///< ADDRESS:PORT, UDP; empty: off
+    std::string site;      ///< empty: the platform's zone
+    std::string seeds;     ///< ADDRESS:PORT, separated by commas
+    std::string members;   ///< static members: NAME=ADDRESS:PORT, one a line
+    std::string via;       ///< address overrides: the same
     std::string key_file;
-    double interval_s = 1;
+    double interval_s = 1;   ///< the protocol period
     bool operator==(const Options&) const = default;
 
     bool on() const { return !listen.empty(); }
     ini::Section section();
 };
 
-// What the room is to know. Without a fault: the section has been checked.
+/// Requires options that passed the section's checks. `zone`: the site where none is named.
 Settings settings_of(const Options& options, const std::string& name, const std::string& zone,
                      const std::string& version);
-// The keys of key_file; "key_file: why" when there are none to be had.
+/// Reads key_file. Returns what is wrong, "key_file: why"; empty: `keys` are set.
 std::string load_keys(const Options& options, std::vector<AuthKey>& keys);
-// What is promised, for check-config.
+/// The bounds that follow from the options, a line each, for check-config.
 std::vector<std::string> stated(const Options& options);
 
 }   // namespace slatejunction::membership
--- a/src/operator_config/options.cpp
+++ b/src/operator_config/options.cpp
@@ -37,7 +37,7 @@
     all.push_back(quota.section());
     all.push_back(membership.section());
     all.push_back(lease.section());
-    all.push_back(lease.announce());
+    all.push_back(lease.announce_section());
     all.push_back(fleet_counters.section());
     all.push_back(fleet_rate_limits.section());
     all.push_back(rollout.section());
@@ -74,8 +74,8 @@
         faults.push_back(path + ": [fleet_sums] every_s: wants " +
                          (fresh.lease.on() ? "[remote_write] url, where the sums are written"
                                            : "[lease] voters, one of all ingresses writes them"));
-    if (faults.empty() && fresh.lease.on() && fresh.lease.token_persistence == lease::Options::kept &&
-        fresh.metrics.directory.empty())
+    if (faults.empty() && fresh.lease.on() &&
+        fresh.lease.token_persistence == lease::Options::state_directory && fresh.metrics.directory.empty())
         faults.push_back(path + ": [lease] numbers: kept wants [state] directory");
     if (faults.empty() && fresh.rollout.on()) {
         const std::string fault = fault_of_rollout(fresh);
--- a/src/rollout/settings.cpp
+++ b/src/rollout/settings.cpp
@@ -136,7 +136,7 @@
 }
 
 double changes_per_s(std::size_t replicas, double interval_s) {
-    const double datagrams = membership::kDatagramsPerInterval / interval_s;
+    const double datagrams = membership::kDatagramsPerPeriod / interval_s;
     return datagrams / (2 * static_cast<double>(std::max<std::size_t>(replicas, 2) - 1));
 }
 
--- a/src/rules/bucket_storage.cpp
+++ b/src/rules/bucket_storage.cpp
@@ -78,7 +78,7 @@
 
 BucketStorage::Stamp BucketStorage::Stamp::now() {
     static const std::uint64_t boot = boot_id();
-    return {wall_clock_ms(), static_cast<std::int64_t>(1e3 * lease::boot_s()), boot};
+    return {wall_clock_ms(), static_cast<std::int64_t>(1e3 * lease::boot_clock_s()), boot};
 }
 
 // Within one boot the wall clock is not asked. A clock that has stepped back makes no store fuller.
