--- a/tests/fleet_counters/fleet_counters_test.cpp
+++ b/tests/fleet_counters/fleet_counters_test.cpp
@@ -22,7 +22,7 @@
 RegisterMessage ask(NoteKind kind, std::uint64_t number, std::uint64_t sequence = 0,
                     std::string text = {}) {
     RegisterMessage made{kind, "sums", number, 1, {number, sequence, std::move(text)}, false, 1};
-    if (kind == NoteKind::read) made.note = {};
+    if (kind == NoteKind::read) made.value = {};
     return made;
 }
 
@@ -48,25 +48,25 @@
     RegisterAcceptor keeper(true, {});
     RegisterMessage answer;
     REQUIRE(keeper.receive(ask(NoteKind::read, 5), answer));
-    CHECK(answer.kind == NoteKind::found);
-    CHECK(answer.knows);
+    CHECK(answer.kind == NoteKind::read_reply);
+    CHECK(answer.remembers);
     REQUIRE(keeper.receive(ask(NoteKind::write, 4, 1, "old"), answer));
-    CHECK(answer.kind == NoteKind::passed);
+    CHECK(answer.kind == NoteKind::superseded);
     REQUIRE(keeper.receive(ask(NoteKind::write, 5, 2, "b"), answer));
-    CHECK(answer.kind == NoteKind::taken);
+    CHECK(answer.kind == NoteKind::write_ack);
     CHECK_FALSE(keeper.receive(ask(NoteKind::write, 5, 1, "a"), answer));   // late
     REQUIRE(keeper.receive(ask(NoteKind::write, 5, 2, "b"), answer));       // twice
-    CHECK(answer.kind == NoteKind::taken);
+    CHECK(answer.kind == NoteKind::write_ack);
     CHECK_FALSE(keeper.receive(ask(NoteKind::write, 5, 2, "c"), answer));
     REQUIRE(keeper.receive(ask(NoteKind::read, 6), answer));
-    CHECK(answer.note.text == "b");
+    CHECK(answer.value.text == "b");
     RegisterAcceptor forgot(false, {});
     REQUIRE(forgot.receive(ask(NoteKind::read, 6), answer));
-    CHECK_FALSE(answer.knows);
+    CHECK_FALSE(answer.remembers);
     REQUIRE(forgot.receive(ask(NoteKind::write, 6, 1, "c"), answer));
     REQUIRE(forgot.receive(ask(NoteKind::read, 6), answer));
-    CHECK(answer.knows);
-    CHECK(answer.note.text == "c");
+    CHECK(answer.remembers);
+    CHECK(answer.value.text == "c");
 }
 
 TEST_CASE("notes outlive the process in a file, and a broken one is put aside", "[sums]") {
@@ -103,7 +103,7 @@
     CHECK(report->cuts[0].period == 0);
     CHECK(report->cuts[1].values[served] == 3);
     Report back;
-    REQUIRE(read(write(*report), back));
+    REQUIRE(decode(encode(*report), back));
     CHECK(back.cuts[2].values == report->cuts[2].values);
     teller.acknowledge(8, 11);   // another process's
     CHECK(teller.waiting() == 2);
@@ -112,22 +112,23 @@
     REQUIRE(report->cuts.size() == 2);
     CHECK(report->cuts[0].values[served] == 3);
     // Nobody answers any more: half of the time after which it is forgotten it leaves that out.
-    for (std::uint64_t period = 12; period < 10 + kForget / 2; ++period)
+    for (std::uint64_t period = 12; period < 10 + kForgetPeriods / 2; ++period)
         teller.record_period(period, of(6)), teller.report();
     CHECK(teller.dropped_requests() == 0);
-    for (std::uint64_t period = 12; period <= 11 + kForget; ++period) teller.record_period(period, of(6));
+    for (std::uint64_t period = 12; period <= 11 + kForgetPeriods; ++period)
+        teller.record_period(period, of(6));
     CHECK(teller.dropped_requests() == 3);
     CHECK(teller.report()->cuts[0].values[served] == 6);
 }
 
 TEST_CASE("reports that can't be are not read", "[sums]") {
     Report report;
-    CHECK_FALSE(read("no message", report));
-    CHECK_FALSE(read(write({0, 0, {}}), report));
-    CHECK_FALSE(read(write({1, 0, {{0, of(0)}, {3, of(5)}, {4, of(4)}}}), report));   // counts down
-    CHECK_FALSE(read(write({1, 0, {{0, of(0)}, {4, of(5)}, {3, of(6)}}}), report));
-    CHECK_FALSE(read(write({1, 2, {{1, of(0)}, {4, of(5)}}}), report));
-    CHECK(read(write({1, 1, {{1, of(0)}, {4, of(5)}}}), report));
+    CHECK_FALSE(decode("no message", report));
+    CHECK_FALSE(decode(encode({0, 0, {}}), report));
+    CHECK_FALSE(decode(encode({1, 0, {{0, of(0)}, {3, of(5)}, {4, of(4)}}}), report));   // counts down
+    CHECK_FALSE(decode(encode({1, 0, {{0, of(0)}, {4, of(5)}, {3, of(6)}}}), report));
+    CHECK_FALSE(decode(encode({1, 2, {{1, of(0)}, {4, of(5)}}}), report));
+    CHECK(decode(encode({1, 1, {{1, of(0)}, {4, of(5)}}}), report));
 }
 
 TEST_CASE("three hundred processes fit into the notes", "[sums]") {
@@ -139,23 +140,23 @@
     const auto settle = [&](double now) {
         for (bool more = true; more;) {
             more = false;
-            for (const auto& post : collector.take_posts()) {
+            for (const auto& post : collector.take_register_messages()) {
                 RegisterMessage answer;
-                longest = std::max(longest, post.message.note.text.size());
+                longest = std::max(longest, post.message.value.text.size());
                 if (keeper.receive(post.message, answer))
-                    collector.on_note(now, now, "n0", answer), more = true;
+                    collector.on_register_message(now, now, "n0", answer), more = true;
             }
         }
     };
-    collector.hold(1000, 1000, 7);
+    collector.begin_term(1000, 1000, 7);
     settle(1000);
     Values values;
     values.fill(1'000'000'000'000'000);
     for (std::uint64_t process = 1; process <= 1000; ++process)
         collector.on_report(1000.5, 1000.5, "n", {process, 0, {{0, {}}, {1001, values}}});
-    for (double now = 1000.5; now < 1010; now += 0.5) collector.wake(now, now), settle(now);
-    CHECK(collector.done() >= 1005);
-    CHECK(collector.turned_away() > 0);
+    for (double now = 1000.5; now < 1010; now += 0.5) collector.on_timer(now, now), settle(now);
+    CHECK(collector.last_committed_period() >= 1005);
+    CHECK(collector.rejected_reports() > 0);
     CHECK(longest <= lease::kMaxValueBytes);
     CHECK(longest > lease::kMaxValueBytes / 2);
 }
--- a/tests/fleet_counters/world.hpp
+++ b/tests/fleet_counters/world.hpp
@@ -57,7 +57,7 @@
 class World {
   public:
     World(const Plan& plan, std::uint64_t seed) : plan_(plan), random_(seed), nodes_(plan.processes) {
-        for (std::size_t v = 0; v < plan.voters; ++v) voters_.names.push_back(name(v));
+        for (std::size_t v = 0; v < plan.voters; ++v) voters_.current.push_back(name(v));
         for (std::size_t i = 0; i < nodes_.size(); ++i) begin(i);
     }
 
@@ -130,7 +130,7 @@
         node.keeper = std::make_unique<lease::RegisterAcceptor>(
             knows,
             first || !plan_.remembers ? lease::RegisterAcceptor::Registers{} : node.keeper->registers());
-        node.votes_from = knows ? events_.now() : events_.now() + lease::amnesia_s(times_);
+        node.votes_from = knows ? events_.now() : events_.now() + lease::recovery_wait_s(times_);
     }
     void kill() {
         const std::size_t i = pick();
@@ -147,13 +147,13 @@
         holder_ = pick();
         nodes_[holder_].stopped_until = 0;
         ++result_.changes;
-        nodes_[holder_].collector->hold(events_.now(), unix_s(), ++number_);
+        nodes_[holder_].collector->begin_term(events_.now(), unix_s(), ++number_);
         pump(holder_);
     }
     void lose() {
         if (holder_ == nodes_.size()) return;
         // Whatever it has handed over by now is out; what its lease no longer permits is not.
-        nodes_[holder_].collector->lose();
+        nodes_[holder_].collector->end_term();
         nodes_[holder_].waiting.clear();
         holder_ = nodes_.size();
     }
@@ -168,8 +168,8 @@
             const auto period = static_cast<std::uint64_t>(unix_s() / kEvery);
             if (period > node.period) node.teller->record_period(node.period = period, node.values);
             if (random_() % 4 == 0) tell(i);
-            if (node.collector->due(events_.now(), unix_s()) <= events_.now())
-                node.collector->wake(events_.now(), unix_s());
+            if (node.collector->next_deadline(events_.now(), unix_s()) <= events_.now())
+                node.collector->on_timer(events_.now(), unix_s());
             pump(i);
         }
         events_.at(events_.now() + 0.02, [this] { tick(); });
@@ -209,18 +209,18 @@
             lease::RegisterMessage answer;
             if (!to.keeper || events_.now() < to.votes_from || !to.keeper->receive(message, answer)) return;
             send(voter, i, [this, voter, answer](Node& asker) {
-                asker.collector->on_note(events_.now(), unix_s(), name(voter), answer);
+                asker.collector->on_register_message(events_.now(), unix_s(), name(voter), answer);
             });
         });
     }
     void pump(std::size_t i) {
         Node& node = nodes_[i];
-        for (auto posts = node.collector->take_posts(); !posts.empty();
-             posts = node.collector->take_posts())
+        for (auto posts = node.collector->take_register_messages(); !posts.empty();
+             posts = node.collector->take_register_messages())
             for (auto& post : posts) ask(i, number_of(post.to), post.message);
-        for (auto& answer : node.collector->take_answers())
+        for (auto& answer : node.collector->take_acknowledgements())
             send(i, number_of(answer.to), [report = answer.report](Node& to) {
-                to.teller->acknowledge(report.process, report.counted);
+                to.teller->acknowledge(report.process, report.acknowledged_period);
             });
         for (const fleet_counters::Row& row : node.collector->take_rows()) write_row(i, row);
     }
@@ -237,7 +237,7 @@
                            node.waiting.front();   // a sender keeps their order
                        node.waiting.pop_front();
                        take(first);
-                       node.collector->on_sent(first.period);
+                       node.collector->on_rows_delivered(first.period);
                    });
     }
     void take(const fleet_counters::Row& row) {
@@ -247,8 +247,8 @@
             result_.breach = "period " + std::to_string(row.period) + " has two values";
     }
     void count(const Node& node) {
-        result_.anew += node.collector->anew();
-        result_.skipped += node.collector->skipped();
+        result_.anew += node.collector->resets();
+        result_.skipped += node.collector->skipped_periods();
         left_out_ += node.teller->dropped_requests();
     }
     void judge() {
--- a/tests/lease/explore.hpp
+++ b/tests/lease/explore.hpp
@@ -48,7 +48,7 @@
         const AcceptorSet set{{"v0", "v1", "v2"}, {}, 1};
         for (std::uint64_t i = 0; i < 2; ++i) {
             start.seekers.emplace_back("job", "s", i + 1, times_, set, i + 1);
-            start.seekers.back().seek(0);
+            start.seekers.back().campaign(0);
         }
         start.lost = bounds_.lost;
         start.late_left = bounds_.late;
@@ -68,7 +68,7 @@
         std::vector<Acceptor> voters;
         std::vector<Candidate> seekers;
         std::vector<Late> late;
-        std::vector<Outgoing> pending[2];
+        std::vector<AddressedMessage> pending[2];
         double now = 0;   // s, true time
         int lost = 0, late_left = 0, twice = 0, forget = 0;
         std::uint64_t gained = 0;   // the highest number
@@ -85,25 +85,25 @@
         const auto put = [&](std::uint64_t value) { all.append(reinterpret_cast<const char*>(&value), 8); };
         const double v = voter_clock(s.now);
         for (const Acceptor& one : s.voters) {
-            put(static_cast<std::uint64_t>(std::max(0.0, one.waits_until() - v) * 1e3));
+            put(static_cast<std::uint64_t>(std::max(0.0, one.recovery_ends_at() - v) * 1e3));
             for (const auto& [lease, grant] : one.grants()) {
                 put(grant.holder);
                 put(grant.round);
-                put(grant.number);
-                put(grant.number_of);
-                put(static_cast<std::uint64_t>(std::max(0.0, grant.until - v) * 1e3));
+                put(grant.fencing_token);
+                put(grant.token_owner);
+                put(static_cast<std::uint64_t>(std::max(0.0, grant.expires_at - v) * 1e3));
             }
             all += '|';
         }
-        for (const Candidate& one : s.seekers) all += one.digest(seeker_clock(s.now)) + '|';
+        for (const Candidate& one : s.seekers) all += one.state_digest(seeker_clock(s.now)) + '|';
         std::vector<std::string> late;
         for (const Late& one : s.late)
             late.push_back(std::to_string(one.seeker) + std::to_string(one.voter) +
-                           (one.answer ? 'a' : 'q') + write(one.message));
+                           (one.answer ? 'a' : 'q') + encode(one.message));
         std::sort(late.begin(), late.end());
         for (const auto& one : late) all += one + '|';
         for (const auto& pending : s.pending)
-            for (const Outgoing& one : pending) all += one.to + write(one.message);
+            for (const AddressedMessage& one : pending) all += one.to + encode(one.message);
         put(static_cast<std::uint64_t>(s.lost | s.late_left << 4 | s.twice << 8 | s.forget << 12));
         put(s.gained);
         put(static_cast<std::uint64_t>(s.gained_by + 1));
@@ -116,13 +116,13 @@
         for (int i = 0; i < 2; ++i) {
             Candidate& one = s.seekers[static_cast<std::size_t>(i)];
             auto& pending = s.pending[i];
-            for (auto& out : one.take()) pending.push_back(out);
-            if (one.state() == Candidate::State::held && one.number() != 0 && !s.held[i]) {
+            for (auto& out : one.take_outgoing()) pending.push_back(out);
+            if (one.state() == Candidate::State::held && one.fencing_token() != 0 && !s.held[i]) {
                 ++found_.holds;
-                if (one.number() <= s.gained)
-                    return breach("number " + std::to_string(one.number()) + " after " +
+                if (one.fencing_token() <= s.gained)
+                    return breach("number " + std::to_string(one.fencing_token()) + " after " +
                                   std::to_string(s.gained));
-                s.gained = one.number();
+                s.gained = one.fencing_token();
                 s.gained_by = i;
             }
             s.held[i] = one.state() == Candidate::State::held;
@@ -158,9 +158,9 @@
             if (!s.pending[i].empty()) return flush(s, i, depth);
         for (int i = 0; i < 2; ++i) {
             const Candidate& one = s.seekers[static_cast<std::size_t>(i)];
-            if (one.due() > seeker_clock(s.now) + 1e-9) continue;
+            if (one.next_deadline() > seeker_clock(s.now) + 1e-9) continue;
             State next = s;
-            next.seekers[static_cast<std::size_t>(i)].wake(seeker_clock(s.now));
+            next.seekers[static_cast<std::size_t>(i)].on_timer(seeker_clock(s.now));
             step(std::move(next), depth, "wake" + std::to_string(i));
         }
         for (std::size_t k = 0; k < s.late.size(); ++k)
@@ -209,7 +209,7 @@
     // The first message that waits, in each way it may fare; then the next.
     void flush(const State& s, int i, int depth) {
         State base = s;
-        const Outgoing out = base.pending[i].front();
+        const AddressedMessage out = base.pending[i].front();
         base.pending[i].erase(base.pending[i].begin());
         const int voter = out.to[1] - '0';
         const Late ask{i, voter, false, out.message};
--- a/tests/lease/lease_test.cpp
+++ b/tests/lease/lease_test.cpp
@@ -14,10 +14,10 @@
 namespace {
 
 Message ask(std::uint64_t holder, std::uint64_t round, std::uint64_t number = 0) {
-    return {Kind::ask, "job", holder, round, number, 1, 1, "h" + std::to_string(holder)};
+    return {MessageKind::request, "job", holder, round, number, 1, 1, "h" + std::to_string(holder)};
 }
 Message release(std::uint64_t holder, std::uint64_t round) {
-    return {Kind::release, "job", holder, round, 0, 0, 1, ""};
+    return {MessageKind::release, "job", holder, round, 0, 0, 1, ""};
 }
 const LeaseTimes kTimes{1, 0.05, 0.02, 0.1};
 
@@ -70,20 +70,20 @@
     Acceptor voter(kTimes, 0, 100, true);
     Message answer;
     REQUIRE(voter.receive(0, ask(1, 1), answer));
-    CHECK(answer.kind == Kind::granted);
-    CHECK(answer.number == 100);
+    CHECK(answer.kind == MessageKind::granted);
+    CHECK(answer.fencing_token == 100);
     REQUIRE(voter.receive(0.5, ask(2, 1), answer));
-    CHECK(answer.kind == Kind::denied);
-    CHECK(answer.lives_s == Approx(0.5));
-    CHECK(answer.name == "h1");
+    CHECK(answer.kind == MessageKind::denied);
+    CHECK(answer.duration_s == Approx(0.5));
+    CHECK(answer.holder_name == "h1");
     REQUIRE(voter.receive(0.5, ask(1, 2, 101), answer));
-    CHECK(answer.kind == Kind::granted);
-    CHECK(answer.number == 101);
+    CHECK(answer.kind == MessageKind::granted);
+    CHECK(answer.fencing_token == 101);
     // Free again after its life, but the number stays another's.
     REQUIRE(voter.receive(1.6, ask(2, 2, 101), answer));
-    CHECK(answer.kind == Kind::denied);
+    CHECK(answer.kind == MessageKind::denied);
     REQUIRE(voter.receive(1.6, ask(2, 3, 102), answer));
-    CHECK(answer.kind == Kind::granted);
+    CHECK(answer.kind == MessageKind::granted);
 }
 
 TEST_CASE("late and doubled rounds change nothing", "[lease]") {
@@ -92,46 +92,46 @@
     REQUIRE(voter.receive(0, ask(1, 5), answer));
     CHECK_FALSE(voter.receive(0.1, release(1, 4), answer));   // of an earlier round
     REQUIRE(voter.receive(0.2, ask(2, 1), answer));
-    CHECK(answer.kind == Kind::denied);
+    CHECK(answer.kind == MessageKind::denied);
     CHECK_FALSE(voter.receive(0.3, ask(1, 4), answer));   // an earlier ask
     voter.receive(0.4, release(1, 6), answer);
     REQUIRE(voter.receive(0.4, ask(2, 2), answer));
-    CHECK(answer.kind == Kind::granted);
+    CHECK(answer.kind == MessageKind::granted);
     voter.receive(0.5, release(1, 6), answer);   // again
     REQUIRE(voter.receive(0.5, ask(3, 1), answer));
-    CHECK(answer.kind == Kind::denied);
+    CHECK(answer.kind == MessageKind::denied);
 }
 
 TEST_CASE("a voter that forgot is silent for longer than any grant", "[lease]") {
     Acceptor voter(kTimes, 10, 0, false);
     Message answer;
-    CHECK_FALSE(voter.receive(10 + amnesia_s(kTimes) - 0.01, ask(1, 1), answer));
-    CHECK(voter.receive(10 + amnesia_s(kTimes) + 0.01, ask(1, 2), answer));
-    CHECK(amnesia_s(kTimes) > kTimes.grant_duration_s * (1 + kTimes.drift));
+    CHECK_FALSE(voter.receive(10 + recovery_wait_s(kTimes) - 0.01, ask(1, 1), answer));
+    CHECK(voter.receive(10 + recovery_wait_s(kTimes) + 0.01, ask(1, 2), answer));
+    CHECK(recovery_wait_s(kTimes) > kTimes.grant_duration_s * (1 + kTimes.drift));
 }
 
 TEST_CASE("grants for longer than this voter reckons with, and earlier steps, are refused", "[lease]") {
     Acceptor voter(kTimes, 0, 0, true, {}, 3);
     Message longer = ask(1, 1), answer;
-    longer.step = 3;
-    longer.lives_s = 1.5;
+    longer.epoch = 3;
+    longer.duration_s = 1.5;
     REQUIRE(voter.receive(0, longer, answer));
-    CHECK(answer.kind == Kind::denied);
+    CHECK(answer.kind == MessageKind::denied);
     Message earlier = ask(1, 2);
-    earlier.step = 2;
+    earlier.epoch = 2;
     REQUIRE(voter.receive(0, earlier, answer));
-    CHECK(answer.kind == Kind::stale);
-    CHECK(answer.step == 3);
+    CHECK(answer.kind == MessageKind::stale_epoch);
+    CHECK(answer.epoch == 3);
 }
 
 TEST_CASE("while voters change a majority of both sets is wanted", "[lease]") {
     const AcceptorSet both{{"a", "b", "c", "d"}, {"a", "b", "c"}, 2};
-    CHECK_FALSE(both.majority({"a", "b"}));
-    CHECK_FALSE(both.majority({"c", "d"}));
-    CHECK_FALSE(both.majority({"b", "d"}));
-    CHECK(both.majority({"a", "b", "d"}));
-    CHECK(both.majority({"a", "b", "c"}));
-    CHECK_FALSE(AcceptorSet{{"a", "b", "c", "d"}, {}, 1}.majority({"a", "b"}));
+    CHECK_FALSE(both.has_majority({"a", "b"}));
+    CHECK_FALSE(both.has_majority({"c", "d"}));
+    CHECK_FALSE(both.has_majority({"b", "d"}));
+    CHECK(both.has_majority({"a", "b", "d"}));
+    CHECK(both.has_majority({"a", "b", "c"}));
+    CHECK_FALSE(AcceptorSet{{"a", "b", "c", "d"}, {}, 1}.has_majority({"a", "b"}));
 }
 
 TEST_CASE("k slots have k holders at most, and the next comes in when one goes", "[lease]") {
@@ -157,16 +157,16 @@
     {
         FileAcceptorStorage home(folder.path());
         REQUIRE(home.restored() != nullptr);
-        CHECK(home.restored()->step == 7);
+        CHECK(home.restored()->epoch == 7);
         const Grant& grant = home.restored()->grants.at("job");
         CHECK(grant.holder == 11);
-        CHECK(grant.number == 33);
+        CHECK(grant.fencing_token == 33);
         // Whoever held may hold still: the lease is free only after a whole life.
         Acceptor voter(kTimes, 0, 0, true, home.restored()->grants, 7);
         Message answer, other = ask(12, 1);
-        other.step = 7;
+        other.epoch = 7;
         REQUIRE(voter.receive(0.9, other, answer));
-        CHECK(answer.kind == Kind::denied);
+        CHECK(answer.kind == MessageKind::denied);
     }
     std::string bytes = folder.read("leases");
     bytes[bytes.size() / 2] ^= 1;
@@ -182,7 +182,7 @@
     } full;
     const AcceptorState nothing;
     LeaseNode room({"v", kTimes, {{"v", "w", "x"}, {}, 1}}, 9, 1, 0, 0, &nothing, &full);
-    room.receive(1, "s", write(ask(5, 1)));
+    room.receive(1, "s", encode(ask(5, 1)));
     CHECK(room.take_outgoing().empty());
     CHECK(room.failed_saves() == 1);
 }
@@ -191,7 +191,7 @@
     const auto fault = [](const std::string& text) {
         Folder folder;
         lease::Options options;
-        auto one = options.section(), two = options.announce();
+        auto one = options.section(), two = options.announce_section();
         const auto faults = ini::read(folder.write("f", text), {&one, &two});
         return faults.empty() ? std::string() : faults.front().substr(faults.front().find('['));
     };
--- a/tests/lease/world.hpp
+++ b/tests/lease/world.hpp
@@ -159,7 +159,7 @@
         }
         for (const auto& change : node.room->take_events()) {
             digest_.add(now_, i, change.kind, change.lease, change.slot, change.fencing_token,
-                        change.until);
+                        change.valid_until);
             if (change.kind == LeaseEvent::Kind::lost) continue;
             ++result_.holds;
             // The two processes of an upgrade are one holder.
@@ -184,15 +184,15 @@
     void digest_views(std::size_t i) {
         const Node& node = nodes_[i];
         for (const LeaseStatus& view : node.room->statuses())
-            digest_.add(view.lease, view.slot, view.state, view.fencing_token, view.until, view.since,
-                        view.other_holder);
+            digest_.add(view.lease, view.slot, view.state, view.fencing_token, view.valid_until,
+                        view.held_since, view.other_holder);
         digest_.add(node.room->next_deadline(), node.room->gained(), node.room->lost(),
                     node.room->failed_saves());
         if (!node.home.memory) return;
-        digest_.add(node.home.memory->step);
+        digest_.add(node.home.memory->epoch);
         for (const auto& [lease, grant] : node.home.memory->grants)
-            digest_.add(lease, grant.holder, grant.round, grant.number, grant.number_of, grant.until,
-                        grant.name);
+            digest_.add(lease, grant.holder, grant.round, grant.fencing_token, grant.token_owner,
+                        grant.expires_at, grant.holder_name);
     }
     void wake(std::size_t i, std::uint64_t life) {
         Node& node = nodes_[i];
@@ -235,7 +235,7 @@
         Node& node = nodes_[i];
         for (const LeaseStatus& view : node.room->statuses()) {
             const double time =
-                (view.until - plan_.times.max_action_s - node.offset) / plan_.rates[i] - 1e-6;
+                (view.valid_until - plan_.times.max_action_s - node.offset) / plan_.rates[i] - 1e-6;
             if (view.state != Candidate::State::held || time < now_ || time == node.last_act) continue;
             node.last_act = time;
             at(time, [this, i, life = node.life] {
@@ -338,7 +338,8 @@
         if (!node.room || node.paused || node.room->acceptor()) return;
         const auto holds = node.room->export_holds(clock(i));
         for (const auto& hold : holds)
-            digest_.add(hold.lease, hold.holder, hold.round, hold.fencing_token, hold.until, hold.since);
+            digest_.add(hold.lease, hold.holder, hold.round, hold.fencing_token, hold.valid_until,
+                        hold.held_since);
         settle(i);
         AcceptorSet set{voters_, before_, step_};
         node.room = std::make_unique<LeaseNode>(LeaseNodeSettings{name(i), plan_.times, set}, ++lives_,
--- a/tests/membership/network_model.hpp
+++ b/tests/membership/network_model.hpp
@@ -49,7 +49,7 @@
         settings.address = other_address.empty() ? address(i) : other_address;
         settings.site = std::string(1, static_cast<char>('a' + i % plan_.sites));
         settings.version = "0.1.0";
-        settings.interval_s = plan_.interval_s;
+        settings.protocol_period_s = plan_.interval_s;
         for (std::size_t s = 0; s < 3 && s < plan_.members; ++s) settings.seeds.push_back(address(s));
         node.address = settings.address;
         node.process = ++processes_;
@@ -115,21 +115,23 @@
         Node& node = nodes_[i];
         if (!node.members) return;
         for (const Datagram& one : node.members->take_datagrams()) send(i, one);
-        for (auto& one : node.members->take_heard()) {
+        for (auto& one : node.members->take_messages()) {
             digest_.add(now(), i, one.from, one.process, one.channel, one.body);
             node.heard.push_back(std::move(one));
         }
         for (const MemberChange& one : node.members->take_changes()) {
-            digest_.add(now(), i, one.what, one.member.name, one.member.address, one.member.site,
+            digest_.add(now(), i, one.kind, one.member.name, one.member.address, one.member.site,
                         one.member.version, one.member.incarnation, one.member.process, one.member.state,
-                        one.member.since, one.member.heard_at, one.member.disputed);
-            disputes_ += one.what == MemberChange::What::disputed;
-            if (one.what != MemberChange::What::state || one.member.state != MemberState::gone) continue;
+                        one.member.state_since, one.member.last_received_at, one.member.name_conflict);
+            disputes_ += one.kind == MemberChange::Kind::name_conflict;
+            if (one.kind != MemberChange::Kind::state_changed || one.member.state != MemberState::gone)
+                continue;
             for (const Node& other : nodes_)
                 false_deaths_ += other.members && other.process == one.member.process;
         }
         const double due = node.members->next_deadline();
-        digest_.add(due, node.members->alive(), node.members->health(), node.members->waits_for_name());
+        digest_.add(due, node.members->alive(), node.members->local_health_score(),
+                    node.members->awaiting_name());
         if (due > 1e17 || (due >= node.armed - 1e-9 && node.armed >= now())) return;
         node.armed = std::max(due, now());
         events_.at(when(node, node.armed), [this, i, life = node.life] {
@@ -159,8 +161,8 @@
     void send(std::size_t from, const Datagram& one) {
         ++datagrams_;
         digest_.add(now(), from, one.address, one.process, one.payload);
-        bytes_ += one.payload.size() + kSealBytes;
-        largest_ = std::max(largest_, one.payload.size() + kSealBytes);
+        bytes_ += one.payload.size() + kAuthOverheadBytes;
+        largest_ = std::max(largest_, one.payload.size() + kAuthOverheadBytes);
         for (std::size_t to = 0; to < nodes_.size(); ++to) {
             if (nodes_[to].address != one.address || !nodes_[to].members) continue;
             const auto delay = links_.delay(from, to);
--- a/tests/membership/swim_test.cpp
+++ b/tests/membership/swim_test.cpp
@@ -77,11 +77,11 @@
     net.kill(4);
     REQUIRE(net.run_until(60, [&] { return net.all_have(4, MemberState::gone); }));
     net.start(4, Net::name(3), "elsewhere");
-    REQUIRE(net.run_until(60, [&] { return net.member(4).waits_for_name(); }));
+    REQUIRE(net.run_until(60, [&] { return net.member(4).awaiting_name(); }));
     CHECK(net.has(0, 3, MemberState::alive));
     CHECK(net.member(0).find(Net::name(3))->address == Net::address(3));
     net.kill(3);
-    CHECK(net.run_until(120, [&] { return !net.member(4).waits_for_name(); }));
+    CHECK(net.run_until(120, [&] { return !net.member(4).awaiting_name(); }));
     CHECK(net.run_until(60, [&] { return net.member(0).find(Net::name(3))->address == "elsewhere"; }));
 }
 
@@ -101,9 +101,9 @@
     CHECK(known);
     CHECK(net.false_deaths() == 0);
     const double s = net.now() - at;
-    CHECK(static_cast<double>(net.datagrams() - datagrams) / s / 200 < kDatagramsPerInterval);
+    CHECK(static_cast<double>(net.datagrams() - datagrams) / s / 200 < kDatagramsPerPeriod);
     CHECK(static_cast<double>(net.bytes() - bytes) / s / 200 < 12'000);
-    CHECK(net.largest() <= kDatagramMost);
+    CHECK(net.largest() <= kMaxDatagramBytes);
 }
 
 TEST_CASE("what a room above sends arrives with its sender's process", "[peers]") {
@@ -111,7 +111,7 @@
     REQUIRE(net.run_until(60, [&] { return net.all_alive(); }));
     REQUIRE(net.member(0).send(net.now(), Net::name(1), 7, "hello"));
     CHECK_FALSE(net.member(0).send(net.now(), "nobody", 7, "hello"));
-    CHECK_FALSE(net.member(0).send(net.now(), Net::name(1), 7, std::string(kBodyMost + 1, 'x')));
+    CHECK_FALSE(net.member(0).send(net.now(), Net::name(1), 7, std::string(kMaxMessageBytes + 1, 'x')));
     net.settle(0);
     net.run(net.now() + 1);
     REQUIRE(net.heard(1).size() == 1);
@@ -132,7 +132,7 @@
     }
     net.run(net.now() + 30);
     CHECK(net.all_alive());
-    CHECK(net.member(0).tally().unreadable > 1000);
+    CHECK(net.member(0).traffic().malformed > 1000);
 }
 
 TEST_CASE("a seal opens once, for its process, by either key, anything else is dropped unread", "[peers]") {
@@ -145,7 +145,7 @@
     CHECK(payload == "words");
     CHECK(b.open(sealed, from, payload) == OpenResult::replayed);
     CHECK(later.open(sealed, from, payload) == OpenResult::fresh);   // the old key still opens
-    CHECK(c.open(sealed, from, payload) == OpenResult::key);
+    CHECK(c.open(sealed, from, payload) == OpenResult::bad_key);
     CHECK(DatagramAuth({kKey}, 44).open(sealed, from, payload) ==
           OpenResult::unknown_sender);   // started since
     CHECK(b.open(a.seal(0, "hello"), from, payload) == OpenResult::unknown_sender);
@@ -162,7 +162,7 @@
     CHECK(b.open(many[300], from, payload) == OpenResult::fresh);
     CHECK(b.open(many[300], from, payload) == OpenResult::replayed);
     CHECK(b.open(many[10], from, payload) == OpenResult::replayed);
-    CHECK(b.open(std::string(kDatagramMost + 1, 'x'), from, payload) == OpenResult::short_or_long);
+    CHECK(b.open(std::string(kMaxDatagramBytes + 1, 'x'), from, payload) == OpenResult::bad_size);
 }
 
 TEST_CASE("faults of [peers] and of its key file are told", "[peers]") {
--- a/tests/state/generate_state.cpp
+++ b/tests/state/generate_state.cpp
@@ -125,19 +125,19 @@
     lease::FileAcceptorStorage home(folder);
     const lease::AcceptorState nothing;
     lease::LeaseNode room({"b", {}, {{"a", "b", "c"}, {}, 3}}, 99, 1, 100, 0, &nothing, &home);
-    using lease::Kind;
+    using Kind = lease::MessageKind;
     const auto tell = [&](double now, const lease::Message& one) {
-        room.receive(now, one.name, lease::write(one));
+        room.receive(now, one.holder_name, lease::encode(one));
     };
-    tell(100, {Kind::ask, "brake", 0xfedcba9876543210ULL, 1, 0, 3, 3, "a"});
-    tell(101, {Kind::ask, "brake", 0xfedcba9876543210ULL, 2, 41, 3, 3, "a"});
-    tell(101, {Kind::ask, "drain/2", 77, 5, 0, 3, 3, "c"});
-    tell(102, {Kind::ask, "drain/2", 77, 6, 7, 3, 3, "c"});
-    tell(102, {Kind::ask, "drain/1", 77, 8, 0, 3, 3, "c"});
-    tell(103, {Kind::ask, "drain/1", 77, 9, 12, 3, 3, "c"});
+    tell(100, {Kind::request, "brake", 0xfedcba9876543210ULL, 1, 0, 3, 3, "a"});
+    tell(101, {Kind::request, "brake", 0xfedcba9876543210ULL, 2, 41, 3, 3, "a"});
+    tell(101, {Kind::request, "drain/2", 77, 5, 0, 3, 3, "c"});
+    tell(102, {Kind::request, "drain/2", 77, 6, 7, 3, 3, "c"});
+    tell(102, {Kind::request, "drain/1", 77, 8, 0, 3, 3, "c"});
+    tell(103, {Kind::request, "drain/1", 77, 9, 12, 3, 3, "c"});
     tell(103.5, {Kind::release, "drain/1", 77, 10, 12, 0, 3, "c"});
     // The lease has run out: another holder's ask is granted, which keeps the number and whose it is.
-    tell(107, {Kind::ask, "drain/2", 88, 1, 0, 3, 3, "a"});
+    tell(107, {Kind::request, "drain/2", 88, 1, 0, 3, 3, "a"});
     REQUIRE(room.failed_saves() == 0);
 }
 
--- a/tests/state/old_state_test.cpp
+++ b/tests/state/old_state_test.cpp
@@ -370,9 +370,9 @@
     const lease::Grant& one = memory.grants.at(lease);
     CHECK(one.holder == want.holder);
     CHECK(one.round == want.round);
-    CHECK(one.number == want.number);
-    CHECK(one.number_of == want.number_of);
-    CHECK(one.name == want.name);
+    CHECK(one.fencing_token == want.fencing_token);
+    CHECK(one.token_owner == want.token_owner);
+    CHECK(one.holder_name == want.holder_name);
 }
 
 }   // namespace
@@ -383,32 +383,32 @@
     const lease::FileAcceptorStorage home(folder.path());
     CHECK(home.quarantined_path().empty());
     REQUIRE(home.restored());
-    CHECK(home.restored()->step == 3);
+    CHECK(home.restored()->epoch == 3);
     CHECK(home.restored()->grants.size() == 3);
     const std::uint64_t first = 0xfedcba9876543210ULL;
     check_grant(*home.restored(), "brake", {first, 2, 41, first, 0, "a"});
     check_grant(*home.restored(), "drain/1", {77, 10, 12, 77, 0, "c"});
     check_grant(*home.restored(), "drain/2", {88, 1, 7, 77, 0, "a"});
 
-    lease::Acceptor acceptor({}, 500, 0, true, home.restored()->grants, home.restored()->step);
-    using lease::Kind;
+    lease::Acceptor acceptor({}, 500, 0, true, home.restored()->grants, home.restored()->epoch);
+    using Kind = lease::MessageKind;
     lease::Message answer;
-    REQUIRE(acceptor.may_vote(500));
-    REQUIRE(acceptor.receive(501, {Kind::ask, "brake", 5, 1, 0, 3, 3, "x"}, answer));
+    REQUIRE(acceptor.is_voting(500));
+    REQUIRE(acceptor.receive(501, {Kind::request, "brake", 5, 1, 0, 3, 3, "x"}, answer));
     CHECK(answer.kind == Kind::denied);
-    CHECK(answer.number == 41);
-    CHECK(answer.name == "a");
-    REQUIRE(acceptor.receive(501, {Kind::ask, "brake", 5, 2, 0, 3, 2, "x"}, answer));
-    CHECK(answer.kind == Kind::stale);   // of an earlier step of the set
-    REQUIRE(acceptor.receive(501, {Kind::ask, "brake", first, 3, 41, 3, 3, "a"}, answer));
+    CHECK(answer.fencing_token == 41);
+    CHECK(answer.holder_name == "a");
+    REQUIRE(acceptor.receive(501, {Kind::request, "brake", 5, 2, 0, 3, 2, "x"}, answer));
+    CHECK(answer.kind == Kind::stale_epoch);   // of an earlier step of the set
+    REQUIRE(acceptor.receive(501, {Kind::request, "brake", first, 3, 41, 3, 3, "a"}, answer));
     CHECK(answer.kind == Kind::granted);
-    CHECK(answer.number == 41);
+    CHECK(answer.fencing_token == 41);
     // Once it has run out, to another, but under a higher number alone.
-    REQUIRE(acceptor.receive(505, {Kind::ask, "brake", 5, 3, 41, 3, 3, "x"}, answer));
+    REQUIRE(acceptor.receive(505, {Kind::request, "brake", 5, 3, 41, 3, 3, "x"}, answer));
     CHECK(answer.kind == Kind::denied);
-    REQUIRE(acceptor.receive(505, {Kind::ask, "brake", 5, 4, 42, 3, 3, "x"}, answer));
+    REQUIRE(acceptor.receive(505, {Kind::request, "brake", 5, 4, 42, 3, 3, "x"}, answer));
     CHECK(answer.kind == Kind::granted);
-    CHECK(answer.number == 42);
+    CHECK(answer.fencing_token == 42);
 }
 
 TEST_CASE("old state: an acceptor remembers every register, promised and accepted", "[old]") {
@@ -424,11 +424,11 @@
     using Kind = lease::RegisterMessage::Kind;
     lease::RegisterMessage answer;
     REQUIRE(acceptor.receive({Kind::write, "sums", 41, 9, {41, 4, "late"}, false, 3}, answer));
-    CHECK(answer.kind == Kind::passed);
+    CHECK(answer.kind == Kind::superseded);
     REQUIRE(acceptor.receive({Kind::read, "sums", 0x123456789abdULL, 10, {}, false, 3}, answer));
-    CHECK(answer.kind == Kind::found);
-    CHECK(answer.note == lease::RegisterValue{41, 3, std::string("a\0\xff", 3)});
-    CHECK(answer.knows);
+    CHECK(answer.kind == Kind::read_reply);
+    CHECK(answer.value == lease::RegisterValue{41, 3, std::string("a\0\xff", 3)});
+    CHECK(answer.remembers);
 }
 
 // Rollouts. -------------------------------------------------------------------------------------------
