--- a/bench/scale/rollout_fleet.cpp
+++ b/bench/scale/rollout_fleet.cpp
@@ -48,7 +48,7 @@
 // Homes: what would be on the disk. --------------------------------------------------------------------
 
 struct RolloutFleet::ReplicaDisk : rollout::ReplicaStorage {
-    bool keep_promise(std::uint64_t term, bool to_remember) override {
+    bool save_promise(std::uint64_t term, bool to_remember) override {
         promised = term;
         remembers = to_remember;
         return true;
@@ -67,7 +67,7 @@
         committed = upto;
         return true;
     }
-    void note_committed(std::uint64_t number) override { committed = number; }
+    void save_commit_index(std::uint64_t number) override { committed = number; }
 
     std::uint64_t promised = 0, committed = 0;
     bool remembers = false;
@@ -176,7 +176,7 @@
         replica, it.process,
         rollout::ReplicaStored{disk.remembers, disk.promised, disk.committed, disk.log}, *it.replica_disk);
     it.feeder = std::make_unique<rollout::Publisher>(rollout::PublisherSettings{}, it.replica->log());
-    it.feeder->advance(now(), it.replica->committed(), it.replica->staging());
+    it.feeder->advance(now(), it.replica->commit_index(), it.replica->staging());
     rollout::LeaderSettings source;
     source.replicas = control_names_;
     it.source = std::make_unique<rollout::Leader>(source, random_());
@@ -191,8 +191,8 @@
     for (std::size_t i = 0; i < plan_.controls; ++i)
         settings.parents.push_back({names_[i], "region-" + std::to_string(region(i))});
     if (is_relay(node)) {
-        settings.records_kept = rollout::kRecordsKept;
-        settings.bytes_kept = rollout::kBytesKept;
+        settings.max_log_records = rollout::kMaxLogRecords;
+        settings.max_log_bytes = rollout::kMaxLogBytes;
     } else if (plan_.relays > 0) {
         // The zone's own relays first, then the control machines by region.
         for (rollout::Parent& one : settings.parents) one.region = "of no relay";
@@ -296,16 +296,16 @@
         const auto message = rollout::decode(body);
         if (!message) return;
         if (is_control(from) && it.replica) {
-            const bool reads = it.source->stage() == rollout::Leader::Stage::fetching;
+            const bool reads = it.source->phase() == rollout::Leader::Phase::fetching_log;
             const bool part = std::holds_alternative<rollout::SnapshotPart>(*message);
             if (!part || !reads) it.replica->receive(now(), names_[from], *message);
             if (!part || reads) it.source->receive(now(), names_[from], *message);
         } else if (it.feeder && !is_control(from)) {
-            const double heard = it.replica ? it.replica->heard_at() : it.follower->heard_at();
+            const double heard = it.replica ? it.replica->last_append_at() : it.follower->last_contact_at();
             // As in the driver: one cut off from the source leaves children to other parents.
             const bool cut_off = now() - std::max(heard, it.started_at) > kCutOff;
             const bool own_parent = it.follower && !std::holds_alternative<rollout::Pull>(*message) &&
-                                    !std::holds_alternative<rollout::PartPull>(*message);
+                                    !std::holds_alternative<rollout::SnapshotPartRequest>(*message);
             if (own_parent)
                 it.follower->receive(now(), names_[from], *message);
             else if (!cut_off)
@@ -340,17 +340,17 @@
         }
     }
     post(node, it.source->take_outgoing());
-    post(node, it.replica->take_posts());
+    post(node, it.replica->take_outgoing());
     if (it.replica->changes() == it.changes) return;
     it.changes = it.replica->changes();
     const Booked booked(meter_, account(node));
-    it.feeder->advance(now(), it.replica->committed(), it.replica->staging());
+    it.feeder->advance(now(), it.replica->commit_index(), it.replica->staging());
 }
 
 void RolloutFleet::pump_follower(std::size_t node) {
     Node& it = nodes_[node];
-    const auto entered = it.follower->take_in_force();
-    for (const rollout::InForce& one : entered) enter(node, one.version);
+    const auto entered = it.follower->take_activations();
+    for (const rollout::Activation& one : entered) enter(node, one.version);
     if (it.feeder && !entered.empty()) {
         const Booked booked(meter_, account(node));
         it.feeder->advance(now(), it.follower->log().last().number, it.follower->staging());
@@ -382,8 +382,8 @@
 void RolloutFleet::pump_feeder(std::size_t node) {
     Node& it = nodes_[node];
     post(node, it.feeder->take_outgoing());
-    if (it.feeder->urgent() == it.urgent) return;
-    it.urgent = it.feeder->urgent();
+    if (it.feeder->urgent_changes() == it.urgent) return;
+    it.urgent = it.feeder->urgent_changes();
     tell(node);
     if (it.follower) it.follower->report_now(now());
 }
@@ -394,9 +394,9 @@
     if (it.follower) return it.follower->set_subtree(it.feeder->report(now()));
     if (it.replica->leader().empty()) return;
     // As in the driver, for those behind once nothing new is cleared.
-    it.feeder->advance(now(), it.replica->committed(), it.replica->staging());
+    it.feeder->advance(now(), it.replica->commit_index(), it.replica->staging());
     rollout::Report report = it.feeder->report(now());
-    fit(report, rollout::kReportBytes);
+    shrink_to(report, rollout::kMaxReportBytes);
     post(node, {{it.replica->leader(), rollout::body_of(rollout::FollowerReport{report})}});
 }
 
@@ -414,7 +414,7 @@
 void RolloutFleet::arm(std::size_t node) {
     Node& it = nodes_[node];
     double due = 1e18;
-    if (it.replica) due = std::min({due, it.replica->due(), it.source->next_deadline()});
+    if (it.replica) due = std::min({due, it.replica->next_deadline(), it.source->next_deadline()});
     if (it.feeder) due = std::min(due, it.feeder->next_deadline());
     if (it.follower) due = std::min(due, it.follower->next_deadline());
     if (due > kNever || (it.armed >= now() && it.armed <= due + 1e-9)) return;
@@ -430,7 +430,7 @@
     Node& it = nodes_[node];
     {
         const Booked booked(meter_, account(node));
-        if (it.replica) it.replica->wake(now());
+        if (it.replica) it.replica->on_timer(now());
         if (it.source) it.source->on_timer(now());
         if (it.feeder) it.feeder->on_timer(now());
         if (it.follower) it.follower->on_timer(now());
@@ -473,7 +473,7 @@
     std::string value(plan_.value_bytes, 'v');
     const std::string unique = std::to_string(++proposed_);
     value.replace(0, unique.size(), unique);
-    rollout::Proposed made;
+    rollout::ProposeOutcome made;
     {
         const Booked booked(meter_, account(source_));
         made = it.source->propose(now(), key_of(random_() % plan_.keys), value);
@@ -539,12 +539,13 @@
 std::uint64_t RolloutFleet::committed() const { return base_ + records_.size(); }
 
 std::uint64_t RolloutFleet::in_force(std::size_t node) const {
-    return nodes_[node].up ? nodes_[node].follower->in_force().number : nodes_[node].follower_disk->number;
+    return nodes_[node].up ? nodes_[node].follower->active_version().number
+                           : nodes_[node].follower_disk->number;
 }
 
 bool RolloutFleet::everywhere(std::uint64_t number) const {
     for (std::size_t i = plan_.controls; i < nodes_.size(); ++i)
-        if (nodes_[i].up && nodes_[i].follower->in_force().number < number) return false;
+        if (nodes_[i].up && nodes_[i].follower->active_version().number < number) return false;
     return true;
 }
 
--- a/bench/scale/rollout_fleet.hpp
+++ b/bench/scale/rollout_fleet.hpp
@@ -122,8 +122,8 @@
     std::uint64_t committed() const;
     std::uint64_t in_force(std::size_t node) const;
     bool everywhere(std::uint64_t number) const;   // at all ingresses that are up
-    rollout::Report report() const { return nodes_[source_].source->fleet(now()); }
-    const rollout::FollowerCounts& tally(std::size_t node) const { return nodes_[node].follower->tally(); }
+    rollout::Report report() const { return nodes_[source_].source->fleet_report(now()); }
+    const rollout::FollowerCounts& tally(std::size_t node) const { return nodes_[node].follower->counts(); }
     const RolloutSpent& spent(std::size_t node) const { return spent_[node]; }
     std::uint64_t proposed() const { return proposed_; }
     std::uint64_t refused() const { return refused_; }   // proposals that no source took
--- a/src/app/rollout_component.cpp
+++ b/src/app/rollout_component.cpp
@@ -26,7 +26,7 @@
 
 // The control machines: the voters of the lease.
 std::vector<std::string> replicas_of(const operator_config::Options& options, const std::string& name) {
-    if (!options.rollout.control()) return {};
+    if (!options.rollout.is_control_machine()) return {};
     return lease::settings_of(options.lease, name).acceptors.names;
 }
 
@@ -38,13 +38,13 @@
     json.Key(key);
     json.Uint64(value);
 }
-void standings(Json& json, const char* key, const std::vector<rollout::Standing>& all) {
+void standings(Json& json, const char* key, const std::vector<rollout::FollowerStatus>& all) {
     json.Key(key);
     json.StartArray();
-    for (const rollout::Standing& one : all) {
+    for (const rollout::FollowerStatus& one : all) {
         json.StartObject();
         text(json, "name", one.name);
-        number(json, "in_force", one.in_force);
+        number(json, "in_force", one.active);
         text(json, "trouble", rollout::kFollowerFaults[static_cast<std::size_t>(one.fault)]);
         json.EndObject();
     }
@@ -54,7 +54,7 @@
     json.Key(key);
     json.StartObject();
     number(json, "counted", all.counted);
-    number(json, "everywhere", rollout::in_force_everywhere(all));
+    number(json, "everywhere", rollout::active_everywhere(all));
     number(json, "behind", all.behind);
     number(json, "silent", all.silent);
     number(json, "refuse", all.refused);
@@ -74,9 +74,9 @@
 }
 
 const char* stage_of(const rollout::Leader& source) {
-    using Stage = rollout::Leader::Stage;
-    switch (source.stage()) {
-        case Stage::off:
+    using Stage = rollout::Leader::Phase;
+    switch (source.phase()) {
+        case Stage::inactive:
             return "off";
         case Stage::ready:
             return "ready";
@@ -95,7 +95,7 @@
     if (std::string why = rollout::load_keys(options.rollout, options.membership.key_file, keys);
         !why.empty())
         return why;
-    if (!options.rollout.control()) return {};
+    if (!options.rollout.is_control_machine()) return {};
     const auto all = replicas_of(options, name);
     if (std::find(all.begin(), all.end(), name) == all.end())
         return "listen: " + name + " is not among [lease] voters, which are the control machines";
@@ -104,8 +104,8 @@
 
 std::vector<std::string> stated_of_rollout(const operator_config::Options& options) {
     if (!options.rollout.on()) return {};
-    return rollout::stated(options.rollout, options.lease.times, replicas_of(options, "").size(),
-                           options.membership.interval_s);
+    return rollout::stated_bounds(options.rollout, options.lease.times, replicas_of(options, "").size(),
+                                  options.membership.interval_s);
 }
 
 RolloutPart::RolloutPart(const operator_config::Options& options, const config::Config& config,
@@ -138,7 +138,7 @@
     if (telemetry) telemetry->join([this](metrics::Measures& measures) { count(measures); });
     for (const std::string& line : stated_of_rollout(options))
         log.write(Log::Level::info, net::now(), "%s", line.c_str());
-    if (!fleet_ || !options_.control()) return;
+    if (!fleet_ || !options_.is_control_machine()) return;
     fleet_->listen(membership::Channel::rollout, [this](const membership::ReceivedMessage& heard) {
         driver_.on_replica_message(heard.from, heard.body);
     });
@@ -189,7 +189,7 @@
 
 void RolloutPart::propose(const admin::AdminCall& call, std::function<void(admin::AdminReply)> reply) {
     const bool erases = call.kind == admin::AdminCall::Kind::erase;
-    if (call.id.size() > rollout::kKeyMost || call.body.size() > rollout::kValueMost)
+    if (call.id.size() > rollout::kMaxKeyBytes || call.body.size() > rollout::kMaxValueBytes)
         return reply({413, "a section's header is of 80 bytes at most, its lines of 700 together"});
     if (!erases)
         if (const std::string fault = operator_config::fault_of_section(call.id, call.body); !fault.empty())
@@ -218,7 +218,7 @@
         case ProposeError::backlog_full:
             return {503, "too many changes wait for a majority of the control machines"};
     }
-    if (answer.later)
+    if (answer.undecided)
         return {202, "number " + number + " is not committed yet, and may be lost: look at the status"};
     return {200, "number " + number + " is committed"};
 }
@@ -238,41 +238,41 @@
     text(json, "name", name_);
     text(json, "role", !follower ? "control" : driver_.publisher() ? "relay" : "follower");
     if (follower) {
-        number(json, "in_force", follower->in_force().number);
+        number(json, "in_force", follower->active_version().number);
         number(json, "cleared", follower->staging().cleared);
         number(json, "term", follower->staging().term);
         text(json, "parent", follower->parent());
-        const double heard = net::now() - follower->heard_at();
+        const double heard = net::now() - follower->last_contact_at();
         json.Key("unheard_s");
         heard < 1e9 ? json.Double(heard) : json.Null();
         text(json, "trouble", rollout::kFollowerFaults[static_cast<std::size_t>(follower->fault())]);
         number(json, "refused", follower->refused());
         text(json, "reason", follower->refused() != 0 ? follower->reason() : "");
         text(json, "left_out", left_out_);
-        number(json, "records_taken", follower->tally().records);
-        number(json, "snapshots_taken", follower->tally().snapshots);
+        number(json, "records_taken", follower->counts().records);
+        number(json, "snapshots_taken", follower->counts().snapshots);
     } else {
         number(json, "last", replica->log().last().number);
-        number(json, "committed", replica->committed());
+        number(json, "committed", replica->commit_index());
         number(json, "cleared", replica->staging().cleared);
         number(json, "term", replica->promised());
         text(json, "source", source());
         text(json, "here", stage_of(*driver_.leader()));
         json.Key("remembers");
-        json.Bool(replica->remembers());
+        json.Bool(replica->storage_intact());
         json.Key("disk_failed");
         json.Bool(replica->disk_failed());
     }
-    if (driver_.publisher()) report(json, "children", driver_.children());
+    if (driver_.publisher()) report(json, "children", driver_.children_report());
     if (driver_.is_leader()) {
-        report(json, "fleet", driver_.fleet());
+        report(json, "fleet", driver_.fleet_report());
         json.Key("last_everywhere_s");
         json.Double(driver_.last_propagation_s());
     }
     json.Key("keys");
     json.StartArray();
     const rollout::State held =
-        follower ? follower->state() : replica->log().state_at(replica->committed());
+        follower ? follower->state() : replica->log().state_at(replica->commit_index());
     for (const auto& [key, value] : held) json.String(key.data(), static_cast<unsigned>(key.size()));
     json.EndArray();
     json.EndObject();
@@ -293,32 +293,32 @@
     const rollout::Replica* const replica = driver_.replica();
     std::uint64_t disk_failures = 0, snapshots = 0, refusals = 0;
     if (follower) {
-        set(Id::rollout_in_force, of(follower->in_force().number));
+        set(Id::rollout_in_force, of(follower->active_version().number));
         set(Id::rollout_cleared, of(follower->staging().cleared));
-        const double now = net::now(), heard = std::max(follower->heard_at(), started_);
+        const double now = net::now(), heard = std::max(follower->last_contact_at(), started_);
         set(Id::rollout_unheard, now - heard);
         const auto trouble = static_cast<std::size_t>(follower->fault());
         for (std::size_t i = 0; i < metrics::kRolloutFaults.size(); ++i)
             set(Id::rollout_trouble, trouble == i + 1 || (i == 2 && !left_out_.empty()) ? 1 : 0, i);
-        refusals = follower->tally().refusals;
-        disk_failures = follower->tally().disk_failures;
-        snapshots = follower->tally().snapshots;
+        refusals = follower->counts().refusals;
+        disk_failures = follower->counts().disk_failures;
+        snapshots = follower->counts().snapshots;
     } else {
-        set(Id::rollout_committed, of(replica->committed()));
+        set(Id::rollout_committed, of(replica->commit_index()));
         set(Id::rollout_cleared, of(replica->staging().cleared));
         set(Id::rollout_trouble, replica->disk_failed() ? 1 : 0, 0);
-        refusals = driver_.events_of(LeaderEvent::Kind::refused);
+        refusals = driver_.event_count(LeaderEvent::Kind::refused);
     }
     moved(Id::rollout_refusals, refusals);
     moved(Id::rollout_disk_failures, disk_failures);
     moved(Id::rollout_snapshots_taken, snapshots);
-    moved(Id::rollout_sent, driver_.transport().tally().sent);
-    moved(Id::rollout_sent_bytes, driver_.transport().tally().sent_bytes);
+    moved(Id::rollout_sent, driver_.transport().counts().sent);
+    moved(Id::rollout_sent_bytes, driver_.transport().counts().sent_bytes);
     if (!driver_.publisher()) return;
-    moved(Id::rollout_snapshots_cut, driver_.publisher()->tally().snapshots);
-    const rollout::Report all = driver_.fleet();
+    moved(Id::rollout_snapshots_cut, driver_.publisher()->counts().snapshots);
+    const rollout::Report all = driver_.fleet_report();
     set(Id::rollout_counted, of(all.counted));
-    set(Id::rollout_everywhere, of(rollout::in_force_everywhere(all)));
+    set(Id::rollout_everywhere, of(rollout::active_everywhere(all)));
     set(Id::rollout_behind, of(all.behind));
     set(Id::rollout_silent, of(all.silent));
     set(Id::rollout_everywhere_s, driver_.is_leader() ? driver_.last_propagation_s() : 0);
--- a/src/operator_config/options.cpp
+++ b/src/operator_config/options.cpp
@@ -20,7 +20,7 @@
                std::string(": wants [state] directory, where what is in force outlives the process");
     if (options.rollout.key_file.empty() && options.membership.key_file.empty())
         return "key_file: is wanted, here or in [peers]: what nodes say is authenticated";
-    if (options.rollout.control() && !options.lease.on())
+    if (options.rollout.is_control_machine() && !options.lease.on())
         return "listen: wants [lease] voters, which are the control machines; or `from`, for a relay";
     return {};
 }
--- a/src/rollout/batch.hpp
+++ b/src/rollout/batch.hpp
@@ -11,9 +11,9 @@
 
 // Those after `after` up to `last`, in order, as many as kRecordsRoom holds: one at least where there is
 // one. Wants log.knows() of both.
-inline std::vector<Record> batch(const Log& log, std::uint64_t after, std::uint64_t last) {
+inline std::vector<Record> next_batch(const Log& log, std::uint64_t after, std::uint64_t last) {
     std::vector<Record> records;
-    std::size_t room = kRecordsRoom;
+    std::size_t room = kRecordsBudgetBytes;
     for (std::uint64_t number = after + 1; number <= last; ++number) {
         const Record& next = log.record(number);
         const std::size_t size = encoded_size(next);
--- a/src/rollout/driver.hpp
+++ b/src/rollout/driver.hpp
@@ -52,8 +52,8 @@
   public:
     struct Callbacks {
         // Of a follower: whether a state can be used, and one that is in force now.
-        Check check;
-        std::function<void(const State& state, const Changes& changes)> in_force;
+        Validator validate;
+        std::function<void(const State& state, const Changes& changes)> activated;
         // Of a control machine: to another one (false: it was not sent); the fencing number while this
         // process holds the lease, else 0.
         std::function<bool(const std::string& to, std::string_view body)> send_to_replica;
@@ -64,7 +64,7 @@
     struct ProposeResult {
         std::uint64_t number = 0;
         ProposeError error = ProposeError::none;
-        bool later = false;
+        bool undecided = false;
     };
 
     // `replicas`: the control machines by name, this one too; none where this is none.
@@ -74,7 +74,7 @@
 
     void start();
     void stop();
-    void set_keys(const std::vector<membership::AuthKey>& keys) { endpoint_.set_keys(keys); }
+    void set_keys(const std::vector<membership::AuthKey>& keys) { transport_.set_keys(keys); }
     void on_replica_message(const std::string& from,
                             std::string_view body);   // from another control machine
     void on_leadership_change(bool on);
@@ -83,80 +83,80 @@
     void propose(const std::string& key, const std::optional<std::string>& value,
                  std::function<void(const ProposeResult&)> answer);
 
-    const Follower* follower() const { return follower_.get(); }   // null: a control machine
-    const Replica* replica() const { return replica_.get(); }      // null: none
-    const Leader* leader() const { return source_.get(); }         // the same
-    const Publisher* publisher() const { return feeder_.get(); }   // null: no children
-    const Transport& transport() const { return endpoint_; }
-    bool is_leader() const { return source_ && source_->stage() == Leader::Stage::ready; }
-    Report children() const;   // below this process; empty without any
-    Report fleet() const;      // as far as this process knows: all, where it conducts
+    const Follower* follower() const { return follower_.get(); }      // null: a control machine
+    const Replica* replica() const { return replica_.get(); }         // null: none
+    const Leader* leader() const { return leader_.get(); }            // the same
+    const Publisher* publisher() const { return publisher_.get(); }   // null: no children
+    const Transport& transport() const { return transport_; }
+    bool is_leader() const { return leader_ && leader_->phase() == Leader::Phase::ready; }
+    Report children_report() const;   // below this process; empty without any
+    Report fleet_report() const;      // as far as this process knows: all, where it conducts
     // s from the proposal of the last change that is known to be in force everywhere until that was known;
     // 0: none yet.
-    double last_propagation_s() const { return everywhere_s_; }
-    const std::string& disk_why() const;
-    std::uint64_t events_of(LeaderEvent::Kind what) const {
+    double last_propagation_s() const { return last_propagation_s_; }
+    const std::string& disk_fault() const;
+    std::uint64_t event_count(LeaderEvent::Kind what) const {
         return event_counts_[static_cast<std::size_t>(what)];
     }
 
-    static constexpr double kProposeMost = 4;          // s
-    static constexpr std::size_t kSourceEvents = 16;   // room for all SourceEvent::What
+    static constexpr double kProposeTimeoutS = 4;          // s
+    static constexpr std::size_t kLeaderEventKinds = 16;   // room for all SourceEvent::What
 
   private:
-    struct Waiting {
+    struct PendingProposal {
         std::uint64_t number = 0;
-        double until = 0;
+        double deadline = 0;
         std::function<void(const ProposeResult&)> answer;
     };
-    void wake();
+    void on_timer();
     void pump();
-    bool pump_control();
+    bool pump_control_machine();
     bool pump_follower();
-    void pump_feeder();
+    void pump_publisher();
     void route(const OutgoingMessage& post);
     void deliver(const std::string& from, const Message& message);
-    void heard_child_or_parent(const std::string& from, std::uint64_t process, std::string_view body);
-    bool may_feed(double now) const;
-    void hold();
-    void told(const LeaderEvent& event);
-    void tell_committed();
-    void tell_version(const Version& version);
-    void tell_in_force(const char* event, const Version& version, const State& state);
-    void tell_above(double now);
-    void measure_everywhere(double now);
-    void answer_waiting(double now);
-    void tell_disk();
-    double due() const;
+    void on_transport_message(const std::string& from, std::uint64_t process, std::string_view body);
+    bool may_publish(double now) const;
+    void update_term();
+    void on_leader_event(const LeaderEvent& event);
+    void log_committed();
+    void log_active_version(const Version& version);
+    void record_active_state(const char* event, const Version& version, const State& state);
+    void report_upstream(double now);
+    void measure_propagation(double now);
+    void answer_proposals(double now);
+    void log_disk_fault();
+    double next_deadline() const;
 
     const Options options_;
     const std::string name_;
-    const Callbacks ways_;
+    const Callbacks callbacks_;
     Logger& log_;
-    std::unique_ptr<RolloutStorage> home_;
+    std::unique_ptr<RolloutStorage> storage_;
     std::unique_ptr<Follower> follower_;
     std::unique_ptr<Replica> replica_;
-    std::unique_ptr<Leader> source_;
-    std::unique_ptr<Publisher> feeder_;
-    Transport endpoint_;
+    std::unique_ptr<Leader> leader_;
+    std::unique_ptr<Publisher> publisher_;
+    Transport transport_;
     net::Timer timer_;
-    bool conducts_ = false;
-    std::uint64_t held_ = 0;                         // the fencing number that the source was told of
-    std::deque<std::pair<std::string, Body>> own_;   // from this process to itself: from whom
-    std::uint64_t replica_changes_ = 0, committed_told_ = 0, urgent_ = 0;
-    std::uint64_t fed_version_ = 0;
-    Staging fed_staging_;
-    double tell_at_ = 1e18, started_ = -1e18;
-    std::deque<Waiting> waiting_;
-    std::deque<std::pair<double, std::uint64_t>> proposed_;   // when, number; not everywhere yet
-    double everywhere_s_ = 0;
-    double version_told_ = -1e18;
-    std::uint64_t versions_ = 0;
-    std::array<std::uint64_t, kSourceEvents> event_counts_{};
-    bool pumping_ = false, stopped_ = false, told_disk_ = false, told_diverged_ = false;
-    std::uint64_t told_refused_ = 0;
+    bool leads_ = false;
+    std::uint64_t term_token_ = 0;                        // the fencing number that the source was told of
+    std::deque<std::pair<std::string, Body>> loopback_;   // from this process to itself: from whom
+    std::uint64_t replica_changes_seen_ = 0, last_committed_logged_ = 0, urgent_changes_seen_ = 0;
+    std::uint64_t published_number_ = 0;
+    Staging published_staging_;
+    double report_at_ = 1e18, started_at_ = -1e18;
+    std::deque<PendingProposal> pending_proposals_;
+    std::deque<std::pair<double, std::uint64_t>> propagating_;   // when, number; not everywhere yet
+    double last_propagation_s_ = 0;
+    double version_logged_at_ = -1e18;
+    std::uint64_t versions_since_logged_ = 0;
+    std::array<std::uint64_t, kLeaderEventKinds> event_counts_{};
+    bool pumping_ = false, stopped_ = false, disk_fault_logged_ = false, divergence_logged_ = false;
+    std::uint64_t refusal_logged_ = 0;
 };
 
 // XXH64 over every key and value with its length, hexadecimal: what records say of a state.
-std::string digest(const State& state);
+std::string state_digest(const State& state);
 
 }   // namespace slatejunction::rollout
--- a/src/rollout/file_storage.cpp
+++ b/src/rollout/file_storage.cpp
@@ -60,20 +60,21 @@
     : directory_(std::move(directory)), name_(std::move(name)) {
     load();
     storage::SegmentedLog::Found found;
-    journal_ = std::make_unique<storage::SegmentedLog>(
+    segments_ = std::make_unique<storage::SegmentedLog>(
         directory_, name_, kSegmentBytes,
         [this](std::uint64_t segment, std::uint32_t type, std::string_view payload) {
-            if (segment < first_segment_ || stopped_) return;
-            if (!visit(type, payload)) stopped_ = true;   // what follows has lost what it rests on
+            if (segment < first_segment_ || reading_stopped_) return;
+            if (!read_entry(type, payload))
+                reading_stopped_ = true;   // what follows has lost what it rests on
         },
         found, std::move(writer));
     set_aside_.insert(set_aside_.end(), found.broken.begin(), found.broken.end());
     // A snapshot begins with a segment of its own, so segments without it, or it without that, are a part.
-    const bool part = founded_ ? !journal_->segments().contains(first_segment_) : found.records > 0;
-    damaged_ = stopped_ || part || found.cut_bytes > 0 || !set_aside_.empty();
+    const bool part = has_snapshot_ ? !segments_->segments().contains(first_segment_) : found.records > 0;
+    damaged_ = reading_stopped_ || part || found.cut_bytes > 0 || !set_aside_.empty();
 }
 
-bool LogFile::mend() { return (founded_ && !damaged_) || replace(log_, committed_); }
+bool LogFile::rewrite_if_damaged() { return (has_snapshot_ && !damaged_) || replace(log_, commit_index_); }
 
 void LogFile::load() {
     std::string broken;
@@ -88,38 +89,38 @@
         log = Log({snapshot.number(), snapshot.chain()}, snapshot.term(), std::move(state));
         if (push_all(log, snapshot.record())) {
             log_ = std::move(log);
-            committed_ = snapshot.committed();
+            commit_index_ = snapshot.committed();
             first_segment_ = snapshot.segment();
-            founded_ = true;
+            has_snapshot_ = true;
             return;
         }
     }
     set_aside_.push_back(storage::set_aside(directory_ + "/" + name_ + ".log"));
 }
 
-bool LogFile::visit(std::uint32_t type, std::string_view payload) {
+bool LogFile::read_entry(std::uint32_t type, std::string_view payload) {
     kept::Records all;
     if (!all.ParseFromArray(payload.data(), static_cast<int>(payload.size()))) return false;
     if (type == records) return push_all(log_, all.record());
     if (type != truncated || all.record_size() != 1) return false;
     const std::uint64_t number = all.record(0).number();
-    if (!log_.knows(number)) return false;
+    if (!log_.contains_number(number)) return false;
     log_.truncate(number);
     return true;
 }
 
-bool LogFile::ready() {
-    if (journal_->open()) return true;
+bool LogFile::ensure_segment() {
+    if (segments_->open()) return true;
     const storage::File folder(::open(directory_.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
-    if (journal_->begin() && folder && ::fsync(folder.get()) == 0) return true;
-    why_ = journal_->last_error();
+    if (segments_->begin() && folder && ::fsync(folder.get()) == 0) return true;
+    last_error_ = segments_->last_error();
     return false;
 }
 
-bool LogFile::put(std::uint32_t type, const std::string& payload) {
-    if (!ready()) return false;
-    if (journal_->append(type, payload)) return true;
-    why_ = journal_->last_error();
+bool LogFile::append_entry(std::uint32_t type, const std::string& payload) {
+    if (!ensure_segment()) return false;
+    if (segments_->append(type, payload)) return true;
+    last_error_ = segments_->last_error();
     return false;
 }
 
@@ -127,20 +128,20 @@
     if (fresh.empty()) return true;
     kept::Records all;
     for (const Record& one : fresh) write(one, *all.add_record());
-    return put(records, all.SerializeAsString());
+    return append_entry(records, all.SerializeAsString());
 }
 
 bool LogFile::truncate(std::uint64_t number) {
     kept::Records all;
     all.add_record()->set_number(number);
-    return put(truncated, all.SerializeAsString());
+    return append_entry(truncated, all.SerializeAsString());
 }
 
 // The segment first: whatever is left half done, the old snapshot with all segments says the same as the
 // new one with those from there on.
 bool LogFile::replace(const Log& log, std::uint64_t committed) {
-    if (!journal_->begin()) {
-        why_ = journal_->last_error();
+    if (!segments_->begin()) {
+        last_error_ = segments_->last_error();
         return false;
     }
     kept::Snapshot snapshot;
@@ -155,13 +156,13 @@
     for (std::uint64_t number = log.base().number + 1; number <= log.last().number; ++number)
         write(log.record(number), *snapshot.add_record());
     snapshot.set_committed(committed);
-    snapshot.set_segment(journal_->newest());
+    snapshot.set_segment(segments_->newest());
     if (!storage::write_checked_file(directory_, name_ + ".log", kLogMagic, snapshot.SerializeAsString(),
-                                     why_))
+                                     last_error_))
         return false;
-    founded_ = true;
-    while (journal_->segments().begin()->first < journal_->newest())
-        journal_->drop(journal_->segments().begin()->first);
+    has_snapshot_ = true;
+    while (segments_->segments().begin()->first < segments_->newest())
+        segments_->drop(segments_->segments().begin()->first);
     return true;
 }
 
@@ -169,7 +170,7 @@
 
 FollowerFileStorage::FollowerFileStorage(const std::string& directory, storage::SegmentedLog::Writer writer)
     : file_(directory, "follower", std::move(writer)) {
-    file_.mend();   // where that fails, so does what is kept next
+    file_.rewrite_if_damaged();   // where that fails, so does what is kept next
 }
 
 bool FollowerFileStorage::append(const std::vector<Record>& records) { return file_.append(records); }
@@ -183,24 +184,24 @@
     kept::Promise promise;
     if (body && promise.ParseFromString(*body)) {
         promised_ = promise.term();
-        remembers_ = promise.remembers() && file_.founded() && !file_.damaged();
+        storage_intact_ = promise.remembers() && file_.has_snapshot() && !file_.damaged();
     }
     // Said before the files are mended, so that a later start does not take them for whole.
-    if (promise.remembers() && !remembers_ && !keep_promise(promised_, false)) return;
-    file_.mend();
+    if (promise.remembers() && !storage_intact_ && !save_promise(promised_, false)) return;
+    file_.rewrite_if_damaged();
 }
 
 ReplicaStored ReplicaFileStorage::take_stored() {
-    return {remembers_, promised_, file_.committed(), file_.take_log()};
+    return {storage_intact_, promised_, file_.commit_index(), file_.take_log()};
 }
 
-bool ReplicaFileStorage::keep_promise(std::uint64_t term, bool remembers) {
-    if (remembers && !file_.founded()) return false;
+bool ReplicaFileStorage::save_promise(std::uint64_t term, bool remembers) {
+    if (remembers && !file_.has_snapshot()) return false;
     kept::Promise promise;
     promise.set_term(term);
     promise.set_remembers(remembers);
     return storage::write_checked_file(directory_, kPromiseFile, kPromiseMagic, promise.SerializeAsString(),
-                                       why_);
+                                       last_error_);
 }
 
 }   // namespace slatejunction::rollout
--- a/src/rollout/file_storage.hpp
+++ b/src/rollout/file_storage.hpp
@@ -26,35 +26,35 @@
     LogFile(std::string directory, std::string name, storage::SegmentedLog::Writer writer = {});
 
     Log take_log() { return std::move(log_); }   // as it was found, once
-    std::uint64_t committed() const { return committed_; }
+    std::uint64_t commit_index() const { return commit_index_; }
     // Something was cut off, set aside or is gone: the log may lack what was kept once.
     bool damaged() const { return damaged_; }
     // There is a snapshot, so that files which are gone are noticed at the next start.
-    bool founded() const { return founded_; }
+    bool has_snapshot() const { return has_snapshot_; }
     // Once after the start, before anything else is kept: writes anew what was found, so that what is kept
     // from now on does not lie behind what stops the reading.
-    bool mend();
+    bool rewrite_if_damaged();
     const std::vector<std::string>& set_aside() const { return set_aside_; }   // paths
 
     // False: nothing of it is found again; why() tells.
     bool append(const std::vector<Record>& records);   // all or none
     bool truncate(std::uint64_t number);
     bool replace(const Log& log, std::uint64_t committed);
-    const std::string& why() const { return why_; }
+    const std::string& last_error() const { return last_error_; }
 
   private:
     void load();
-    bool visit(std::uint32_t type, std::string_view payload);
-    bool ready();   // there is a segment to append to
-    bool put(std::uint32_t type, const std::string& payload);
+    bool read_entry(std::uint32_t type, std::string_view payload);
+    bool ensure_segment();   // there is a segment to append to
+    bool append_entry(std::uint32_t type, const std::string& payload);
 
     const std::string directory_, name_;
     Log log_;
-    std::uint64_t committed_ = 0, first_segment_ = 0;
-    bool damaged_ = false, stopped_ = false, founded_ = false;
+    std::uint64_t commit_index_ = 0, first_segment_ = 0;
+    bool damaged_ = false, reading_stopped_ = false, has_snapshot_ = false;
     std::vector<std::string> set_aside_;
-    std::unique_ptr<storage::SegmentedLog> journal_;
-    std::string why_;
+    std::unique_ptr<storage::SegmentedLog> segments_;
+    std::string last_error_;
 };
 
 // What a follower has in force.
@@ -75,20 +75,20 @@
   public:
     explicit ReplicaFileStorage(const std::string& directory, storage::SegmentedLog::Writer writer = {});
     ReplicaStored take_stored();
-    bool keep_promise(std::uint64_t term, bool remembers) override;
+    bool save_promise(std::uint64_t term, bool remembers) override;
     bool append(const std::vector<Record>& records) override { return file_.append(records); }
     bool truncate(std::uint64_t number) override { return file_.truncate(number); }
     bool replace(const Log& log, std::uint64_t committed) override { return file_.replace(log, committed); }
-    void note_committed(std::uint64_t) override {}   // the next snapshot has it
+    void save_commit_index(std::uint64_t) override {}   // the next snapshot has it
     const LogFile& file() const { return file_; }
-    const std::string& why() const { return why_.empty() ? file_.why() : why_; }
+    const std::string& last_error() const { return last_error_.empty() ? file_.last_error() : last_error_; }
 
   private:
     const std::string directory_;
     LogFile file_;
     std::uint64_t promised_ = 0;
-    bool remembers_ = false;
-    std::string why_;
+    bool storage_intact_ = false;
+    std::string last_error_;
 };
 
 }   // namespace slatejunction::rollout
--- a/src/rollout/follower.cpp
+++ b/src/rollout/follower.cpp
@@ -7,14 +7,14 @@
 namespace slatejunction::rollout {
 namespace {
 
-constexpr std::size_t kEarlyMost = 64;       // offers kept that came before what they follow
-constexpr double kLeaveEvery = 10;           // s between tries to tell a parent that it was left
-constexpr unsigned kLeavesMost = 360;        // tries
-constexpr double kGapWait = 0.2;             // s between pulls for the sake of gaps
-constexpr double kWholeRefusedWait = 30;     // s, until a snapshot is taken again after one was refused
-constexpr std::size_t kSubtreeBytes = 600;   // of a report in a pull
-constexpr double kMoveSpread = 0.2;          // s, over which pulls to the next parent are spread
-constexpr unsigned kBackOffDoublings = 6;
+constexpr std::size_t kMaxEarlyOffers = 64;     // offers kept that came before what they follow
+constexpr double kLeaveNoticeIntervalS = 10;    // s between tries to tell a parent that it was left
+constexpr unsigned kMaxLeaveNotices = 360;      // tries
+constexpr double kGapPullIntervalS = 0.2;       // s between pulls for the sake of gaps
+constexpr double kRefusedSnapshotRetryS = 30;   // s, until a snapshot is taken again after one was refused
+constexpr std::size_t kMaxSubtreeReportBytes = 600;   // of a report in a pull
+constexpr double kParentSwitchSpreadS = 0.2;          // s, over which pulls to the next parent are spread
+constexpr unsigned kMaxBackoffDoublings = 6;
 
 }   // namespace
 
@@ -38,115 +38,118 @@
 }
 
 Follower::Follower(const FollowerSettings& settings, FollowerStored stored, FollowerStorage& home,
-                   Check check, std::uint64_t seed)
+                   Validator check, std::uint64_t seed)
     : settings_(settings),
-      home_(home),
-      check_(std::move(check)),
+      storage_(home),
+      validator_(std::move(check)),
       random_(seed),
-      order_(parent_order(settings)),
+      parents_(parent_order(settings)),
       log_(std::move(stored.log)),
       state_(log_.state_at(log_.last().number)),
-      in_force_(log_.last()),
-      limit_(in_force_.number) {
-    log_.trim(settings_.records_kept, settings_.bytes_kept, in_force_.number);
+      active_version_(log_.last()),
+      activation_limit_(active_version_.number) {
+    log_.trim(settings_.max_log_records, settings_.max_log_bytes, active_version_.number);
 }
 
-double Follower::drawn(double from, double to) {
+double Follower::uniform(double from, double to) {
     return std::uniform_real_distribution<double>(from, to)(random_);
 }
-double Follower::jittered(double s) { return s * drawn(1 - settings_.jitter, 1 + settings_.jitter); }
+double Follower::jittered(double s) {
+    return s * uniform(1 - settings_.jitter_fraction, 1 + settings_.jitter_fraction);
+}
 
-void Follower::start(double now) { pull_at_ = now + drawn(0, settings_.first_s); }
+void Follower::start(double now) { next_pull_at_ = now + uniform(0, settings_.first_pull_spread_s); }
 
 FollowerFault Follower::fault() const {
     if (diverged_) return FollowerFault::diverged;
     if (disk_failed_) return FollowerFault::disk;
-    return refused_ != 0 || whole_refused_ ? FollowerFault::refused : FollowerFault::none;
+    return refused_number_ != 0 || snapshot_refused_ ? FollowerFault::refused : FollowerFault::none;
 }
 
 // --- asking
 
-Pull Follower::what_to_say() const {
+Pull Follower::make_pull() const {
     Pull pull;
     pull.name = settings_.name;
     pull.have = log_.last();
-    pull.in_force = in_force_.number;
-    pull.refused = refused_;
-    pull.trouble = fault();
-    if (pull.trouble == FollowerFault::refused) pull.reason = reason_.substr(0, kReasonMost);
-    if (subtree_) {
-        pull.subtree = subtree_;
-        fit(*pull.subtree, kSubtreeBytes);
+    pull.active = active_version_.number;
+    pull.refused = refused_number_;
+    pull.fault = fault();
+    if (pull.fault == FollowerFault::refused) pull.reason = refusal_reason_.substr(0, kMaxReasonBytes);
+    if (subtree_report_) {
+        pull.subtree = subtree_report_;
+        shrink_to(*pull.subtree, kMaxSubtreeReportBytes);
     }
     return pull;
 }
 
-void Follower::pull(double now) {
-    ++tally_.pulls;
-    posts_.push_back({parent(), body_of(what_to_say())});
-    asked_at_ = now;
-    if (unanswered_++ == 0) move_at_ = now + settings_.move_s;
-    pull_at_ = now + jittered(settings_.retry_s * std::pow(1.5, unanswered_ - 1));
+void Follower::send_pull(double now) {
+    ++counts_.pulls;
+    outgoing_.push_back({parent(), body_of(make_pull())});
+    last_pull_at_ = now;
+    if (unanswered_pulls_++ == 0) parent_timeout_at_ = now + settings_.parent_timeout_s;
+    next_pull_at_ = now + jittered(settings_.retry_interval_s * std::pow(1.5, unanswered_pulls_ - 1));
 }
 
-void Follower::report_now(double now) { pull_at(now); }
+void Follower::report_now(double now) { schedule_pull(now); }
 
 // Something came from it.
-void Follower::heard(double now, const std::string& from) {
-    heard_at_ = now;
-    if (at_ != 0 && from == order_.front()) settle_at(now, 0);
+void Follower::on_parent_contact(double now, const std::string& from) {
+    last_contact_at_ = now;
+    if (parent_index_ != 0 && from == parents_.front()) switch_parent(now, 0);
     if (from != parent()) return;
-    silent_ = 0;
-    move_at_ = 1e18;
-    if (unanswered_ == 0) return;
-    unanswered_ = 0;
-    pull_at_ = std::max(now, asked_at_ + jittered(settings_.pull_s));
+    silent_parents_ = 0;
+    parent_timeout_at_ = 1e18;
+    if (unanswered_pulls_ == 0) return;
+    unanswered_pulls_ = 0;
+    next_pull_at_ = std::max(now, last_pull_at_ + jittered(settings_.pull_interval_s));
 }
 
-void Follower::settle_at(double now, std::size_t next) {
-    leaving_[parent()] = {now, 0};
-    leave_at_ = now;
-    at_ = next;
-    leaving_.erase(parent());
-    unanswered_ = 0;
-    move_at_ = 1e18;
-    home_at_ = at_ == 0 ? 1e18 : now + jittered(settings_.home_s);
+void Follower::switch_parent(double now, std::size_t next) {
+    leave_notices_[parent()] = {now, 0};
+    leave_notice_at_ = now;
+    parent_index_ = next;
+    leave_notices_.erase(parent());
+    unanswered_pulls_ = 0;
+    parent_timeout_at_ = 1e18;
+    preferred_retry_at_ = parent_index_ == 0 ? 1e18 : now + jittered(settings_.preferred_retry_s);
 }
 
 // The parent is silent: the next one. Where all are, longer and longer waits, drawn by each on its own.
-void Follower::move(double now) {
-    ++tally_.moves;
-    ++silent_;
-    const std::size_t rounds = silent_ / order_.size();
-    if (order_.size() > 1)
-        settle_at(now, (at_ + 1) % order_.size());
+void Follower::switch_to_next_parent(double now) {
+    ++counts_.parent_switches;
+    ++silent_parents_;
+    const std::size_t rounds = silent_parents_ / parents_.size();
+    if (parents_.size() > 1)
+        switch_parent(now, (parent_index_ + 1) % parents_.size());
     else
-        unanswered_ = 0;
-    move_at_ = 1e18;
+        unanswered_pulls_ = 0;
+    parent_timeout_at_ = 1e18;
     if (rounds == 0) {
-        pull_at_ = now + drawn(0, kMoveSpread);
+        next_pull_at_ = now + uniform(0, kParentSwitchSpreadS);
         return;
     }
-    const double most = std::pow(2.0, std::min<std::size_t>(rounds, kBackOffDoublings)) * settings_.pull_s;
-    pull_at_ = now + drawn(0, std::min(settings_.back_off_s, most));
+    const double most =
+        std::pow(2.0, std::min<std::size_t>(rounds, kMaxBackoffDoublings)) * settings_.pull_interval_s;
+    next_pull_at_ = now + uniform(0, std::min(settings_.max_backoff_s, most));
 }
 
-void Follower::leave(double now) {
-    leave_at_ = 1e18;
-    for (auto at = leaving_.begin(); at != leaving_.end();) {
+void Follower::send_leave_notices(double now) {
+    leave_notice_at_ = 1e18;
+    for (auto at = leave_notices_.begin(); at != leave_notices_.end();) {
         auto& [name, leaving] = *at;
-        if (now >= leaving.at) {
-            if (++leaving.tries > kLeavesMost) {
-                at = leaving_.erase(at);
+        if (now >= leaving.next_send_at) {
+            if (++leaving.attempts > kMaxLeaveNotices) {
+                at = leave_notices_.erase(at);
                 continue;
             }
-            Pull pull = what_to_say();
+            Pull pull = make_pull();
             pull.subtree.reset();
             pull.leaving = true;
-            posts_.push_back({name, body_of(pull)});
-            leaving.at = now + jittered(kLeaveEvery);
+            outgoing_.push_back({name, body_of(pull)});
+            leaving.next_send_at = now + jittered(kLeaveNoticeIntervalS);
         }
-        leave_at_ = std::min(leave_at_, leaving.at);
+        leave_notice_at_ = std::min(leave_notice_at_, leaving.next_send_at);
         ++at;
     }
 }
@@ -154,73 +157,76 @@
 // --- taking
 
 void Follower::receive(double now, const std::string& from, const Message& message) {
-    if (std::find(order_.begin(), order_.end(), from) == order_.end()) return;
-    std::visit([&](const auto& one) { on(now, from, one); }, message);
+    if (std::find(parents_.begin(), parents_.end(), from) == parents_.end()) return;
+    std::visit([&](const auto& one) { handle(now, from, one); }, message);
 }
 
-void Follower::on(double now, const std::string& from, const Offer& offer) {
-    if (offer.left) {
-        leaving_.erase(from);
+void Follower::handle(double now, const std::string& from, const Offer& offer) {
+    if (offer.leave_acknowledged) {
+        leave_notices_.erase(from);
         return;
     }
-    heard(now, from);
+    on_parent_contact(now, from);
     staging_.merge(offer.staging);
-    limit_ = std::max(limit_, offer.limit);
+    activation_limit_ = std::max(activation_limit_, offer.activation_limit);
     if (offer.diverged) {
         diverged_ = true;
         return;
     }
     const bool gap = !offer.records.empty() && offer.previous.number > log_.last().number;
     if (gap) {
-        ++tally_.gaps;
-        if (early_.size() < kEarlyMost) early_.insert_or_assign(offer.previous.number, offer);
-    } else if (!take(offer)) {
+        ++counts_.gaps;
+        if (early_offers_.size() < kMaxEarlyOffers)
+            early_offers_.insert_or_assign(offer.previous.number, offer);
+    } else if (!accept_records(offer)) {
         diverged_ = true;
     } else if (from == parent()) {
         diverged_ = false;
     }
-    take_early();
+    accept_early_offers();
     const bool more = offer.more && offer.previous.number + offer.records.size() == log_.last().number;
     const bool lacks = offer.previous.number > log_.last().number && gap;
-    if (more) pull_at(now);
-    if (lacks) pull_at(std::max(now, asked_at_ + kGapWait));
-    prepare(now);
+    if (more) schedule_pull(now);
+    if (lacks) schedule_pull(std::max(now, last_pull_at_ + kGapPullIntervalS));
+    try_activate(now);
 }
 
-bool Follower::full() const { return log_.last().number - in_force_.number >= settings_.held_most; }
+bool Follower::pending_full() const {
+    return log_.last().number - active_version_.number >= settings_.max_pending_records;
+}
 
 // Takes what follows the last record held. False: it is of another sequence, and nothing is taken.
-bool Follower::take(const Offer& offer) {
+bool Follower::accept_records(const Offer& offer) {
     if (offer.records.empty()) return true;
     Version version = offer.previous;
-    const auto other = [&] { return log_.knows(version.number) && !log_.holds(version); };
+    const auto other = [&] { return log_.contains_number(version.number) && !log_.contains(version); };
     if (other()) return false;
     for (const Record& one : offer.records) {
         const bool next = log_.last() == version;
-        if (next && (full() || one.term < log_.last_term())) return full();
+        if (next && (pending_full() || one.term < log_.last_term())) return pending_full();
         if (next && !log_.push(one)) return false;
-        tally_.records += next;
+        counts_.records += next;
         version = after(version, one);
         if (other()) return false;
     }
     return true;
 }
 
-void Follower::take_early() {
-    while (!early_.empty() && early_.begin()->first <= log_.last().number) {
-        if (!take(early_.begin()->second)) diverged_ = true;
-        early_.erase(early_.begin());
+void Follower::accept_early_offers() {
+    while (!early_offers_.empty() && early_offers_.begin()->first <= log_.last().number) {
+        if (!accept_records(early_offers_.begin()->second)) diverged_ = true;
+        early_offers_.erase(early_offers_.begin());
     }
 }
 
-void Follower::on(double now, const std::string& from, const SnapshotPart& part) {
-    heard(now, from);
+void Follower::handle(double now, const std::string& from, const SnapshotPart& part) {
+    on_parent_contact(now, from);
     staging_.merge(part.staging);
-    if (part.version.number <= log_.last().number || now < whole_after_) return;
-    taking_from_ = from;
-    taker_.receive(now, part);
-    if (const auto ask = taker_.ask(now)) posts_.push_back({from, body_of(*ask)});
-    take_whole(now);
+    if (part.version.number <= log_.last().number || now < snapshot_not_before_) return;
+    snapshot_sender_ = from;
+    snapshot_receiver_.receive(now, part);
+    if (const auto ask = snapshot_receiver_.next_request(now)) outgoing_.push_back({from, body_of(*ask)});
+    install_snapshot(now);
 }
 
 // --- putting in force
@@ -228,54 +234,54 @@
 // The version to go to now; the one in force: none.
 std::uint64_t Follower::next_target() {
     const std::uint64_t have = log_.last().number;
-    if (target_ <= in_force_.number) target_ = limit_;
+    if (target_number_ <= active_version_.number) target_number_ = activation_limit_;
     std::uint64_t top = have;
-    if (have >= limit_)
-        top = std::max(limit_, in_force_.number);
-    else if (have >= target_)
-        top = target_;
-    else if (have - in_force_.number < settings_.held_most / 2)
-        return in_force_.number;
-    return std::max(in_force_.number, log_.whole_at_most(top, have));
+    if (have >= activation_limit_)
+        top = std::max(activation_limit_, active_version_.number);
+    else if (have >= target_number_)
+        top = target_number_;
+    else if (have - active_version_.number < settings_.max_pending_records / 2)
+        return active_version_.number;
+    return std::max(active_version_.number, log_.highest_consistent(top, have));
 }
 
-void Follower::prepare(double now) {
-    prepare_at_ = 1e18;
+void Follower::try_activate(double now) {
+    activation_at_ = 1e18;
     const std::uint64_t top = next_target();
-    if (top <= in_force_.number) return;
+    if (top <= active_version_.number) return;
     // Nothing has come since it was refused.
-    if (refused_ != 0 && refused_with_ == log_.last().number) return;
-    const double wait = disk_failed_ ? settings_.disk_retry_s : settings_.prepare_s;
-    if (now < prepared_at_ + wait) {
-        prepare_at_ = prepared_at_ + wait;
+    if (refused_number_ != 0 && refused_at_log_end_ == log_.last().number) return;
+    const double wait = disk_failed_ ? settings_.disk_retry_s : settings_.activation_interval_s;
+    if (now < last_activation_at_ + wait) {
+        activation_at_ = last_activation_at_ + wait;
         return;
     }
-    prepared_at_ = now;
-    put_best(now, top);
+    last_activation_at_ = now;
+    activate_highest_valid(now, top);
 }
 
 // The highest version that can be used: this one, or, where it can't, the last one before a change that
 // can't be; that is refused.
-void Follower::put_best(double now, std::uint64_t top) {
+void Follower::activate_highest_valid(double now, std::uint64_t top) {
     std::string why;
     const std::uint64_t held = log_.last().number;
-    const Put done = put(now, top, why);
-    if (done == Put::disk) prepare_at_ = now + settings_.disk_retry_s;
-    if (done != Put::refused) return;
-    const bool known =
-        refused_at_ > in_force_.number && log_.whole_at_most(refused_at_, held) == refused_at_;
-    refused_with_ = held;
+    const ActivationResult done = activate(now, top, why);
+    if (done == ActivationResult::disk_failed) activation_at_ = now + settings_.disk_retry_s;
+    if (done != ActivationResult::refused) return;
+    const bool known = refused_version_ > active_version_.number &&
+                       log_.highest_consistent(refused_version_, held) == refused_version_;
+    refused_at_log_end_ = held;
     if (known) return;
     std::vector<std::uint64_t> stops;   // whole versions
-    for (std::uint64_t number = in_force_.number + 1; number <= top; ++number)
-        if (log_.whole_at_most(number, held) == number) stops.push_back(number);
+    for (std::uint64_t number = active_version_.number + 1; number <= top; ++number)
+        if (log_.highest_consistent(number, held) == number) stops.push_back(number);
     // stops[bad] can't be used, and what is before stops[good] can.
     std::size_t good = 0, bad = stops.size() - 1;
     std::uint64_t best = 0;
     while (good < bad) {
         const std::size_t middle = (good + bad) / 2;
-        Changes changes = changes_to(stops[middle]);
-        const std::string fault = try_changes(changes);
+        Changes changes = changes_up_to(stops[middle]);
+        const std::string fault = apply_and_validate(changes);
         exchange(state_, changes);
         if (fault.empty()) {
             best = stops[middle];
@@ -286,26 +292,26 @@
         }
     }
     std::string unused;
-    if (best != 0 && put(now, best, unused) == Put::disk) {
-        prepare_at_ = now + settings_.disk_retry_s;
+    if (best != 0 && activate(now, best, unused) == ActivationResult::disk_failed) {
+        activation_at_ = now + settings_.disk_retry_s;
         return;
     }
-    refused_at_ = stops[bad];
-    refused_ = blame(refused_at_, why);
-    refused_with_ = held;
-    prepare_at_ = 1e18;
-    reason_ = why;
-    ++tally_.refusals;
-    pull_at(now);
+    refused_version_ = stops[bad];
+    refused_number_ = find_faulty_change(refused_version_, why);
+    refused_at_log_end_ = held;
+    activation_at_ = 1e18;
+    refusal_reason_ = why;
+    ++counts_.refusals;
+    schedule_pull(now);
 }
 
 // The change that makes this whole version, the first after the one in force, unusable. A version that ends
 // a reverted stretch brings with it all changes of the stretch that still count: a revert is never to blame
 // where one of those is, as only a change can be reverted.
-std::uint64_t Follower::blame(std::uint64_t number, std::string& why) {
+std::uint64_t Follower::find_faulty_change(std::uint64_t number, std::string& why) {
     if (log_.record(number).reverts == 0) return number;
     std::map<std::string, std::uint64_t> latest;   // by key: the last change that counts
-    for (std::uint64_t at = in_force_.number + 1; at < number; ++at) {
+    for (std::uint64_t at = active_version_.number + 1; at < number; ++at) {
         const Record& one = log_.record(at);
         const std::uint64_t by = log_.reverted_by(at);
         const bool counts = one.kind != Kind::none && one.reverts == 0 && (by == 0 || by > number);
@@ -318,7 +324,7 @@
         const Record& one = log_.record(at);
         taken[one.key] = one.kind == Kind::put ? std::optional(one.value) : std::nullopt;
         Changes changes = taken;
-        const std::string fault = try_changes(changes);
+        const std::string fault = apply_and_validate(changes);
         exchange(state_, changes);
         if (fault.empty()) continue;
         why = fault;
@@ -327,9 +333,9 @@
     return number;
 }
 
-Changes Follower::changes_to(std::uint64_t number) const {
+Changes Follower::changes_up_to(std::uint64_t number) const {
     Changes changes;
-    for (std::uint64_t at = in_force_.number + 1; at <= number; ++at) {
+    for (std::uint64_t at = active_version_.number + 1; at <= number; ++at) {
         const Record& one = log_.record(at);
         if (one.kind == Kind::put) changes[one.key] = one.value;
         if (one.kind == Kind::erase) changes[one.key].reset();
@@ -342,59 +348,60 @@
 }
 
 // Makes the changes, and leaves in them what undoes them. Empty: the consumer can use the state.
-std::string Follower::try_changes(Changes& changes) {
-    ++tally_.checks;
+std::string Follower::apply_and_validate(Changes& changes) {
+    ++counts_.validations;
     const Changes made = changes;
     exchange(state_, changes);
-    return made.empty() ? std::string() : check_(state_, made);
+    return made.empty() ? std::string() : validator_(state_, made);
 }
 
-Follower::Put Follower::put(double now, std::uint64_t number, std::string& why) {
-    Changes changes = changes_to(number);
+Follower::ActivationResult Follower::activate(double now, std::uint64_t number, std::string& why) {
+    Changes changes = changes_up_to(number);
     Changes undo = changes;
-    why = try_changes(undo);
+    why = apply_and_validate(undo);
     if (!why.empty()) {
         exchange(state_, undo);
-        return Put::refused;
+        return ActivationResult::refused;
     }
     std::vector<Record> records;
-    for (std::uint64_t at = in_force_.number + 1; at <= number; ++at) records.push_back(log_.record(at));
-    disk_failed_ = !home_.append(records);
+    for (std::uint64_t at = active_version_.number + 1; at <= number; ++at)
+        records.push_back(log_.record(at));
+    disk_failed_ = !storage_.append(records);
     if (disk_failed_) {
-        ++tally_.disk_failures;
+        ++counts_.disk_failures;
         exchange(state_, undo);
-        pull_at(now);
-        return Put::disk;
+        schedule_pull(now);
+        return ActivationResult::disk_failed;
     }
-    since_compact_ += records.size();
-    enter(now, log_.version(number), std::move(changes));
-    return Put::in_force;
+    records_since_compaction_ += records.size();
+    finish_activation(now, log_.version(number), std::move(changes));
+    return ActivationResult::activated;
 }
 
-void Follower::enter(double now, const Version& version, Changes changes) {
-    in_force_ = version;
-    ++tally_.versions;
-    in_force_events_.push_back({version, std::move(changes)});
-    log_.trim(settings_.records_kept, settings_.bytes_kept, version.number);
-    refused_ = refused_at_ = refused_with_ = 0;
-    whole_refused_ = false;
-    if (since_compact_ >= settings_.compact_after) compact();
+void Follower::finish_activation(double now, const Version& version, Changes changes) {
+    active_version_ = version;
+    ++counts_.versions;
+    activations_.push_back({version, std::move(changes)});
+    log_.trim(settings_.max_log_records, settings_.max_log_bytes, version.number);
+    refused_number_ = refused_version_ = refused_at_log_end_ = 0;
+    snapshot_refused_ = false;
+    if (records_since_compaction_ >= settings_.compact_after_records) compact();
     // What a canary has in force is waited for.
-    if (staging_.canary(settings_.name)) pull_at(now);
-    if (next_target() > in_force_.number) prepare_at_ = now + settings_.prepare_s;
+    if (staging_.canary(settings_.name)) schedule_pull(now);
+    if (next_target() > active_version_.number) activation_at_ = now + settings_.activation_interval_s;
 }
 
 void Follower::compact() {
     // What it replaces stands if this fails, and it is tried again later.
-    since_compact_ = 0;
+    records_since_compaction_ = 0;
     Log whole = log_;
-    whole.truncate(in_force_.number);
-    home_.replace(whole);
+    whole.truncate(active_version_.number);
+    storage_.replace(whole);
 }
 
-void Follower::take_whole(double now) {
-    tally_.broken_snapshots = taker_.broken();
-    auto whole = taker_.take();
+void Follower::install_snapshot(double now) {
+    counts_.broken_snapshots = snapshot_receiver_.checksum_failures();
+    auto whole = snapshot_receiver_.take_snapshot();
     if (!whole || whole->version.number <= log_.last().number) return;
     Changes changes;
     for (const auto& [key, value] : state_)
@@ -404,56 +411,58 @@
         if (old == state_.end() || old->second != value) changes[key] = value;
     }
     Changes undo = changes;
-    const std::string why = try_changes(undo);
+    const std::string why = apply_and_validate(undo);
     Log log(whole->version, whole->term, std::move(whole->state));
     if (!why.empty()) {
         exchange(state_, undo);
-        whole_refused_ = true;
-        reason_ = why;
-        ++tally_.snapshots_refused;
-        whole_after_ = now + kWholeRefusedWait;
-        pull_at(now);
+        snapshot_refused_ = true;
+        refusal_reason_ = why;
+        ++counts_.snapshots_refused;
+        snapshot_not_before_ = now + kRefusedSnapshotRetryS;
+        schedule_pull(now);
         return;
     }
-    disk_failed_ = !home_.replace(log);
+    disk_failed_ = !storage_.replace(log);
     if (disk_failed_) {
-        ++tally_.disk_failures;
+        ++counts_.disk_failures;
         exchange(state_, undo);
-        whole_after_ = now + settings_.disk_retry_s;
-        pull_at(now);
+        snapshot_not_before_ = now + settings_.disk_retry_s;
+        schedule_pull(now);
         return;
     }
-    ++tally_.snapshots;
+    ++counts_.snapshots;
     log_ = std::move(log);
-    early_.clear();
-    since_compact_ = 0;
-    limit_ = std::max(limit_, log_.last().number);
-    enter(now, log_.last(), std::move(changes));
-    pull_at(now);
+    early_offers_.clear();
+    records_since_compaction_ = 0;
+    activation_limit_ = std::max(activation_limit_, log_.last().number);
+    finish_activation(now, log_.last(), std::move(changes));
+    schedule_pull(now);
 }
 
 void Follower::recheck(double now) {
-    refused_with_ = 0;
-    whole_after_ = -1e18;
-    prepare(now);
+    refused_at_log_end_ = 0;
+    snapshot_not_before_ = -1e18;
+    try_activate(now);
 }
 
 // --- time
 
 void Follower::on_timer(double now) {
-    if (now >= prepare_at_) prepare(now);
-    if (const auto ask = taker_.ask(now)) posts_.push_back({taking_from_, body_of(*ask)});
-    if (now >= leave_at_) leave(now);
-    if (now >= home_at_) {
-        home_at_ = now + jittered(settings_.home_s);
-        posts_.push_back({order_.front(), body_of(what_to_say())});
+    if (now >= activation_at_) try_activate(now);
+    if (const auto ask = snapshot_receiver_.next_request(now))
+        outgoing_.push_back({snapshot_sender_, body_of(*ask)});
+    if (now >= leave_notice_at_) send_leave_notices(now);
+    if (now >= preferred_retry_at_) {
+        preferred_retry_at_ = now + jittered(settings_.preferred_retry_s);
+        outgoing_.push_back({parents_.front(), body_of(make_pull())});
     }
-    if (now >= move_at_) return move(now);
-    if (now >= pull_at_) pull(now);
+    if (now >= parent_timeout_at_) return switch_to_next_parent(now);
+    if (now >= next_pull_at_) send_pull(now);
 }
 
 double Follower::next_deadline() const {
-    return std::min({pull_at_, move_at_, prepare_at_, leave_at_, home_at_, taker_.due()});
+    return std::min({next_pull_at_, parent_timeout_at_, activation_at_, leave_notice_at_,
+                     preferred_retry_at_, snapshot_receiver_.next_deadline()});
 }
 
 }   // namespace slatejunction::rollout
--- a/src/rollout/log.cpp
+++ b/src/rollout/log.cpp
@@ -82,7 +82,7 @@
     return with(at == state_.end() ? nullptr : &at->second);
 }
 
-std::uint64_t Log::whole_at_most(std::uint64_t number, std::uint64_t seen) const {
+std::uint64_t Log::highest_consistent(std::uint64_t number, std::uint64_t seen) const {
     // Stretches may overlap: one that is left may end inside of another.
     for (bool again = true; again;) {
         again = false;
--- a/src/rollout/log.hpp
+++ b/src/rollout/log.hpp
@@ -24,14 +24,16 @@
     std::size_t bytes() const { return bytes_; }
 
     // Whether the version of this number is known: base().number to last().number.
-    bool knows(std::uint64_t number) const { return number >= base_.number && number <= last().number; }
+    bool contains_number(std::uint64_t number) const {
+        return number >= base_.number && number <= last().number;
+    }
     Version version(std::uint64_t number) const;        // wants knows(number)
     const Record& record(std::uint64_t number) const;   // wants number > base().number, knows(number)
     std::uint64_t term(std::uint64_t number) const {    // of that record; wants knows(number)
         return number > base_.number ? record(number).term : base_term_;
     }
-    bool holds(const Version& version) const {   // this very version
-        return knows(version.number) && this->version(version.number) == version;
+    bool contains(const Version& version) const {   // this very version
+        return contains_number(version.number) && this->version(version.number) == version;
     }
 
     // Adds the record if it is the next one, valid, and its term does not fall. False: nothing is changed.
@@ -49,7 +51,7 @@
     std::optional<Record> revert_of(std::uint64_t number) const;
     // The highest number of at most `number` that lies in no reverted stretch: not at or after a record N
     // and before the record (up to `seen`) that reverts it.
-    std::uint64_t whole_at_most(std::uint64_t number, std::uint64_t seen) const;
+    std::uint64_t highest_consistent(std::uint64_t number, std::uint64_t seen) const;
 
   private:
     struct Entry {
--- a/src/rollout/message.cpp
+++ b/src/rollout/message.cpp
@@ -24,9 +24,9 @@
     to.set_cleared(from.cleared);
     to.set_canary_below(from.canary_below);
 }
-void write(const Standing& from, wire::Standing& to) {
+void write(const FollowerStatus& from, wire::Standing& to) {
     to.set_name(from.name);
-    to.set_in_force(from.in_force);
+    to.set_in_force(from.active);
     to.set_trouble(static_cast<std::uint32_t>(from.fault));
 }
 void write(const Report& from, wire::Report& to) {
@@ -35,9 +35,9 @@
     to.set_behind(from.behind);
     to.set_silent(from.silent);
     to.set_refused(from.refused);
-    for (const Standing& one : from.behind_names) write(one, *to.add_behind_name());
-    for (const Standing& one : from.silent_names) write(one, *to.add_silent_name());
-    for (const Standing& one : from.canaries) write(one, *to.add_canary());
+    for (const FollowerStatus& one : from.behind_names) write(one, *to.add_behind_name());
+    for (const FollowerStatus& one : from.silent_names) write(one, *to.add_silent_name());
+    for (const FollowerStatus& one : from.canaries) write(one, *to.add_canary());
     for (const Refusal& one : from.refusals) {
         wire::Refusal& refusal = *to.add_refusal();
         refusal.set_number(one.number);
@@ -53,10 +53,10 @@
 void write(const Pull& from, wire::Pull& to) {
     to.set_name(from.name);
     write(from.have, *to.mutable_have());
-    to.set_in_force(from.in_force);
+    to.set_in_force(from.active);
     to.set_refused(from.refused);
     to.set_reason(from.reason);
-    to.set_trouble(static_cast<std::uint32_t>(from.trouble));
+    to.set_trouble(static_cast<std::uint32_t>(from.fault));
     to.set_leaving(from.leaving);
     if (from.subtree) write(*from.subtree, *to.mutable_subtree());
 }
@@ -64,12 +64,12 @@
     write(from.staging, *to.mutable_staging());
     write(from.previous, *to.mutable_previous());
     write_records(from.records, to);
-    to.set_limit(from.limit);
+    to.set_limit(from.activation_limit);
     to.set_more(from.more);
     to.set_diverged(from.diverged);
-    to.set_left(from.left);
+    to.set_left(from.leave_acknowledged);
 }
-void write(const PartPull& from, wire::PartPull& to) {
+void write(const SnapshotPartRequest& from, wire::PartPull& to) {
     write(from.version, *to.mutable_version());
     to.set_from(from.from);
     to.set_count(from.count);
@@ -77,7 +77,7 @@
 void write(const SnapshotPart& from, wire::SnapshotPart& to) {
     write(from.version, *to.mutable_version());
     to.set_term(from.term);
-    to.set_check(from.check);
+    to.set_check(from.checksum);
     to.set_index(from.index);
     to.set_parts(from.parts);
     for (const auto& [key, value] : from.entries) {
@@ -95,25 +95,25 @@
     to.set_term(from.term);
     to.set_promised(from.promised);
     to.set_process(from.process);
-    to.set_remembers(from.remembers);
+    to.set_remembers(from.storage_intact);
     to.set_granted(from.granted);
 }
-void write(const Inspect& from, wire::Inspect& to) { to.set_term(from.term); }
-void write(const Holding& from, wire::Holding& to) {
+void write(const LogStatusRequest& from, wire::Inspect& to) { to.set_term(from.term); }
+void write(const LogStatus& from, wire::Holding& to) {
     to.set_term(from.term);
     to.set_process(from.process);
-    to.set_remembers(from.remembers);
+    to.set_remembers(from.storage_intact);
     write(from.last, *to.mutable_last());
     to.set_last_term(from.last_term);
     to.set_committed(from.committed);
     to.set_base(from.base);
     to.set_cleared(from.cleared);
 }
-void write(const Fetch& from, wire::Fetch& to) {
+void write(const FetchRequest& from, wire::Fetch& to) {
     to.set_term(from.term);
     to.set_after(from.after);
 }
-void write(const Fetched& from, wire::Fetched& to) {
+void write(const FetchReply& from, wire::Fetched& to) {
     to.set_term(from.term);
     write(from.previous, *to.mutable_previous());
     write_records(from.records, to);
@@ -127,11 +127,11 @@
     write(from.staging, *to.mutable_staging());
     to.set_admit(from.admit);
 }
-void write(const Appended& from, wire::Appended& to) {
+void write(const AppendReply& from, wire::Appended& to) {
     to.set_term(from.term);
     to.set_promised(from.promised);
     to.set_process(from.process);
-    to.set_remembers(from.remembers);
+    to.set_remembers(from.storage_intact);
     to.set_matches(from.matches);
     write(from.last, *to.mutable_last());
     to.set_committed(from.committed);
@@ -140,12 +140,12 @@
 
 // Readers: false where a field is outside of what is allowed.
 bool is_name(std::string_view name) {
-    return !name.empty() && name.size() <= kNameMost &&
+    return !name.empty() && name.size() <= kMaxNameBytes &&
            std::all_of(name.begin(), name.end(), [](char c) { return c > ' ' && c < 127; });
 }
 // A reason is told to people: what can't be printed is replaced.
 std::string printable(std::string text) {
-    if (text.size() > kReasonMost) text.resize(kReasonMost);
+    if (text.size() > kMaxReasonBytes) text.resize(kMaxReasonBytes);
     for (char& c : text)
         if (c < ' ' || c == 127) c = '?';
     return text;
@@ -171,14 +171,14 @@
     }
     return true;
 }
-bool read(const wire::Standing& in, Standing& out) {
+bool read(const wire::Standing& in, FollowerStatus& out) {
     if (!is_name(in.name()) || in.trouble() > static_cast<std::uint32_t>(FollowerFault::refused))
         return false;
     out = {in.name(), in.in_force(), static_cast<FollowerFault>(in.trouble())};
     return true;
 }
 template <class Repeated>
-bool read(const Repeated& in, std::size_t most, std::vector<Standing>& out) {
+bool read(const Repeated& in, std::size_t most, std::vector<FollowerStatus>& out) {
     if (static_cast<std::size_t>(in.size()) > most) return false;
     for (const wire::Standing& one : in) {
         out.emplace_back();
@@ -192,14 +192,14 @@
     out.behind = in.behind();
     out.silent = in.silent();
     out.refused = in.refused();
-    if (static_cast<std::size_t>(in.refusal_size()) > kRefusalsMost) return false;
+    if (static_cast<std::size_t>(in.refusal_size()) > kMaxReportedRefusals) return false;
     for (const wire::Refusal& one : in.refusal()) {
         if (!is_name(one.name()) || one.number() == 0) return false;
         out.refusals.push_back({one.number(), one.name(), printable(one.reason())});
     }
-    return read(in.behind_name(), kNamesMost, out.behind_names) &&
-           read(in.silent_name(), kNamesMost, out.silent_names) &&
-           read(in.canary(), kCanariesMost, out.canaries);
+    return read(in.behind_name(), kMaxReportedNames, out.behind_names) &&
+           read(in.silent_name(), kMaxReportedNames, out.silent_names) &&
+           read(in.canary(), kMaxCanaries, out.canaries);
 }
 
 bool read(const wire::Pull& in, Pull& out) {
@@ -207,10 +207,10 @@
         return false;
     out.name = in.name();
     out.have = read(in.have());
-    out.in_force = in.in_force();
+    out.active = in.in_force();
     out.refused = in.refused();
     out.reason = printable(in.reason());
-    out.trouble = static_cast<FollowerFault>(in.trouble());
+    out.fault = static_cast<FollowerFault>(in.trouble());
     out.leaving = in.leaving();
     if (in.has_subtree()) return read(in.subtree(), out.subtree.emplace());
     return true;
@@ -218,25 +218,25 @@
 bool read(const wire::Offer& in, Offer& out) {
     out.staging = read(in.staging());
     out.previous = read(in.previous());
-    out.limit = in.limit();
+    out.activation_limit = in.limit();
     out.more = in.more();
     out.diverged = in.diverged();
-    out.left = in.left();
+    out.leave_acknowledged = in.left();
     return read_records(in, out.previous, out.records);
 }
-bool read(const wire::PartPull& in, PartPull& out) {
+bool read(const wire::PartPull& in, SnapshotPartRequest& out) {
     out = {read(in.version()), in.from(), in.count()};
     return true;
 }
 bool read(const wire::SnapshotPart& in, SnapshotPart& out) {
     out.version = read(in.version());
     out.term = in.term();
-    out.check = in.check();
+    out.checksum = in.check();
     out.index = in.index();
     out.parts = in.parts();
     out.staging = read(in.staging());
     for (const wire::Entry& one : in.entry()) {
-        if (one.key().empty() || one.key().size() > kKeyMost || one.value().size() > kValueMost)
+        if (one.key().empty() || one.key().size() > kMaxKeyBytes || one.value().size() > kMaxValueBytes)
             return false;
         out.entries.emplace_back(one.key(), one.value());
     }
@@ -250,20 +250,20 @@
     out = {in.term(), in.promised(), in.process(), in.remembers(), in.granted()};
     return true;
 }
-bool read(const wire::Inspect& in, Inspect& out) {
+bool read(const wire::Inspect& in, LogStatusRequest& out) {
     out.term = in.term();
     return in.term() != 0;
 }
-bool read(const wire::Holding& in, Holding& out) {
+bool read(const wire::Holding& in, LogStatus& out) {
     out = {in.term(),      in.process(),   in.remembers(), read(in.last()),
            in.last_term(), in.committed(), in.base(),      in.cleared()};
     return true;
 }
-bool read(const wire::Fetch& in, Fetch& out) {
+bool read(const wire::Fetch& in, FetchRequest& out) {
     out = {in.term(), in.after()};
     return in.term() != 0;
 }
-bool read(const wire::Fetched& in, Fetched& out) {
+bool read(const wire::Fetched& in, FetchReply& out) {
     out.term = in.term();
     out.previous = read(in.previous());
     out.end = in.end();
@@ -277,7 +277,7 @@
     out.admit = in.admit();
     return in.term() != 0 && read_records(in, out.previous, out.records);
 }
-bool read(const wire::Appended& in, Appended& out) {
+bool read(const wire::Appended& in, AppendReply& out) {
     out = {in.term(),    in.promised(),   in.process(),   in.remembers(),
            in.matches(), read(in.last()), in.committed(), in.disk_failed()};
     return true;
@@ -294,16 +294,16 @@
     wire::Message& out;
     void operator()(const Pull& one) { write(one, *out.mutable_pull()); }
     void operator()(const Offer& one) { write(one, *out.mutable_offer()); }
-    void operator()(const PartPull& one) { write(one, *out.mutable_part_pull()); }
+    void operator()(const SnapshotPartRequest& one) { write(one, *out.mutable_part_pull()); }
     void operator()(const SnapshotPart& one) { write(one, *out.mutable_snapshot_part()); }
     void operator()(const Prepare& one) { write(one, *out.mutable_prepare()); }
     void operator()(const Promise& one) { write(one, *out.mutable_promise()); }
-    void operator()(const Inspect& one) { write(one, *out.mutable_inspect()); }
-    void operator()(const Holding& one) { write(one, *out.mutable_holding()); }
-    void operator()(const Fetch& one) { write(one, *out.mutable_fetch()); }
-    void operator()(const Fetched& one) { write(one, *out.mutable_fetched()); }
+    void operator()(const LogStatusRequest& one) { write(one, *out.mutable_inspect()); }
+    void operator()(const LogStatus& one) { write(one, *out.mutable_holding()); }
+    void operator()(const FetchRequest& one) { write(one, *out.mutable_fetch()); }
+    void operator()(const FetchReply& one) { write(one, *out.mutable_fetched()); }
     void operator()(const Append& one) { write(one, *out.mutable_append()); }
-    void operator()(const Appended& one) { write(one, *out.mutable_appended()); }
+    void operator()(const AppendReply& one) { write(one, *out.mutable_appended()); }
     void operator()(const FollowerReport& one) { write(one.report, *out.mutable_told()->mutable_report()); }
 };
 
@@ -327,7 +327,7 @@
 
 std::optional<Message> decode(std::string_view bytes) {
     wire::Message in;
-    if (bytes.size() > kBodyMost || !in.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
+    if (bytes.size() > kMaxBodyBytes || !in.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
         return {};
     switch (in.kind_case()) {
         case wire::Message::kPull:
@@ -335,7 +335,7 @@
         case wire::Message::kOffer:
             return typed<Offer>(in.offer());
         case wire::Message::kPartPull:
-            return typed<PartPull>(in.part_pull());
+            return typed<SnapshotPartRequest>(in.part_pull());
         case wire::Message::kSnapshotPart:
             return typed<SnapshotPart>(in.snapshot_part());
         case wire::Message::kPrepare:
@@ -343,17 +343,17 @@
         case wire::Message::kPromise:
             return typed<Promise>(in.promise());
         case wire::Message::kInspect:
-            return typed<Inspect>(in.inspect());
+            return typed<LogStatusRequest>(in.inspect());
         case wire::Message::kHolding:
-            return typed<Holding>(in.holding());
+            return typed<LogStatus>(in.holding());
         case wire::Message::kFetch:
-            return typed<Fetch>(in.fetch());
+            return typed<FetchRequest>(in.fetch());
         case wire::Message::kFetched:
-            return typed<Fetched>(in.fetched());
+            return typed<FetchReply>(in.fetched());
         case wire::Message::kAppend:
             return typed<Append>(in.append());
         case wire::Message::kAppended:
-            return typed<Appended>(in.appended());
+            return typed<AppendReply>(in.appended());
         case wire::Message::kTold: {
             FollowerReport told;
             if (!read(in.told().report(), told.report)) return {};
--- a/src/rollout/message.hpp
+++ b/src/rollout/message.hpp
@@ -15,7 +15,7 @@
 
 namespace slatejunction::rollout {
 
-inline constexpr std::size_t kBodyMost = 1000;   // bytes of a message
+inline constexpr std::size_t kMaxBodyBytes = 1000;   // bytes of a message
 
 // How far the rollout of committed records has come, as a source said it. `cleared` never falls; for the
 // rest the higher term counts.
@@ -33,11 +33,11 @@
 // A child says what it has, and asks for what comes after it.
 struct Pull {
     std::string name;
-    Version have;                 // the last record it holds
-    std::uint64_t in_force = 0;   // <= have.number
-    std::uint64_t refused = 0;    // a number that it can't use; 0: none
-    std::string reason;           // of the refusal
-    FollowerFault trouble = FollowerFault::none;
+    Version have;                // the last record it holds
+    std::uint64_t active = 0;    // <= have.number
+    std::uint64_t refused = 0;   // a number that it can't use; 0: none
+    std::string reason;          // of the refusal
+    FollowerFault fault = FollowerFault::none;
     bool leaving = false;            // it has another parent now
     std::optional<Report> subtree;   // of a relay: all below it
     bool operator==(const Pull&) const = default;
@@ -47,23 +47,24 @@
     Staging staging;
     Version previous;
     std::vector<Record> records;
-    std::uint64_t limit = 0;   // what this child may have in force, and a version that is meant to be
-    bool more = false;         // there is more after these; pull again at once
-    bool diverged = false;     // the child's version is none of this sequence
-    bool left = false;         // answers a `leaving`
+    std::uint64_t activation_limit =
+        0;                   // what this child may have in force, and a version that is meant to be
+    bool more = false;       // there is more after these; pull again at once
+    bool diverged = false;   // the child's version is none of this sequence
+    bool leave_acknowledged = false;   // answers a `leaving`
     bool operator==(const Offer&) const = default;
 };
 // Wants parts of a snapshot, `count` from index `from` on.
-struct PartPull {
+struct SnapshotPartRequest {
     Version version;
     std::uint32_t from = 0, count = 0;
-    bool operator==(const PartPull&) const = default;
+    bool operator==(const SnapshotPartRequest&) const = default;
 };
 // One part of the state at a version; the first one tells that a snapshot is to be taken.
 struct SnapshotPart {
     Version version;
-    std::uint64_t term = 0;    // of the record of that version
-    std::uint64_t check = 0;   // check_of() the whole state
+    std::uint64_t term = 0;       // of the record of that version
+    std::uint64_t checksum = 0;   // check_of() the whole state
     std::uint32_t index = 0, parts = 1;
     std::vector<std::pair<std::string, std::string>> entries;
     Staging staging;
@@ -82,32 +83,32 @@
     std::uint64_t term = 0;       // of the Prepare
     std::uint64_t promised = 0;   // the highest
     std::uint64_t process = 0;
-    bool remembers = false;
+    bool storage_intact = false;
     bool granted = false;
     bool operator==(const Promise&) const = default;
 };
-struct Inspect {
+struct LogStatusRequest {
     std::uint64_t term = 0;
-    bool operator==(const Inspect&) const = default;
+    bool operator==(const LogStatusRequest&) const = default;
 };
-struct Holding {
+struct LogStatus {
     std::uint64_t term = 0, process = 0;
-    bool remembers = false;
+    bool storage_intact = false;
     Version last;
     std::uint64_t last_term = 0, committed = 0, base = 0, cleared = 0;
-    bool operator==(const Holding&) const = default;
+    bool operator==(const LogStatus&) const = default;
 };
 // Asks for the records after a number.
-struct Fetch {
+struct FetchRequest {
     std::uint64_t term = 0, after = 0;
-    bool operator==(const Fetch&) const = default;
+    bool operator==(const FetchRequest&) const = default;
 };
-struct Fetched {
+struct FetchReply {
     std::uint64_t term = 0;
     Version previous;
     std::vector<Record> records;
     bool end = false;   // the last of those that answer one Fetch
-    bool operator==(const Fetched&) const = default;
+    bool operator==(const FetchReply&) const = default;
 };
 struct Append {
     std::uint64_t term = 0;
@@ -118,16 +119,16 @@
     bool admit = false;   // a replica that had lost its disk counts again once it matches this
     bool operator==(const Append&) const = default;
 };
-struct Appended {
+struct AppendReply {
     std::uint64_t term = 0;       // of the Append
     std::uint64_t promised = 0;   // above `term`: refused
     std::uint64_t process = 0;
-    bool remembers = false;
+    bool storage_intact = false;
     bool matches = false;   // `last` agrees with the source's log up to last.number
     Version last;           // matches: what is agreed on; else the last record it has
     std::uint64_t committed = 0;
     bool disk_failed = false;
-    bool operator==(const Appended&) const = default;
+    bool operator==(const AppendReply&) const = default;
 };
 // A control machine tells the source of the followers that it feeds.
 struct FollowerReport {
@@ -135,8 +136,9 @@
     bool operator==(const FollowerReport&) const = default;
 };
 
-using Message = std::variant<Pull, Offer, PartPull, SnapshotPart, Prepare, Promise, Inspect, Holding, Fetch,
-                             Fetched, Append, Appended, FollowerReport>;
+using Message =
+    std::variant<Pull, Offer, SnapshotPartRequest, SnapshotPart, Prepare, Promise, LogStatusRequest,
+                 LogStatus, FetchRequest, FetchReply, Append, AppendReply, FollowerReport>;
 
 // At most kBodyMost bytes where records() or parts were filled by the helpers below.
 std::string encode(const Message& message);
@@ -148,8 +150,8 @@
 std::size_t encoded_size(const std::string& key, const std::string& value);
 std::size_t encoded_size(const Report& report);
 // Room for records in an Offer, Fetched or Append, and for entries in a SnapshotPart.
-inline constexpr std::size_t kRecordsRoom = 860;
-inline constexpr std::size_t kEntriesRoom = 860;
+inline constexpr std::size_t kRecordsBudgetBytes = 860;
+inline constexpr std::size_t kEntriesBudgetBytes = 860;
 
 using Body = std::shared_ptr<const std::string>;
 inline Body body_of(const Message& message) { return std::make_shared<const std::string>(encode(message)); }
--- a/src/rollout/publisher.cpp
+++ b/src/rollout/publisher.cpp
@@ -8,10 +8,10 @@
 namespace slatejunction::rollout {
 namespace {
 
-constexpr double kForgetEvery = 60;   // s
-constexpr std::size_t kSnapshotsKept = 3;
-constexpr std::size_t kBodyAbout = 1000;   // bytes of a full message, for the budget
-constexpr double kBudgetBurst = 1;         // s of bytes_per_s that may be spent at once
+constexpr double kCleanupIntervalS = 60;   // s
+constexpr std::size_t kMaxSnapshots = 3;
+constexpr std::size_t kTypicalBodyBytes = 1000;   // bytes of a full message, for the budget
+constexpr double kTokenBucketDepthS = 1;          // s of bytes_per_s that may be spent at once
 
 std::size_t size_of(const std::vector<Body>& bodies) {
     std::size_t bytes = 0;
@@ -22,119 +22,121 @@
 }   // namespace
 
 Publisher::Publisher(const PublisherSettings& settings, const Log& log)
-    : settings_(settings), log_(log), tokens_(settings.bytes_per_s * kBudgetBurst) {}
+    : settings_(settings), log_(log), tokens_(settings.bytes_per_s * kTokenBucketDepthS) {}
 
 void Publisher::advance(double now, std::uint64_t committed, const Staging& staging) {
     const Staging before = staging_;
-    const std::uint64_t had = committed_;
-    committed_ = std::max(committed_, committed);
+    const std::uint64_t had = commit_index_;
+    commit_index_ = std::max(commit_index_, committed);
     staging_.merge(staging);
-    if (staging_.cleared > before.cleared) cleared_.emplace_back(now, staging_.cleared);
+    if (staging_.cleared > before.cleared) clearances_.emplace_back(now, staging_.cleared);
     // Of those that are old enough the last one tells all.
-    while (cleared_.size() > 1 && cleared_[1].first + settings_.behind_s <= now) cleared_.pop_front();
-    if (staging_ != before || committed_ != had) push_at_ = std::min(push_at_, now + settings_.batch_s);
+    while (clearances_.size() > 1 && clearances_[1].first + settings_.behind_s <= now)
+        clearances_.pop_front();
+    if (staging_ != before || commit_index_ != had) push_at_ = std::min(push_at_, now + settings_.batch_s);
 }
 
 // A version that a child may have in force.
-std::uint64_t Publisher::limit(const Child& child) const {
+std::uint64_t Publisher::activation_limit(const Child& child) const {
     if (child.hash >= staging_.canary_below) return staging_.cleared;
-    return std::max(staging_.cleared, log_.whole_at_most(committed_, committed_));
+    return std::max(staging_.cleared, log_.highest_consistent(commit_index_, commit_index_));
 }
 
 void Publisher::receive(double now, const std::string& from, std::uint64_t process,
                         const Message& message) {
-    std::visit([&](const auto& one) { on(now, from, process, one); }, message);
+    std::visit([&](const auto& one) { handle(now, from, process, one); }, message);
 }
 
-void Publisher::on(double now, const std::string& from, std::uint64_t process, const Pull& pull) {
-    ++tally_.pulls;
+void Publisher::handle(double now, const std::string& from, std::uint64_t process, const Pull& pull) {
+    ++counts_.pulls;
     auto at = children_.find(from);
     if (pull.leaving) {
         if (at != children_.end() && at->second.process == process) children_.erase(at);
         Offer offer;
-        offer.left = true;
+        offer.leave_acknowledged = true;
         return send(from, body_of(offer));
     }
     if (at == children_.end()) {
-        if (children_.size() >= settings_.children_most) forget(now, settings_.silence_s);
-        if (children_.size() >= settings_.children_most) {
-            ++tally_.turned_away;
+        if (children_.size() >= settings_.max_children) remove_silent(now, settings_.child_timeout_s);
+        if (children_.size() >= settings_.max_children) {
+            ++counts_.rejected_pulls;
             return;
         }
         at = children_.emplace(from, Child{}).first;
         at->second.hash = hash_of(from);
     }
     Child& child = at->second;
-    const Standing standing{from, pull.in_force, pull.trouble};
+    const FollowerStatus standing{from, pull.active, pull.fault};
     const bool canary = child.hash < staging_.canary_below;
-    const bool moved = canary && (child.standing != standing || child.process != process);
+    const bool moved = canary && (child.status != standing || child.process != process);
     const bool refuses = pull.refused != 0 && (!child.refusal || child.refusal->number != pull.refused);
     const bool below =
         pull.subtree && (!child.subtree || child.subtree->canaries != pull.subtree->canaries ||
                          child.subtree->refusals != pull.subtree->refusals);
-    if (moved || refuses || below) ++urgent_;
+    if (moved || refuses || below) ++urgent_changes_;
     child.process = process;
-    child.heard_at = now;
-    child.standing = standing;
+    child.last_contact_at = now;
+    child.status = standing;
     child.refusal.reset();
     if (pull.refused != 0) child.refusal = Refusal{pull.refused, from, pull.reason};
     child.subtree = pull.subtree;
-    answer(now, from, child, pull);
+    answer_pull(now, from, child, pull);
 }
 
-void Publisher::answer(double now, const std::string& from, Child& child, const Pull& pull) {
+void Publisher::answer_pull(double now, const std::string& from, Child& child, const Pull& pull) {
     child.following = false;
-    child.sent = pull.have.number;
+    child.last_sent = pull.have.number;
     if (pull.have.number < log_.base().number) return offer_snapshot(now, from);
     // What is not committed here may be replaced yet: nothing can be said of it.
-    if (pull.have.number <= committed_ && log_.knows(pull.have.number) && !log_.holds(pull.have)) {
-        ++tally_.diverged;
+    if (pull.have.number <= commit_index_ && log_.contains_number(pull.have.number) &&
+        !log_.contains(pull.have)) {
+        ++counts_.diverged;
         Offer offer;
         offer.diverged = true;
         return send(from, body_of(offer));
     }
-    const std::uint64_t most = limit(child);
-    const std::uint64_t end = std::min(most, committed_);
+    const std::uint64_t most = activation_limit(child);
+    const std::uint64_t end = std::min(most, commit_index_);
     child.following = true;
-    if (pull.have.number >= end) return send(from, body_of(idle(most)));
+    if (pull.have.number >= end) return send(from, body_of(empty_offer(most)));
     std::uint64_t reached = 0;
-    const std::vector<Body> bodies = batches(child.sent, end, most, reached);
-    if (!spend(now, size_of(bodies))) {
+    const std::vector<Body> bodies = encode_batches(child.last_sent, end, most, reached);
+    if (!consume_tokens(now, size_of(bodies))) {
         child.following = false;
-        return send(from, body_of(idle(most)));
+        return send(from, body_of(empty_offer(most)));
     }
     for (const Body& body : bodies) send(from, body);
-    child.sent = reached;
+    child.last_sent = reached;
     child.following = reached == end;
 }
 
-Offer Publisher::idle(std::uint64_t most) const {
+Offer Publisher::empty_offer(std::uint64_t most) const {
     Offer offer;
     offer.staging = staging_;
-    offer.limit = most;
+    offer.activation_limit = most;
     return offer;
 }
 
 // Records after `from` up to `end`, as many as one answer may have; `reached`: the last one.
-std::vector<Body> Publisher::batches(std::uint64_t from, std::uint64_t end, std::uint64_t most,
-                                     std::uint64_t& reached) const {
+std::vector<Body> Publisher::encode_batches(std::uint64_t from, std::uint64_t end, std::uint64_t most,
+                                            std::uint64_t& reached) const {
     std::vector<Body> bodies;
     std::size_t bytes = 0;
     std::uint64_t at = from;
     while (at < end && bytes < settings_.window_bytes) {
-        Offer offer = idle(most);
+        Offer offer = empty_offer(most);
         offer.previous = log_.version(at);
-        offer.records = batch(log_, at, end);
+        offer.records = next_batch(log_, at, end);
         at += offer.records.size();
-        offer.more = at < end && bytes + kBodyAbout >= settings_.window_bytes;
+        offer.more = at < end && bytes + kTypicalBodyBytes >= settings_.window_bytes;
         bodies.push_back(body_of(offer));
-        bytes += kBodyAbout;
+        bytes += kTypicalBodyBytes;
     }
     reached = at;
     return bodies;
 }
 
-void Publisher::push(double now) {
+void Publisher::push_batches(double now) {
     push_at_ = 1e18;
     struct Batch {
         std::vector<Body> bodies;
@@ -142,69 +144,71 @@
     };
     std::map<std::tuple<std::uint64_t, std::uint64_t>, Batch> made;   // by where from, and up to where
     for (auto& [name, child] : children_) {
-        if (!child.following || now - child.heard_at > settings_.silence_s) continue;
-        const std::uint64_t most = limit(child);
-        const std::uint64_t end = std::min(most, committed_);
-        if (child.sent >= end || child.sent < log_.base().number) continue;
-        const auto [at, first] = made.try_emplace({child.sent, most});
+        if (!child.following || now - child.last_contact_at > settings_.child_timeout_s) continue;
+        const std::uint64_t most = activation_limit(child);
+        const std::uint64_t end = std::min(most, commit_index_);
+        if (child.last_sent >= end || child.last_sent < log_.base().number) continue;
+        const auto [at, first] = made.try_emplace({child.last_sent, most});
         Batch& batch = at->second;
         if (first) {
-            batch.bodies = batches(child.sent, end, most, batch.reached);
-            tally_.encoded += batch.bodies.size();
+            batch.bodies = encode_batches(child.last_sent, end, most, batch.reached);
+            counts_.batches_encoded += batch.bodies.size();
         }
-        if (!spend(now, size_of(batch.bodies))) {
+        if (!consume_tokens(now, size_of(batch.bodies))) {
             child.following = false;
             continue;
         }
         for (const Body& body : batch.bodies) send(name, body);
-        tally_.pushes += batch.bodies.size();
-        child.sent = batch.reached;
+        counts_.pushes += batch.bodies.size();
+        child.last_sent = batch.reached;
         child.following = batch.reached == end;
     }
 }
 
-std::shared_ptr<const Snapshot> Publisher::newest(double now) {
-    const bool old = snapshots_.empty() || now - snapshots_.back().first >= settings_.snapshot_every_s;
+std::shared_ptr<const Snapshot> Publisher::newest_snapshot(double now) {
+    const bool old = snapshots_.empty() || now - snapshots_.back().first >= settings_.snapshot_interval_s;
     const std::uint64_t number = staging_.cleared;
-    const bool known = number <= committed_ && log_.knows(number) && number > 0;
-    const bool usable = !snapshots_.empty() && log_.knows(snapshots_.back().second->version().number);
+    const bool known = number <= commit_index_ && log_.contains_number(number) && number > 0;
+    const bool usable =
+        !snapshots_.empty() && log_.contains_number(snapshots_.back().second->version().number);
     const bool same = usable && snapshots_.back().second->version().number == number;
     if ((usable && !old) || same || !known) return usable ? snapshots_.back().second : nullptr;
     const std::uint64_t term = number > log_.base().number ? log_.record(number).term : log_.base_term();
     snapshots_.emplace_back(
         now, std::make_shared<const Snapshot>(log_.version(number), term, log_.state_at(number)));
-    ++tally_.snapshots;
-    if (snapshots_.size() > kSnapshotsKept) snapshots_.pop_front();
+    ++counts_.snapshots;
+    if (snapshots_.size() > kMaxSnapshots) snapshots_.pop_front();
     return snapshots_.back().second;
 }
 
 void Publisher::offer_snapshot(double now, const std::string& from) {
-    const auto snapshot = newest(now);
-    if (!snapshot || !spend(now, kBodyAbout)) return send(from, body_of(idle(0)));
+    const auto snapshot = newest_snapshot(now);
+    if (!snapshot || !consume_tokens(now, kTypicalBodyBytes)) return send(from, body_of(empty_offer(0)));
     send(from, body_of(snapshot->part(0, staging_)));
 }
 
-void Publisher::on(double now, const std::string& from, std::uint64_t process, const PartPull& pull) {
+void Publisher::handle(double now, const std::string& from, std::uint64_t process,
+                       const SnapshotPartRequest& pull) {
     const auto at = children_.find(from);
     if (at == children_.end() || at->second.process != process) return;
-    at->second.heard_at = now;
+    at->second.last_contact_at = now;
     const auto wanted = std::find_if(snapshots_.begin(), snapshots_.end(), [&](const auto& one) {
         return one.second->version() == pull.version;
     });
     if (wanted == snapshots_.end()) return offer_snapshot(now, from);
     const Snapshot& snapshot = *wanted->second;
-    for (std::uint32_t i = 0; i < std::min(pull.count, SnapshotTaker::kWindow); ++i) {
-        if (pull.from + i >= snapshot.parts() || !spend(now, kBodyAbout)) return;
+    for (std::uint32_t i = 0; i < std::min(pull.count, SnapshotReceiver::kWindowParts); ++i) {
+        if (pull.from + i >= snapshot.parts() || !consume_tokens(now, kTypicalBodyBytes)) return;
         send(from, body_of(snapshot.part(pull.from + i, staging_)));
     }
 }
 
-bool Publisher::spend(double now, std::size_t bytes) {
-    const double most = settings_.bytes_per_s * kBudgetBurst;
-    tokens_ = std::min(most, tokens_ + (now - tokens_at_) * settings_.bytes_per_s);
-    tokens_at_ = now;
+bool Publisher::consume_tokens(double now, std::size_t bytes) {
+    const double most = settings_.bytes_per_s * kTokenBucketDepthS;
+    tokens_ = std::min(most, tokens_ + (now - tokens_refilled_at_) * settings_.bytes_per_s);
+    tokens_refilled_at_ = now;
     if (tokens_ < static_cast<double>(bytes)) {
-        ++tally_.held_back;
+        ++counts_.throttled;
         return false;
     }
     tokens_ -= static_cast<double>(bytes);
@@ -213,40 +217,40 @@
 
 bool Publisher::behind(double now, const Child& child) const {
     const auto lacks = [&](const auto& one) {
-        return one.first + settings_.behind_s <= now && child.standing.in_force < one.second;
+        return one.first + settings_.behind_s <= now && child.status.active < one.second;
     };
-    return std::any_of(cleared_.begin(), cleared_.end(), lacks);
+    return std::any_of(clearances_.begin(), clearances_.end(), lacks);
 }
 
 Report Publisher::report(double now) const {
     Report all;
     for (const auto& [name, child] : children_) {
-        if (now - child.heard_at > settings_.silence_s) {
-            if (now - child.heard_at <= settings_.remember_s) add_silent(all, child.standing);
+        if (now - child.last_contact_at > settings_.child_timeout_s) {
+            if (now - child.last_contact_at <= settings_.child_retention_s) add_silent(all, child.status);
             continue;
         }
-        add(all, child.standing, behind(now, child), child.refusal ? &*child.refusal : nullptr);
+        add(all, child.status, behind(now, child), child.refusal ? &*child.refusal : nullptr);
         if (child.subtree) add(all, *child.subtree);
     }
     return all;
 }
 
-void Publisher::forget(double now, double silent_s) {
-    std::erase_if(children_, [&](const auto& one) { return now - one.second.heard_at > silent_s; });
+void Publisher::remove_silent(double now, double silent_s) {
+    std::erase_if(children_, [&](const auto& one) { return now - one.second.last_contact_at > silent_s; });
 }
 
 void Publisher::on_timer(double now) {
-    if (now >= push_at_) push(now);
-    if (now < forget_at_) return;
-    forget_at_ = now + kForgetEvery;
-    forget(now, settings_.remember_s);
+    if (now >= push_at_) push_batches(now);
+    if (now < cleanup_at_) return;
+    cleanup_at_ = now + kCleanupIntervalS;
+    remove_silent(now, settings_.child_retention_s);
 }
 
-double Publisher::next_deadline() const { return std::min(push_at_, forget_at_); }
+double Publisher::next_deadline() const { return std::min(push_at_, cleanup_at_); }
 
 void Publisher::send(const std::string& to, Body body) {
-    tally_.posts_bytes += body->size();
-    posts_.push_back({to, std::move(body)});
+    counts_.sent_bytes += body->size();
+    outgoing_.push_back({to, std::move(body)});
 }
 
 }   // namespace slatejunction::rollout
--- a/src/rollout/record.cpp
+++ b/src/rollout/record.cpp
@@ -5,11 +5,11 @@
 namespace slatejunction::rollout {
 namespace {
 
-void put_number(std::string& out, std::uint64_t value) {
+void append_number(std::string& out, std::uint64_t value) {
     for (int shift = 0; shift < 64; shift += 8) out.push_back(static_cast<char>(value >> shift));
 }
-void put_text(std::string& out, std::string_view text) {
-    put_number(out, text.size());
+void append_text(std::string& out, std::string_view text) {
+    append_number(out, text.size());
     out.append(text);
 }
 
@@ -19,18 +19,18 @@
 Version after(const Version& previous, const Record& record) {
     std::string bytes;
     bytes.reserve(6 * 8 + record.key.size() + record.value.size());
-    put_number(bytes, record.number);
-    put_number(bytes, record.term);
-    put_number(bytes, static_cast<std::uint64_t>(record.kind));
-    put_number(bytes, record.reverts);
-    put_text(bytes, record.key);
-    put_text(bytes, record.value);
+    append_number(bytes, record.number);
+    append_number(bytes, record.term);
+    append_number(bytes, static_cast<std::uint64_t>(record.kind));
+    append_number(bytes, record.reverts);
+    append_text(bytes, record.key);
+    append_text(bytes, record.value);
     return {record.number, storage::checksum(bytes.data(), bytes.size(), previous.chain)};
 }
 
 bool valid(const Record& record) {
     if (record.number == 0 || record.reverts >= record.number) return false;
-    if (record.key.size() > kKeyMost || record.value.size() > kValueMost) return false;
+    if (record.key.size() > kMaxKeyBytes || record.value.size() > kMaxValueBytes) return false;
     switch (record.kind) {
         case Kind::put:
             return !record.key.empty();
--- a/src/rollout/record.hpp
+++ b/src/rollout/record.hpp
@@ -12,10 +12,10 @@
 
 namespace slatejunction::rollout {
 
-inline constexpr std::size_t kKeyMost = 80;       // bytes
-inline constexpr std::size_t kValueMost = 700;    // bytes
-inline constexpr std::size_t kNameMost = 80;      // bytes, of a node
-inline constexpr std::size_t kReasonMost = 120;   // bytes, of a refusal as it is told
+inline constexpr std::size_t kMaxKeyBytes = 80;       // bytes
+inline constexpr std::size_t kMaxValueBytes = 700;    // bytes
+inline constexpr std::size_t kMaxNameBytes = 80;      // bytes, of a node
+inline constexpr std::size_t kMaxReasonBytes = 120;   // bytes, of a refusal as it is told
 
 // A term orders the sources. It is the fencing number of the lease and, in its low bits, a round: the
 // holder of one lease begins another round when it has to read the replicas anew.
--- a/src/rollout/replica.cpp
+++ b/src/rollout/replica.cpp
@@ -7,7 +7,7 @@
 namespace slatejunction::rollout {
 namespace {
 
-constexpr std::size_t kFetchedMost = 32;   // messages in answer to one Fetch
+constexpr std::size_t kMaxFetchReplies = 32;   // messages in answer to one Fetch
 
 }   // namespace
 
@@ -15,127 +15,129 @@
                  ReplicaStorage& home)
     : settings_(settings),
       process_(process),
-      home_(home),
-      remembers_(stored.remembers),
+      storage_(home),
+      storage_intact_(stored.storage_intact),
       promised_(stored.promised),
-      committed_(std::clamp(stored.committed, stored.log.base().number, stored.log.last().number)),
+      commit_index_(std::clamp(stored.commit_index, stored.log.base().number, stored.log.last().number)),
       log_(std::move(stored.log)) {}
 
 void Replica::receive(double now, const std::string& from, const Message& message) {
-    std::visit([&](const auto& one) { on(now, from, one); }, message);
+    std::visit([&](const auto& one) { handle(now, from, one); }, message);
 }
 
-void Replica::wake(double now) {
-    if (const auto ask = taker_.ask(now)) post(taking_from_, *ask);
+void Replica::on_timer(double now) {
+    if (const auto ask = snapshot_receiver_.next_request(now)) send(snapshot_sender_, *ask);
 }
 
 bool Replica::promise(std::uint64_t term) {
     if (term <= promised_) return term == promised_;
-    disk_failed_ = !home_.keep_promise(term, remembers_);
+    disk_failed_ = !storage_.save_promise(term, storage_intact_);
     if (disk_failed_) return false;
     promised_ = term;
-    promised_to_ = 0;
+    promised_nonce_ = 0;
     return true;
 }
 
-void Replica::on(double, const std::string& from, const Prepare& message) {
+void Replica::handle(double, const std::string& from, const Prepare& message) {
     const bool newer = message.term > promised_;
     if (newer && !promise(message.term)) return;
-    if (newer) promised_to_ = message.nonce;
+    if (newer) promised_nonce_ = message.nonce;
     // The same term from another process, or from before this one began: it needs one of its own.
-    const bool granted = message.term == promised_ && promised_to_ == message.nonce;
-    post(from, Promise{message.term, promised_, process_, remembers_, granted});
+    const bool granted = message.term == promised_ && promised_nonce_ == message.nonce;
+    send(from, Promise{message.term, promised_, process_, storage_intact_, granted});
 }
 
-void Replica::on(double, const std::string& from, const Inspect& message) {
-    if (message.term < promised_) return post(from, Promise{message.term, promised_, process_, remembers_});
+void Replica::handle(double, const std::string& from, const LogStatusRequest& message) {
+    if (message.term < promised_)
+        return send(from, Promise{message.term, promised_, process_, storage_intact_});
     if (!promise(message.term)) return;
-    post(from, Holding{message.term, process_, remembers_, log_.last(), log_.last_term(), committed_,
-                       log_.base().number, staging_.cleared});
+    send(from, LogStatus{message.term, process_, storage_intact_, log_.last(), log_.last_term(),
+                         commit_index_, log_.base().number, staging_.cleared});
 }
 
-void Replica::on(double, const std::string& from, const Fetch& message) {
+void Replica::handle(double, const std::string& from, const FetchRequest& message) {
     if (message.term != promised_) return;
     if (message.after < log_.base().number) {
-        if (!given_ || !log_.knows(given_->version().number))
-            given_.emplace(log_.version(committed_), log_.term(committed_), log_.state_at(committed_));
-        return post(from, given_->part(0, staging_));
+        if (!outgoing_snapshot_ || !log_.contains_number(outgoing_snapshot_->version().number))
+            outgoing_snapshot_.emplace(log_.version(commit_index_), log_.term(commit_index_),
+                                       log_.state_at(commit_index_));
+        return send(from, outgoing_snapshot_->part(0, staging_));
     }
     std::uint64_t at = std::min(message.after, log_.last().number);
-    for (std::size_t sent = 0; sent < kFetchedMost; ++sent) {
-        Fetched fetched{message.term, log_.version(at), {}, false};
-        fetched.records = batch(log_, at, log_.last().number);
+    for (std::size_t sent = 0; sent < kMaxFetchReplies; ++sent) {
+        FetchReply fetched{message.term, log_.version(at), {}, false};
+        fetched.records = next_batch(log_, at, log_.last().number);
         at += fetched.records.size();
-        fetched.end = at == log_.last().number || sent + 1 == kFetchedMost;
-        post(from, fetched);
+        fetched.end = at == log_.last().number || sent + 1 == kMaxFetchReplies;
+        send(from, fetched);
         if (fetched.end) return;
     }
 }
 
-Appended Replica::answer_to(std::uint64_t term) const {
-    return {term, promised_, process_, remembers_, false, log_.last(), committed_, false};
+AppendReply Replica::make_reply(std::uint64_t term) const {
+    return {term, promised_, process_, storage_intact_, false, log_.last(), commit_index_, false};
 }
 
-void Replica::on(double now, const std::string& from, const Append& message) {
-    if (message.term < promised_) return post(from, answer_to(message.term));
-    Appended answer = answer_to(message.term);
+void Replica::handle(double now, const std::string& from, const Append& message) {
+    if (message.term < promised_) return send(from, make_reply(message.term));
+    AppendReply answer = make_reply(message.term);
     if (!promise(message.term)) {
         answer.disk_failed = true;
-        return post(from, answer);
+        return send(from, answer);
     }
     disk_failed_ = false;
-    source_ = from;
-    heard_at_ = now;
+    leader_ = from;
+    last_append_at_ = now;
     const Staging before = staging_;
     staging_.merge(message.staging);
     if (staging_ != before) ++changes_;
-    answer = answer_to(message.term);
-    if (match(message, answer) && add(message)) {
-        answer = answer_to(message.term);
+    answer = make_reply(message.term);
+    if (log_matches(message, answer) && append_missing(message)) {
+        answer = make_reply(message.term);
         const std::uint64_t matched = message.previous.number + message.records.size();
         answer.matches = true;
         answer.last = log_.version(matched);
-        commit(std::min(message.committed, matched));
-        answer.committed = committed_;
-        if (message.admit && !remembers_) {
-            disk_failed_ = !home_.keep_promise(promised_, true);
-            remembers_ = !disk_failed_;
-            answer.remembers = remembers_;
+        advance_commit_index(std::min(message.committed, matched));
+        answer.committed = commit_index_;
+        if (message.admit && !storage_intact_) {
+            disk_failed_ = !storage_.save_promise(promised_, true);
+            storage_intact_ = !disk_failed_;
+            answer.storage_intact = storage_intact_;
         }
     }
     answer.disk_failed = disk_failed_;
-    post(from, answer);
+    send(from, answer);
 }
 
 // Whether what comes before the append is here.
-bool Replica::match(const Append& message, Appended& answer) {
-    if (log_.holds(message.previous)) return true;
+bool Replica::log_matches(const Append& message, AppendReply& answer) {
+    if (log_.contains(message.previous)) return true;
     const std::uint64_t number = message.previous.number;
-    if (!log_.knows(number)) return false;   // the answer tells what the last one is
+    if (!log_.contains_number(number)) return false;   // the answer tells what the last one is
     // What conflicts is not committed: up to there all sources agree.
-    if (number <= committed_) diverged_ = true;
-    answer.last = log_.version(std::min(committed_, log_.last().number));
+    if (number <= commit_index_) diverged_ = true;
+    answer.last = log_.version(std::min(commit_index_, log_.last().number));
     return false;
 }
 
 // Takes the records that are not here yet, in place of what conflicts with them. False: none is kept.
-bool Replica::add(const Append& message) {
+bool Replica::append_missing(const Append& message) {
     std::size_t known = 0;
     Version version = message.previous;
     for (const Record& one : message.records) {
         const Version next = after(version, one);
-        if (!log_.holds(next)) break;
+        if (!log_.contains(next)) break;
         version = next;
         ++known;
     }
     if (known == message.records.size()) return true;
     const std::uint64_t start = version.number;
     if (start < log_.last().number) {
-        if (start < committed_) {
+        if (start < commit_index_) {
             diverged_ = true;
             return false;
         }
-        disk_failed_ = !home_.truncate(start);
+        disk_failed_ = !storage_.truncate(start);
         if (disk_failed_) return false;
         log_.truncate(start);
     }
@@ -146,54 +148,56 @@
             log_.truncate(start);
             return false;
         }
-    disk_failed_ = !home_.append(fresh);
+    disk_failed_ = !storage_.append(fresh);
     if (disk_failed_) {
         log_.truncate(start);
         return false;
     }
-    since_compact_ += fresh.size();
+    records_since_compaction_ += fresh.size();
     return true;
 }
 
-void Replica::commit(std::uint64_t number) {
-    if (number <= committed_) return;
-    committed_ = number;
+void Replica::advance_commit_index(std::uint64_t number) {
+    if (number <= commit_index_) return;
+    commit_index_ = number;
     ++changes_;
-    home_.note_committed(number);
-    log_.trim(settings_.records_kept, settings_.bytes_kept, std::min(committed_, staging_.cleared));
-    if (since_compact_ >= settings_.compact_after) compact();
+    storage_.save_commit_index(number);
+    log_.trim(settings_.max_log_records, settings_.max_log_bytes,
+              std::min(commit_index_, staging_.cleared));
+    if (records_since_compaction_ >= settings_.compact_after_records) compact();
 }
 
 void Replica::compact() {
     // What it replaces stands if this fails, and it is tried again later.
-    since_compact_ = 0;
-    home_.replace(log_, committed_);
+    records_since_compaction_ = 0;
+    storage_.replace(log_, commit_index_);
 }
 
-void Replica::on(double, const std::string& from, const PartPull& message) {
-    if (!given_ || given_->version() != message.version) return;
-    for (std::uint32_t i = 0; i < std::min(message.count, SnapshotTaker::kWindow); ++i)
-        if (message.from + i < given_->parts()) post(from, given_->part(message.from + i, staging_));
+void Replica::handle(double, const std::string& from, const SnapshotPartRequest& message) {
+    if (!outgoing_snapshot_ || outgoing_snapshot_->version() != message.version) return;
+    for (std::uint32_t i = 0; i < std::min(message.count, SnapshotReceiver::kWindowParts); ++i)
+        if (message.from + i < outgoing_snapshot_->parts())
+            send(from, outgoing_snapshot_->part(message.from + i, staging_));
 }
 
-void Replica::on(double now, const std::string& from, const SnapshotPart& message) {
+void Replica::handle(double now, const std::string& from, const SnapshotPart& message) {
     // What a source gives is committed; the append that comes with it tells whether it is here.
-    if (message.version.number <= committed_ || log_.holds(message.version)) return;
-    taking_from_ = from;
-    taker_.receive(now, message);
-    if (const auto ask = taker_.ask(now)) post(from, *ask);
-    take_whole();
+    if (message.version.number <= commit_index_ || log_.contains(message.version)) return;
+    snapshot_sender_ = from;
+    snapshot_receiver_.receive(now, message);
+    if (const auto ask = snapshot_receiver_.next_request(now)) send(from, *ask);
+    install_snapshot();
 }
 
-void Replica::take_whole() {
-    const auto whole = taker_.take();
-    if (!whole || whole->version.number <= committed_ || log_.holds(whole->version)) return;
+void Replica::install_snapshot() {
+    const auto whole = snapshot_receiver_.take_snapshot();
+    if (!whole || whole->version.number <= commit_index_ || log_.contains(whole->version)) return;
     const Log log(whole->version, whole->term, whole->state);
-    disk_failed_ = !home_.replace(log, whole->version.number);
+    disk_failed_ = !storage_.replace(log, whole->version.number);
     if (disk_failed_) return;
     log_ = log;
-    since_compact_ = 0;
-    committed_ = whole->version.number;
+    records_since_compaction_ = 0;
+    commit_index_ = whole->version.number;
     ++changes_;
 }
 
--- a/src/rollout/replica.hpp
+++ b/src/rollout/replica.hpp
@@ -19,13 +19,13 @@
 
 namespace slatejunction::rollout {
 
-inline constexpr std::size_t kRecordsKept = 50'000;
-inline constexpr std::size_t kBytesKept = 16'000'000;
+inline constexpr std::size_t kMaxLogRecords = 50'000;
+inline constexpr std::size_t kMaxLogBytes = 16'000'000;
 
 struct ReplicaSettings {
     std::string name;
-    std::size_t records_kept = kRecordsKept, bytes_kept = kBytesKept;
-    std::size_t compact_after = 10'000;   // records appended to the home, until it is compacted
+    std::size_t max_log_records = kMaxLogRecords, max_log_bytes = kMaxLogBytes;
+    std::size_t compact_after_records = 10'000;   // records appended to the home, until it is compacted
 };
 
 class Replica {
@@ -36,58 +36,60 @@
 
     // Prepare, Inspect, Fetch, Append, SnapshotPart, PartPull of a source; others are passed over.
     void receive(double now, const std::string& from, const Message& message);
-    void wake(double now);
-    double due() const { return taker_.due(); }   // s
-    std::vector<OutgoingMessage> take_posts() { return std::exchange(posts_, {}); }
+    void on_timer(double now);
+    double next_deadline() const { return snapshot_receiver_.next_deadline(); }   // s
+    std::vector<OutgoingMessage> take_outgoing() { return std::exchange(outgoing_, {}); }
 
     const Log& log() const { return log_; }
-    std::uint64_t committed() const { return committed_; }   // never falls
+    std::uint64_t commit_index() const { return commit_index_; }   // never falls
     const Staging& staging() const { return staging_; }
     std::uint64_t promised() const { return promised_; }
-    bool remembers() const { return remembers_; }
-    const std::string& leader() const { return source_; }   // whose append was taken last; empty: nobody's
-    double heard_at() const { return heard_at_; }           // s; when that was
-    bool disk_failed() const { return disk_failed_; }       // the last thing to keep could not be kept
+    bool storage_intact() const { return storage_intact_; }
+    const std::string& leader() const { return leader_; }   // whose append was taken last; empty: nobody's
+    double last_append_at() const { return last_append_at_; }   // s; when that was
+    bool disk_failed() const { return disk_failed_; }           // the last thing to keep could not be kept
     // Committed records here differ from a source's: it takes nothing of it.
     bool diverged() const { return diverged_; }
     // Goes up when committed() or staging() changed: the feeder is to be told then.
     std::uint64_t changes() const { return changes_; }
 
   private:
-    void on(double now, const std::string& from, const Prepare& message);
-    void on(double now, const std::string& from, const Inspect& message);
-    void on(double now, const std::string& from, const Fetch& message);
-    void on(double now, const std::string& from, const Append& message);
-    void on(double now, const std::string& from, const PartPull& message);
-    void on(double now, const std::string& from, const SnapshotPart& message);
+    void handle(double now, const std::string& from, const Prepare& message);
+    void handle(double now, const std::string& from, const LogStatusRequest& message);
+    void handle(double now, const std::string& from, const FetchRequest& message);
+    void handle(double now, const std::string& from, const Append& message);
+    void handle(double now, const std::string& from, const SnapshotPartRequest& message);
+    void handle(double now, const std::string& from, const SnapshotPart& message);
     template <class Other>
-    void on(double, const std::string&, const Other&) {}
+    void handle(double, const std::string&, const Other&) {}
     bool promise(std::uint64_t term);
-    bool match(const Append& message, Appended& answer);
-    bool add(const Append& message);
-    void take_whole();
-    Appended answer_to(std::uint64_t term) const;
-    void commit(std::uint64_t number);
+    bool log_matches(const Append& message, AppendReply& answer);
+    bool append_missing(const Append& message);
+    void install_snapshot();
+    AppendReply make_reply(std::uint64_t term) const;
+    void advance_commit_index(std::uint64_t number);
     void compact();
-    void post(const std::string& to, const Message& message) { posts_.push_back({to, body_of(message)}); }
+    void send(const std::string& to, const Message& message) {
+        outgoing_.push_back({to, body_of(message)});
+    }
 
     const ReplicaSettings settings_;
     const std::uint64_t process_;
-    ReplicaStorage& home_;
-    bool remembers_;
-    std::uint64_t promised_, committed_;
-    std::uint64_t promised_to_ = 0;   // the nonce of the Prepare, since this process began
+    ReplicaStorage& storage_;
+    bool storage_intact_;
+    std::uint64_t promised_, commit_index_;
+    std::uint64_t promised_nonce_ = 0;   // the nonce of the Prepare, since this process began
     Log log_;
     Staging staging_;
-    std::string source_;
-    double heard_at_ = -1e18;
+    std::string leader_;
+    double last_append_at_ = -1e18;
     bool disk_failed_ = false, diverged_ = false;
     std::uint64_t changes_ = 0;
-    std::size_t since_compact_ = 0;
-    SnapshotTaker taker_;
-    std::string taking_from_;
-    std::optional<Snapshot> given_;   // to a source that is far behind
-    std::vector<OutgoingMessage> posts_;
+    std::size_t records_since_compaction_ = 0;
+    SnapshotReceiver snapshot_receiver_;
+    std::string snapshot_sender_;
+    std::optional<Snapshot> outgoing_snapshot_;   // to a source that is far behind
+    std::vector<OutgoingMessage> outgoing_;
 };
 
 }   // namespace slatejunction::rollout
--- a/src/rollout/report.cpp
+++ b/src/rollout/report.cpp
@@ -7,55 +7,57 @@
 namespace slatejunction::rollout {
 namespace {
 
-void keep_lowest(std::vector<Standing>& names, const Standing& one, std::size_t most) {
-    const auto before = [](const Standing& a, const Standing& b) { return a.in_force < b.in_force; };
+void insert_lowest(std::vector<FollowerStatus>& names, const FollowerStatus& one, std::size_t most) {
+    const auto before = [](const FollowerStatus& a, const FollowerStatus& b) {
+        return a.active < b.active;
+    };
     names.insert(std::upper_bound(names.begin(), names.end(), one, before), one);
     if (names.size() > most) names.pop_back();
 }
 
 // One that has moved to another machine may be told by both for a while: what is higher is newer.
-void keep_canary(std::vector<Standing>& canaries, const Standing& one) {
+void insert_canary(std::vector<FollowerStatus>& canaries, const FollowerStatus& one) {
     const auto same = std::find_if(canaries.begin(), canaries.end(),
-                                   [&](const Standing& known) { return known.name == one.name; });
+                                   [&](const FollowerStatus& known) { return known.name == one.name; });
     if (same != canaries.end()) {
-        if (one.in_force > same->in_force) *same = one;
+        if (one.active > same->active) *same = one;
         return;
     }
-    const auto before = [](const Standing& a, const Standing& b) {
+    const auto before = [](const FollowerStatus& a, const FollowerStatus& b) {
         return hash_of(a.name) < hash_of(b.name);
     };
-    if (canaries.size() >= kCanariesMost && !before(one, canaries.back())) return;
+    if (canaries.size() >= kMaxCanaries && !before(one, canaries.back())) return;
     canaries.insert(std::upper_bound(canaries.begin(), canaries.end(), one, before), one);
-    if (canaries.size() > kCanariesMost) canaries.pop_back();
+    if (canaries.size() > kMaxCanaries) canaries.pop_back();
 }
 
-void keep_refusal(std::vector<Refusal>& refusals, const Refusal& one) {
+void insert_refusal(std::vector<Refusal>& refusals, const Refusal& one) {
     const auto at =
         std::lower_bound(refusals.begin(), refusals.end(), one,
                          [](const Refusal& a, const Refusal& b) { return a.number < b.number; });
     if (at != refusals.end() && at->number == one.number) return;
     refusals.insert(at, one);
-    if (refusals.size() > kRefusalsMost) refusals.pop_back();
+    if (refusals.size() > kMaxReportedRefusals) refusals.pop_back();
 }
 
 }   // namespace
 
-void add(Report& to, const Standing& standing, bool behind, const Refusal* refusal) {
-    to.lowest = to.counted == 0 ? standing.in_force : std::min(to.lowest, standing.in_force);
+void add(Report& to, const FollowerStatus& standing, bool behind, const Refusal* refusal) {
+    to.lowest = to.counted == 0 ? standing.active : std::min(to.lowest, standing.active);
     ++to.counted;
-    keep_canary(to.canaries, standing);
+    insert_canary(to.canaries, standing);
     if (behind) {
         ++to.behind;
-        keep_lowest(to.behind_names, standing, kNamesMost);
+        insert_lowest(to.behind_names, standing, kMaxReportedNames);
     }
     if (!refusal) return;
     ++to.refused;
-    keep_refusal(to.refusals, *refusal);
+    insert_refusal(to.refusals, *refusal);
 }
 
-void add_silent(Report& to, const Standing& standing) {
+void add_silent(Report& to, const FollowerStatus& standing) {
     ++to.silent;
-    keep_lowest(to.silent_names, standing, kNamesMost);
+    insert_lowest(to.silent_names, standing, kMaxReportedNames);
 }
 
 void add(Report& to, const Report& from) {
@@ -64,13 +66,15 @@
     to.behind += from.behind;
     to.silent += from.silent;
     to.refused += from.refused;
-    for (const Standing& one : from.behind_names) keep_lowest(to.behind_names, one, kNamesMost);
-    for (const Standing& one : from.silent_names) keep_lowest(to.silent_names, one, kNamesMost);
-    for (const Standing& one : from.canaries) keep_canary(to.canaries, one);
-    for (const Refusal& one : from.refusals) keep_refusal(to.refusals, one);
+    for (const FollowerStatus& one : from.behind_names)
+        insert_lowest(to.behind_names, one, kMaxReportedNames);
+    for (const FollowerStatus& one : from.silent_names)
+        insert_lowest(to.silent_names, one, kMaxReportedNames);
+    for (const FollowerStatus& one : from.canaries) insert_canary(to.canaries, one);
+    for (const Refusal& one : from.refusals) insert_refusal(to.refusals, one);
 }
 
-void fit(Report& report, std::size_t bytes) {
+void shrink_to(Report& report, std::size_t bytes) {
     while (encoded_size(report) > bytes) {
         if (!report.silent_names.empty() && report.silent_names.size() >= report.behind_names.size())
             report.silent_names.pop_back();
--- a/src/rollout/settings.cpp
+++ b/src/rollout/settings.cpp
@@ -13,14 +13,14 @@
 namespace slatejunction::rollout {
 namespace {
 
-constexpr std::size_t kRegionMost = 64;   // bytes
-constexpr std::size_t kParentsMost = 64;
-constexpr double kCanaryMost = 4;     // s; in_force_within_s() stays below kInForceMost
-constexpr double kRoundTrip = 0.02;   // s, between control machines, as other bounds state it
+constexpr std::size_t kMaxRegionBytes = 64;   // bytes
+constexpr std::size_t kMaxParents = 64;
+constexpr double kMaxCanaryS = 4;      // s; in_force_within_s() stays below kInForceMost
+constexpr double kRoundTripS = 0.02;   // s, between control machines, as other bounds state it
 
 constexpr bool canaries_fit() {
     BoundTimes times;
-    times.canary_s = kCanaryMost;
+    times.canary_s = kMaxCanaryS;
     return in_force_within_s(times) < kInForceMost;
 }
 static_assert(canaries_fit());
@@ -44,14 +44,14 @@
         const std::size_t mark = pair.find('=');
         const std::string name = pair.substr(0, mark);
         const std::string address = mark == std::string::npos ? "" : pair.substr(mark + 1);
-        if (words >> rest || !plain(name, kNameMost) || !net::parse_address(address))
+        if (words >> rest || !plain(name, kMaxNameBytes) || !net::parse_address(address))
             return "'" + line + "' is not NAME=ADDRESS:PORT or NAME=ADDRESS:PORT REGION";
-        if (!region.empty() && !plain(region, kRegionMost))
+        if (!region.empty() && !plain(region, kMaxRegionBytes))
             return "'" + region + "' is no region: up to 64 plain characters";
         if (!names.insert(name).second) return "'" + name + "' stands twice";
         parents.push_back({{name, region}, address});
     }
-    if (parents.size() > kParentsMost) return "more than 64 parents";
+    if (parents.size() > kMaxParents) return "more than 64 parents";
     return {};
 }
 
@@ -70,15 +70,15 @@
                   "relays that this process asks; without it this is a control machine");
     section.text("region", region, "where this process stands; parents of the same region are asked first",
                  [](const std::string& text) -> std::string {
-                     return text.empty() || plain(text, kRegionMost)
+                     return text.empty() || plain(text, kMaxRegionBytes)
                                 ? ""
                                 : "'" + text + "' is no region: up to 64 plain characters";
                  });
     section.text("key_file", key_file,
                  "a file with one key, or two while one is replaced, as [peers] has it; empty: that one");
-    section.integer("canaries", canaries, 1, static_cast<std::int64_t>(kCanariesMost), "processes",
+    section.integer("canaries", canaries, 1, static_cast<std::int64_t>(kMaxCanaries), "processes",
                     "that take a change before all others do; the same on all control machines");
-    section.real("canary_s", canary_s, 0, kCanaryMost, "s", "that a change is in force there first");
+    section.real("canary_s", canary_s, 0, kMaxCanaryS, "s", "that a change is in force there first");
     section.real("bytes_per_s", bytes_per_s, 10'000, 1e9, "bytes a second",
                  "of changes and snapshots that this process sends to all its children on their asking");
     section.whole([this]() -> std::string {
@@ -96,33 +96,33 @@
     return parents;
 }
 
-FollowerSettings follower_of(const Options& options, const std::string& name) {
+FollowerSettings follower_settings(const Options& options, const std::string& name) {
     FollowerSettings made;
     made.name = name;
     made.region = options.region;
     for (const ParentAddress& one : parents_of(options)) made.parents.push_back(one.parent);
-    if (options.feeds()) {
-        made.records_kept = kRecordsKept;   // for its children, as a control machine does
-        made.bytes_kept = kBytesKept;
+    if (options.publishes()) {
+        made.max_log_records = kMaxLogRecords;   // for its children, as a control machine does
+        made.max_log_bytes = kMaxLogBytes;
     }
     return made;
 }
 
-PublisherSettings feeder_of(const Options& options) {
+PublisherSettings publisher_settings(const Options& options) {
     PublisherSettings made;
     made.bytes_per_s = options.bytes_per_s;
     return made;
 }
 
-LeaderSettings source_of(const Options& options, const std::vector<std::string>& replicas) {
+LeaderSettings leader_settings(const Options& options, const std::vector<std::string>& replicas) {
     LeaderSettings made;
     made.replicas = replicas;
-    made.canaries = static_cast<std::size_t>(options.canaries);
+    made.canary_count = static_cast<std::size_t>(options.canaries);
     made.canary_s = options.canary_s;
     return made;
 }
 
-BoundTimes times_of(const Options& options) {
+BoundTimes bound_times(const Options& options) {
     BoundTimes times;
     times.canary_s = options.canary_s;
     return times;
@@ -140,9 +140,9 @@
     return datagrams / (2 * static_cast<double>(std::max<std::size_t>(replicas, 2) - 1));
 }
 
-std::vector<std::string> stated(const Options& options, const lease::LeaseTimes& times,
-                                std::size_t replicas, double interval_s) {
-    const BoundTimes bound = times_of(options);
+std::vector<std::string> stated_bounds(const Options& options, const lease::LeaseTimes& times,
+                                       std::size_t replicas, double interval_s) {
+    const BoundTimes bound = bound_times(options);
     std::vector<std::string> all;
     char text[400];
     std::snprintf(
@@ -151,12 +151,12 @@
         "lose at most %d datagrams in a row; no version without all before it",
         in_force_within_s(bound), bound.losses);
     all.emplace_back(text);
-    if (!options.control()) return all;
+    if (!options.is_control_machine()) return all;
     std::snprintf(
         text, sizeof text,
         "rollout: within %.1f s where the source dies in between (a majority of the %zu control "
         "machines up); at most %.0f changes a second at [peers] interval_s = %g",
-        in_force_after_death_s(bound, lease::max_vacancy_s(times, kRoundTrip, static_cast<int>(replicas))),
+        in_force_after_death_s(bound, lease::max_vacancy_s(times, kRoundTripS, static_cast<int>(replicas))),
         replicas, changes_per_s(replicas, interval_s), interval_s);
     all.emplace_back(text);
     return all;
--- a/src/rollout/settings.hpp
+++ b/src/rollout/settings.hpp
@@ -30,10 +30,10 @@
     double bytes_per_s = 40'000'000;   // of records and snapshots to all children
     bool operator==(const Options&) const = default;
 
-    bool on() const { return follows() || feeds(); }
+    bool on() const { return follows() || publishes(); }
     bool follows() const { return !from.empty(); }
-    bool feeds() const { return !listen.empty(); }
-    bool control() const { return feeds() && !follows(); }
+    bool publishes() const { return !listen.empty(); }
+    bool is_control_machine() const { return publishes() && !follows(); }
     ini::Section section();
 };
 
@@ -45,11 +45,11 @@
 
 // Parents in the section's order. Without a fault: the section has been checked.
 std::vector<ParentAddress> parents_of(const Options& options);
-FollowerSettings follower_of(const Options& options, const std::string& name);
-PublisherSettings feeder_of(const Options& options);
-LeaderSettings source_of(const Options& options, const std::vector<std::string>& replicas);
+FollowerSettings follower_settings(const Options& options, const std::string& name);
+PublisherSettings publisher_settings(const Options& options);
+LeaderSettings leader_settings(const Options& options, const std::vector<std::string>& replicas);
 // The times of the bound under these options.
-BoundTimes times_of(const Options& options);
+BoundTimes bound_times(const Options& options);
 // The keys of key_file, or of `otherwise` where it is empty; "key_file: why" when there are none to be had.
 std::string load_keys(const Options& options, const std::string& otherwise,
                       std::vector<membership::AuthKey>& keys);
@@ -59,7 +59,7 @@
 double changes_per_s(std::size_t replicas, double interval_s);
 
 // What is promised, for check-config. `replicas`: control machines; 0: not known here.
-std::vector<std::string> stated(const Options& options, const lease::LeaseTimes& times,
-                                std::size_t replicas, double interval_s);
+std::vector<std::string> stated_bounds(const Options& options, const lease::LeaseTimes& times,
+                                       std::size_t replicas, double interval_s);
 
 }   // namespace slatejunction::rollout
--- a/src/rollout/snapshot.cpp
+++ b/src/rollout/snapshot.cpp
@@ -15,7 +15,7 @@
 
 }   // namespace
 
-std::uint64_t check_of(const Version& version, std::uint64_t term, const State& state) {
+std::uint64_t snapshot_checksum(const Version& version, std::uint64_t term, const State& state) {
     const std::uint64_t head[] = {version.number, version.chain, term, state.size()};
     std::uint64_t check = storage::checksum(head, sizeof head);
     for (const auto& [key, value] : state) {
@@ -26,11 +26,11 @@
 }
 
 Snapshot::Snapshot(const Version& version, std::uint64_t term, const State& state)
-    : version_(version), term_(term), check_(check_of(version, term, state)), parts_(1) {
+    : version_(version), term_(term), checksum_(snapshot_checksum(version, term, state)), parts_(1) {
     std::size_t used = 0;
     for (const auto& [key, value] : state) {
         const std::size_t size = encoded_size(key, value);
-        if (used + size > kEntriesRoom && !parts_.back().empty()) {
+        if (used + size > kEntriesBudgetBytes && !parts_.back().empty()) {
             parts_.emplace_back();
             used = 0;
         }
@@ -40,62 +40,63 @@
 }
 
 SnapshotPart Snapshot::part(std::uint32_t index, const Staging& staging) const {
-    return {version_, term_, check_, index, parts(), parts_[index], staging};
+    return {version_, term_, checksum_, index, parts(), parts_[index], staging};
 }
 
-void SnapshotTaker::receive(double now, const SnapshotPart& part) {
-    if (part.parts == 0 || part.parts > kPartsMost || part.index >= part.parts) return;
+void SnapshotReceiver::receive(double now, const SnapshotPart& part) {
+    if (part.parts == 0 || part.parts > kMaxParts || part.index >= part.parts) return;
     const bool same = active_ && part.version == version_;
-    if (same && (part.check != check_ || part.parts != parts_.size() || part.term != term_)) return;
+    if (same && (part.checksum != checksum_ || part.parts != parts_.size() || part.term != term_)) return;
     if (!same) {
-        const bool stale = now - heard_at_ > 4 * kRetry;
+        const bool stale = now - last_part_at_ > 4 * kRetryIntervalS;
         if (active_ && part.version.number <= version_.number && !stale) return;
-        drop();
+        reset();
         active_ = true;
         version_ = part.version;
         term_ = part.term;
-        check_ = part.check;
+        checksum_ = part.checksum;
         parts_.assign(part.parts, std::nullopt);
         missing_ = part.parts;
-        ask_at_ = now;
+        next_request_at_ = now;
     }
-    heard_at_ = now;
+    last_part_at_ = now;
     if (parts_[part.index]) return;
     parts_[part.index] = part.entries;
     if (--missing_ == 0) return finish();
     while (parts_[first_missing_]) ++first_missing_;
-    if (first_missing_ >= asked_to_) ask_at_ = now;
+    if (first_missing_ >= requested_until_) next_request_at_ = now;
 }
 
-std::optional<PartPull> SnapshotTaker::ask(double now) {
-    if (!active_ || now < ask_at_) return {};
+std::optional<SnapshotPartRequest> SnapshotReceiver::next_request(double now) {
+    if (!active_ || now < next_request_at_) return {};
     const std::uint32_t count =
-        std::min(kWindow, static_cast<std::uint32_t>(parts_.size()) - first_missing_);
-    asked_to_ = first_missing_ + count;
-    ask_at_ = now + kRetry;
-    return PartPull{version_, first_missing_, count};
+        std::min(kWindowParts, static_cast<std::uint32_t>(parts_.size()) - first_missing_);
+    requested_until_ = first_missing_ + count;
+    next_request_at_ = now + kRetryIntervalS;
+    return SnapshotPartRequest{version_, first_missing_, count};
 }
 
-void SnapshotTaker::finish() {
-    Whole whole{version_, term_, {}};
+void SnapshotReceiver::finish() {
+    Received whole{version_, term_, {}};
     std::size_t entries = 0;
     for (const auto& part : parts_) {
         for (const auto& [key, value] : *part) whole.state.emplace(key, value);
         entries += part->size();
     }
-    const bool good = entries == whole.state.size() && check_of(version_, term_, whole.state) == check_;
-    drop();
+    const bool good =
+        entries == whole.state.size() && snapshot_checksum(version_, term_, whole.state) == checksum_;
+    reset();
     if (good)
-        whole_ = std::move(whole);
+        received_ = std::move(whole);
     else
-        ++broken_;
+        ++checksum_failures_;
 }
 
-void SnapshotTaker::drop() {
+void SnapshotReceiver::reset() {
     active_ = false;
     parts_.clear();
-    missing_ = first_missing_ = asked_to_ = 0;
-    ask_at_ = 1e18;
+    missing_ = first_missing_ = requested_until_ = 0;
+    next_request_at_ = 1e18;
 }
 
 }   // namespace slatejunction::rollout
--- a/src/rollout/snapshot.hpp
+++ b/src/rollout/snapshot.hpp
@@ -13,7 +13,7 @@
 namespace slatejunction::rollout {
 
 // XXH64 over the version, its term and every key and value with its length, in the order of the keys.
-std::uint64_t check_of(const Version& version, std::uint64_t term, const State& state);
+std::uint64_t snapshot_checksum(const Version& version, std::uint64_t term, const State& state);
 
 // The giving side.
 class Snapshot {
@@ -25,18 +25,18 @@
 
   private:
     Version version_;
-    std::uint64_t term_ = 0, check_ = 0;
+    std::uint64_t term_ = 0, checksum_ = 0;
     std::vector<std::vector<std::pair<std::string, std::string>>> parts_;
 };
 
 // The taking side: of one snapshot at a time.
-class SnapshotTaker {
+class SnapshotReceiver {
   public:
-    static constexpr std::uint32_t kWindow = 8;   // parts asked for at once
-    static constexpr std::uint32_t kPartsMost = 1u << 16;
-    static constexpr double kRetry = 0.5;   // s without a part, until they are asked for again
+    static constexpr std::uint32_t kWindowParts = 8;   // parts asked for at once
+    static constexpr std::uint32_t kMaxParts = 1u << 16;
+    static constexpr double kRetryIntervalS = 0.5;   // s without a part, until they are asked for again
 
-    struct Whole {
+    struct Received {
         Version version;
         std::uint64_t term = 0;
         State state;
@@ -46,25 +46,27 @@
     // while.
     void receive(double now, const SnapshotPart& part);
     bool active() const { return active_; }
-    double due() const { return active_ ? ask_at_ : 1e18; }   // when ask() is wanted
+    double next_deadline() const { return active_ ? next_request_at_ : 1e18; }   // when ask() is wanted
     // What to ask for now, if it is time.
-    std::optional<PartPull> ask(double now);
+    std::optional<SnapshotPartRequest> next_request(double now);
     // The whole, once; it is checked.
-    std::optional<Whole> take() { return std::exchange(whole_, std::nullopt); }
-    void drop();
-    std::uint64_t broken() const { return broken_; }   // wholes that did not have their check
+    std::optional<Received> take_snapshot() { return std::exchange(received_, std::nullopt); }
+    void reset();
+    std::uint64_t checksum_failures() const {
+        return checksum_failures_;
+    }   // wholes that did not have their check
 
   private:
     void finish();
 
     bool active_ = false;
     Version version_;
-    std::uint64_t term_ = 0, check_ = 0;
+    std::uint64_t term_ = 0, checksum_ = 0;
     std::vector<std::optional<std::vector<std::pair<std::string, std::string>>>> parts_;
-    std::uint32_t missing_ = 0, first_missing_ = 0, asked_to_ = 0;
-    double ask_at_ = 1e18, heard_at_ = 0;
-    std::optional<Whole> whole_;
-    std::uint64_t broken_ = 0;
+    std::uint32_t missing_ = 0, first_missing_ = 0, requested_until_ = 0;
+    double next_request_at_ = 1e18, last_part_at_ = 0;
+    std::optional<Received> received_;
+    std::uint64_t checksum_failures_ = 0;
 };
 
 }   // namespace slatejunction::rollout
--- a/src/rollout/storage.hpp
+++ b/src/rollout/storage.hpp
@@ -16,9 +16,9 @@
 // disk is new, was lost or was set aside as broken, and the replica counts in no majority until a source
 // admits it. A home that finds a broken file sets it aside and says false; it never says true for a part.
 struct ReplicaStored {
-    bool remembers = false;
-    std::uint64_t promised = 0;    // the highest term
-    std::uint64_t committed = 0;   // at least; may be older than what was told
+    bool storage_intact = false;
+    std::uint64_t promised = 0;       // the highest term
+    std::uint64_t commit_index = 0;   // at least; may be older than what was told
     Log log;
 };
 
@@ -26,7 +26,7 @@
   public:
     virtual ~ReplicaStorage() = default;
     // Before a promise is told, and before an admitted replica says that it remembers.
-    virtual bool keep_promise(std::uint64_t term, bool remembers) = 0;
+    virtual bool save_promise(std::uint64_t term, bool remembers) = 0;
     // Before an append is answered. The records follow the last one kept.
     virtual bool append(const std::vector<Record>& records) = 0;
     // Before records of a conflicting suffix are replaced: none after `number` is found again.
@@ -35,7 +35,7 @@
     // and `remembers` stand.
     virtual bool replace(const Log& log, std::uint64_t committed) = 0;
     // A hint, for a quick start; need not be durable.
-    virtual void note_committed(std::uint64_t number) = 0;
+    virtual void save_commit_index(std::uint64_t number) = 0;
 };
 
 // What a follower finds at its start: the last version that was in force, whole. Nothing: version 0.
--- a/src/rollout/transport.cpp
+++ b/src/rollout/transport.cpp
@@ -8,8 +8,8 @@
 namespace slatejunction::rollout {
 namespace {
 
-constexpr double kBindAgain = 0.1;   // s
-constexpr double kLastMost = 2;      // s; an older message is not worth sending once the process is known
+constexpr double kBindRetryS = 0.1;    // s
+constexpr double kMaxResendAgeS = 2;   // s; an older message is not worth sending once the process is known
 enum Kind : std::uint32_t { hello = 1, here_is = 2, carried = 3 };
 
 net::Address any_port(GSocketFamily family) {
@@ -18,21 +18,22 @@
 }
 
 bool plain(const std::string& name) {
-    return !name.empty() && name.size() <= kNameMost && std::all_of(name.begin(), name.end(), [](char c) {
-        return c > ' ' && c < 127 && c != '"' && c != '\\';
-    });
+    return !name.empty() && name.size() <= kMaxNameBytes &&
+           std::all_of(name.begin(), name.end(),
+                       [](char c) { return c > ' ' && c < 127 && c != '"' && c != '\\'; });
 }
 
 }   // namespace
 
 Transport::Transport(const Settings& settings, std::uint64_t process,
-                     const std::vector<membership::AuthKey>& keys, Heard heard, net::Timers& timers,
-                     Logger& log)
+                     const std::vector<membership::AuthKey>& keys, MessageHandler heard,
+                     net::Timers& timers, Logger& log)
     : settings_(settings),
-      seal_(keys, process),
-      heard_(std::move(heard)),
+      auth_(keys, process),
+      on_message_(std::move(heard)),
       log_(log),
-      socket_(timers, [this](std::string_view bytes, const net::Sender& from) { taken(bytes, from); }),
+      socket_(timers,
+              [this](std::string_view bytes, const net::Sender& from) { on_datagram(bytes, from); }),
       bind_timer_(timers, [this] { bind(); }) {
     for (const auto& [name, address] : settings_.parents)
         parents_[name].address = net::parse_address(address);
@@ -53,11 +54,11 @@
                        settings_.listen.c_str());
         return;
     }
-    if (!std::exchange(told_held_, true))
+    if (!std::exchange(bind_failure_logged_, true))
         log_.write(Logger::Level::warning, net::now(),
                    "rollout: %s can't be listened at, it is tried again: %s", settings_.listen.c_str(),
                    why.c_str());
-    bind_timer_.arm(net::now() + kBindAgain);
+    bind_timer_.arm(net::now() + kBindRetryS);
 }
 
 void Transport::stop() {
@@ -65,7 +66,7 @@
     socket_.stop();
 }
 
-std::string Transport::datagram(std::uint32_t kind, std::string_view body) const {
+std::string Transport::encode_datagram(std::uint32_t kind, std::string_view body) const {
     kept::Datagram made;
     made.set_kind(kind);
     made.set_name(settings_.name);
@@ -75,59 +76,60 @@
 
 void Transport::count(bool sent, std::size_t bytes) {
     if (!sent) {
-        ++tally_.unsent;
+        ++counts_.unsent;
         return;
     }
-    ++tally_.sent;
-    tally_.sent_bytes += bytes;
+    ++counts_.sent;
+    counts_.sent_bytes += bytes;
 }
 
-void Transport::post(Parent& parent, std::uint64_t process, const std::string& payload) {
-    const std::string bytes = seal_.seal(process, payload);
+void Transport::send_to_parent(Parent& parent, std::uint64_t process, const std::string& payload) {
+    const std::string bytes = auth_.seal(process, payload);
     count(socket_.send(parent.address.get(), bytes), bytes.size());
 }
 
 void Transport::send(const std::string& to, const Body& body) {
     if (const auto at = parents_.find(to); at != parents_.end()) {
         Parent& parent = at->second;
-        parent.last = body;
-        parent.last_at = net::now();
-        if (parent.process != 0) return post(parent, parent.process, datagram(carried, *body));
-        ++tally_.hellos;
-        return post(parent, 0, datagram(hello, {}));
+        parent.last_body = body;
+        parent.last_sent_at = net::now();
+        if (parent.process != 0)
+            return send_to_parent(parent, parent.process, encode_datagram(carried, *body));
+        ++counts_.hellos;
+        return send_to_parent(parent, 0, encode_datagram(hello, {}));
     }
     const auto at = children_.find(to);
     if (at == children_.end()) return count(false, 0);
-    const std::string bytes = seal_.seal(at->second.process, datagram(carried, *body));
-    count(socket_.send(at->second.at, bytes), bytes.size());
+    const std::string bytes = auth_.seal(at->second.process, encode_datagram(carried, *body));
+    count(socket_.send(at->second.address, bytes), bytes.size());
 }
 
-void Transport::taken(std::string_view bytes, const net::Sender& from) {
+void Transport::on_datagram(std::string_view bytes, const net::Sender& from) {
     std::uint64_t process = 0;
     std::string_view payload;
-    const membership::OpenResult opened = seal_.open(bytes, process, payload);
+    const membership::OpenResult opened = auth_.open(bytes, process, payload);
     if (opened == membership::OpenResult::unknown_sender) {
         // For nobody or for an earlier process, perhaps old: it only learns who is here.
-        const std::string answer = seal_.seal(process, datagram(here_is, {}));
+        const std::string answer = auth_.seal(process, encode_datagram(here_is, {}));
         return count(socket_.send(from, answer), answer.size());
     }
     if (opened != membership::OpenResult::fresh) return;
     kept::Datagram said;
     if (!said.ParseFromArray(payload.data(), static_cast<int>(payload.size())) || !plain(said.name())) {
-        ++tally_.unreadable;
+        ++counts_.unreadable;
         return;
     }
-    if (said.kind() == here_is) return here(process, said.name());
+    if (said.kind() == here_is) return on_parent_process(process, said.name());
     if (said.kind() != carried) return;
-    if (!parent(said.name())) remember(said.name(), process, from);
-    heard_(said.name(), process, said.body());
+    if (!is_parent(said.name())) update_child(said.name(), process, from);
+    on_message_(said.name(), process, said.body());
 }
 
 // Tells of a parent's process: what it was to hear last goes out again.
-void Transport::here(std::uint64_t process, const std::string& name) {
+void Transport::on_parent_process(std::uint64_t process, const std::string& name) {
     const auto at = parents_.find(name);
     if (at == parents_.end()) {
-        if (!parents_.empty() && !std::exchange(parents_.begin()->second.told_name, true))
+        if (!parents_.empty() && !std::exchange(parents_.begin()->second.name_mismatch_logged, true))
             log_.write(Logger::Level::warning, net::now(),
                        "rollout: an address of [rollout] from is answered by %s, which is no name there",
                        name.c_str());
@@ -136,16 +138,17 @@
     Parent& parent = at->second;
     if (parent.process == process) return;
     parent.process = process;
-    if (parent.last && net::now() - parent.last_at <= kLastMost)
-        post(parent, process, datagram(carried, *parent.last));
+    if (parent.last_body && net::now() - parent.last_sent_at <= kMaxResendAgeS)
+        send_to_parent(parent, process, encode_datagram(carried, *parent.last_body));
 }
 
-void Transport::remember(const std::string& name, std::uint64_t process, const net::Sender& from) {
+void Transport::update_child(const std::string& name, std::uint64_t process, const net::Sender& from) {
     if (settings_.listen.empty()) return;
-    if (children_.size() >= kChildrenMost && !children_.contains(name)) {
-        const auto oldest = std::min_element(
-            children_.begin(), children_.end(),
-            [](const auto& a, const auto& b) { return a.second.heard_at < b.second.heard_at; });
+    if (children_.size() >= kMaxChildren && !children_.contains(name)) {
+        const auto oldest =
+            std::min_element(children_.begin(), children_.end(), [](const auto& a, const auto& b) {
+                return a.second.last_contact_at < b.second.last_contact_at;
+            });
         children_.erase(oldest);
     }
     children_[name] = {from, process, net::now()};
--- a/src/rollout/transport.hpp
+++ b/src/rollout/transport.hpp
@@ -26,7 +26,7 @@
 
 class Transport {
   public:
-    static constexpr std::size_t kChildrenMost = 8'192;   // whose addresses are remembered
+    static constexpr std::size_t kMaxChildren = 8'192;   // whose addresses are remembered
 
     struct Settings {
         std::string name;
@@ -39,51 +39,51 @@
         std::uint64_t hellos = 0, unreadable = 0;
     };
     // `heard`: from whom, its process, the message's bytes.
-    using Heard = std::function<void(const std::string&, std::uint64_t, std::string_view)>;
+    using MessageHandler = std::function<void(const std::string&, std::uint64_t, std::string_view)>;
 
     Transport(const Settings& settings, std::uint64_t process, const std::vector<membership::AuthKey>& keys,
-              Heard heard, net::Timers& timers, Logger& log);
+              MessageHandler heard, net::Timers& timers, Logger& log);
     // Binds; while the address is held by another process it is tried again.
     void start();
     void stop();
     void send(const std::string& to, const Body& body);
-    void set_keys(const std::vector<membership::AuthKey>& keys) { seal_.set_keys(keys); }
+    void set_keys(const std::vector<membership::AuthKey>& keys) { auth_.set_keys(keys); }
 
-    bool parent(const std::string& name) const { return parents_.contains(name); }
-    const Counts& tally() const { return tally_; }
-    const membership::DatagramAuth& seal() const { return seal_; }
+    bool is_parent(const std::string& name) const { return parents_.contains(name); }
+    const Counts& counts() const { return counts_; }
+    const membership::DatagramAuth& auth() const { return auth_; }
 
   private:
     struct Parent {
         net::Address address;
         std::uint64_t process = 0;   // 0: not known yet
-        Body last;                   // goes out again once the process is known
-        double last_at = -1e18;
-        bool told_name = false;
+        Body last_body;              // goes out again once the process is known
+        double last_sent_at = -1e18;
+        bool name_mismatch_logged = false;
     };
     struct Child {
-        net::Sender at;
+        net::Sender address;
         std::uint64_t process = 0;
-        double heard_at = 0;
+        double last_contact_at = 0;
     };
     void bind();
-    void taken(std::string_view bytes, const net::Sender& from);
-    void here(std::uint64_t process, const std::string& name);
-    void remember(const std::string& name, std::uint64_t process, const net::Sender& from);
-    std::string datagram(std::uint32_t kind, std::string_view body) const;
-    void post(Parent& parent, std::uint64_t process, const std::string& payload);
+    void on_datagram(std::string_view bytes, const net::Sender& from);
+    void on_parent_process(std::uint64_t process, const std::string& name);
+    void update_child(const std::string& name, std::uint64_t process, const net::Sender& from);
+    std::string encode_datagram(std::uint32_t kind, std::string_view body) const;
+    void send_to_parent(Parent& parent, std::uint64_t process, const std::string& payload);
     void count(bool sent, std::size_t bytes);
 
     const Settings settings_;
-    membership::DatagramAuth seal_;
-    const Heard heard_;
+    membership::DatagramAuth auth_;
+    const MessageHandler on_message_;
     Logger& log_;
     std::map<std::string, Parent> parents_;
     std::map<std::string, Child> children_;
     net::Datagrams socket_;
     net::Timer bind_timer_;
-    bool told_held_ = false;
-    Counts tally_;
+    bool bind_failure_logged_ = false;
+    Counts counts_;
 };
 
 }   // namespace slatejunction::rollout
--- a/tests/fleet/rollout_records.hpp
+++ b/tests/fleet/rollout_records.hpp
@@ -45,12 +45,12 @@
     // States by number, as far as every change up to it was told.
     std::map<std::uint64_t, std::string> digests;
     slatejunction::rollout::State state;
-    digests[0] = slatejunction::rollout::digest(state);
+    digests[0] = slatejunction::rollout::state_digest(state);
     for (std::uint64_t number = 1; verdict.committed.contains(number); ++number) {
         const Committed& one = verdict.committed.at(number);
         if (one.kind == "1") state[one.key] = one.value;
         if (one.kind == "2") state.erase(one.key);
-        digests[number] = slatejunction::rollout::digest(state);
+        digests[number] = slatejunction::rollout::state_digest(state);
     }
     std::map<std::string, std::uint64_t> last;
     for (const Record& one : all) {
--- a/tests/fleet/rollout_test.cpp
+++ b/tests/fleet/rollout_test.cpp
@@ -370,7 +370,7 @@
     // No more that somebody can't use: what follows such a one waits until it is taken back.
     calm = true;
     // Everything runs again; a follower may wait for as long as its back-off before it asks.
-    sleep_s(rollout::FollowerSettings{}.back_off_s);
+    sleep_s(rollout::FollowerSettings{}.max_backoff_s);
     const std::int64_t from = raw_ns();
     const double bound = rollout::in_force_within_s({});
     sleep_s(3);
@@ -440,7 +440,7 @@
                       event,
                       {{"number", number},
                        {"chain", number == "0" ? "0" : "c" + number},
-                       {"state", rollout::digest(state)}}};
+                       {"state", rollout::state_digest(state)}}};
     };
     const std::vector<Record> good{committed(1, "a", "1", "v"),         version(2, "begins_with", "0", {}),
                                    version(3, "in_force", "1", one),    committed(4, "a", "2", "w"),
--- a/tests/rollout/cases_test.cpp
+++ b/tests/rollout/cases_test.cpp
@@ -19,8 +19,8 @@
     explicit Fleet(const Plan& plan = quiet(), std::uint64_t seed = 1)
         : World(plan, seed), followers(plan.followers) {
         gain("c0");
-        for (int i = 0; i < 20 && source("c0").stage() != Leader::Stage::ready; ++i) run_for(2);
-        REQUIRE(source("c0").stage() == Leader::Stage::ready);
+        for (int i = 0; i < 20 && source("c0").phase() != Leader::Phase::ready; ++i) run_for(2);
+        REQUIRE(source("c0").phase() == Leader::Phase::ready);
     }
     std::uint64_t put(const std::string& key, const std::string& value, const std::string& at = "c0") {
         return propose(at, key, value).number;
@@ -57,14 +57,14 @@
     const std::uint64_t number = fleet.put("a", "1");
     REQUIRE(number > 0);
     fleet.run_for(0.9);   // less than canary_s
-    CHECK(fleet.source("c0").committed() == number);
+    CHECK(fleet.source("c0").commit_index() == number);
     CHECK(fleet.having("a", "1") == 2);
     CHECK_FALSE(fleet.said(LeaderEvent::Kind::cleared, number));
     fleet.run_until(proposed + kBound);
     CHECK(fleet.having("a", "1") == 4);
     CHECK(fleet.said(LeaderEvent::Kind::cleared, number));
     fleet.run_for(3);
-    CHECK(in_force_everywhere(fleet.fleet("c0")) == number);
+    CHECK(active_everywhere(fleet.fleet("c0")) == number);
     CHECK(fleet.fleet("c0").counted == 4);
     CHECK(fleet.breach() == "");
 }
@@ -79,7 +79,7 @@
     const std::uint64_t lost = fleet.put("a", "lost");
     fleet.run_for(0.2);
     CHECK(fleet.replica("c0").log().last().number == lost);
-    CHECK(fleet.source("c0").committed() < lost);
+    CHECK(fleet.source("c0").commit_index() < lost);
     fleet.kill("c0");
     fleet.set_filter({});
     fleet.gain("c1");
@@ -98,18 +98,18 @@
           "[rollout]") {
     Fleet fleet;
     fleet.set_filter([](const std::string&, const std::string& to, Message& message) {
-        return to == "c0" && std::holds_alternative<Appended>(message);
+        return to == "c0" && std::holds_alternative<AppendReply>(message);
     });
     const std::uint64_t number = fleet.put("a", "1");
     fleet.run_for(0.2);
     CHECK(fleet.replica("c1").log().last().number == number);
-    CHECK(fleet.source("c0").committed() < number);
+    CHECK(fleet.source("c0").commit_index() < number);
     fleet.kill("c0");
     fleet.set_filter({});
     fleet.gain("c2");
     fleet.run_for(kBound);
     CHECK(fleet.having("a", "1") == 4);
-    CHECK(fleet.source("c2").committed() > number);   // with a record of its own term behind it
+    CHECK(fleet.source("c2").commit_index() > number);   // with a record of its own term behind it
     CHECK(fleet.breach() == "");
 }
 
@@ -204,7 +204,7 @@
     };
     const std::uint64_t bad = fleet.put("b", "1");
     fleet.run_for(0.1);
-    REQUIRE(fleet.source("c0").committed() == bad);
+    REQUIRE(fleet.source("c0").commit_index() == bad);
     fleet.set_filter([bad](const std::string& from, const std::string& to, Message& message) {
         auto* append = std::get_if<Append>(&message);
         if (append && from != to)
@@ -213,7 +213,7 @@
     });
     fleet.run_for(10);
     REQUIRE(fleet.source("c0").log().reverted_by(bad) == bad + 1);
-    REQUIRE(fleet.source("c0").committed() == bad);
+    REQUIRE(fleet.source("c0").commit_index() == bad);
     CHECK(fleet.source("c0").staging().cleared == bad - 1);
     fleet.set_filter({});
     fleet.run_for(kBound);
@@ -257,13 +257,13 @@
     fleet.set_group("c0", 1);
     fleet.gain("c1");
     fleet.run_for(1);
-    const std::uint64_t before = fleet.source("c0").committed();
+    const std::uint64_t before = fleet.source("c0").commit_index();
     const std::uint64_t older = fleet.put("x", "older", "c0");
     const std::uint64_t newer = fleet.put("y", "newer", "c1");
     CHECK(older == newer);
     fleet.run_for(kBound);
-    CHECK(fleet.source("c0").stage() == Leader::Stage::ready);   // it can't know
-    CHECK(fleet.source("c0").committed() == before);
+    CHECK(fleet.source("c0").phase() == Leader::Phase::ready);   // it can't know
+    CHECK(fleet.source("c0").commit_index() == before);
     CHECK(fleet.having("y", "newer") == 4);
     fleet.heal();
     fleet.run_for(3);
@@ -339,10 +339,10 @@
     fleet.gain("c0");
     fleet.run_for(2);
     for (const char* name : {"c0", "c1", "c2"}) {
-        REQUIRE(fleet.replica(name).log().knows(number));
+        REQUIRE(fleet.replica(name).log().contains_number(number));
         CHECK(fleet.replica(name).log().record(number).value == "1");
     }
-    CHECK(fleet.source("c0").committed() < number);
+    CHECK(fleet.source("c0").commit_index() < number);
     fleet.kill("c0");
     fleet.heal();
     fleet.set_filter({});
@@ -350,7 +350,7 @@
     fleet.start("c4");
     fleet.gain("c4");
     fleet.run_for(kBound);
-    CHECK(fleet.source("c4").committed() > number);
+    CHECK(fleet.source("c4").commit_index() > number);
     CHECK(fleet.having("a", "2") == 2);
     fleet.heal();
     fleet.start("c0");
@@ -395,14 +395,14 @@
     CHECK(fleet.fleet("c0").silent == 1);
     CHECK(fleet.fleet("c0").silent_names.at(0).name == "f1");
     fleet.start("f1");
-    const std::uint64_t had = fleet.follower_of("f1").in_force().number;
+    const std::uint64_t had = fleet.follower_of("f1").active_version().number;
     CHECK(had > 0);
     fleet.run_for(kBound);
     CHECK(fleet.having("a", "0") == 4);
-    CHECK(fleet.follower_of("f1").in_force() == fleet.follower_of("f0").in_force());
-    CHECK(fleet.follower_of("f1").tally().records == fleet.source("c0").log().last().number - had);
-    CHECK(fleet.follower_of("f1").tally().snapshots == 0);
-    CHECK(fleet.follower_of("f1").tally().versions < 20);   // not one by one
+    CHECK(fleet.follower_of("f1").active_version() == fleet.follower_of("f0").active_version());
+    CHECK(fleet.follower_of("f1").counts().records == fleet.source("c0").log().last().number - had);
+    CHECK(fleet.follower_of("f1").counts().snapshots == 0);
+    CHECK(fleet.follower_of("f1").counts().versions < 20);   // not one by one
     CHECK(fleet.breach() == "");
 }
 
@@ -453,8 +453,8 @@
     }
     fleet.start("f1");
     fleet.run_for(20);
-    CHECK(fleet.follower_of("f1").tally().snapshots == 1);
-    CHECK(fleet.follower_of("f1").in_force() == fleet.follower_of("f0").in_force());
+    CHECK(fleet.follower_of("f1").counts().snapshots == 1);
+    CHECK(fleet.follower_of("f1").active_version() == fleet.follower_of("f0").active_version());
     CHECK(fleet.having("a", "0") == 4);
     CHECK(fleet.breach() == "");
 }
@@ -477,11 +477,11 @@
     });
     fleet.start("f1");
     fleet.run_for(10);
-    CHECK(fleet.follower_of("f1").in_force().number == 0);
-    CHECK(fleet.follower_of("f1").tally().broken_snapshots > 1);
+    CHECK(fleet.follower_of("f1").active_version().number == 0);
+    CHECK(fleet.follower_of("f1").counts().broken_snapshots > 1);
     fleet.set_filter({});
     fleet.run_for(5);
-    CHECK(fleet.follower_of("f1").in_force() == fleet.follower_of("f0").in_force());
+    CHECK(fleet.follower_of("f1").active_version() == fleet.follower_of("f0").active_version());
     CHECK(fleet.breach() == "");
 }
 
@@ -526,7 +526,7 @@
     for (int i = 0; i < 11; ++i) {
         const std::string name = i < 8 ? World::follower(i) : World::control(10 - i);   // c0 last
         for (int k = 0; k < 10; ++k) {
-            const std::string at = fleet.source("c0").stage() == Leader::Stage::ready ? "c0" : "c1";
+            const std::string at = fleet.source("c0").phase() == Leader::Phase::ready ? "c0" : "c1";
             fleet.put("k" + std::to_string(k % 3), std::to_string(++value), at);
             fleet.run_for(0.1);
         }
@@ -553,8 +553,8 @@
     CHECK(fleet.having("a", "2") == 3);
     const Report report = fleet.fleet("c0");
     REQUIRE(report.behind_names.size() == 1);
-    CHECK(report.behind_names.at(0) == Standing{"f2", number - 1, FollowerFault::disk});
-    CHECK(in_force_everywhere(report) == number - 1);
+    CHECK(report.behind_names.at(0) == FollowerStatus{"f2", number - 1, FollowerFault::disk});
+    CHECK(active_everywhere(report) == number - 1);
     fleet.set_full("f2", false);
     fleet.run_for(4);
     CHECK(fleet.having("a", "2") == 4);
@@ -567,18 +567,18 @@
     fleet.set_full("c1", true);
     const std::uint64_t first = fleet.put("a", "1");
     fleet.run_for(1);
-    CHECK(fleet.source("c0").committed() == first);
+    CHECK(fleet.source("c0").commit_index() == first);
     CHECK(fleet.replica("c1").log().last().number < first);
     CHECK(fleet.replica("c1").disk_failed());
     fleet.set_full("c0", true);
     const std::uint64_t second = fleet.put("a", "2");
     fleet.run_for(5);
-    CHECK(fleet.source("c0").committed() == first);
+    CHECK(fleet.source("c0").commit_index() == first);
     CHECK(fleet.having("a", "2") == 0);
     fleet.set_full("c0", false);
     fleet.set_full("c1", false);
     fleet.run_for(kBound);
-    CHECK(fleet.source("c0").committed() == second);
+    CHECK(fleet.source("c0").commit_index() == second);
     CHECK(fleet.having("a", "2") == 4);
     CHECK(fleet.breach() == "");
 }
@@ -593,16 +593,16 @@
     fleet.start("c1");
     const std::uint64_t number = fleet.put("a", "2");
     fleet.run_for(5);
-    CHECK(fleet.source("c0").committed() < number);
-    CHECK_FALSE(fleet.replica("c1").remembers());
+    CHECK(fleet.source("c0").commit_index() < number);
+    CHECK_FALSE(fleet.replica("c1").storage_intact());
     fleet.heal();
     fleet.run_for(10);
-    CHECK(fleet.replica("c1").remembers());
+    CHECK(fleet.replica("c1").storage_intact());
     CHECK(fleet.having("a", "2") == 4);
     fleet.set_group("c2", 1);
     const std::uint64_t next = fleet.put("a", "3");
     fleet.run_for(1);
-    CHECK(fleet.source("c0").committed() == next);
+    CHECK(fleet.source("c0").commit_index() == next);
     CHECK(fleet.breach() == "");
 }
 
@@ -617,12 +617,13 @@
         // c0 and c2 do not hear one another, c0 is not told of c1's promise, nor c2 what anybody holds.
         if (!hold_back) return false;
         if ((from == "c2" && to == "c0") || (from == "c0" && to == "c2")) return true;
-        if (from == "c1" && to == "c0" && !forgot && std::holds_alternative<Appended>(message)) return true;
-        return to == "c2" && std::holds_alternative<Holding>(message);
+        if (from == "c1" && to == "c0" && !forgot && std::holds_alternative<AppendReply>(message))
+            return true;
+        return to == "c2" && std::holds_alternative<LogStatus>(message);
     });
     fleet.gain("c2");
     fleet.run_for(0.2);
-    REQUIRE(fleet.source("c2").stage() == Leader::Stage::inspecting);
+    REQUIRE(fleet.source("c2").phase() == Leader::Phase::collecting_status);
     fleet.kill("c1");
     fleet.lose_disk("c1");
     forgot = true;
@@ -630,11 +631,11 @@
     const std::uint64_t number = fleet.put("b", "1");
     REQUIRE(number > 0);
     fleet.run_for(3);
-    CHECK(fleet.source("c0").committed() < number);   // c1 does not count, and c2 promised another
+    CHECK(fleet.source("c0").commit_index() < number);   // c1 does not count, and c2 promised another
     hold_back = false;
     fleet.run_for(20);
-    CHECK(fleet.replica("c1").remembers());
-    CHECK(fleet.source("c2").stage() == Leader::Stage::ready);
+    CHECK(fleet.replica("c1").storage_intact());
+    CHECK(fleet.source("c2").phase() == Leader::Phase::ready);
     CHECK(fleet.breach() == "");
 }
 
@@ -654,7 +655,8 @@
         if (done) return false;
         if (from == "c0" && to == "c3") return true;
         if (from == "c3" && !hear_c3.contains(to)) return true;
-        if (from == "c3" && to == "c1" && std::holds_alternative<Inspect>(message)) return !inspect_c1;
+        if (from == "c3" && to == "c1" && std::holds_alternative<LogStatusRequest>(message))
+            return !inspect_c1;
         if (from == "c0" && to == "c1" && carries_records(message)) return !records_to_c1;
         return to == "c0" && dumb.contains(from);
     });
@@ -665,13 +667,13 @@
     dumb.erase("c1");
     fleet.start("c1");
     fleet.run_for(8);
-    REQUIRE(fleet.replica("c1").remembers());
-    REQUIRE(fleet.source("c3").stage() == Leader::Stage::preparing);
+    REQUIRE(fleet.replica("c1").storage_intact());
+    REQUIRE(fleet.source("c3").phase() == Leader::Phase::collecting_promises);
     dumb.insert("c2");
     hear_c3.insert("c2");
-    for (int i = 0; i < 100 && fleet.source("c3").stage() == Leader::Stage::preparing; ++i)
+    for (int i = 0; i < 100 && fleet.source("c3").phase() == Leader::Phase::collecting_promises; ++i)
         fleet.run_for(0.01);
-    REQUIRE(fleet.source("c3").stage() == Leader::Stage::inspecting);
+    REQUIRE(fleet.source("c3").phase() == Leader::Phase::collecting_status);
     fleet.run_for(0.1);
     fleet.kill("c2");
     fleet.lose_disk("c2");
@@ -679,19 +681,19 @@
     hear_c3.erase("c2");
     fleet.start("c2");
     records_to_c1 = false;
-    for (int i = 0; i < 100 && !fleet.replica("c2").remembers(); ++i) fleet.run_for(0.01);
-    REQUIRE(fleet.replica("c2").remembers());
+    for (int i = 0; i < 100 && !fleet.replica("c2").storage_intact(); ++i) fleet.run_for(0.01);
+    REQUIRE(fleet.replica("c2").storage_intact());
     const std::uint64_t number = fleet.put("b", "1");
     fleet.run_for(0.1);
-    REQUIRE(fleet.source("c0").committed() == number);
-    REQUIRE(fleet.source("c3").stage() == Leader::Stage::inspecting);
+    REQUIRE(fleet.source("c0").commit_index() == number);
+    REQUIRE(fleet.source("c3").phase() == Leader::Phase::collecting_status);
     inspect_c1 = true;
-    for (int i = 0; i < 60 && fleet.source("c3").stage() == Leader::Stage::inspecting; ++i)
+    for (int i = 0; i < 60 && fleet.source("c3").phase() == Leader::Phase::collecting_status; ++i)
         fleet.run_for(0.01);
-    CHECK(fleet.source("c3").stage() == Leader::Stage::preparing);   // anew
+    CHECK(fleet.source("c3").phase() == Leader::Phase::collecting_promises);   // anew
     done = true;
     fleet.run_for(20);
-    CHECK(fleet.source("c3").stage() == Leader::Stage::ready);
+    CHECK(fleet.source("c3").phase() == Leader::Phase::ready);
     CHECK(fleet.having("b", "1") == 2);
     CHECK(fleet.breach() == "");
 }
@@ -701,23 +703,24 @@
     world.kill("c2");
     world.gain("c0");
     world.run_for(5);
-    CHECK(world.source("c0").stage() == Leader::Stage::preparing);
+    CHECK(world.source("c0").phase() == Leader::Phase::collecting_promises);
     CHECK(world.propose("c0", "a", "1").error == ProposeError::not_ready);
     world.start("c2");
     world.run_for(3);
-    CHECK(world.source("c0").stage() == Leader::Stage::ready);
-    for (const char* name : {"c0", "c1", "c2"}) CHECK(world.replica(name).remembers());
+    CHECK(world.source("c0").phase() == Leader::Phase::ready);
+    for (const char* name : {"c0", "c1", "c2"}) CHECK(world.replica(name).storage_intact());
     CHECK(world.propose("c1", "a", "1").error == ProposeError::not_leader);
     CHECK(world.propose("c0", "", "1").error == ProposeError::too_large);
-    CHECK(world.propose("c0", std::string(kKeyMost + 1, 'k'), "1").error == ProposeError::too_large);
-    CHECK(world.propose("c0", "a", std::string(kValueMost + 1, 'v')).error == ProposeError::too_large);
-    CHECK(world.propose("c0", std::string(kKeyMost, 'k'), std::string(kValueMost, 'v')).number == 1);
+    CHECK(world.propose("c0", std::string(kMaxKeyBytes + 1, 'k'), "1").error == ProposeError::too_large);
+    CHECK(world.propose("c0", "a", std::string(kMaxValueBytes + 1, 'v')).error == ProposeError::too_large);
+    CHECK(world.propose("c0", std::string(kMaxKeyBytes, 'k'), std::string(kMaxValueBytes, 'v')).number ==
+          1);
 }
 
 TEST_CASE("a source that a majority does not answer takes a bounded number of changes", "[rollout]") {
     Fleet fleet;
     fleet.set_group("c0", 1);
-    const std::size_t backlog = LeaderSettings{}.backlog;
+    const std::size_t backlog = LeaderSettings{}.max_uncommitted;
     for (std::size_t i = 0; i < backlog; ++i) REQUIRE(fleet.put("a", "1") > 0);
     CHECK(fleet.propose("c0", "a", "1").error == ProposeError::backlog_full);
 }
--- a/tests/rollout/file_storage_test.cpp
+++ b/tests/rollout/file_storage_test.cpp
@@ -113,7 +113,7 @@
         REQUIRE(files.append({put(1, "v1")}));
         disk.room = 10;
         CHECK_FALSE(files.append({put(2, "v2")}));
-        CHECK(files.file().why() == "No space left on device");
+        CHECK(files.file().last_error() == "No space left on device");
         CHECK_FALSE(files.replace(log_of(2)));
     }
     CHECK(FollowerFileStorage(folder.path()).take_stored().log.last() == log_of(1).last());
@@ -130,21 +130,21 @@
     {
         ReplicaFileStorage files(folder.path());
         const ReplicaStored stored = files.take_stored();
-        CHECK_FALSE(stored.remembers);   // a new disk
+        CHECK_FALSE(stored.storage_intact);   // a new disk
         CHECK(stored.promised == 0);
         REQUIRE(files.append({put(1, "v1"), put(2, "v2"), put(3, "x")}));
         REQUIRE(files.truncate(2));
         REQUIRE(files.append({put(3, "v3")}));
-        REQUIRE(files.keep_promise(9, true));
+        REQUIRE(files.save_promise(9, true));
     }
     ReplicaFileStorage files(folder.path());
     const ReplicaStored stored = files.take_stored();
-    CHECK(stored.remembers);
+    CHECK(stored.storage_intact);
     CHECK(stored.promised == 9);
     CHECK(stored.log.last() == log_of(3).last());
     REQUIRE(files.replace(log_of(5), 4));
     ReplicaFileStorage later(folder.path());
-    CHECK(later.take_stored().committed == 4);
+    CHECK(later.take_stored().commit_index == 4);
 }
 
 TEST_CASE("a replica whose files are cut, flipped or gone never says that it remembers", "[rollout]") {
@@ -153,7 +153,7 @@
         ReplicaFileStorage files(first.path());
         REQUIRE(files.append({put(1, "v1"), put(2, "v2")}));
         REQUIRE(files.append({put(3, "v3")}));
-        REQUIRE(files.keep_promise(9, true));
+        REQUIRE(files.save_promise(9, true));
     }
     for (const std::string& name : files_of(first)) {
         const std::string bytes = first.read(name);
@@ -176,11 +176,12 @@
                 }
                 INFO(name << " at " << at << (gone ? " gone" : cut ? " cut" : " flipped"));
                 const bool clean_end = cut && !gone && stored.log.last().number < 3 &&
-                                       name.starts_with("replica-") && stored.remembers;
-                if (!clean_end) REQUIRE_FALSE(stored.remembers);
+                                       name.starts_with("replica-") && stored.storage_intact;
+                if (!clean_end) REQUIRE_FALSE(stored.storage_intact);
                 REQUIRE(stored.log.last() == log_of(stored.log.last().number).last());
                 // Nor at any later start, though the files have been mended.
-                if (!clean_end) REQUIRE_FALSE(ReplicaFileStorage(folder.path()).take_stored().remembers);
+                if (!clean_end)
+                    REQUIRE_FALSE(ReplicaFileStorage(folder.path()).take_stored().storage_intact);
             }
         }
     }
@@ -191,16 +192,16 @@
     Disk disk;
     ReplicaFileStorage files(folder.path(), disk.writer());
     REQUIRE(files.append({put(1, "v1")}));
-    REQUIRE(files.keep_promise(3, true));
+    REQUIRE(files.save_promise(3, true));
     disk.room = 5;
     CHECK_FALSE(files.append({put(2, "v2")}));
     CHECK_FALSE(files.truncate(0));
     CHECK_FALSE(files.replace(log_of(2), 2));
-    CHECK(files.why() == "No space left on device");
+    CHECK(files.last_error() == "No space left on device");
     disk.room = 1 << 20;
     REQUIRE(files.append({put(2, "v2")}));
     ReplicaFileStorage later(folder.path());
     const ReplicaStored stored = later.take_stored();
-    CHECK(stored.remembers);
+    CHECK(stored.storage_intact);
     CHECK(stored.log.last() == log_of(2).last());
 }
--- a/tests/rollout/rollout_test.cpp
+++ b/tests/rollout/rollout_test.cpp
@@ -39,7 +39,7 @@
     Offer offer;
     offer.previous = log.version(after);
     for (std::uint64_t at = after + 1; at <= to; ++at) offer.records.push_back(log.record(at));
-    offer.limit = to;
+    offer.activation_limit = to;
     offer.staging.cleared = to;
     return offer;
 }
@@ -47,7 +47,7 @@
     Pull pull;
     pull.name = name;
     pull.have = have;
-    pull.in_force = have.number;
+    pull.active = have.number;
     return pull;
 }
 
@@ -95,13 +95,13 @@
     CHECK(in_force_after_death_s(times, 4.7) > in_force_within_s(times) + 4.7);
     // What the bound is made of is what the parts do.
     CHECK(times.canary_s == LeaderSettings{}.canary_s);
-    CHECK(times.canary_wait_s == LeaderSettings{}.canary_wait_s);
-    CHECK(times.append_retry_s == LeaderSettings{}.retry_s);
+    CHECK(times.canary_wait_s == LeaderSettings{}.canary_timeout_s);
+    CHECK(times.append_retry_s == LeaderSettings{}.retry_interval_s);
     CHECK(times.batch_s == PublisherSettings{}.batch_s);
-    CHECK(times.pull_s == FollowerSettings{}.pull_s);
-    CHECK(times.pull_retry_s == FollowerSettings{}.retry_s);
-    CHECK(times.jitter == FollowerSettings{}.jitter);
-    CHECK(times.prepare_s == FollowerSettings{}.prepare_s);
+    CHECK(times.pull_s == FollowerSettings{}.pull_interval_s);
+    CHECK(times.pull_retry_s == FollowerSettings{}.retry_interval_s);
+    CHECK(times.jitter == FollowerSettings{}.jitter_fraction);
+    CHECK(times.prepare_s == FollowerSettings{}.activation_interval_s);
 }
 
 TEST_CASE("the chain tells logs apart, and never changes its form", "[rollout]") {
@@ -120,7 +120,7 @@
     CHECK_FALSE(log.push(put_of(5, "a", "1", 5)));
     CHECK_FALSE(log.push(put_of(4, "a", "1", 4)));   // an older term after a newer one
     CHECK_FALSE(log.push(put_of(4, "", "1", 5)));
-    CHECK_FALSE(log.push(put_of(4, "a", std::string(kValueMost + 1, 'x'), 5)));
+    CHECK_FALSE(log.push(put_of(4, "a", std::string(kMaxValueBytes + 1, 'x'), 5)));
     CHECK_FALSE(log.push({4, 5, Kind::put, "a", "1", 4}));   // reverts itself
     CHECK(log.push(put_of(4, "a", "1", 6)));
     const Version last = log.last();
@@ -161,9 +161,9 @@
     const auto fourth = put("b", "2"), fifth = put("b", "3");
     CHECK(revert(fourth) == State{{"b", "3"}});   // the later one stands
     CHECK(revert(fifth) == State{{"b", "1"}});
-    CHECK(log.whole_at_most(third, number) == first - 1);   // 1 and 2 are taken back after 3
-    CHECK(log.whole_at_most(number, number) == number);
-    CHECK(log.whole_at_most(second, second) == second);   // its revert isn't seen yet
+    CHECK(log.highest_consistent(third, number) == first - 1);   // 1 and 2 are taken back after 3
+    CHECK(log.highest_consistent(number, number) == number);
+    CHECK(log.highest_consistent(second, second) == second);   // its revert isn't seen yet
     // What lies behind the base is not known any more.
     const auto sixth = put("c", "1");
     log.trim(0, 0, sixth);
@@ -173,49 +173,54 @@
 }
 
 TEST_CASE("messages: at most 1000 bytes, read as written, and nothing else is read", "[rollout]") {
-    const std::string name(kNameMost, 'n');
+    const std::string name(kMaxNameBytes, 'n');
     const Version version{1ull << 60, ~0ull};
-    const Record large{version.number + 1,           1ull << 60,    Kind::put, std::string(kKeyMost, 'k'),
-                       std::string(kValueMost, 'v'), version.number};
+    const Record large{version.number + 1,
+                       1ull << 60,
+                       Kind::put,
+                       std::string(kMaxKeyBytes, 'k'),
+                       std::string(kMaxValueBytes, 'v'),
+                       version.number};
     const Staging staging{1ull << 60, 1ull << 60, ~0ull};
     Report report;
     for (int i = 0; i < 40; ++i) {
         const std::string one = std::string(60, 'a') + std::to_string(100 + i);
-        const Refusal refusal{version.number + i % 9, one, std::string(kReasonMost, 'r')};
+        const Refusal refusal{version.number + i % 9, one, std::string(kMaxReasonBytes, 'r')};
         add(report, {one, version.number + i, FollowerFault::disk}, true, &refusal);
         add_silent(report, {one + "s", version.number + i, FollowerFault::none});
     }
     CHECK(report.counted == 40);
-    CHECK(report.behind_names.size() == kNamesMost);
-    CHECK(report.canaries.size() == kCanariesMost);
-    CHECK(report.refusals.size() == kRefusalsMost);
+    CHECK(report.behind_names.size() == kMaxReportedNames);
+    CHECK(report.canaries.size() == kMaxCanaries);
+    CHECK(report.refusals.size() == kMaxReportedRefusals);
     Report told = report, below = report;
-    fit(told, kReportBytes);
-    fit(below, 600);
+    shrink_to(told, kMaxReportBytes);
+    shrink_to(below, 600);
     CHECK(told.counted == 40);
     CHECK(told.behind == 40);
     CHECK(told.silent == 40);
-    const Snapshot snapshot(version, 1, {{std::string(kKeyMost, 'k'), std::string(kValueMost, 'v')}});
+    const Snapshot snapshot(version, 1,
+                            {{std::string(kMaxKeyBytes, 'k'), std::string(kMaxValueBytes, 'v')}});
     const std::vector<Message> all{
-        Pull{name, version, version.number, version.number, std::string(kReasonMost, 'r'),
+        Pull{name, version, version.number, version.number, std::string(kMaxReasonBytes, 'r'),
              FollowerFault::refused, true, below},
         Offer{staging, version, {large}, 1ull << 60, true, true, true},
-        PartPull{version, 7, 8},
+        SnapshotPartRequest{version, 7, 8},
         snapshot.part(0, staging),
         Prepare{1ull << 60, ~0ull},
         Promise{1ull << 60, 1ull << 60, ~0ull, true, true},
-        Inspect{1ull << 60},
-        Holding{1ull << 60, ~0ull, true, version, 1ull << 60, 1ull << 60, 1ull << 60, 1ull << 60},
-        Fetch{1ull << 60, 1ull << 60},
-        Fetched{1ull << 60, version, {large}, true},
+        LogStatusRequest{1ull << 60},
+        LogStatus{1ull << 60, ~0ull, true, version, 1ull << 60, 1ull << 60, 1ull << 60, 1ull << 60},
+        FetchRequest{1ull << 60, 1ull << 60},
+        FetchReply{1ull << 60, version, {large}, true},
         Append{1ull << 60, version, {large}, 1ull << 60, staging, true},
-        Appended{1ull << 60, 1ull << 60, ~0ull, true, true, version, 1ull << 60, true},
+        AppendReply{1ull << 60, 1ull << 60, ~0ull, true, true, version, 1ull << 60, true},
         FollowerReport{told}};
     std::mt19937_64 random(7);
     for (const Message& one : all) {
         const std::string bytes = encode(one);
         INFO("kind " << one.index());
-        CHECK(bytes.size() <= kBodyMost);
+        CHECK(bytes.size() <= kMaxBodyBytes);
         const auto again = decode(bytes);
         REQUIRE(again);
         CHECK(*again == one);
@@ -224,11 +229,11 @@
             std::string broken = bytes.substr(0, 1 + random() % bytes.size());
             broken[random() % broken.size()] = static_cast<char>(random());
             const auto read = decode(broken);
-            if (read) CHECK(encode(*read).size() <= 2 * kBodyMost);
+            if (read) CHECK(encode(*read).size() <= 2 * kMaxBodyBytes);
         }
     }
     CHECK_FALSE(decode(""));
-    CHECK_FALSE(decode(std::string(kBodyMost + 1, 'x')));
+    CHECK_FALSE(decode(std::string(kMaxBodyBytes + 1, 'x')));
     CHECK_FALSE(decode(encode(pull_of("", {}))));
     CHECK_FALSE(decode(encode(pull_of("a b", {}))));
     CHECK_FALSE(decode(encode(Prepare{})));
@@ -262,16 +267,16 @@
     CHECK(most + kSeal < 150);
     CHECK(pulls > 95);
     CHECK(pulls < 105);
-    CHECK(follower.tally().moves == 0);
+    CHECK(follower.counts().parent_switches == 0);
 }
 
 TEST_CASE("a replica keeps what it has acknowledged, whatever snapshot comes late", "[rollout]") {
     struct ReplicaDisk : ReplicaStorage {
-        bool keep_promise(std::uint64_t, bool) override { return true; }
+        bool save_promise(std::uint64_t, bool) override { return true; }
         bool append(const std::vector<Record>&) override { return true; }
         bool truncate(std::uint64_t) override { return true; }
         bool replace(const Log&, std::uint64_t) override { return ++replaced, true; }
-        void note_committed(std::uint64_t) override {}
+        void save_commit_index(std::uint64_t) override {}
         int replaced = 0;
     } disk;
     const Log log = log_of(12);
@@ -286,7 +291,7 @@
     const Snapshot newer(more.version(20), 1, more.state_at(20));
     for (std::uint32_t i = 0; i < newer.parts(); ++i) replica.receive(2, "c0", newer.part(i, {}));
     CHECK(replica.log().last() == more.last());
-    CHECK(replica.committed() == 20);
+    CHECK(replica.commit_index() == 20);
     CHECK(disk.replaced == 1);
 }
 
@@ -305,17 +310,17 @@
     }
     feeder.on_timer(now + 1);
     const auto posts = feeder.take_outgoing();
-    CHECK(feeder.tally().encoded < 40);
-    CHECK(posts.size() == 2'000 * feeder.tally().encoded);
+    CHECK(feeder.counts().batches_encoded < 40);
+    CHECK(posts.size() == 2'000 * feeder.counts().batches_encoded);
     std::set<const std::string*> bodies;
     for (const OutgoingMessage& one : posts) bodies.insert(one.body.get());
-    CHECK(bodies.size() == feeder.tally().encoded);
+    CHECK(bodies.size() == feeder.counts().batches_encoded);
 }
 
 TEST_CASE("a feeder keeps to its children's number and its bytes", "[rollout]") {
     const Log log = log_of(1'000);
     PublisherSettings settings;
-    settings.children_most = 2;
+    settings.max_children = 2;
     settings.bytes_per_s = 20'000;
     Publisher feeder(settings, log);
     feeder.advance(0, 1'000, {1, 1'000, 0});
@@ -331,7 +336,7 @@
     CHECK(feeder.take_outgoing().size() == 1);
     feeder.receive(10, "f2", 1, pull_of("f2", log.last()));
     CHECK(feeder.take_outgoing().empty());
-    CHECK(feeder.tally().turned_away == 1);
+    CHECK(feeder.counts().rejected_pulls == 1);
     feeder.receive(15, "f2", 1, pull_of("f2", log.last()));   // the others are silent by now
     CHECK(feeder.take_outgoing().size() == 1);
 }
@@ -344,14 +349,14 @@
     const std::string parent = follower.parent();
     follower.receive(1, parent, offer_of(log, 4, 6));
     follower.receive(1.3, parent, offer_of(log, 2, 4));
-    CHECK(follower.in_force().number == 0);
+    CHECK(follower.active_version().number == 0);
     follower.receive(1.6, parent, offer_of(log, 2, 4));
     follower.receive(1.9, parent, offer_of(log, 0, 2));
-    CHECK(follower.in_force() == log.last());
-    CHECK(follower.tally().versions == 1);   // in one step
-    CHECK(follower.tally().records == 6);
+    CHECK(follower.active_version() == log.last());
+    CHECK(follower.counts().versions == 1);   // in one step
+    CHECK(follower.counts().records == 6);
     follower.receive(3, parent, offer_of(log, 0, 6));
-    CHECK(follower.tally().records == 6);
+    CHECK(follower.counts().records == 6);
     CHECK(follower.fault() == FollowerFault::none);
     CHECK(follower.state() == log.state_at(6));
 }
@@ -365,7 +370,7 @@
     follower.receive(1, parent, offer_of(other, 6, 8));
     CHECK(follower.fault() == FollowerFault::diverged);
     follower.receive(2, parent, offer_of(other, 4, 8));   // whose records go over what it has
-    CHECK(follower.in_force() == log.last());
+    CHECK(follower.active_version() == log.last());
     CHECK(follower.log().last() == log.last());
     // It says so, and its feeder does as well.
     Publisher feeder({}, other);
@@ -379,9 +384,9 @@
     Offer bad = offer_of(log, 5, 6);
     bad.previous = log.last();
     bad.records = {put_of(7, "a", "1", 0)};
-    bad.limit = 7;
+    bad.activation_limit = 7;
     follower.receive(3, parent, bad);
-    CHECK(follower.in_force() == log.last());
+    CHECK(follower.active_version() == log.last());
 }
 
 TEST_CASE("a follower does not go back by a lower cleared number", "[rollout]") {
@@ -392,10 +397,10 @@
     Offer lower = offer_of(log, 3, 3);
     lower.staging = {99, 3, 0};
     follower.receive(1, follower.parent(), lower);
-    CHECK(follower.in_force() == log.last());
-    CHECK(follower.take_in_force().empty());
+    CHECK(follower.active_version() == log.last());
+    CHECK(follower.take_activations().empty());
     follower.receive(2, follower.parent(), offer_of(log, 2, 5));
-    CHECK(follower.in_force() == log.last());
+    CHECK(follower.active_version() == log.last());
 }
 
 TEST_CASE("what can't be kept is not in force", "[rollout]") {
@@ -405,15 +410,15 @@
     follower.start(0);
     disk.full = true;
     follower.receive(1, follower.parent(), offer_of(log, 0, 6));
-    CHECK(follower.in_force().number == 0);
+    CHECK(follower.active_version().number == 0);
     CHECK(follower.state().empty());
-    CHECK(follower.take_in_force().empty());
+    CHECK(follower.take_activations().empty());
     CHECK(follower.fault() == FollowerFault::disk);
     disk.full = false;
     follower.on_timer(1.5);
-    CHECK(follower.in_force().number == 0);   // tried again after a while
+    CHECK(follower.active_version().number == 0);   // tried again after a while
     follower.on_timer(3.1);
-    CHECK(follower.in_force() == log.last());
+    CHECK(follower.active_version() == log.last());
     CHECK(follower.fault() == FollowerFault::none);
 }
 
@@ -428,19 +433,19 @@
     follower.start(0);
     for (std::uint64_t at = 0; at < 1'000; at += 20) {
         Offer offer = offer_of(log, at, at + 20);
-        offer.limit = 1'000;
+        offer.activation_limit = 1'000;
         follower.receive(1, follower.parent(), offer);
     }
-    CHECK(follower.in_force().number == 616);
+    CHECK(follower.active_version().number == 616);
     CHECK(follower.refused() == 617);
     CHECK(follower.reason() == "too high");
     CHECK(follower.state() == log.state_at(616));
-    CHECK(follower.tally().checks < 15);
-    const auto checks = follower.tally().checks;
+    CHECK(follower.counts().validations < 15);
+    const auto checks = follower.counts().validations;
     for (double now = 2; now < 60; now += 0.1) follower.on_timer(now);
-    CHECK(follower.tally().checks == checks);   // not again while nothing has changed
+    CHECK(follower.counts().validations == checks);   // not again while nothing has changed
     follower.recheck(60);
-    CHECK(follower.tally().checks == checks + 1);
+    CHECK(follower.counts().validations == checks + 1);
 }
 
 TEST_CASE("followers spread over parents, their own region's first", "[rollout]") {
@@ -484,40 +489,40 @@
     for (int i = 0; i < 200; ++i) state["k" + std::to_string(i)] = std::string(i, 'v');
     const Snapshot snapshot({7, 70}, 3, state);
     REQUIRE(snapshot.parts() > 20);
-    const auto feed = [&](SnapshotTaker& taker, const Snapshot& from) {
+    const auto feed = [&](SnapshotReceiver& taker, const Snapshot& from) {
         for (std::uint32_t i = from.parts(); i-- > 0;) taker.receive(1, from.part(i, {}));
     };
-    SnapshotTaker taker;
+    SnapshotReceiver taker;
     feed(taker, snapshot);
-    const auto whole = taker.take();
+    const auto whole = taker.take_snapshot();
     REQUIRE(whole);
     CHECK(whole->state == state);
     CHECK(whole->version == Version{7, 70});
-    CHECK_FALSE(taker.take());
+    CHECK_FALSE(taker.take_snapshot());
     // Asks for what is missing, a window at a time, and again after a while.
     taker.receive(1, snapshot.part(0, {}));
-    const auto ask = taker.ask(1);
+    const auto ask = taker.next_request(1);
     REQUIRE(ask);
     CHECK(ask->from == 1);
-    CHECK(ask->count == SnapshotTaker::kWindow);
-    CHECK_FALSE(taker.ask(1.1));
-    CHECK(taker.ask(1 + SnapshotTaker::kRetry));
+    CHECK(ask->count == SnapshotReceiver::kWindowParts);
+    CHECK_FALSE(taker.next_request(1.1));
+    CHECK(taker.next_request(1 + SnapshotReceiver::kRetryIntervalS));
     // A higher version is begun instead; a lower one is not.
     const Snapshot newer({9, 90}, 3, state), older({5, 50}, 3, state);
     taker.receive(2, newer.part(1, {}));
     taker.receive(2, older.part(0, {}));
-    CHECK(taker.ask(2)->version == newer.version());
+    CHECK(taker.next_request(2)->version == newer.version());
     // Empty states are snapshots too.
-    taker.drop();
+    taker.reset();
     feed(taker, Snapshot({1, 2}, 1, {}));
-    CHECK(taker.take()->state.empty());
+    CHECK(taker.take_snapshot()->state.empty());
     // A part of the same number and another check is not mixed in.
     State changed = state;
     changed["k3"] = "other";
     const Snapshot mixed({7, 70}, 3, changed);
     taker.receive(3, snapshot.part(0, {}));
     for (std::uint32_t i = 0; i < mixed.parts(); ++i) taker.receive(3, mixed.part(i, {}));
-    CHECK_FALSE(taker.take());
+    CHECK_FALSE(taker.take_snapshot());
 }
 
 TEST_CASE("reports add up", "[rollout]") {
@@ -527,17 +532,17 @@
     add(a, {"f2", 8, FollowerFault::refused}, true, &refusal);
     add(b, {"f3", 5, FollowerFault::disk}, true, nullptr);
     add_silent(b, {"f4", 3, FollowerFault::none});
-    CHECK(in_force_everywhere(sum) == 0);
+    CHECK(active_everywhere(sum) == 0);
     add(sum, a);
     CHECK(sum == a);
     add(sum, b);
     CHECK(sum.counted == 3);
-    CHECK(in_force_everywhere(sum) == 5);
+    CHECK(active_everywhere(sum) == 5);
     CHECK(sum.behind == 2);
     CHECK(sum.behind_names.at(0).name == "f3");
     CHECK(sum.silent_names.at(0).name == "f4");
     CHECK(sum.refusals.at(0) == refusal);
     CHECK(sum.canaries.size() == 3);
     add(sum, Report{});
-    CHECK(in_force_everywhere(sum) == 5);
+    CHECK(active_everywhere(sum) == 5);
 }
