--- a/tests/rollout/settings_test.cpp
+++ b/tests/rollout/settings_test.cpp
@@ -38,7 +38,7 @@
               options)
               .empty());
     CHECK(options.rollout.follows());
-    CHECK_FALSE(options.rollout.control());
+    CHECK_FALSE(options.rollout.is_control_machine());
     const auto parents = rollout::parents_of(options.rollout);
     REQUIRE(parents.size() == 2);
     CHECK(parents[0].parent == rollout::Parent{"c0", "r1"});
@@ -69,12 +69,12 @@
 TEST_CASE("what is promised follows the section's times", "[rollout]") {
     rollout::Options options;
     options.listen = "10.0.0.1:1";
-    const auto lines = rollout::stated(options, {}, 5, 0.1);
+    const auto lines = rollout::stated_bounds(options, {}, 5, 0.1);
     REQUIRE(lines.size() == 2);
     CHECK(lines[0].find("within 7.2 s") != std::string::npos);
     CHECK(lines[1].find("at most 50 changes a second") != std::string::npos);
     options.canary_s = 4;
-    CHECK(rollout::stated(options, {}, 5, 0.1)[0].find("within 10.2 s") != std::string::npos);
+    CHECK(rollout::stated_bounds(options, {}, 5, 0.1)[0].find("within 10.2 s") != std::string::npos);
 }
 
 TEST_CASE("a section that is rolled out is judged by itself", "[rollout]") {
--- a/tests/rollout/world.hpp
+++ b/tests/rollout/world.hpp
@@ -38,7 +38,7 @@
     double full_every = 1e9, lose_every = 1e9;
     double change_every = 1e9, gap_most = 1.5;   // of the source; nobody is it for so long at most
     double stale_most = 0;                       // for so long one may hold itself for the source still
-    std::size_t records_kept = kRecordsKept;     // by replicas and relays
+    std::size_t records_kept = kMaxLogRecords;   // by replicas and relays
     std::size_t canaries = 2;
     // The bound that is kept in such a run; 0: none is promised.
     double bound_s = 0;
@@ -67,7 +67,7 @@
         plan.losses_most = times.losses;
         plan.loss = times.losses > 0 ? draw(0.05, 0.6) : 0;
         plan.delay_most = draw(0.01, times.one_way_s);
-        plan.records_kept = kRecordsKept;
+        plan.records_kept = kMaxLogRecords;
         plan.burst_every = 1e9;
         plan.propose_every = std::max(plan.propose_every, 0.2);
         plan.bound_s = in_force_within_s(times);
@@ -157,11 +157,11 @@
         node.held = 0;
         if (node.up && node.source) node.source->end_term();
     }
-    Proposed propose(const std::string& name, const std::string& key,
-                     const std::optional<std::string>& value) {
+    ProposeOutcome propose(const std::string& name, const std::string& key,
+                           const std::optional<std::string>& value) {
         Node& node = nodes_.at(name);
         if (!node.up || stopped(node)) return {0, ProposeError::not_leader};
-        const Proposed proposed = node.source->propose(now(), key, value);
+        const ProposeOutcome proposed = node.source->propose(now(), key, value);
         digest_.add(now(), name, proposed.number, proposed.error);
         if (proposed.number != 0)
             note({Fact::What::proposed,
@@ -230,7 +230,7 @@
     bool up(const std::string& name) const { return nodes_.at(name).up; }
     const std::vector<Fact>& history() const { return history_; }
     const std::vector<LeaderEvent>& events() const { return source_events_; }
-    Report fleet(const std::string& name) const { return source(name).fleet(now()); }
+    Report fleet(const std::string& name) const { return source(name).fleet_report(now()); }
     std::string breach() {
         if (!result_.breach.empty()) return result_.breach;
         return Checker(plan_.controls).judge(history_);
@@ -278,7 +278,7 @@
     struct ReplicaAccess : ReplicaStorage {
         ReplicaAccess(World& in, std::string of) : world(in), name(std::move(of)) {}
         Node& node() { return world.nodes_.at(name); }
-        bool keep_promise(std::uint64_t term, bool remembers) override {
+        bool save_promise(std::uint64_t term, bool remembers) override {
             if (node().full) return false;
             world.digest_.add(world.now(), name, term, remembers);
             node().replica_home.promised = term;
@@ -306,7 +306,7 @@
             world.note({Fact::What::kept_whole, world.now(), name, log.base().number, {}, {}, true});
             return true;
         }
-        void note_committed(std::uint64_t number) override { node().replica_home.committed = number; }
+        void save_commit_index(std::uint64_t number) override { node().replica_home.committed = number; }
         World& world;
         const std::string name;
     };
@@ -394,24 +394,24 @@
         node.replica_access = std::make_unique<ReplicaAccess>(*this, name);
         ReplicaSettings settings;
         settings.name = name;
-        settings.records_kept = plan_.records_kept;
-        settings.compact_after = 40;
+        settings.max_log_records = plan_.records_kept;
+        settings.compact_after_records = 40;
         const ReplicaDisk& disk = node.replica_home;
         node.replica = std::make_unique<Replica>(
             settings, node.process, ReplicaStored{disk.remembers, disk.promised, disk.committed, disk.log},
             *node.replica_access);
-        node.known = node.replica->committed();
+        node.known = node.replica->commit_index();
         node.feeder = std::make_unique<Publisher>(feeder_settings(), node.replica->log());
-        node.feeder->advance(now(), node.replica->committed(), node.replica->staging());
+        node.feeder->advance(now(), node.replica->commit_index(), node.replica->staging());
         LeaderSettings source;
         source.replicas = control_names_;
-        source.canaries = plan_.canaries;
-        source.records_kept = plan_.records_kept;
+        source.canary_count = plan_.canaries;
+        source.max_log_records = plan_.records_kept;
         node.source = std::make_unique<Leader>(source, random_());
     }
     static PublisherSettings feeder_settings() {
         PublisherSettings settings;
-        settings.snapshot_every_s = 1;
+        settings.snapshot_interval_s = 1;
         return settings;
     }
     void begin_follower(const std::string& name, Node& node) {
@@ -420,13 +420,13 @@
         settings.region = "r0";
         for (std::size_t i = 0; i < plan_.controls; ++i)
             settings.parents.push_back({control(i), "r" + std::to_string(1 + i % 2)});
-        settings.bytes_kept = kBytesKept;
+        settings.max_log_bytes = kMaxLogBytes;
         if (is_relay(name))
-            settings.records_kept = plan_.records_kept;
+            settings.max_log_records = plan_.records_kept;
         else
             for (std::size_t i = 0; i < plan_.relays; ++i) settings.parents.push_back({follower(i), "r0"});
-        settings.compact_after = 30;
-        settings.home_s = 10;
+        settings.compact_after_records = 30;
+        settings.preferred_retry_s = 10;
         node.follower_access = std::make_unique<FollowerAccess>(*this, name);
         node.follower = std::make_unique<Follower>(
             settings, FollowerStored{node.follower_home.log}, *node.follower_access,
@@ -434,7 +434,7 @@
         note({Fact::What::begun,
               now(),
               name,
-              node.follower->in_force().number,
+              node.follower->active_version().number,
               {},
               node.follower->state(),
               true});
@@ -452,7 +452,7 @@
         return usable(name, state);
     }
     void count(const Node& node) {
-        if (node.follower) result_.snapshots += node.follower->tally().snapshots;
+        if (node.follower) result_.snapshots += node.follower->counts().snapshots;
     }
 
     // --- effects out
@@ -489,27 +489,27 @@
             if (event.kind == LeaderEvent::Kind::cleared)
                 note({Fact::What::cleared, now(), name, event.number, {}, {}, true});
             if (event.kind == LeaderEvent::Kind::reverted) ++result_.reverts;
-            if (event.kind == LeaderEvent::Kind::admitted) ++result_.admitted;
+            if (event.kind == LeaderEvent::Kind::learner_admitted) ++result_.admitted;
             if (event.kind == LeaderEvent::Kind::fenced) node.source->end_term();
             if (event.kind == LeaderEvent::Kind::diverged) fail(event.name + " has diverged");
         }
         post(name, node.source->take_outgoing());
     }
     void pump_replica(const std::string& name, Node& node) {
-        post(name, node.replica->take_posts());
+        post(name, node.replica->take_outgoing());
         if (node.replica->diverged()) fail(name + " has diverged");
         if (node.replica->changes() == node.changes) return;
-        digest_.add(name, node.replica->changes(), node.replica->committed(), node.replica->promised());
+        digest_.add(name, node.replica->changes(), node.replica->commit_index(), node.replica->promised());
         node.changes = node.replica->changes();
         const Log& log = node.replica->log();
         for (std::uint64_t at = std::max(node.known, log.base().number) + 1;
-             at <= node.replica->committed(); ++at)
+             at <= node.replica->commit_index(); ++at)
             note({Fact::What::known, now(), name, at, log.record(at), {}, true});
-        node.known = node.replica->committed();
-        node.feeder->advance(now(), node.replica->committed(), node.replica->staging());
+        node.known = node.replica->commit_index();
+        node.feeder->advance(now(), node.replica->commit_index(), node.replica->staging());
     }
     void pump_follower(const std::string& name, Node& node) {
-        for (const InForce& one : node.follower->take_in_force()) {
+        for (const Activation& one : node.follower->take_activations()) {
             ++result_.versions;
             digest_.add(one.version.number, one.version.chain);
             const State& state = node.follower->state();
@@ -527,8 +527,8 @@
     }
     void pump_feeder(const std::string& name, Node& node) {
         post(name, node.feeder->take_outgoing());
-        if (node.feeder->urgent() == node.urgent) return;
-        node.urgent = node.feeder->urgent();
+        if (node.feeder->urgent_changes() == node.urgent) return;
+        node.urgent = node.feeder->urgent_changes();
         tell(name, node);
         if (node.follower) node.follower->report_now(now());
     }
@@ -536,7 +536,7 @@
         if (node.follower && node.feeder) node.follower->set_subtree(node.feeder->report(now()));
         if (!node.replica || node.replica->leader().empty()) return;
         Report report = node.feeder->report(now());
-        fit(report, kReportBytes);
+        shrink_to(report, kMaxReportBytes);
         post(name, {{node.replica->leader(), body_of(FollowerReport{report})}});
     }
     void tell_every_second(const std::string& name, std::uint64_t life) {
@@ -552,7 +552,7 @@
     }
     void arm(const std::string& name, Node& node) {
         double due = 1e18;
-        if (node.replica) due = std::min(due, node.replica->due());
+        if (node.replica) due = std::min(due, node.replica->next_deadline());
         if (node.source) due = std::min(due, node.source->next_deadline());
         if (node.feeder) due = std::min(due, node.feeder->next_deadline());
         if (node.follower) due = std::min(due, node.follower->next_deadline());
@@ -572,7 +572,7 @@
         }
         if (!moves_on()) return fail(name + ": due again and again at one time");
         node.armed = 1e18;
-        if (node.replica) node.replica->wake(now());
+        if (node.replica) node.replica->on_timer(now());
         if (node.source) node.source->on_timer(now());
         if (node.feeder) node.feeder->on_timer(now());
         if (node.follower) node.follower->on_timer(now());
@@ -591,7 +591,7 @@
     void post(const std::string& from, const std::vector<OutgoingMessage>& posts) {
         for (const OutgoingMessage& one : posts) {
             digest_.add(now(), from, one.to, *one.body);
-            if (one.body->size() > kBodyMost)
+            if (one.body->size() > kMaxBodyBytes)
                 fail(from + ": a message of " + std::to_string(one.body->size()) + " bytes");
             send(from, one.to, *one.body);
         }
@@ -720,7 +720,7 @@
                                          "needs:k" + std::to_string(random_() % 12) + " "};
             value = kinds[random_() % 4] + unique;
         }
-        if (random_() % 10 == 0) value.resize(kValueMost, 'x');
+        if (random_() % 10 == 0) value.resize(kMaxValueBytes, 'x');
         propose(name, key, value);
     }
 
@@ -745,7 +745,7 @@
         for (int i = 0; i < 12; ++i)
             if (propose(holder_, "k" + std::to_string(i), "last " + std::to_string(++values_)).number == 0)
                 fail("the source takes no change: stage " +
-                     std::to_string(static_cast<int>(source(holder_).stage())));
+                     std::to_string(static_cast<int>(source(holder_).phase())));
         run_for(80);   // a snapshot that was refused is tried again after 30 s, at each hop
     }
     void judge() {
@@ -760,7 +760,7 @@
                 result_.breach = name + " has " + std::to_string(number) + " in force at the end, not " +
                                  std::to_string(checker.last());
         for (const std::string& name : control_names_)
-            if (!nodes_.at(name).replica->remembers() && result_.breach.empty())
+            if (!nodes_.at(name).replica->storage_intact() && result_.breach.empty())
                 result_.breach = name + " never counted again";
         if (plan_.bound_s <= 0 || !result_.breach.empty()) return;
         std::string which;
--- a/tests/state/generate_state.cpp
+++ b/tests/state/generate_state.cpp
@@ -185,11 +185,11 @@
     }
     rollout::ReplicaFileStorage files(make("replica"));
     REQUIRE(files.replace(log_with_base(), 4));
-    REQUIRE(files.keep_promise(term, true));
+    REQUIRE(files.save_promise(term, true));
     REQUIRE(files.append({{6, term, Kind::put, "limit x", "lost", 0}, {7, term, Kind::none, "", "", 0}}));
     REQUIRE(files.truncate(5));
     REQUIRE(files.append({{6, later, Kind::put, "limit a", std::string(700, 'v'), 0}}));
-    REQUIRE(files.keep_promise(rollout::term_of(70001, 2), true));
+    REQUIRE(files.save_promise(rollout::term_of(70001, 2), true));
 }
 
 TEST_CASE("generate the backlog of remote write", "[.generate]") {
--- a/tests/state/old_state_test.cpp
+++ b/tests/state/old_state_test.cpp
@@ -456,10 +456,10 @@
     using rollout::Kind;
     const Copy folder("follower");
     rollout::FollowerFileStorage files(folder.path());
-    CHECK(files.file().founded());
+    CHECK(files.file().has_snapshot());
     CHECK_FALSE(files.file().damaged());
     CHECK(files.file().set_aside().empty());
-    CHECK(files.file().committed() == 0);   // not kept by a follower
+    CHECK(files.file().commit_index() == 0);   // not kept by a follower
     const rollout::Log log = files.take_stored().log;
     check_base(log);
     REQUIRE(log.last().number == 8);
@@ -478,13 +478,13 @@
     using rollout::Kind;
     const Copy folder("replica");
     rollout::ReplicaFileStorage files(folder.path());
-    CHECK(files.file().founded());
+    CHECK(files.file().has_snapshot());
     CHECK_FALSE(files.file().damaged());
     CHECK(files.file().set_aside().empty());
     const rollout::ReplicaStored stored = files.take_stored();
-    CHECK(stored.remembers);
+    CHECK(stored.storage_intact);
     CHECK(stored.promised == 0x1117'1'0002ULL);
-    CHECK(stored.committed == 4);
+    CHECK(stored.commit_index == 4);
     check_base(stored.log);
     REQUIRE(stored.log.last().number == 6);
     CHECK(stored.log.record(6) ==
