--- a/tests/terms/soak_test.cpp
+++ b/tests/terms/soak_test.cpp
@@ -183,7 +183,7 @@
     // Discovery, signals, operators. ------------------------------------------------------------------
 
     void trouble_discovery() {
-        fakes::Directory::Manner manner;
+        fakes::Discovery::Manner manner;
         const std::size_t kind = pick(5);
         if (kind == 0) manner.silent = true;
         if (kind == 1) manner.holds = true;
--- a/tests/terms/terms_test.cpp
+++ b/tests/terms/terms_test.cpp
@@ -66,7 +66,7 @@
     ask_all();
     world.run(0.1);
     if (silent_discovery) {
-        fakes::Directory::Manner manner;
+        fakes::Discovery::Manner manner;
         manner.silent = true;
         world.discovery[0]->behave(manner);
     }
@@ -94,7 +94,7 @@
     options.more_listed = more;
     options.known = false;
     World world(options);
-    fakes::Directory::Manner manner;
+    fakes::Discovery::Manner manner;
     manner.always_whole = always_whole;
     for (const auto& one : world.discovery) one->behave(manner);
     world.start();
@@ -214,7 +214,7 @@
     world.run(0.5);
     world.set_phase(0, "Terminating");
     world.run(1);
-    fakes::Directory::Manner manner;
+    fakes::Discovery::Manner manner;
     manner.silent = true;
     for (const auto& one : world.discovery) one->behave(manner);
     world.start_heir();
@@ -252,7 +252,7 @@
     CAPTURE(delay);
     Options options;
     World world(options);
-    fakes::Directory::Manner manner;
+    fakes::Discovery::Manner manner;
     manner.delay_s = delay;
     for (const auto& one : world.discovery) one->behave(manner);
     world.start();
@@ -275,7 +275,7 @@
     world.start();
     load(world, 40);
     world.run(1);
-    fakes::Directory::Manner manner;
+    fakes::Discovery::Manner manner;
     manner.silent = true;
     world.discovery[0]->behave(manner);   // the open watch is lost
     world.run(0.1);
@@ -361,7 +361,7 @@
     world.start();
     load(world, 100);
     world.run(0.5);
-    fakes::Directory::Manner manner;
+    fakes::Discovery::Manner manner;
     manner.holds = true;
     world.discovery[0]->behave(manner);
     if (refuses) world.discovery[0]->end();
@@ -569,7 +569,7 @@
     CAPTURE(trouble);
     Options options;
     World world(options);
-    fakes::Directory::Manner manner;
+    fakes::Discovery::Manner manner;
     manner.silent = trouble == "silent";
     manner.turns_away = trouble == "turns away";
     manner.delay_s = trouble == "slow" ? 1.0 : 0;
--- a/tests/terms/world.cpp
+++ b/tests/terms/world.cpp
@@ -174,7 +174,7 @@
     for (std::size_t i = 0; i < options.backends; ++i)
         backends.push_back(std::make_unique<Backend>(*this, i));
     for (int i = 0; i < 2; ++i) {
-        discovery[i] = std::make_unique<fakes::Directory>(timers, address_of(discovery_port[i]), members());
+        discovery[i] = std::make_unique<fakes::Discovery>(timers, address_of(discovery_port[i]), members());
         std::string why;
         REQUIRE(discovery[i]->start(why));
     }
@@ -187,8 +187,8 @@
     for (const auto& client : clients) client->leave();
 }
 
-std::vector<fakes::Directory::Member> World::members() const {
-    std::vector<fakes::Directory::Member> all;
+std::vector<fakes::Discovery::Member> World::members() const {
+    std::vector<fakes::Discovery::Member> all;
     for (const auto& one : backends) all.push_back({one->id(), address_of(one->port)});
     const std::string shared = backends.empty() ? "" : std::to_string(backends[0]->port);
     for (std::size_t i = 0; i < options.more_ready; ++i)
--- a/tests/terms/world.hpp
+++ b/tests/terms/world.hpp
@@ -187,7 +187,7 @@
     std::vector<std::unique_ptr<Backend>> backends;
     std::deque<Request> requests;
     std::vector<std::shared_ptr<Client>> clients;
-    std::unique_ptr<fakes::Directory> discovery[2];
+    std::unique_ptr<fakes::Discovery> discovery[2];
     int discovery_port[2] = {rig::fleet_port(), rig::fleet_port()};
     Process process, heir;
     const double began_at = slatejunction::net::now();
@@ -201,7 +201,7 @@
     friend class Backend;
     friend class Client;
     std::vector<std::string> command(int admin) const;
-    std::vector<fakes::Directory::Member> members() const;
+    std::vector<fakes::Discovery::Member> members() const;
     void look_after_process();
     slatejunction::net::Timer tick_;
     std::vector<std::unique_ptr<slatejunction::net::Timer>> repeating_;
