--- a/src/app/quota_component.cpp
+++ b/src/app/quota_component.cpp
@@ -62,7 +62,7 @@
 
 void QuotaPart::on_first_attempt(const client::ClientRequest& i, ingress::FilterState& mark, bool) {
     driver_.consume(i.customer, plan_number(i.plan), doors_of(i), i.units);
-    mark = this;   // its units are drawn
+    mark = &units_consumed_;
 }
 
 slatejunction::RejectReason QuotaPart::on_rate_limited(ingress::FilterState) {
--- a/src/app/quota_component.hpp
+++ b/src/app/quota_component.hpp
@@ -33,6 +33,7 @@
 
     const std::vector<slatejunction::Plan> plans_;
     quota::Driver driver_;
+    ingress::RequestFilterState units_consumed_;   // marks requests whose units were consumed
     std::uint64_t losses_ = 0;   // counted
 };
 
--- a/src/app/rules_component.hpp
+++ b/src/app/rules_component.hpp
@@ -32,7 +32,7 @@
     std::string take(const operator_config::Options& fresh) override;
 
   private:
-    struct Judged {
+    struct Judged : ingress::RequestFilterState {
         rules::RequestVerdict verdict;
         std::uint64_t rules = 0;   // which made it, as they were counted
     };
--- a/src/ingress/extensions.hpp
+++ b/src/ingress/extensions.hpp
@@ -1,6 +1,9 @@
-// How a part joins the ingress: small interfaces, each for one moment, and a part offers only those that it
-// needs. The ingress asks whoever is listed and knows none of them by name; with nothing listed it does
-// nothing for them. Whoever is listed lives longer than the ingress serves.
+// The interfaces by which a component extends the ingress: request filter, endpoint list filter, handler of
+// operators' calls, state transfer. A component implements only those that it needs, and registers them
+// with Ingress.
+//
+// Ownership: the ingress owns no extension; each lives longer than the ingress serves. RequestFilter is
+// called by RequestDispatcher, EndpointListFilter by EndpointUpdates, the others by Ingress.
 #pragma once
 
 #include <functional>
@@ -16,50 +19,61 @@
 
 inline constexpr std::size_t kMaxRequestFilters = 4;
 
-// What a judge remembers of one request: null at first, given back to it with each call, never read by
-// anybody else.
-using FilterState = void*;
+/// Base of what a filter remembers of one request. Owned by the filter, which knows the derived type.
+struct RequestFilterState {};
 
-// Says something of each request before the module hears of it, and is told what became of it.
+/// A filter's state of one request: null until the filter sets it, passed to each of its calls for that
+/// request.
+using FilterState = RequestFilterState*;
+
+/// Sees each request before the gateway does, and is notified of its progress.
 class RequestFilter {
   public:
     virtual ~RequestFilter() = default;
-    // May fill in subset, spill and over_limit_s; a wait is only ever raised.
-    virtual void on_request(client::ClientRequest& invocation, slatejunction::Request& request,
-                            FilterState& mark) = 0;
-    // The first attempt goes out now.
-    virtual void on_first_attempt(const client::ClientRequest& invocation, FilterState& mark,
-                                  bool spilled) = 0;
-    // It was refused for the wait that this judge had asked for. Returns how that refusal is to be counted.
-    virtual slatejunction::RejectReason on_rate_limited(FilterState mark) = 0;
-    virtual void on_request_end(const client::ClientRequest& invocation, FilterState mark) = 0;
+    /// May set `request`'s subset and subset_fallback, and raise its rate_limit_retry_after_s (s).
+    virtual void on_request(client::ClientRequest& client_request, slatejunction::Request& request,
+                            FilterState& state) = 0;
+    /// The first attempt starts. `used_fallback`: outside of the subset.
+    virtual void on_first_attempt(const client::ClientRequest& client_request, FilterState& state,
+                                  bool used_fallback) = 0;
+    /// The request is rejected for the rate limit that this filter has set. Returns the reason to be
+    /// counted.
+    virtual slatejunction::RejectReason on_rate_limited(FilterState state) = 0;
+    /// The last call for this request: it has been answered and its attempts have ended, or the ingress
+    /// ends.
+    virtual void on_request_end(const client::ClientRequest& client_request, FilterState state) = 0;
+    /// The filter reads ClientRequest::headers.
     virtual bool wants_headers() const { return false; }
+    /// Tags of the request (number and value) for the observer.
     virtual std::span<const std::pair<std::size_t, std::string>> tags(FilterState) const { return {}; }
 };
 
-// Lays something over the list of providers on its way to the module.
+/// Changes each endpoint list on its way to the gateway.
 class EndpointListFilter {
   public:
     virtual ~EndpointListFilter() = default;
+    /// `now`: s, net::now().
     virtual void apply_to(double now, slatejunction::EndpointUpdate& list) = 0;
 };
 
-// Takes operators' calls before the ingress does.
+/// Gets operators' calls before the ingress does.
 class AdminCallExtension {
   public:
     virtual ~AdminCallExtension() = default;
-    // False: it is not for this part. Else `reply` is called once, now or later.
+    /// False: the call is not for this extension. Else `reply` is called once, now or later.
     virtual bool on_call(const admin::AdminCall& call, std::function<void(admin::AdminReply)>& reply) = 0;
 };
 
-// Has something that an upgrade hands from the old process to the new one.
+/// Has state that passes from the old to the new process of a hot restart.
 class StateTransfer {
   public:
     virtual ~StateTransfer() = default;
-    // This is the old process, and the new one accepts from now on: what it is to get; empty: nothing.
+    /// In the old process, when the new one accepts. Empty: there is nothing to transfer.
     virtual std::string serialize_state() = 0;
-    virtual void restore_state(std::string_view what) = 0;   // this is the new one
-    virtual void on_process_leaving() = 0;                   // this process ends, or has given
+    /// In the new process: what the old one has serialized.
+    virtual void restore_state(std::string_view what) = 0;
+    /// This process ends, or has handed over.
+    virtual void on_process_leaving() = 0;
 };
 
 }   // namespace slatejunction::ingress
--- a/src/ingress/observer.hpp
+++ b/src/ingress/observer.hpp
@@ -1,4 +1,7 @@
-// What the program tells whoever counts and records: nothing of it comes back.
+// What the ingress reports to whoever counts and records requests (telemetry). Nothing comes back.
+//
+// RequestObserver is called by RequestDispatcher and lives longer; Gauges are returned by
+// Ingress::gauges().
 #pragma once
 
 #include <cstddef>
@@ -12,34 +15,37 @@
 
 namespace slatejunction::ingress {
 
-// The one final answer of an invocation, or that its consumer has left.
+/// The one final answer of a request, or that its client has disconnected. Valid during the call only.
 struct RequestSummary {
     enum class Result { served, rejected, failed };
     const client::ClientRequest& request;
     Result result = Result::served;
-    std::string_view reason;               // of a refusal: as metrics::kReasons names it; else what failed
-    std::size_t reject_reason_index = 0;   // its number there
-    std::string_view backend;              // the last one called; empty: none
+    std::string_view reason;               // rejected: of metrics::kReasons; failed: what failed
+    std::size_t reject_reason_index = 0;   // of `reason` in metrics::kReasons
+    std::string_view backend;              // of the latest attempt; empty: none
     std::size_t attempts = 0;
-    double seconds = 0;                                               // from the request's last byte
+    double seconds = 0;                                               // since the request's last byte
     std::span<const std::pair<std::size_t, std::string>> tags = {};   // of the rules: number, value
 };
 
 class RequestObserver {
   public:
     virtual ~RequestObserver() = default;
-    virtual void on_request_end(const RequestSummary& finish) = 0;
-    virtual void on_attempt_end(slatejunction::AttemptResult outcome) = 0;
-    virtual void on_quota_report() = 0;   // an answer told a customer's use
+    /// Before the answer is written.
+    virtual void on_request_end(const RequestSummary& summary) = 0;
+    virtual void on_attempt_end(slatejunction::AttemptResult result) = 0;
+    /// An answer of a backend contained a customer's quota use.
+    virtual void on_quota_report() = 0;
+    /// Of the requests outside of subsets, 0 to 1.
     virtual void on_admitted_fraction(double fraction) = 0;
-    virtual void on_bad_request() = 0;   // a request that could not be taken
+    /// A request could not be read, or not by a backend.
+    virtual void on_bad_request() = 0;
 };
 
-// What stands at this moment.
+/// Current values.
 struct Gauges {
-    std::size_t open_requests = 0, client_connections = 0,
-                backend_connections = 0;                       // requests; connections of each side
-    std::size_t serving_backends = 0, draining_backends = 0;   // providers
+    std::size_t open_requests = 0, client_connections = 0, backend_connections = 0;
+    std::size_t serving_backends = 0, draining_backends = 0;
     std::size_t client_bytes = 0, backend_bytes = 0, client_bytes_limit = 0, backend_bytes_limit = 0;
     std::size_t descriptors = 0, descriptors_limit = 0;
     double memory_limit_bytes = 0;
