--- a/src/backend/idle_lifetime.hpp
+++ b/src/backend/idle_lifetime.hpp
@@ -1,6 +1,9 @@
-// How long a connection may have stood idle and still carry a call. Providers may end idle connections long
-// before the time that the settings state, and a call that crosses such an end counts as one that may have
-// run: what became of earlier calls tells from which idle time on that is likely.
+// How long a connection may have been idle and still carry an attempt, learned from resets of earlier
+// attempts. Backends may close idle connections long before the keep-alive time of the settings, and an
+// attempt that crosses such a close counts as one that may have run.
+//
+// Input: idle times and resets, times in s (net::now()). Output: a limit in s. Pure: no I/O, no clock.
+// Owned and called by ConnectionPool.
 #pragma once
 
 #include <array>
@@ -10,21 +13,23 @@
 
 class IdleLifetime {
   public:
-    // A call went out on a connection that had been idle so long (below 0: a new one). `broke`: it was
-    // reset at once, before any of an answer.
-    void record_use(double idle_s, bool broke, double now);
-    // s; idle connections older than that break more often than new ones do, by more than a dial is worth.
+    /// An attempt was written to a connection that had been idle for `idle_s` (below 0: a new one).
+    /// `was_reset`: it was reset at once, before any of an answer.
+    void record_use(double idle_s, bool was_reset, double now);
+    /// The shortest idle time (s) from which connections are reset too much more often than new ones;
+    /// infinite: none.
     double limit_s(double now) const;
 
   private:
-    struct Count {
-        double calls = 0, broke = 0, at = 0;
-        Count faded(double now) const;
-        double rate(double now) const;
+    struct CallCounts {
+        double calls = 0, resets = 0, at = 0;
+        CallCounts decayed(double now) const;
+        double reset_rate(double now) const;
     };
-    static constexpr std::size_t kSteps = 11;   // each twice as old as the one before, the last is open
-    std::array<Count, kSteps> by_age_;
-    Count new_;
+    static constexpr std::size_t kSteps =
+        11;   // each up to twice the age of the one before, the last without end
+    std::array<CallCounts, kSteps> by_age_;
+    CallCounts new_connections_;
 };
 
 }   // namespace slatejunction::backend
--- a/src/client/arrival_times.cpp
+++ b/src/client/arrival_times.cpp
@@ -5,14 +5,14 @@
 namespace slatejunction::client {
 namespace {
 
-constexpr double kTogether = 0.005;   // s; bytes that come so soon one after another count with the first
+constexpr double kMaxPieceGapS = 0.005;   // closer bytes count as one piece
 
 }   // namespace
 
 void ArrivalTimes::add(std::size_t size, double at) {
     if (size == 0) return;
     size_ += size;
-    if (!pieces_.empty() && at - pieces_.back().at < kTogether)
+    if (!pieces_.empty() && at - pieces_.back().at < kMaxPieceGapS)
         pieces_.back().size += size;
     else
         pieces_.push_back({size, at});
@@ -27,12 +27,12 @@
 }
 
 void ArrivalTimes::keep_last(std::size_t size) {
-    std::size_t over = size_ - std::min(size, size_);
-    size_ -= over;
+    std::size_t dropped = size_ - std::min(size, size_);
+    size_ -= dropped;
     auto piece = pieces_.begin();
-    for (; piece != pieces_.end() && over >= piece->size; ++piece) over -= piece->size;
+    for (; piece != pieces_.end() && dropped >= piece->size; ++piece) dropped -= piece->size;
     pieces_.erase(pieces_.begin(), piece);
-    if (!pieces_.empty()) pieces_.front().size -= over;
+    if (!pieces_.empty()) pieces_.front().size -= dropped;
 }
 
 }   // namespace slatejunction::client
--- a/src/client/client_request.cpp
+++ b/src/client/client_request.cpp
@@ -13,14 +13,13 @@
     return !text.empty() && fault == std::errc() && end == text.data() + text.size();
 }
 
-// How far a stated deadline may lie over its class's: both are rounded.
-constexpr double kDeadlineSlack = 1.01;
+// A stated deadline may be so many times its class's: both are rounded.
+constexpr double kDeadlineTolerance = 1.01;
 
-// units=2,spread=3,first=1, each once. What lies outside the settings is no request of this deployment: it
-// must neither reach a provider nor move the decisions on the customer that it names.
-bool read_terms(std::string_view text, const slatejunction::Settings& settings, ClientRequest& invocation) {
+// units=2,spread=3,first=1, each once and within the settings.
+bool read_terms(std::string_view text, const slatejunction::Settings& settings, ClientRequest& request) {
     int units = 0, spread = 0, first = 0;
-    std::uint32_t doors = 0, door = 0;
+    std::uint32_t ingress_count = 0, first_ingress = 0;
     while (!text.empty()) {
         const std::size_t comma = std::min(text.find(','), text.size());
         std::string_view part = text.substr(0, comma);
@@ -31,21 +30,21 @@
             ++seen;
             return read(part.substr(name.size()), value);
         };
-        if (!number("units=", units, invocation.units) || !number("spread=", spread, doors) ||
-            !number("first=", first, door))
+        if (!number("units=", units, request.units) || !number("spread=", spread, ingress_count) ||
+            !number("first=", first, first_ingress))
             return false;
     }
     if (units != 1 || spread != 1 || first != 1) return false;
-    invocation.ingress_count = doors;
-    invocation.first_ingress = door;
+    request.ingress_count = ingress_count;
+    request.first_ingress = first_ingress;
     const bool bounded = settings.max_request_units > 0;
-    return std::isfinite(invocation.units) && invocation.units > 0 &&
-           (!bounded || invocation.units <= settings.max_request_units) && doors >= 1 &&
+    return std::isfinite(request.units) && request.units > 0 &&
+           (!bounded || request.units <= settings.max_request_units) && ingress_count >= 1 &&
            (settings.ingress_count < 1 ||
-            (doors <= settings.ingress_count && door < settings.ingress_count));
+            (ingress_count <= settings.ingress_count && first_ingress < settings.ingress_count));
 }
 
-// Once, as 16 hexadecimal digits of a number below 2^33.
+// customer= once, 16 hexadecimal digits of a number below 2^33.
 bool read_customer(std::string_view target, std::uint64_t& customer) {
     const std::size_t mark = target.find('?');
     std::string_view query = mark == std::string_view::npos ? std::string_view() : target.substr(mark + 1);
@@ -63,8 +62,8 @@
 }   // namespace
 
 bool ClientRequest::client_disconnected() const {
-    const auto one = response_writer.lock();
-    return one && one->client_disconnected();
+    const auto writer = response_writer.lock();
+    return writer && writer->client_disconnected();
 }
 
 std::string_view first_part(std::string_view target) {
@@ -75,51 +74,51 @@
 const slatejunction::ServiceClass* find_class(const slatejunction::Settings& settings,
                                               std::string_view name) {
     const auto at = std::find_if(settings.classes.begin(), settings.classes.end(),
-                                 [&](const auto& one) { return one.name == name; });
+                                 [&](const auto& writer) { return writer.name == name; });
     return at == settings.classes.end() ? nullptr : &*at;
 }
 
 std::string_view read_request(const http::Head& head, const slatejunction::Settings& settings, double now,
-                              ClientRequest& invocation) {
-    invocation.method = head.first;
-    invocation.target = head.second;
-    // Two fields of one name are two readings of the request: neither is taken.
+                              ClientRequest& request) {
+    request.method = head.first;
+    request.target = head.second;
     bool repeated = false;
     const auto field = [&](std::string_view name) {
         const std::string_view* value = head.find(name, &repeated);
         return value ? *value : std::string_view();
     };
-    invocation.request_id = field("x-request-id");
-    invocation.service_class = field("x-class");
-    invocation.plan = field("x-tier");
-    invocation.content_type = field("content-type");
-    invocation.idempotency_key = field("idempotency-key");
-    invocation.is_client_retry = field("x-retry") == "1";
+    request.request_id = field("x-request-id");
+    request.service_class = field("x-class");
+    request.plan = field("x-tier");
+    request.content_type = field("content-type");
+    request.idempotency_key = field("idempotency-key");
+    request.is_client_retry = field("x-retry") == "1";
     const std::string_view deadline = field("x-deadline");
-    const std::string_view terms = field("x-call-terms");
-    double wait = 0;
+    const std::string_view call_terms = field("x-call-terms");
+    double timeout_s = 0;
     if (repeated) return "a repeated field";
-    if (invocation.request_id.empty()) return "X-Request-Id";
-    const slatejunction::ServiceClass* service = find_class(settings, first_part(invocation.target));
-    if (!service || invocation.service_class != service->name) return "X-Class";
+    if (request.request_id.empty()) return "X-Request-Id";
+    const slatejunction::ServiceClass* service = find_class(settings, first_part(request.target));
+    if (!service || request.service_class != service->name) return "X-Class";
     // The class determines the method.
     const bool repeatable = service->idempotency == slatejunction::Idempotency::idempotent;
-    if (invocation.method != (repeatable ? "GET" : "POST")) return "method";
-    // Without it a provider would run a repeat as another request.
+    if (request.method != (repeatable ? "GET" : "POST")) return "method";
+    // By it backends recognise a retry.
     if (service->idempotency == slatejunction::Idempotency::idempotency_key &&
-        invocation.idempotency_key.empty())
+        request.idempotency_key.empty())
         return "Idempotency-Key";
     if (!settings.plans.empty() &&
         std::none_of(settings.plans.begin(), settings.plans.end(),
-                     [&](const auto& plan) { return plan.name == invocation.plan; }))
+                     [&](const auto& plan) { return plan.name == request.plan; }))
         return "X-Tier";
-    if (!read(deadline, wait) || !std::isfinite(wait) || wait < 0) return "X-Deadline";
-    if (service->deadline_s > 0 && wait > kDeadlineSlack * service->deadline_s) return "X-Deadline";
-    if (!read_terms(terms, settings, invocation)) return "X-Call-Terms";
-    if (!read_customer(invocation.target, invocation.customer)) return "customer";
-    invocation.arrived_at_s = now;
-    invocation.timeout_s = wait;
-    invocation.deadline_at_s = now + wait;
+    if (!read(deadline, timeout_s) || !std::isfinite(timeout_s) || timeout_s < 0) return "X-Deadline";
+    if (service->deadline_s > 0 && timeout_s > kDeadlineTolerance * service->deadline_s)
+        return "X-Deadline";
+    if (!read_terms(call_terms, settings, request)) return "X-Call-Terms";
+    if (!read_customer(request.target, request.customer)) return "customer";
+    request.arrived_at_s = now;
+    request.timeout_s = timeout_s;
+    request.deadline_at_s = now + timeout_s;
     return {};
 }
 
--- a/src/client/server.cpp
+++ b/src/client/server.cpp
@@ -8,41 +8,42 @@
 namespace slatejunction::client {
 namespace {
 
-// s; a session whose time is up but which has bytes waiting: this program may have stood still
-constexpr double kStoodStill = 0.4;
-constexpr std::size_t kMany = 4;   // of the room for sessions, the part from which there are many
+// A session past its time limit with unread bytes is left alone for so long: this process may have been
+// paused.
+constexpr double kMaxProcessPauseS = 0.4;
+constexpr std::size_t kManySessionsPart = 4;   // many: more than 1/4 of the limit
 
 }   // namespace
 
-struct Server::Linked : Session {
-    explicit Linked(SessionController& host) : Session(host) { attach(stream); }
+struct Server::ConnectedSession : Session {
+    explicit ConnectedSession(SessionController& host) : Session(host) { attach(stream); }
     net::Stream stream{*this};
 };
 
-Server::Server(SessionController& host, net::Timers& timers, std::size_t most)
-    : host_(host),
-      most_(most),
+Server::Server(SessionController& host, net::Timers& timers, std::size_t max_sessions)
+    : controller_(host),
+      max_sessions_(max_sessions),
       listener_(
-          timers, [this] { return room(); }, [this](net::Ref<GSocket> socket) { take(std::move(socket)); },
+          timers, [this] { return make_room(); },
+          [this](net::Ref<GSocket> socket) { add_session(std::move(socket)); },
           [this](const char* why) {
-              host_.on_accept_error(why);
-              spare_one();
+              controller_.on_accept_error(why);
+              evict_one();
           }) {}
 
-// A request counts as taken once it lies in a connection that the machine has accepted, so a full house
-// gives up a connection rather than leave others waiting in the backlog. Guards against consumers that
-// connect by hundreds and say nothing: those go first, before one that was of use.
-bool Server::room() { return sessions_.size() < most_ || spare_one(); }
+// At the limit a session is evicted rather than leave connections in the backlog, where a request may wait
+// already. Silent sessions are evicted first.
+bool Server::make_room() { return sessions_.size() < max_sessions_ || evict_one(); }
 
-bool Server::spare_one() {
-    Session* best = net::evict_idle(sessions_, net::now());
-    if (!best) return false;
-    best->end();
+bool Server::evict_one() {
+    Session* evicted = net::evict_idle(sessions_, net::now());
+    if (!evicted) return false;
+    evicted->end();
     return true;
 }
 
-void Server::take(net::Ref<GSocket> socket) {
-    const auto linked = std::make_shared<Linked>(host_);
+void Server::add_session(net::Ref<GSocket> socket) {
+    const auto linked = std::make_shared<ConnectedSession>(controller_);
     sessions_.emplace(linked.get(), linked);
     linked->stream.adopt(std::move(socket));
 }
@@ -53,20 +54,21 @@
 }
 
 void Server::close_expired(double now) {
-    std::vector<std::shared_ptr<Linked>> all;
-    const bool many = sessions_.size() > most_ / kMany;
+    std::vector<std::shared_ptr<ConnectedSession>> all;
+    const bool many = sessions_.size() > max_sessions_ / kManySessionsPart;
     for (const auto& [session, linked] : sessions_) {
-        const double over = now - session->expires_at(many);
-        if (over >= 0 && (over > kStoodStill || !linked->stream.readable())) all.push_back(linked);
+        const double overdue_s = now - session->expires_at(many);
+        if (overdue_s >= 0 && (overdue_s > kMaxProcessPauseS || !linked->stream.readable()))
+            all.push_back(linked);
     }
     for (const auto& linked : all) linked->expire();
-    while (sessions_.size() > most_ && spare_one()) {
+    while (sessions_.size() > max_sessions_ && evict_one()) {
     }
-    listener_.poke();   // with time, others than before can be spared
+    listener_.poke();   // eviction_rank() changes with time
 }
 
 void Server::close_idle(double now, double idle_s) {
-    std::vector<std::shared_ptr<Linked>> all;
+    std::vector<std::shared_ptr<ConnectedSession>> all;
     for (const auto& [session, linked] : sessions_)
         if ((session->idle() || session->closing()) && now - session->since() > idle_s &&
             !linked->stream.readable())
@@ -75,29 +77,29 @@
 }
 
 void Server::reject_partial_requests(double retry_after_s) {
-    std::vector<std::shared_ptr<Linked>> all;
+    std::vector<std::shared_ptr<ConnectedSession>> all;
     for (const auto& [session, linked] : sessions_)
         if (session->has_partial_request()) all.push_back(linked);
     for (const auto& linked : all) linked->reject_partial_request(retry_after_s);
 }
 
 void Server::close_all() {
-    std::vector<std::shared_ptr<Linked>> all;
+    std::vector<std::shared_ptr<ConnectedSession>> all;
     for (const auto& [session, linked] : sessions_) all.push_back(linked);
     for (const auto& linked : all) linked->end();
 }
 
-// Silent sessions on which bytes wait are known in a moment: they tell nothing now.
+// Silent sessions with unread bytes are left out: what they carry is not known yet.
 Server::SessionCounts Server::session_counts() const {
-    SessionCounts census;
+    SessionCounts counts;
     for (const auto& [session, linked] : sessions_) {
         if (session->checked_only()) continue;
         if (!session->silent())
-            ++census.in_use;
+            ++counts.in_use;
         else if (!linked->stream.readable())
-            census.last_unused_at = std::max(census.last_unused_at, session->since());
+            counts.last_unused_at = std::max(counts.last_unused_at, session->since());
     }
-    return census;
+    return counts;
 }
 
 }   // namespace slatejunction::client
--- a/src/discovery/endpoint_list.cpp
+++ b/src/discovery/endpoint_list.cpp
@@ -64,33 +64,34 @@
     return !entry.backend.empty() && (entry.state != EndpointState::serving || net::parse_address(address));
 }
 
-// Each member that can be read; how many can't.
-int read_members(const rapidjson::Value& members, const UnixTimeConverter& clock, EndpointList& listing) {
+// Returns how many members can't be read.
+int read_members(const rapidjson::Value& members, const UnixTimeConverter& clock,
+                 EndpointList& endpoint_list) {
     int broken = 0;
-    listing.update.endpoints.clear();
-    listing.addresses.clear();
-    listing.up_since_ms.clear();
-    listing.unparsed_ids.clear();
+    endpoint_list.update.endpoints.clear();
+    endpoint_list.addresses.clear();
+    endpoint_list.up_since_ms.clear();
+    endpoint_list.unparsed_ids.clear();
     for (const rapidjson::Value& member : members.GetArray()) {
         slatejunction::Endpoint entry;
         std::string address;
         double up_since_ms = 0;
         if (!read_entry(member, clock, entry, address, up_since_ms)) {
             ++broken;
-            if (!entry.backend.empty()) listing.unparsed_ids.push_back(std::move(entry.backend));
+            if (!entry.backend.empty()) endpoint_list.unparsed_ids.push_back(std::move(entry.backend));
             continue;
         }
-        listing.update.endpoints.push_back(std::move(entry));
-        listing.addresses.push_back(std::move(address));
-        listing.up_since_ms.push_back(up_since_ms);
+        endpoint_list.update.endpoints.push_back(std::move(entry));
+        endpoint_list.addresses.push_back(std::move(address));
+        endpoint_list.up_since_ms.push_back(up_since_ms);
     }
     return broken;
 }
 
 }   // namespace
 
-bool read_endpoint_list(const rapidjson::Value& json, const UnixTimeConverter& clock, EndpointList& listing,
-                        int& broken) {
+bool read_endpoint_list(const rapidjson::Value& json, const UnixTimeConverter& clock,
+                        EndpointList& endpoint_list, int& broken) {
     broken = 0;
     if (!json.IsObject()) return false;
     const auto revision = json.FindMember("revision"), complete = json.FindMember("complete"),
@@ -98,24 +99,24 @@
     if (revision == json.MemberEnd() || !revision->value.IsInt64() || complete == json.MemberEnd() ||
         !complete->value.IsBool() || members == json.MemberEnd() || !members->value.IsArray())
         return false;
-    listing.revision = revision->value.GetInt64();
-    broken = read_members(members->value, clock, listing);
-    const bool all_named = static_cast<std::size_t>(broken) == listing.unparsed_ids.size();
-    listing.update.kind =
+    endpoint_list.revision = revision->value.GetInt64();
+    broken = read_members(members->value, clock, endpoint_list);
+    const bool all_named = static_cast<std::size_t>(broken) == endpoint_list.unparsed_ids.size();
+    endpoint_list.update.kind =
         complete->value.GetBool() && all_named ? EndpointUpdateKind::snapshot : EndpointUpdateKind::delta;
     return true;
 }
 
-bool read_cached_list(const rapidjson::Value& json, const UnixTimeConverter& clock, EndpointList& listing,
-                      int& broken) {
+bool read_cached_list(const rapidjson::Value& json, const UnixTimeConverter& clock,
+                      EndpointList& endpoint_list, int& broken) {
     broken = 0;
     if (!json.IsObject()) return false;
     const auto revision = json.FindMember("revision"), members = json.FindMember("members");
     if (members == json.MemberEnd() || !members->value.IsArray()) return false;
-    listing.revision.reset();
+    endpoint_list.revision.reset();
     if (revision != json.MemberEnd() && revision->value.IsInt64())
-        listing.revision = revision->value.GetInt64();
-    broken = read_members(members->value, clock, listing);
+        endpoint_list.revision = revision->value.GetInt64();
+    broken = read_members(members->value, clock, endpoint_list);
     return true;
 }
 
--- a/src/discovery/endpoint_list.hpp
+++ b/src/discovery/endpoint_list.hpp
@@ -1,4 +1,7 @@
-// The directory's list of providers as it comes in JSON, from the directory or from the configuration.
+// The endpoint list as JSON, from discovery or the configuration, and what it becomes here.
+//
+// Input: JSON; starts in Unix ms. Output: EndpointList, with starts in s (net::now()). Pure but for
+// UnixTimeConverter's constructor, which reads both clocks. Called by EndpointWatch and the configuration.
 #pragma once
 
 #include <rapidjson/document.h>
@@ -16,16 +19,16 @@
 struct EndpointList {
     std::optional<std::int64_t> revision;
     slatejunction::EndpointUpdate update;
-    std::vector<std::string> addresses;   // host:port, beside update.entries
-    std::vector<double> up_since_ms;      // the start as it was stated, likewise; 0: long ago
-    // Named by entries that can't be read: these stay as they were.
+    std::vector<std::string> addresses;   // host:port, beside update.endpoints
+    std::vector<double> up_since_ms;      // the stated start, likewise; 0: long ago
+    // Named by entries that can't be read: these backends stay as they were.
     std::vector<std::string> unparsed_ids;
     bool operator==(const EndpointList&) const = default;
 };
 
-// Turns Unix time into the program's monotonic one. Made once: the same start of a provider must give the
-// same figure each time, or the module would take every list for a restart. It is as wrong as the wall
-// clock was then: StartTimes bounds what that may do.
+/// Converts Unix time to this process's monotonic clock. Made once, so that a start converts to the same
+/// time in every list: another time would be a restart to the gateway. It has the wall clock's error of
+/// that moment, which EndpointStartTimes bounds.
 class UnixTimeConverter {
   public:
     UnixTimeConverter();
@@ -35,22 +38,20 @@
     double offset_s_;
 };
 
-// Parses JSON that another system wrote. Iterative: the parser's stack must not grow with what is nested,
-// or some ten thousand brackets would end the program. Faults: json.HasParseError().
+/// Parses JSON of another system, iteratively, as the stack must not grow with what is nested. Errors:
+/// json.HasParseError().
 void parse_json(std::string_view text, rapidjson::Document& json);
 
-// A figure as a whole number; 0 beyond all integers, as the cast of such a number has no defined value.
+/// 0 beyond all integers, where a cast would be undefined.
 std::int64_t to_integer(double value);
 
-// False when it is no list at all. An entry that can't be read is left out and counted in `broken`. A
-// complete list stays one if each such entry names its backend; else it is given as changes, so that it
-// takes none away.
-bool read_endpoint_list(const rapidjson::Value& json, const UnixTimeConverter& clock, EndpointList& listing,
-                        int& broken);
+/// False: it is no list. An entry that can't be read is left out and counted in `broken`. A complete list
+/// is a snapshot only if each such entry names its backend; else it is a delta, so that it removes none.
+bool read_endpoint_list(const rapidjson::Value& json, const UnixTimeConverter& clock,
+                        EndpointList& endpoint_list, int& broken);
 
-// The same for a copy that somebody kept: its members count whatever else is missing, as the directory's
-// own list follows. Without a revision that can be read it has none.
-bool read_cached_list(const rapidjson::Value& json, const UnixTimeConverter& clock, EndpointList& listing,
-                      int& broken);
+/// The same for a cached list, which needs no revision: discovery's own list follows.
+bool read_cached_list(const rapidjson::Value& json, const UnixTimeConverter& clock,
+                      EndpointList& endpoint_list, int& broken);
 
 }   // namespace slatejunction::discovery
--- a/src/discovery/endpoint_start_times.cpp
+++ b/src/discovery/endpoint_start_times.cpp
@@ -6,64 +6,66 @@
 namespace slatejunction::discovery {
 namespace {
 
-// s; a backend that no list names is remembered for so long: it may have been cut off and not restarted.
-constexpr double kRemembered = 600.0;
+// A backend that no list names any more may be listed again without a restart.
+constexpr double kUnlistedMemoryS = 600.0;
 
 }   // namespace
 
-void EndpointStartTimes::resolve(EndpointList& listing, double now) {
-    for (std::size_t i = listing.up_since_ms.size(); i < listing.update.endpoints.size(); ++i) {
-        const auto known = starts_.find(listing.update.endpoints[i].backend);
-        listing.up_since_ms.push_back(known == starts_.end() ? 0 : known->second.up_since_ms);
+void EndpointStartTimes::resolve(EndpointList& endpoint_list, double now) {
+    for (std::size_t i = endpoint_list.up_since_ms.size(); i < endpoint_list.update.endpoints.size(); ++i) {
+        const auto known = starts_.find(endpoint_list.update.endpoints[i].backend);
+        endpoint_list.up_since_ms.push_back(known == starts_.end() ? 0 : known->second.up_since_ms);
     }
     std::vector<std::size_t> newcomers;
-    for (std::size_t i = 0; i < listing.update.endpoints.size(); ++i) {
-        slatejunction::Endpoint& entry = listing.update.endpoints[i];
+    for (std::size_t i = 0; i < endpoint_list.update.endpoints.size(); ++i) {
+        slatejunction::Endpoint& entry = endpoint_list.update.endpoints[i];
         if (entry.state == slatejunction::EndpointState::removed) continue;
-        const double stated = listing.up_since_ms[i];
+        const double stated = endpoint_list.up_since_ms[i];
         const auto known = starts_.find(entry.backend);
         if (known != starts_.end() && known->second.up_since_ms == stated)
-            entry.started_at_s = known->second.born_s;
-        else if (stated > 0 && compares_)
+            entry.started_at_s = known->second.started_at_s;
+        else if (stated > 0 && has_reference_list_)
             newcomers.push_back(i);
         else
             entry.started_at_s = std::min(entry.started_at_s, now);
     }
     for (const std::size_t i : newcomers)
-        least_lag_s_ = std::min(least_lag_s_, now - listing.update.endpoints[i].started_at_s);
+        min_lag_s_ = std::min(min_lag_s_, now - endpoint_list.update.endpoints[i].started_at_s);
     for (const std::size_t i : newcomers) {
-        slatejunction::Endpoint& entry = listing.update.endpoints[i];
-        const double age = now - entry.started_at_s - least_lag_s_;
+        slatejunction::Endpoint& entry = endpoint_list.update.endpoints[i];
+        const double age = now - entry.started_at_s - min_lag_s_;
         entry.started_at_s = now - std::clamp(age, 0.0, std::max(0.0, now - last_list_at_));
     }
-    for (std::size_t i = 0; i < listing.update.endpoints.size(); ++i)
-        remember(listing.update.endpoints[i], listing.up_since_ms[i], now);
-    if (listing.update.kind != slatejunction::EndpointUpdateKind::delta) unlist_unnamed(listing, now);
-    compares_ = compares_ || listing.update.kind != slatejunction::EndpointUpdateKind::delta;
+    for (std::size_t i = 0; i < endpoint_list.update.endpoints.size(); ++i)
+        remember(endpoint_list.update.endpoints[i], endpoint_list.up_since_ms[i], now);
+    if (endpoint_list.update.kind != slatejunction::EndpointUpdateKind::delta)
+        unlist_unnamed(endpoint_list, now);
+    has_reference_list_ =
+        has_reference_list_ || endpoint_list.update.kind != slatejunction::EndpointUpdateKind::delta;
     last_list_at_ = now;
     forget_old(now);
 }
 
-void EndpointStartTimes::resolve_cached(EndpointList& copy, double now) {
-    for (std::size_t i = 0; i < copy.update.endpoints.size(); ++i) {
-        slatejunction::Endpoint& entry = copy.update.endpoints[i];
+void EndpointStartTimes::resolve_cached(EndpointList& cached, double now) {
+    for (std::size_t i = 0; i < cached.update.endpoints.size(); ++i) {
+        slatejunction::Endpoint& entry = cached.update.endpoints[i];
         entry.started_at_s = std::min(entry.started_at_s, now);
-        remember(entry, copy.up_since_ms[i], now);
+        remember(entry, cached.up_since_ms[i], now);
     }
-    compares_ = compares_ || !copy.update.endpoints.empty();
+    has_reference_list_ = has_reference_list_ || !cached.update.endpoints.empty();
 }
 
-void EndpointStartTimes::adopt(const EndpointList& settled) {
-    for (std::size_t i = 0; i < settled.update.endpoints.size(); ++i)
-        remember(settled.update.endpoints[i], settled.up_since_ms[i], last_list_at_);
-    compares_ = compares_ || !settled.update.endpoints.empty();
+void EndpointStartTimes::adopt(const EndpointList& resolved) {
+    for (std::size_t i = 0; i < resolved.update.endpoints.size(); ++i)
+        remember(resolved.update.endpoints[i], resolved.up_since_ms[i], last_list_at_);
+    has_reference_list_ = has_reference_list_ || !resolved.update.endpoints.empty();
 }
 
-void EndpointStartTimes::restore_stated(EndpointList& listing) const {
-    listing.up_since_ms.clear();
-    for (const slatejunction::Endpoint& entry : listing.update.endpoints) {
+void EndpointStartTimes::restore_stated(EndpointList& endpoint_list) const {
+    endpoint_list.up_since_ms.clear();
+    for (const slatejunction::Endpoint& entry : endpoint_list.update.endpoints) {
         const auto at = starts_.find(entry.backend);
-        listing.up_since_ms.push_back(at == starts_.end() ? 0 : at->second.up_since_ms);
+        endpoint_list.up_since_ms.push_back(at == starts_.end() ? 0 : at->second.up_since_ms);
     }
 }
 
@@ -71,25 +73,28 @@
     if (entry.state == slatejunction::EndpointState::removed) {
         if (const auto at = starts_.find(entry.backend); at != starts_.end()) {
             at->second.listed = false;
-            at->second.named_at = now;
+            at->second.last_named_at = now;
         }
         return;
     }
     starts_[entry.backend] = {up_since_ms, entry.started_at_s, now, true};
 }
 
-void EndpointStartTimes::unlist_unnamed(const EndpointList& listing, double now) {
-    std::unordered_set<std::string_view> named;
-    for (const auto& entry : listing.update.endpoints) named.insert(entry.backend);
+void EndpointStartTimes::unlist_unnamed(const EndpointList& endpoint_list, double now) {
+    std::unordered_set<std::string_view> listed_ids;
+    for (const auto& entry : endpoint_list.update.endpoints) listed_ids.insert(entry.backend);
     for (auto& [id, start] : starts_)
-        if (start.listed && !named.contains(id)) start.listed = false, start.named_at = now;
+        if (start.listed && !listed_ids.contains(id)) {
+            start.listed = false;
+            start.last_named_at = now;
+        }
 }
 
 void EndpointStartTimes::forget_old(double now) {
     if (now < next_sweep_at_) return;
-    next_sweep_at_ = now + kRemembered / 10;
+    next_sweep_at_ = now + kUnlistedMemoryS / 10;
     std::erase_if(starts_, [now](const auto& one) {
-        return !one.second.listed && now - one.second.named_at > kRemembered;
+        return !one.second.listed && now - one.second.last_named_at > kUnlistedMemoryS;
     });
 }
 
--- a/src/discovery/endpoint_watch.hpp
+++ b/src/discovery/endpoint_watch.hpp
@@ -1,4 +1,10 @@
-// Keeps a watch on the directory: one call after another on one connection, fed bytes.
+// Watches discovery: one long poll after another on one connection, each with the revision that is known.
+//
+// Input: bytes of the connection, times in s (net::now()), the revision known at the start. Output:
+// WatchCallbacks, for each endpoint list and each failure. Retries with backoff by itself, for ever. It
+// decides nothing about a backend.
+//
+// Ownership: owned by ingress::EndpointUpdates, together with its transport; called by both.
 #pragma once
 
 #include <functional>
@@ -13,35 +19,36 @@
 
 namespace slatejunction::discovery {
 
-// Bytes of a list, whole or as changes. One of 74,000 backends takes 11 MB, indented twice as much; at most
-// 3,200 are asked for (STANDING, "Beyond this bench").
+/// Bytes of a list: 74,000 backends take 11 MB, indented twice as much.
 inline constexpr std::size_t kMaxListBytes = std::size_t{32} << 20;
 
 class WatchCallbacks {
   public:
     virtual ~WatchCallbacks() = default;
-    virtual void on_endpoint_list(EndpointList& listing) = 0;
-    virtual void on_watch_lost(const char* why) = 0;   // a call failed; another one follows by itself
+    virtual void on_endpoint_list(EndpointList& endpoint_list) = 0;
+    virtual void on_watch_lost(const char* why) = 0;   // a poll failed; the next one follows by itself
 };
 
 class EndpointWatch : public net::Protocol {
   public:
-    // `dial` begins a connection on the transport; false: it failed at once.
-    // `seed`: of the waits, so that many ingresses do not ask in step.
+    /// `host`, `timers` and `clock` live longer. `seed`: of the backoff's jitter, so that ingresses do not
+    /// poll in step.
     EndpointWatch(WatchCallbacks& host, net::Timers& timers, const UnixTimeConverter& clock,
                   std::string authority, std::uint64_t seed);
+    /// `dial` starts a connection on the transport; false: it failed at once.
     void attach(net::Transport& transport, std::function<bool()> dial);
 
-    // s; the longest from when the directory has news and can be reached until they are told here, whatever
-    // state the watch was in: silent, half an answer, refused, reset, turned away, moved or counting anew.
+    /// The longest time (s) from a change, with discovery reachable, to its callback, whatever state the
+    /// watch was in.
     static double notification_bound_s();
-    // `moved`: from another directory, so that nothing may be waited for.
+    /// `moved`: from another address; the first poll does not wait for a change.
     void start(std::optional<std::int64_t> known_revision, bool moved = false);
-    std::optional<std::int64_t> newest_revision() const { return newest_; }   // of the lists taken
-    void poll_now();   // a call now, unless one is out or the directory turns callers away
-    double last_answer_at() const {
-        return heard_at_;
-    }   // s, net::now(): the last whole answer; 0: none yet
+    std::optional<std::int64_t> newest_revision() const {
+        return newest_revision_;
+    }                  // of the lists applied
+    void poll_now();   // unless a poll is out or discovery rejects polls
+    /// s, net::now(); 0: none yet.
+    double last_answer_at() const { return last_answer_at_; }
 
     void on_open() override;
     std::span<char> receive_buffer() override { return parser_.room(buffer_); }
@@ -50,19 +57,19 @@
 
   private:
     void dial();
-    void ask();
-    void take();
-    bool older(const EndpointList& listing);
-    void leave_by(EndpointList& listing);
+    void send_poll();
+    void handle_answer();
+    bool is_stale(const EndpointList& endpoint_list);
+    void apply_departures(EndpointList& endpoint_list);
     void fail(const char* why);
-    void fail(const char* why, double longest_pause_s);
-    void turned_away();
-    void overdue();
+    void fail(const char* why, double max_backoff_s);
+    void on_rejected();
+    void on_timer();
     int wait_ms() const;
-    double answer_within() const;
-    void learn_pace();
+    double answer_timeout_s() const;
+    void estimate_pace();
 
-    WatchCallbacks& host_;
+    WatchCallbacks& callbacks_;
     const UnixTimeConverter& clock_;
     net::Transport* transport_ = nullptr;
     std::function<bool()> dial_;
@@ -70,21 +77,23 @@
     const std::string authority_;
     http::Parser parser_;
     http::Buffer buffer_;
-    // Not a number with a special value: a directory that has just begun counts from 0, and a call that
-    // names no version is answered at once with everything, so that asking again and again would never
-    // pause.
+    // None: the next poll asks for a snapshot, which is answered at once. 0 is a revision.
     std::optional<std::int64_t> revision_;
-    std::optional<std::int64_t> newest_;
-    double older_since_ = 0;   // since when the directory has told nothing but older lists; 0: it has not
+    std::optional<std::int64_t> newest_revision_;
+    double stale_lists_since_ = 0;   // s; since when only older lists have come; 0: not
     int failures_ = 0;
-    bool at_once_ = false;   // the next call waits for no news, as the last one failed or was elsewhere
-    bool patient_ = false;   // the next such call may take long: the last one was given up
-    bool slow_ = false;      // this directory takes long for its answers: a watch call leaves it the time
-    double asked_at_ = 0;    // s, net::now()
-    int turned_away_ = 0;    // in a row
+    bool no_wait_ = false;          // the next poll does not wait for a change
+    bool longer_timeout_ = false;   // such a poll has the longer time limit
+    bool discovery_slow_ = false;   // watch polls wait less and have a longer grace
+    double poll_sent_at_ = 0;       // s
+    int consecutive_rejections_ = 0;
     std::minstd_rand random_;
-    double heard_at_ = 0;
-    enum class State { waiting, dialling, asking } state_ = State::waiting;
+    double last_answer_at_ = 0;
+    enum class State {
+        waiting,    // backoff, until the timer
+        dialling,   // until the connection is up
+        polling     // a poll is out
+    } state_ = State::waiting;
 };
 
 }   // namespace slatejunction::discovery
--- a/src/net/callback_boundary.hpp
+++ b/src/net/callback_boundary.hpp
@@ -1,6 +1,7 @@
-// Where the main loop calls into the program. The loop is C: an exception that leaves a callback would
-// unwind through its frames, which are not made for it, and leave half done whatever it was in the middle
-// of.
+// The boundary between the GLib loop and this program: the loop is C, and no exception may pass through its
+// frames.
+//
+// Functions without state, called by every callback of a GLib source.
 #pragma once
 
 #include <exception>
@@ -8,17 +9,15 @@
 
 namespace slatejunction::net {
 
-// The exit status after an exception in a callback (EX_SOFTWARE of sysexits.h). A bad configuration ends
-// the program with another one.
+/// The exit status after an exception in a callback (EX_SOFTWARE of sysexits.h).
 inline constexpr int kFaultStatus = 70;
 
-// Tells what happened in one line on standard error, waiting for its reader kLastLineMs at most, and ends
-// the process with kFaultStatus. No destructor runs: what they would look at may be half changed.
+/// Writes one line to standard error, waiting for kLastLineMs at most, and ends the process with
+/// kFaultStatus. No destructor runs, as objects may be half changed.
 [[noreturn]] void end_by_fault(const char* what) noexcept;
 
-// Calls `call` for a callback of the loop and returns what it returns. An exception ends the process: it is
-// a fault of this program (those that are expected are handled where they come), and to serve on with a
-// list half changed could send a request twice. Whoever watches the process starts another one.
+/// Returns what `call` returns. An exception ends the process: it is a fault of this program, and to serve
+/// on with half changed state could send a request twice.
 template <class Call>
 auto guarded(Call&& call) noexcept -> decltype(call()) {
     try {
--- a/src/net/datagrams.cpp
+++ b/src/net/datagrams.cpp
@@ -10,11 +10,11 @@
 }
 
 Sender sender_of(GSocketAddress* address) {
-    Sender made;
+    Sender sender;
     const gssize size = g_socket_address_get_native_size(address);
-    if (size > 0 && g_socket_address_to_native(address, &made.address, sizeof made.address, nullptr))
-        made.size = static_cast<socklen_t>(size);
-    return made;
+    if (size > 0 && g_socket_address_to_native(address, &sender.address, sizeof sender.address, nullptr))
+        sender.size = static_cast<socklen_t>(size);
+    return sender;
 }
 
 bool Datagrams::start(GSocketAddress* address, std::string& why) {
@@ -44,32 +44,33 @@
 bool Datagrams::send(GSocketAddress* to, std::string_view bytes) {
     if (!socket_) return false;
     GError* fault = nullptr;
-    const gssize done = g_socket_send_to(socket_.get(), to, bytes.data(), bytes.size(), nullptr, &fault);
+    const gssize sent = g_socket_send_to(socket_.get(), to, bytes.data(), bytes.size(), nullptr, &fault);
     const Error error(fault);
-    return done == static_cast<gssize>(bytes.size());
+    return sent == static_cast<gssize>(bytes.size());
 }
 
 bool Datagrams::send(const Sender& to, std::string_view bytes) {
     if (!socket_ || to.size == 0) return false;
-    const ssize_t done = ::sendto(g_socket_get_fd(socket_.get()), bytes.data(), bytes.size(), MSG_DONTWAIT,
+    const ssize_t sent = ::sendto(g_socket_get_fd(socket_.get()), bytes.data(), bytes.size(), MSG_DONTWAIT,
                                   reinterpret_cast<const sockaddr*>(&to.address), to.size);
-    return done == static_cast<ssize_t>(bytes.size());
+    return sent == static_cast<ssize_t>(bytes.size());
 }
 
 // By recv itself: GIO reports "would block" by allocating.
 void Datagrams::read() {
     Sender sender;
-    for (int i = 0; i < kAtOnce && socket_; ++i) {
+    for (int i = 0; i < kMaxReadsPerWakeup && socket_; ++i) {
         sender.size = sizeof sender.address;
         auto* const from = reinterpret_cast<sockaddr*>(&sender.address);
         const int fd = g_socket_get_fd(socket_.get());
         const ssize_t size =
-            taken_from_ ? ::recvfrom(fd, room_, sizeof room_, MSG_DONTWAIT | MSG_TRUNC, from, &sender.size)
-                        : ::recv(fd, room_, sizeof room_, MSG_DONTWAIT | MSG_TRUNC);
+            on_datagram_from_
+                ? ::recvfrom(fd, buffer_, sizeof buffer_, MSG_DONTWAIT | MSG_TRUNC, from, &sender.size)
+                : ::recv(fd, buffer_, sizeof buffer_, MSG_DONTWAIT | MSG_TRUNC);
         if (size < 0) break;   // also an error that came back for one that was sent
-        const std::size_t got = static_cast<std::size_t>(size);
-        const std::string_view bytes(room_, std::min(got, sizeof room_));
-        taken_from_ ? taken_from_(bytes, sender) : taken_(bytes);
+        const std::size_t received = static_cast<std::size_t>(size);
+        const std::string_view bytes(buffer_, std::min(received, sizeof buffer_));
+        on_datagram_from_ ? on_datagram_from_(bytes, sender) : on_datagram_(bytes);
     }
 }
 
--- a/src/net/datagrams.hpp
+++ b/src/net/datagrams.hpp
@@ -1,5 +1,8 @@
-// A socket for datagrams on the one loop. It reads a bounded number at each wake-up, so that a flood costs
-// the other sources no more than that each round.
+// A UDP socket on the loop.
+//
+// Input: an address, datagrams to send. Output: a callback for each datagram, kMaxReadsPerWakeup at most in
+// one round of the loop, so that a flood does not starve other sources. Owned by the transports of gossip
+// and leases. Longer datagrams than the buffer are cut.
 #pragma once
 
 #include <sys/socket.h>
@@ -14,7 +17,7 @@
 
 namespace slatejunction::net {
 
-// Where a datagram came from, as the system tells it: anybody may have written that.
+/// The source address of a datagram; not authenticated.
 struct Sender {
     sockaddr_storage address{};
     socklen_t size = 0;
@@ -24,27 +27,27 @@
 
 class Datagrams {
   public:
-    static constexpr int kAtOnce = 32;   // read at one wake-up
+    static constexpr int kMaxReadsPerWakeup = 32;
 
-    Datagrams(Timers& timers, std::function<void(std::string_view)> taken)
-        : timers_(timers), taken_(std::move(taken)) {}
-    Datagrams(Timers& timers, std::function<void(std::string_view, const Sender&)> taken)
-        : timers_(timers), taken_from_(std::move(taken)) {}
+    Datagrams(Timers& timers, std::function<void(std::string_view)> on_datagram)
+        : timers_(timers), on_datagram_(std::move(on_datagram)) {}
+    Datagrams(Timers& timers, std::function<void(std::string_view, const Sender&)> on_datagram)
+        : timers_(timers), on_datagram_from_(std::move(on_datagram)) {}
     bool start(GSocketAddress* address, std::string& why);
     void stop();
     bool open() const { return socket_ != nullptr; }
-    // Sent or lost: false when the system did not take it.
+    /// False: the system did not accept it.
     bool send(GSocketAddress* to, std::string_view bytes);
     bool send(const Sender& to, std::string_view bytes);
 
   private:
     void read();
     Timers& timers_;
-    std::function<void(std::string_view)> taken_;
-    std::function<void(std::string_view, const Sender&)> taken_from_;   // one of the two
+    std::function<void(std::string_view)> on_datagram_;
+    std::function<void(std::string_view, const Sender&)> on_datagram_from_;   // one of the two is set
     Ref<GSocket> socket_;
     std::optional<SourceWatch> watch_;
-    char room_[2048];
+    char buffer_[2048];
 };
 
 }   // namespace slatejunction::net
--- a/src/net/glib.hpp
+++ b/src/net/glib.hpp
@@ -1,4 +1,4 @@
-// Owners for GLib's handles, and the one clock.
+// Owners of GLib's handles, and the monotonic clock (s) that all times of this program are on.
 #pragma once
 
 #include <gio/gio.h>
@@ -19,7 +19,7 @@
 };
 using Error = std::unique_ptr<GError, FreeError>;
 
-// A source ends with its owner: no callback can outlive the object that it names.
+/// Destroys the source with its owner: no callback outlives the object that it points to.
 struct EndSource {
     void operator()(GSource* source) const {
         g_source_destroy(source);
@@ -28,9 +28,8 @@
 };
 using Source = std::unique_ptr<GSource, EndSource>;
 
-// To the one loop. GLib takes the descriptors of a source that may not recurse out of its poll during each
-// callback, and writes to its own wake-up descriptor twice for that; the loop here never runs inside
-// itself.
+/// Attaches to the default loop. "Can recurse" saves GLib two writes to its wake-up descriptor for each
+/// callback; the loop never runs inside itself here.
 inline void attach(GSource* source) {
     g_source_set_can_recurse(source, TRUE);
     g_source_attach(source, nullptr);
--- a/src/net/idle_eviction.hpp
+++ b/src/net/idle_eviction.hpp
@@ -1,23 +1,26 @@
-// Which connection of a full house goes first.
+// Which session a server at its limit evicts. Pure. Called by client::Server and admin::Server.
 #pragma once
 
 namespace slatejunction::net {
 
-// Of a map from sessions to what holds them with their `stream`: the one of lowest eviction_rank(), and of
-// those the oldest; null when none may go. A close must not cross a request that lies there already; what a
-// connection of rank 0 sends is dropped.
+/// Of a map from sessions to their owners, which have a `stream`: the session of the lowest eviction_rank()
+/// that is not below 0, among equals the oldest; null: none. Sessions with unread bytes are not evicted,
+/// except those of rank 0, whose bytes are dropped anyway.
 template <class Sessions>
 auto evict_idle(const Sessions& sessions, double now) -> typename Sessions::key_type {
-    typename Sessions::key_type best = nullptr;
-    int rank = 0;
-    for (const auto& [session, linked] : sessions) {
-        const int one = session->eviction_rank(now);
-        if (one < 0 || (best && (one > rank || (one == rank && session->since() >= best->since()))))
+    typename Sessions::key_type candidate = nullptr;
+    int candidate_rank = 0;
+    for (const auto& [session, connected] : sessions) {
+        const int session_rank = session->eviction_rank(now);
+        if (session_rank < 0 ||
+            (candidate && (session_rank > candidate_rank ||
+                           (session_rank == candidate_rank && session->since() >= candidate->since()))))
             continue;
-        if (one > 0 && linked->stream.readable()) continue;
-        best = session, rank = one;
+        if (session_rank > 0 && connected->stream.readable()) continue;
+        candidate = session;
+        candidate_rank = session_rank;
     }
-    return best;
+    return candidate;
 }
 
 }   // namespace slatejunction::net
--- a/src/net/listener.hpp
+++ b/src/net/listener.hpp
@@ -1,4 +1,7 @@
-// Accepts connections at one address.
+// A listening TCP socket on the loop.
+//
+// Input: an address, or another process's socket. Output: a callback for each accepted connection. Owned by
+// client::Server, admin::Server and others that accept, which are called back.
 #pragma once
 
 #include <functional>
@@ -11,39 +14,40 @@
 
 class Listener {
   public:
-    // `taken` gets each connection; `room` tells whether another may be taken, else accepting pauses.
-    // `failed` tells that accepting failed, as it does when no descriptors are left.
-    Listener(Timers& timers, std::function<bool()> room, std::function<void(Ref<GSocket>)> taken,
-             std::function<void(const char*)> failed, int priority = G_PRIORITY_DEFAULT);
+    /// `accepted` gets each connection. `has_room`: another one may be accepted, else accepting pauses.
+    /// `on_accept_error` gets the error of repeated failures, as when no descriptors are left.
+    Listener(Timers& timers, std::function<bool()> has_room, std::function<void(Ref<GSocket>)> accepted,
+             std::function<void(const char*)> on_accept_error, int priority = G_PRIORITY_DEFAULT);
     bool start(const std::string& address, std::string& why);
-    // Another process's socket, which listens already. Held: nothing is accepted until go_on().
+    /// Another process's socket, which listens already. Paused until resume().
     void adopt(Ref<GSocket> listening);
     void pause();
     void resume();
-    // For another process; below 0: there is none to give.
-    int descriptor() const { return socket_ && !refusing_ ? g_socket_get_fd(socket_.get()) : -1; }
+    /// To pass to another process; below 0: none.
+    int descriptor() const {
+        return socket_ && !refusing_handshakes_ ? g_socket_get_fd(socket_.get()) : -1;
+    }
     void stop();
-    // Makes no new connection from here on, but accepts those whose handshake has begun. Guards against a
-    // close that resets them, with a request behind them maybe: close some time later. Not for a socket
-    // that another process has too.
+    /// Answers no new handshake, but accepts connections whose handshake has begun: a close would reset
+    /// them. Not for a socket that another process has, too.
     void refuse_handshakes();
-    // Accepts what waits, as far as there is room, and stops. Held: stops at once.
+    /// Accepts the backlog, as far as there is room, and stops. Paused: stops at once.
     void accept_pending_and_stop();
-    void poke();   // there may be room again
+    void poke();   // has_room() may have changed
 
   private:
     static gboolean on_in(GSocket*, GIOCondition, gpointer self);
     gboolean accept();
     void watch();
     const int priority_;   // in the loop
-    Timer again_;
-    std::function<bool()> room_;
-    std::function<void(Ref<GSocket>)> taken_;
-    std::function<void(const char*)> failed_;
+    Timer retry_timer_;
+    std::function<bool()> has_room_;
+    std::function<void(Ref<GSocket>)> on_accepted_;
+    std::function<void(const char*)> on_accept_error_;
     Ref<GSocket> socket_;
     Source source_;
-    bool held_ = false, refusing_ = false;
-    int failures_ = 0;   // accepts that failed, in a row
+    bool paused_ = false, refusing_handshakes_ = false;
+    int consecutive_failures_ = 0;   // accepts that failed, in a row
 };
 
 }   // namespace slatejunction::net
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -29,8 +29,8 @@
 
 namespace {
 
-constexpr std::size_t kDropAtOnce = 64 * 1024;
-constexpr short kEnded = POLLRDHUP | POLLHUP | POLLERR;
+constexpr std::size_t kDropChunkBytes = 64 * 1024;
+constexpr short kPeerEndedEvents = POLLRDHUP | POLLHUP | POLLERR;
 
 void prepare(GSocket* socket) {
     g_socket_set_blocking(socket, FALSE);
@@ -50,25 +50,24 @@
 void Stream::adopt(Ref<GSocket> socket) {
     socket_ = std::move(socket);
     prepare(socket_.get());
-    watch(in_, G_IO_IN, &Stream::on_in);
+    watch(in_source_, G_IO_IN, &Stream::on_in);
 }
 
 bool Stream::dial(GSocketAddress* address) {
     Error error;
     socket_ = make_socket(address, error);
     if (!socket_) return false;
-    // Guards against another process of this machine that can't start, as this connection, or its last
-    // state, has the port at which that one is to listen.
+    // Another process of this machine may listen at the port of this connection, or of its TIME_WAIT.
     g_socket_set_option(socket_.get(), SOL_SOCKET, SO_REUSEADDR, 1, nullptr);
     GError* fault = nullptr;
-    const bool up = g_socket_connect(socket_.get(), address, nullptr, &fault);
+    const bool connected = g_socket_connect(socket_.get(), address, nullptr, &fault);
     error.reset(fault);
-    if (!up && !g_error_matches(fault, G_IO_ERROR, G_IO_ERROR_PENDING)) {
+    if (!connected && !g_error_matches(fault, G_IO_ERROR, G_IO_ERROR_PENDING)) {
         close();
         return false;
     }
     dialling_ = true;
-    watch(out_, G_IO_OUT, &Stream::on_out);
+    watch(out_source_, G_IO_OUT, &Stream::on_out);
     return true;
 }
 
@@ -83,7 +82,7 @@
     do {
         ready = ::poll(&one, 1, 0);
     } while (ready < 0 && errno == EINTR);
-    return ready == 1 && (one.revents & kEnded) != 0;
+    return ready == 1 && (one.revents & kPeerEndedEvents) != 0;
 }
 
 double Stream::stalled_s() const {
@@ -95,18 +94,19 @@
     return 1e-3 * info.tcpi_last_data_recv;
 }
 
-// A level-triggered source would spin on what is not read. Guards against a peer that has gone meanwhile.
+// A level-triggered source would spin on unread bytes. The peer's end is watched instead.
 void Stream::pause() {
-    in_.reset();
+    in_source_.reset();
     if (!protocol_.ends_unread()) return;
-    end_.reset(g_unix_fd_source_new(g_socket_get_fd(socket_.get()), static_cast<GIOCondition>(kEnded)));
-    g_source_set_callback(end_.get(), G_SOURCE_FUNC(&Stream::on_unread_end), this, nullptr);
-    attach(end_.get());
+    end_source_.reset(
+        g_unix_fd_source_new(g_socket_get_fd(socket_.get()), static_cast<GIOCondition>(kPeerEndedEvents)));
+    g_source_set_callback(end_source_.get(), G_SOURCE_FUNC(&Stream::on_unread_end), this, nullptr);
+    attach(end_source_.get());
 }
 
 gboolean Stream::on_unread_end(gint, GIOCondition, gpointer self) {
     auto& stream = *static_cast<Stream*>(self);
-    const auto keep = stream.protocol_.shared_from_this();
+    const auto protocol = stream.protocol_.shared_from_this();
     return guarded([&] {
         stream.end(true);
         return G_SOURCE_REMOVE;
@@ -116,33 +116,33 @@
 void Stream::watch(Source& source, GIOCondition condition, GSocketSourceFunc call) {
     source.reset(g_socket_create_source(socket_.get(), condition, nullptr));
     g_source_set_callback(source.get(), G_SOURCE_FUNC(call), this, nullptr);
-    if (dropping_ || priority_ != G_PRIORITY_DEFAULT)
-        g_source_set_priority(source.get(), dropping_ ? G_PRIORITY_DEFAULT_IDLE : priority_);
+    if (dropping_input_ || priority_ != G_PRIORITY_DEFAULT)
+        g_source_set_priority(source.get(), dropping_input_ ? G_PRIORITY_DEFAULT_IDLE : priority_);
     attach(source.get());
 }
 
 void Stream::resume() {
-    end_.reset();
-    if (socket_ && !in_ && !dialling_) watch(in_, G_IO_IN, &Stream::on_in);
+    end_source_.reset();
+    if (socket_ && !in_source_ && !dialling_) watch(in_source_, G_IO_IN, &Stream::on_in);
 }
 
-// Guards against large bodies that nobody wants: they are read without being copied, when nothing else is
-// to be done, so that the peer gets to read what it was told, and up to a bound.
+// Reads without copying, when the loop is idle, so that the peer gets to read the answer.
 void Stream::drop(std::size_t most) {
-    dropping_ = true;
-    drop_left_ = most;
-    end_.reset();
-    if (socket_) watch(in_, G_IO_IN, &Stream::on_in);
+    dropping_input_ = true;
+    drop_remaining_bytes_ = most;
+    end_source_.reset();
+    if (socket_) watch(in_source_, G_IO_IN, &Stream::on_in);
 }
 
-gssize Stream::take_and_drop(GError** fault) {
-    std::array<char, kDropAtOnce> scratch;
+gssize Stream::read_and_drop(GError** fault) {
+    std::array<char, kDropChunkBytes> scratch;
     GInputVector vector{scratch.data(), scratch.size()};
     gint flags = MSG_TRUNC;
-    const gssize got = g_socket_receive_message(socket_.get(), nullptr, &vector, 1, nullptr, nullptr,
-                                                &flags, nullptr, fault);
-    if (got > 0) drop_left_ -= std::min(drop_left_, static_cast<std::size_t>(got));
-    return got;
+    const gssize received = g_socket_receive_message(socket_.get(), nullptr, &vector, 1, nullptr, nullptr,
+                                                     &flags, nullptr, fault);
+    if (received > 0)
+        drop_remaining_bytes_ -= std::min(drop_remaining_bytes_, static_cast<std::size_t>(received));
+    return received;
 }
 
 void Stream::end(bool clean) {
@@ -156,30 +156,30 @@
 }
 
 void Stream::close() {
-    in_.reset();
-    out_.reset();
-    end_.reset();
+    in_source_.reset();
+    out_source_.reset();
+    end_source_.reset();
     if (socket_) g_socket_close(socket_.get(), nullptr);
-    socket_.reset();   // kept_ stays: unsent() tells afterwards whether all had been written
+    socket_.reset();   // unsent_ stays: unsent() is used after a close
     dialling_ = false;
 }
 
-// One read a wake-up: a second one would mostly bring "would block", which GIO reports by allocating.
+// One read for each wake-up: a second one would mostly be "would block", which GIO reports by allocating.
 gboolean Stream::on_in(GSocket*, GIOCondition, gpointer self) {
     return guarded([&] { return static_cast<Stream*>(self)->read(); });
 }
 
 gboolean Stream::read() {
-    const auto keep = protocol_.shared_from_this();
+    const auto self = protocol_.shared_from_this();
     GError* fault = nullptr;
-    if (dropping_) {
-        const gssize got = take_and_drop(&fault);
+    if (dropping_input_) {
+        const gssize received = read_and_drop(&fault);
         const Error error(fault);
-        if (got == 0 || drop_left_ == 0) {
-            end(got == 0);
-        } else if (got > 0) {
+        if (received == 0 || drop_remaining_bytes_ == 0) {
+            end(received == 0);
+        } else if (received > 0) {
             protocol_.on_dropped();
-        } else if (got < 0 && !g_error_matches(fault, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK)) {
+        } else if (received < 0 && !g_error_matches(fault, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK)) {
             end(false);
         }
         return G_SOURCE_CONTINUE;
@@ -189,11 +189,11 @@
         pause();
         return G_SOURCE_REMOVE;
     }
-    const gssize got = g_socket_receive(socket_.get(), space.data(), space.size(), nullptr, &fault);
+    const gssize received = g_socket_receive(socket_.get(), space.data(), space.size(), nullptr, &fault);
     const Error error(fault);
-    if (got > 0) {
-        protocol_.on_bytes(static_cast<std::size_t>(got));
-    } else if (got == 0) {
+    if (received > 0) {
+        protocol_.on_bytes(static_cast<std::size_t>(received));
+    } else if (received == 0) {
         end(true);
     } else if (!g_error_matches(fault, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK)) {
         end(false);
@@ -202,41 +202,41 @@
 }
 
 gboolean Stream::on_out(GSocket*, GIOCondition, gpointer self) {
-    return guarded([&] { return static_cast<Stream*>(self)->write_kept(); });
+    return guarded([&] { return static_cast<Stream*>(self)->write_unsent(); });
 }
 
-gboolean Stream::write_kept() {
-    const auto keep = protocol_.shared_from_this();
+gboolean Stream::write_unsent() {
+    const auto self = protocol_.shared_from_this();
     if (dialling_) {
         GError* fault = nullptr;
-        const bool up = g_socket_check_connect_result(socket_.get(), &fault);
+        const bool connected = g_socket_check_connect_result(socket_.get(), &fault);
         const Error error(fault);
-        if (!up) {
+        if (!connected) {
             end(false);
             return G_SOURCE_REMOVE;
         }
         dialling_ = false;
-        out_.reset();
-        watch(in_, G_IO_IN, &Stream::on_in);
+        out_source_.reset();
+        watch(in_source_, G_IO_IN, &Stream::on_in);
         protocol_.on_open();
         return G_SOURCE_REMOVE;
     }
-    const std::string_view rest = std::string_view(kept_).substr(kept_from_);
+    const std::string_view rest = std::string_view(unsent_).substr(unsent_offset_);
     std::size_t written = 0;
     if (!write({&rest, 1}, written)) {
         end(false);
         return G_SOURCE_REMOVE;
     }
-    kept_from_ += written;
-    if (kept_from_ < kept_.size()) return G_SOURCE_CONTINUE;
-    kept_ = {};   // an answer's room is not kept for an idle connection
-    kept_from_ = 0;
-    out_.reset();
+    unsent_offset_ += written;
+    if (unsent_offset_ < unsent_.size()) return G_SOURCE_CONTINUE;
+    unsent_ = {};   // frees the memory
+    unsent_offset_ = 0;
+    out_source_.reset();
     protocol_.on_sent();
     return G_SOURCE_REMOVE;
 }
 
-// GIO asks the kernel not to raise SIGPIPE, so a peer that is gone is an ordinary error here.
+// GIO suppresses SIGPIPE: a closed peer is an ordinary error.
 bool Stream::write(std::span<const std::string_view> parts, std::size_t& written) {
     std::array<GOutputVector, 24> vectors;
     const std::size_t count = std::min(parts.size(), vectors.size());
@@ -252,13 +252,13 @@
 bool Stream::send(std::span<const std::string_view> parts) {
     if (!socket_) return false;
     std::size_t written = 0;
-    if (kept_.empty() && !write(parts, written)) return false;
+    if (unsent_.empty() && !write(parts, written)) return false;
     for (const std::string_view part : parts) {
         const std::size_t skip = std::min(written, part.size());
         written -= skip;
-        kept_.append(part.substr(skip));
+        unsent_.append(part.substr(skip));
     }
-    if (!kept_.empty() && !out_) watch(out_, G_IO_OUT, &Stream::on_out);
+    if (!unsent_.empty() && !out_source_) watch(out_source_, G_IO_OUT, &Stream::on_out);
     return true;
 }
 
--- a/src/net/stream.hpp
+++ b/src/net/stream.hpp
@@ -1,4 +1,7 @@
-// The thin driver between a protocol and a socket: it reads, writes and tells; it understands nothing.
+// A TCP connection on the loop: reads into the protocol's buffer, writes what it sends, reports events.
+//
+// Input: an accepted socket or an address to dial. Output: the callbacks of Protocol. It knows nothing of
+// what the bytes mean. Owned together with its Protocol by the server or pool that made them.
 #pragma once
 
 #include <span>
@@ -9,41 +12,39 @@
 
 namespace slatejunction::net {
 
-// What a protocol may do to its connection, whatever carries it.
+/// What a Protocol may do to its connection.
 class Transport {
   public:
     virtual ~Transport() = default;
-    // Takes all of the parts: what the connection has no room for is kept. False: the connection broke.
+    /// Takes all of the parts and buffers what can't be written now. False: the connection is broken.
     virtual bool send(std::span<const std::string_view> parts) = 0;
-    virtual bool unsent() const = 0;               // is anything of it kept still?
-    virtual void resume() = 0;                     // reads again after space() was empty
-    virtual void finish() = 0;                     // ends its own sending; the peer may still send
-    virtual void drop(std::size_t most) = 0;       // from now on drops what comes; over `most` it breaks
-    virtual void close() = 0;                      // no callback comes after it
-    virtual bool ended() const { return false; }   // by the peer, whatever it sent before lies unread
-    // s; how long the bytes that were read last had lain with the system, as far as it tells. Of bytes that
-    // came at several times it is the last one's.
+    virtual bool unsent() const = 0;               // something is buffered
+    virtual void resume() = 0;                     // reads again after receive_buffer() was empty
+    virtual void finish() = 0;                     // closes the sending side
+    virtual void drop(std::size_t most) = 0;       // drops what comes; over `most` bytes it ends
+    virtual void close() = 0;                      // no callback follows
+    virtual bool ended() const { return false; }   // by the peer, even if bytes are unread
+    /// How long (s) the last of the bytes read had waited in the system; 0: not known.
     virtual double stalled_s() const { return 0; }
 };
 
-// A protocol as a state machine that is fed bytes.
+/// The protocol of a connection, a state machine that gets its events from a Stream.
 class Protocol : public std::enable_shared_from_this<Protocol> {
   public:
     virtual ~Protocol() = default;
     virtual void on_open() {}                       // a dialled connection is up
-    virtual std::span<char> receive_buffer() = 0;   // where the next bytes go; empty: not now
+    virtual std::span<char> receive_buffer() = 0;   // for the next bytes; empty: pause until resume()
     virtual void on_bytes(std::size_t size) = 0;
-    virtual void on_dropped() {}           // something of what is to be dropped has come
-    virtual void on_sent() {}              // all that was kept has been written
-    virtual void on_end(bool clean) = 0;   // the peer ended it, or (not clean) it broke or never came up
-    // Does the peer's end count before what it sent has been read? Then on_end() comes also while space()
-    // is empty.
+    virtual void on_dropped() {}           // bytes have come and been dropped
+    virtual void on_sent() {}              // all that was buffered has been written
+    virtual void on_end(bool clean) = 0;   // clean: closed by the peer; else broken, or never up
+    /// on_end() comes also while reading is paused.
     virtual bool ends_unread() const { return false; }
 };
 
 class Stream final : public Transport {
   public:
-    // `priority`: of its sources in the loop, G_PRIORITY_DEFAULT or higher.
+    /// `protocol` owns the stream or lives longer. `priority`: in the loop, G_PRIORITY_DEFAULT or higher.
     explicit Stream(Protocol& protocol, int priority = G_PRIORITY_DEFAULT)
         : protocol_(protocol), priority_(priority) {}
     Stream(const Stream&) = delete;
@@ -53,10 +54,10 @@
     bool dial(GSocketAddress* address);   // on_open or on_end follows; false: it failed at once
     bool open() const { return socket_ != nullptr; }
     int descriptor() const { return socket_ ? g_socket_get_fd(socket_.get()) : -1; }
-    bool readable() const;   // something has come, be it the end
+    bool readable() const;   // bytes or the end are unread
     void resume() override;
     bool send(std::span<const std::string_view> parts) override;
-    bool unsent() const override { return !kept_.empty(); }
+    bool unsent() const override { return !unsent_.empty(); }
     void finish() override;
     void drop(std::size_t most) override;
     void close() override;
@@ -69,21 +70,21 @@
     static gboolean on_in(GSocket*, GIOCondition, gpointer self);
     static gboolean on_out(GSocket*, GIOCondition, gpointer self);
     gboolean read();
-    gboolean write_kept();
+    gboolean write_unsent();
     void watch(Source& source, GIOCondition condition, GSocketSourceFunc call);
-    gssize take_and_drop(GError** fault);
+    gssize read_and_drop(GError** fault);
     bool write(std::span<const std::string_view> parts, std::size_t& written);
     void end(bool clean);
 
     Protocol& protocol_;
     const int priority_;
     Ref<GSocket> socket_;
-    Source in_, out_, end_;   // end_: while nothing is read, the peer's end alone
-    std::string kept_;
-    std::size_t kept_from_ = 0;
+    Source in_source_, out_source_, end_source_;   // end_source_: the peer's end, while reading is paused
+    std::string unsent_;
+    std::size_t unsent_offset_ = 0;
     bool dialling_ = false;
-    bool dropping_ = false;
-    std::size_t drop_left_ = 0;
+    bool dropping_input_ = false;
+    std::size_t drop_remaining_bytes_ = 0;
 };
 
 Address parse_address(std::string_view text);   // "127.0.0.1:8081"; empty when it is none
--- a/src/net/timers.cpp
+++ b/src/net/timers.cpp
@@ -7,36 +7,35 @@
 
 namespace slatejunction::net {
 namespace {
-constexpr double kStoodStill = 0.02;   // s; timers that are later than that
-constexpr int kRounds = 2;             // of the loop, in which each socket that is ready is read once
+constexpr double kMaxLatenessS = 0.02;   // of the first timer
+constexpr int kSocketRounds = 2;         // of the loop
 }   // namespace
 
-void Timer::arm(double due) {
+void Timer::arm(double fire_at) {
     disarm();
-    // What is no number has no place in the order, and would keep the loop awake and all timers waiting.
-    if (std::isnan(due)) due = now();
-    due = std::max(due, timers_.least_);
-    if (spare_) {
-        spare_.key() = due;
-        at_ = timers_.queue_.insert(std::move(spare_));
+    // NaN has no place in the order.
+    if (std::isnan(fire_at)) fire_at = now();
+    fire_at = std::max(fire_at, timers_.earliest_due_);
+    if (spare_node_) {
+        spare_node_.key() = fire_at;
+        position_ = timers_.queue_.insert(std::move(spare_node_));
     } else {
-        at_ = timers_.queue_.emplace(due, this);
+        position_ = timers_.queue_.emplace(fire_at, this);
     }
     armed_ = true;
 }
 
 void Timer::disarm() {
     if (!armed_) return;
-    spare_ = timers_.queue_.extract(at_);
+    spare_node_ = timers_.queue_.extract(position_);
     armed_ = false;
 }
 
-// The source is asked for its time before each poll. Setting a ready time instead would wake the loop by a
-// write to its own descriptor each time a timer is armed.
+// g_source_set_ready_time() instead would write to the loop's wake-up descriptor whenever a timer is armed.
 Timers::Timers() {
-    static GSourceFuncs calls = {
+    static GSourceFuncs functions = {
         [](GSource* source, gint* timeout) -> gboolean {
-            const auto& queue = reinterpret_cast<Wake*>(source)->self->queue_;
+            const auto& queue = reinterpret_cast<TimerSource*>(source)->self->queue_;
             *timeout = -1;
             if (queue.empty()) return FALSE;
             const double left =
@@ -45,22 +44,22 @@
             return left <= 0;
         },
         [](GSource* source) -> gboolean {
-            const auto& queue = reinterpret_cast<Wake*>(source)->self->queue_;
+            const auto& queue = reinterpret_cast<TimerSource*>(source)->self->queue_;
             return !queue.empty() &&
                    queue.begin()->first <= 1e-6 * static_cast<double>(g_source_get_time(source));
         },
         [](GSource* source, GSourceFunc, gpointer) -> gboolean {
             return guarded([&] {
-                reinterpret_cast<Wake*>(source)->self->look();
-                reinterpret_cast<Wake*>(source)->self->run();
+                reinterpret_cast<TimerSource*>(source)->self->dispatch_watches();
+                reinterpret_cast<TimerSource*>(source)->self->fire_timers();
                 return G_SOURCE_CONTINUE;
             });
         },
         nullptr,
         nullptr,
         nullptr};
-    source_.reset(g_source_new(&calls, sizeof(Wake)));
-    reinterpret_cast<Wake*>(source_.get())->self = this;
+    source_.reset(g_source_new(&functions, sizeof(TimerSource)));
+    reinterpret_cast<TimerSource*>(source_.get())->self = this;
     attach(source_.get());
 }
 
@@ -76,33 +75,32 @@
     g_source_remove_unix_fd(timers_.source_.get(), tag_);
 }
 
-void Timers::look() {
-    const std::vector<SourceWatch*> all = watches_;   // a call may end any of them, or begin one
-    for (SourceWatch* one : all)
-        if (std::find(watches_.begin(), watches_.end(), one) != watches_.end() &&
-            g_source_query_unix_fd(source_.get(), one->tag_) != 0)
-            one->call_();
+void Timers::dispatch_watches() {
+    const std::vector<SourceWatch*> all = watches_;   // a callback may destroy or add some
+    for (SourceWatch* watch : all)
+        if (std::find(watches_.begin(), watches_.end(), watch) != watches_.end() &&
+            g_source_query_unix_fd(source_.get(), watch->tag_) != 0)
+            watch->call_();
 }
 
-void Timers::run() {
+void Timers::fire_timers() {
     const double time = now();
-    // Guards against judging time-outs before the answers that wait: a program that stood still looks at
-    // its sockets first. A lower priority would do that too, but a peer that sends without end would then
-    // stop all timers.
-    if (!queue_.empty() && time - queue_.begin()->first > kStoodStill && waited_ < kRounds) {
-        ++waited_;
+    // After a process pause the sockets are read before time-outs are fired, for kSocketRounds rounds at
+    // most.
+    if (!queue_.empty() && time - queue_.begin()->first > kMaxLatenessS &&
+        postponed_rounds_ < kSocketRounds) {
+        ++postponed_rounds_;
         return;
     }
-    waited_ = 0;
-    // A timer that its own call arms for the past waits for the next round, or no other one would get its
-    // turn.
-    least_ = std::nextafter(time, kNever);
+    postponed_rounds_ = 0;
+    // A timer that is armed for the past by a callback waits for the next round.
+    earliest_due_ = std::nextafter(time, kNever);
     while (!queue_.empty() && queue_.begin()->first <= time) {
         Timer* timer = queue_.begin()->second;
         timer->disarm();
         timer->call_();   // may destroy the timer
     }
-    least_ = -kNever;
+    earliest_due_ = -kNever;
 }
 
 }   // namespace slatejunction::net
--- a/src/net/timers.hpp
+++ b/src/net/timers.hpp
@@ -1,6 +1,8 @@
-// All timers of the program on one GSource, and the descriptors that are seldom ready: each source of its
-// own costs every wake-up of the loop a look (700 instructions a request), a descriptor of this one a tenth
-// of that.
+// All timers of the program, and the descriptors that are seldom ready, on one GSource: each source of its
+// own would cost every round of the loop.
+//
+// Input: times in s (net::now()). Output: the callbacks of Timer and SourceWatch, in the order of time.
+// Owned by the program; lives longer than every Timer and SourceWatch.
 #pragma once
 
 #include <functional>
@@ -14,7 +16,7 @@
 
 class Timers;
 
-// Calls back once at its time unless it is armed anew, disarmed or destroyed before.
+/// Calls back once at its time, unless it is armed anew, disarmed or destroyed before.
 class Timer {
   public:
     Timer(Timers& timers, std::function<void()> call) : timers_(timers), call_(std::move(call)) {}
@@ -22,7 +24,7 @@
     Timer(const Timer&) = delete;
     Timer& operator=(const Timer&) = delete;
     // `due`: s, net::now(). The past and NaN mean the loop's next round, infinity never.
-    void arm(double due);
+    void arm(double fire_at);
     void disarm();
     bool armed() const { return armed_; }
 
@@ -31,12 +33,12 @@
     using Queue = std::multimap<double, Timer*>;
     Timers& timers_;
     std::function<void()> call_;
-    Queue::iterator at_;
-    Queue::node_type spare_;   // kept, so that arming again allocates nothing
+    Queue::iterator position_;
+    Queue::node_type spare_node_;   // so that arming again allocates nothing
     bool armed_ = false;
 };
 
-// Calls back when the descriptor can be read, until it is destroyed; the descriptor outlives it.
+/// Calls back when the descriptor is readable, until it is destroyed. The descriptor lives longer.
 class SourceWatch {
   public:
     SourceWatch(Timers& timers, int fd, std::function<void()> call);
@@ -58,18 +60,18 @@
   private:
     friend class Timer;
     friend class SourceWatch;
-    struct Wake {
+    struct TimerSource {
         GSource base;
         Timers* self;
     };
-    void run();
-    void look();
+    void fire_timers();
+    void dispatch_watches();
     std::vector<SourceWatch*> watches_;
     std::multimap<double, Timer*> queue_;
     Source source_;
     static constexpr double kNever = std::numeric_limits<double>::infinity();   // s, as a time
-    double least_ = -kNever;   // s; what is armed now is due then at the earliest
-    int waited_ = 0;
+    double earliest_due_ = -kNever;   // s; of timers that are armed now
+    int postponed_rounds_ = 0;
 };
 
 }   // namespace slatejunction::net
