--- a/src/admin/server.cpp
+++ b/src/admin/server.cpp
@@ -70,22 +70,22 @@
 }
 
 void Server::add_session(net::Ref<GSocket> socket) {
-    const auto linked = std::make_shared<ConnectedSession>(handler_, *this);
-    sessions_.emplace(linked.get(), linked);
-    linked->stream.adopt(std::move(socket));
+    const auto owner = std::make_shared<ConnectedSession>(handler_, *this);
+    sessions_.emplace(owner.get(), owner);
+    owner->stream.adopt(std::move(socket));
 }
 
 void Server::forget(Session& session) {
     sessions_.erase(&session);
-    listener_.poke();
+    listener_.retry_accepting();
 }
 
 void Server::close_expired(double now) {
-    std::vector<std::shared_ptr<ConnectedSession>> all;
-    for (const auto& [session, linked] : sessions_)
-        if (session->expired(now) && !linked->stream.readable()) all.push_back(linked);
-    for (const auto& linked : all) linked->end();
-    listener_.poke();
+    std::vector<std::shared_ptr<ConnectedSession>> selected;
+    for (const auto& [session, owner] : sessions_)
+        if (session->expired(now) && !owner->stream.readable()) selected.push_back(owner);
+    for (const auto& owner : selected) owner->end();
+    listener_.retry_accepting();
 }
 
 std::span<char> Session::receive_buffer() {
--- a/src/backend/connection.cpp
+++ b/src/backend/connection.cpp
@@ -47,13 +47,15 @@
     tag_ = tag;
     request_ = std::move(request);
     health_check_path_ = health_check_path;
-    started_at_ = writable_since_ = net::now();
+    started_at_ = net::now();
+    writable_since_ = started_at_;
     idle_s_ = dial_deadline > 0 ? -1 : started_at_ - idle_since_;
     deadline_ = deadline;
     timeout_s_ = deadline - started_at_;
     request_complete_ = true;
     call_active_ = true;
-    request_written_ = response_begun_ = false;
+    request_written_ = false;
+    response_begun_ = false;
     dialling_ = dial_deadline > 0;
     dial_deadline_ = dial_deadline;
     timer_.arm(dialling_ ? std::min(deadline, dial_deadline) : deadline);
@@ -195,7 +197,8 @@
     if (raw.size() > room.size()) buffer_.space(raw.size());
     raw.copy(buffer_.data(), raw.size());
     buffer_.commit(raw.size());
-    streaming_response_ = streaming_paused_ = true;
+    streaming_response_ = true;
+    streaming_paused_ = true;
     const AttemptTag tag = tag_;
     end_call(end);
     parser_.reset();
@@ -233,7 +236,7 @@
         reader_.feed(in, part);
         if (part.empty()) continue;
         const bool more = sink->write(part);
-        if (!streaming_response_) return;   // the sink has gone
+        if (!streaming_response_) return;   // the sink has disconnected
         streaming_paused_ = streaming_paused_ || !more;
     }
     buffer_.consume(buffer_.view().size() - in.size());
--- a/src/backend/connection.hpp
+++ b/src/backend/connection.hpp
@@ -80,10 +80,9 @@
     bool health_checking() const { return !health_check_path_.empty(); }
     bool dialling() const { return dialling_; }
     bool call_active() const { return call_active_; }
-    bool request_given() const {
-        return request_written_ && request_complete_;
-    }   // all was given to the transport
-    double free_since() const { return idle_since_; }
+    /// All of the request has been given to the transport.
+    bool request_sent() const { return request_written_ && request_complete_; }
+    double idle_since() const { return idle_since_; }
 
     void on_open() override;
     std::span<char> receive_buffer() override;
--- a/src/backend/connection_pool.cpp
+++ b/src/backend/connection_pool.cpp
@@ -87,7 +87,7 @@
     while (!idle.empty()) {
         const std::shared_ptr<Connection> connection = std::move(idle.back());
         idle.pop_back();
-        if (now - connection->free_since() > limit) {
+        if (now - connection->idle_since() > limit) {
             connection->close();
             continue;
         }
@@ -105,7 +105,7 @@
     Backend* oldest = nullptr;
     for (auto& [id, backend] : backends_)
         if (!backend.idle.empty() &&
-            (!oldest || backend.idle.front()->free_since() < oldest->idle.front()->free_since()))
+            (!oldest || backend.idle.front()->idle_since() < oldest->idle.front()->idle_since()))
             oldest = &backend;
     if (!oldest) return false;
     close_oldest(*oldest);
@@ -163,7 +163,7 @@
     double limit = std::min(kMaxIdleKeepalivePart * limits_.keepalive_s, idle_lifetime_.limit_s(now));
     if (max_idle_s_ >= 0) limit = std::min(limit, max_idle_s_);
     for (auto& [id, backend] : backends_)
-        while (!backend.idle.empty() && now - backend.idle.front()->free_since() > limit)
+        while (!backend.idle.empty() && now - backend.idle.front()->idle_since() > limit)
             close_oldest(backend);
 }
 
--- a/src/client/server.cpp
+++ b/src/client/server.cpp
@@ -43,60 +43,60 @@
 }
 
 void Server::add_session(net::Ref<GSocket> socket) {
-    const auto linked = std::make_shared<ConnectedSession>(controller_);
-    sessions_.emplace(linked.get(), linked);
-    linked->stream.adopt(std::move(socket));
+    const auto owner = std::make_shared<ConnectedSession>(controller_);
+    sessions_.emplace(owner.get(), owner);
+    owner->stream.adopt(std::move(socket));
 }
 
 void Server::forget(Session& session) {
     sessions_.erase(&session);
-    listener_.poke();
+    listener_.retry_accepting();
 }
 
 void Server::close_expired(double now) {
-    std::vector<std::shared_ptr<ConnectedSession>> all;
+    std::vector<std::shared_ptr<ConnectedSession>> selected;
     const bool many = sessions_.size() > max_sessions_ / kManySessionsPart;
-    for (const auto& [session, linked] : sessions_) {
+    for (const auto& [session, owner] : sessions_) {
         const double overdue_s = now - session->expires_at(many);
-        if (overdue_s >= 0 && (overdue_s > kMaxProcessPauseS || !linked->stream.readable()))
-            all.push_back(linked);
+        if (overdue_s >= 0 && (overdue_s > kMaxProcessPauseS || !owner->stream.readable()))
+            selected.push_back(owner);
     }
-    for (const auto& linked : all) linked->expire();
+    for (const auto& owner : selected) owner->expire();
     while (sessions_.size() > max_sessions_ && evict_one()) {
     }
-    listener_.poke();   // eviction_rank() changes with time
+    listener_.retry_accepting();   // eviction_rank() changes with time
 }
 
 void Server::close_idle(double now, double idle_s) {
-    std::vector<std::shared_ptr<ConnectedSession>> all;
-    for (const auto& [session, linked] : sessions_)
+    std::vector<std::shared_ptr<ConnectedSession>> selected;
+    for (const auto& [session, owner] : sessions_)
         if ((session->idle() || session->closing()) && now - session->since() > idle_s &&
-            !linked->stream.readable())
-            all.push_back(linked);
-    for (const auto& linked : all) linked->end();
+            !owner->stream.readable())
+            selected.push_back(owner);
+    for (const auto& owner : selected) owner->end();
 }
 
 void Server::reject_partial_requests(double retry_after_s) {
-    std::vector<std::shared_ptr<ConnectedSession>> all;
-    for (const auto& [session, linked] : sessions_)
-        if (session->has_partial_request()) all.push_back(linked);
-    for (const auto& linked : all) linked->reject_partial_request(retry_after_s);
+    std::vector<std::shared_ptr<ConnectedSession>> selected;
+    for (const auto& [session, owner] : sessions_)
+        if (session->has_partial_request()) selected.push_back(owner);
+    for (const auto& owner : selected) owner->reject_partial_request(retry_after_s);
 }
 
 void Server::close_all() {
-    std::vector<std::shared_ptr<ConnectedSession>> all;
-    for (const auto& [session, linked] : sessions_) all.push_back(linked);
-    for (const auto& linked : all) linked->end();
+    std::vector<std::shared_ptr<ConnectedSession>> selected;
+    for (const auto& [session, owner] : sessions_) selected.push_back(owner);
+    for (const auto& owner : selected) owner->end();
 }
 
 // Silent sessions with unread bytes are left out: what they carry is not known yet.
 Server::SessionCounts Server::session_counts() const {
     SessionCounts counts;
-    for (const auto& [session, linked] : sessions_) {
+    for (const auto& [session, owner] : sessions_) {
         if (session->checked_only()) continue;
         if (!session->silent())
             ++counts.in_use;
-        else if (!linked->stream.readable())
+        else if (!owner->stream.readable())
             counts.last_unused_at = std::max(counts.last_unused_at, session->since());
     }
     return counts;
--- a/src/client/session.cpp
+++ b/src/client/session.cpp
@@ -361,7 +361,8 @@
         return on_response_given();
     }
     response_rest_ = answer.rest;
-    state_since_ = last_progress_at_ = net::now();
+    state_since_ = net::now();
+    last_progress_at_ = state_since_;
     if (!transport_->send(parts)) return end();
     if (!answer.body.empty()) write(answer.body);
     if (response_rest_) response_rest_->stream_to(std::static_pointer_cast<Session>(shared_from_this()));
--- a/src/discovery/endpoint_start_times.cpp
+++ b/src/discovery/endpoint_start_times.cpp
@@ -93,8 +93,8 @@
 void EndpointStartTimes::forget_old(double now) {
     if (now < next_sweep_at_) return;
     next_sweep_at_ = now + kUnlistedMemoryS / 10;
-    std::erase_if(starts_, [now](const auto& one) {
-        return !one.second.listed && now - one.second.last_named_at > kUnlistedMemoryS;
+    std::erase_if(starts_, [now](const auto& start) {
+        return !start.second.listed && now - start.second.last_named_at > kUnlistedMemoryS;
     });
 }
 
--- a/src/discovery/endpoint_watch.cpp
+++ b/src/discovery/endpoint_watch.cpp
@@ -61,9 +61,11 @@
 }
 
 void EndpointWatch::start(std::optional<std::int64_t> known_revision, bool moved) {
-    revision_ = newest_revision_ = known_revision;
+    revision_ = known_revision;
+    newest_revision_ = known_revision;
     no_wait_ = moved;
-    longer_timeout_ = discovery_slow_ = false;
+    longer_timeout_ = false;
+    discovery_slow_ = false;
     dial();
 }
 
@@ -141,9 +143,11 @@
     }
     const bool reusable = parser_.head().keep_alive && parser_.used() == buffer_.view().size();
     estimate_pace();
-    revision_ = newest_revision_ = endpoint_list.revision;
+    revision_ = endpoint_list.revision;
+    newest_revision_ = endpoint_list.revision;
     last_answer_at_ = net::now();
-    failures_ = consecutive_rejections_ = 0;
+    failures_ = 0;
+    consecutive_rejections_ = 0;
     no_wait_ = false;
     parser_.reset();
     buffer_ = http::Buffer();   // frees the memory of a long list
--- a/src/hot_restart/restart_channel.hpp
+++ b/src/hot_restart/restart_channel.hpp
@@ -101,7 +101,7 @@
     Log& log_;
     const std::string directory_, path_, name_, listen_;
     RestartRole role_;
-    RestartRole::State applied_state_ = RestartRole::State::alone;   // that the host was told last
+    RestartRole::State applied_state_ = RestartRole::State::alone;   // of which the host was notified last
     net::Timer tick_timer_;
     net::Ref<GSocket> listening_socket_;   // for new processes; null: another process answers them
     net::Source accept_source_;
--- a/src/hot_restart/restart_role.hpp
+++ b/src/hot_restart/restart_role.hpp
@@ -30,13 +30,13 @@
         return state_ == State::takeover_requested || state_ == State::handed_over;
     }
 
-    /// Old process: a new one asks to take over. False: it is told that this one is busy.
+    /// Old process: a new one asks to take over. False: the answer is "busy".
     bool on_takeover_requested() {
         return !gives_back_ && transition(State::alone, State::takeover_requested);
     }
     /// Old process: the new one accepts.
     bool on_new_process_accepts() { return transition(State::takeover_requested, State::handed_over); }
-    /// Old process: the new one stops, or has gone. This one accepts again.
+    /// Old process: the new one stops, or has ended. This one accepts again.
     bool on_new_process_gone() {
         return transition(State::takeover_requested, State::alone) ||
                transition(State::handed_over, State::alone);
@@ -45,12 +45,12 @@
     bool on_state_received() { return transition(State::alone, State::preparing); }
     /// New process: it is ready to accept.
     bool on_prepared() { return transition(State::preparing, State::taken_over); }
-    /// New process: the old one has gone, so that nobody else accepts, be this one ready or not.
+    /// New process: the old one has ended, so that this one has to accept, ready or not.
     bool on_old_process_gone() {
         return transition(State::preparing, State::alone) || transition(State::taken_over, State::alone);
     }
 
-    /// The process is to stop. A new one gives back to the old one, and answers nobody any more.
+    /// The process is to stop. A new one gives back to the old one, and answers no further process.
     void on_stop_requested() {
         gives_back_ = gives_back_ || state_ == State::preparing || state_ == State::taken_over;
     }
--- a/src/ingress/request_dispatcher.cpp
+++ b/src/ingress/request_dispatcher.cpp
@@ -144,7 +144,7 @@
     // An attempt that has not been written whole can't run, whether or not the settings allow cancellation.
     const auto attempts = open->attempts;
     for (const auto& attempt : attempts)
-        if (attempt && !attempt->request_given()) attempt->abandon(AttemptResult::not_started);
+        if (attempt && !attempt->request_sent()) attempt->abandon(AttemptResult::not_started);
     erase_if_ended(number);
     handle_event(slatejunction::ClientDisconnected{id});
 }
@@ -220,8 +220,8 @@
 
 // Answers. -----------------------------------------------------------------------------------------------
 
-// The observer is told first, so that each answer that a client got has been counted, even if the process
-// is killed then.
+// The observer is notified first, so that each answer that a client got has been counted, even if the
+// process is killed then.
 void RequestDispatcher::answer(std::uint64_t number, const client::Response& response,
                                RequestSummary::Result result, std::string_view reason,
                                std::size_t reject_reason_index) {
@@ -260,7 +260,7 @@
         const bool forwarded =
             open->attempt_may_have_run ||
             std::any_of(open->attempts.begin(), open->attempts.end(),
-                        [](const auto& attempt) { return attempt && attempt->request_given(); });
+                        [](const auto& attempt) { return attempt && attempt->request_sent(); });
         const int status = lifecycle::forced_status(forwarded);
         answer(number, {status, forwarded ? 0 : config_.settings.max_retry_after_s, {}, {}},
                RequestSummary::Result::failed, "stopped");
--- a/src/ingress/request_dispatcher.hpp
+++ b/src/ingress/request_dispatcher.hpp
@@ -44,7 +44,7 @@
     /// Passes an event to the gateway once the actions of the events before it are carried out.
     void handle_event(slatejunction::Event event);
 
-    /// One final answer is owed to `response_writer` from here on. `stopping`: the answer is 503 at once.
+    /// `response_writer` gets one final answer. `stopping`: the answer is 503 at once.
     /// Returns the request's number, 0 where it has been answered already.
     std::uint64_t on_request(std::shared_ptr<client::ResponseWriter> response_writer,
                              std::shared_ptr<client::ClientRequest> client_request, bool stopping);
@@ -121,7 +121,7 @@
                 std::string_view reason, std::size_t reject_reason_index = 0);
     void observe_end(const OpenRequest& open, RequestSummary::Result result, std::string_view reason,
                      std::size_t reject_reason_index = 0);
-    // Nobody waits for the answer any more: ends the attempts that have not been written, tells the
+    // The answer is not needed any more: ends the attempts that have not been written, tells the
     // gateway.
     void abandon(std::uint64_t number);
     void erase_if_ended(std::uint64_t number);
--- a/src/lifecycle/graceful_shutdown.hpp
+++ b/src/lifecycle/graceful_shutdown.hpp
@@ -107,7 +107,7 @@
     void request_stop(double now);
     /// A new process accepts from now on.
     void hand_over(double now);
-    /// The new process has gone: this one accepts again.
+    /// The new process has ended: this one accepts again.
     void cancel_hand_over();
 
     bool stop_requested() const { return stop_requested_at_.has_value(); }
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -123,7 +123,7 @@
     stop();
 }
 
-void Listener::poke() {
+void Listener::retry_accepting() {
     if (socket_ && !paused_ && !source_ && has_room_()) watch();
 }
 
@@ -140,7 +140,7 @@
 }
 
 gboolean Listener::accept() {
-    if (!has_room_()) {   // the backlog waits; poke() goes on, or time does
+    if (!has_room_()) {   // the backlog waits; retry_accepting() goes on, or time does
         source_.reset();
         retry_timer_.arm(now() + kNoRoomBackoffS);
         return G_SOURCE_REMOVE;
--- a/src/net/listener.hpp
+++ b/src/net/listener.hpp
@@ -33,7 +33,7 @@
     void refuse_handshakes();
     /// Accepts the backlog, as far as there is room, and stops. Paused: stops at once.
     void accept_pending_and_stop();
-    void poke();   // has_room() may have changed
+    void retry_accepting();   // has_room() may have changed
 
   private:
     static gboolean on_in(GSocket*, GIOCondition, gpointer self);
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -77,12 +77,12 @@
 
 bool Stream::ended() const {
     if (!socket_) return true;
-    pollfd one{g_socket_get_fd(socket_.get()), POLLRDHUP, 0};
+    pollfd descriptor{g_socket_get_fd(socket_.get()), POLLRDHUP, 0};
     int ready = 0;
     do {
-        ready = ::poll(&one, 1, 0);
+        ready = ::poll(&descriptor, 1, 0);
     } while (ready < 0 && errno == EINTR);
-    return ready == 1 && (one.revents & kPeerEndedEvents) != 0;
+    return ready == 1 && (descriptor.revents & kPeerEndedEvents) != 0;
 }
 
 double Stream::stalled_s() const {
