--- a/src/client/session.cpp
+++ b/src/client/session.cpp
@@ -14,8 +14,8 @@
 constexpr std::size_t kReadChunkBytes = 32 * 1024;   // of a large body
 constexpr std::size_t kReadAheadChunkBytes = 512;
 
-// Time limits of the states. A client gives up after 3 s, so no state but that of a pending answer lasts as
-// long.
+// Time limits of the states. Every client gets an error or a close within 3 s, so no state but that of a
+// pending answer, or of a large body, lasts as long.
 constexpr double kFirstRequestTimeoutS = 2.0;     // until the first byte on a new connection
 constexpr double kRequestTimeoutS = 2.5;          // from a request's first byte to its last
 constexpr double kResponseUnreadTimeoutS = 2.5;   // until an answer has been written
--- a/src/discovery/endpoint_watch.cpp
+++ b/src/discovery/endpoint_watch.cpp
@@ -7,7 +7,7 @@
 namespace slatejunction::discovery {
 namespace {
 
-// A change counts as notified 6 s after it, whether or not it has arrived (PROTOCOL). So a silent poll must
+// A change counts as notified 6 s after it, whether or not it has arrived. So a silent poll must
 // be detected soon, and no poll after a failure may wait for a change: it could be silent in turn.
 constexpr int kWatchWaitMs = 2000;              // a poll waits so long for a change
 constexpr double kWatchGraceS = 0.8;            // after the wait, until the whole answer
@@ -28,7 +28,7 @@
 constexpr double kFirstBackoffS = 0.05, kMaxBackoffS = 0.5;   // after another failure
 // After a failed dial or a timeout: the discovery agent is on this machine, and what it has counts at once.
 constexpr double kMaxUnansweredBackoffS = 0.1;
-constexpr double kNotificationRuleS = 6.0;   // PROTOCOL
+constexpr double kNotificationRuleS = 6.0;
 
 }   // namespace
 
--- a/src/ingress/observer.hpp
+++ b/src/ingress/observer.hpp
@@ -31,7 +31,7 @@
 class RequestObserver {
   public:
     virtual ~RequestObserver() = default;
-    /// Before the answer is written.
+    /// Before the answer is written; only of a request rejected at arrival after it.
     virtual void on_request_end(const RequestSummary& summary) = 0;
     virtual void on_attempt_end(slatejunction::AttemptResult result) = 0;
     /// An answer of a backend contained a customer's quota use.
--- a/src/lifecycle/graceful_shutdown.hpp
+++ b/src/lifecycle/graceful_shutdown.hpp
@@ -62,7 +62,8 @@
 constexpr int forced_status(bool forwarded) { return forwarded ? 504 : 503; }
 
 /// State machine. Events: request_stop(), hand_over(), cancel_hand_over(), and the passing of time in
-/// advance(). The states are passed in their order; only cancel_hand_over() leads back, to serving.
+/// advance(). States follow in their order, some are skipped; only cancel_hand_over() leads back, to
+/// serving.
 class GracefulShutdown {
   public:
     /// After SIGTERM idle connections are kept for kIdleGraceS, then closed once they have been idle for
