--- a/tests/gateway/admission_controller_test.cpp
+++ b/tests/gateway/admission_controller_test.cpp
@@ -84,6 +84,21 @@
     EXPECT_EQ(controller.fraction(), 1);
 }
 
+// Steps beyond the limit leave nothing in the filter that would delay the next step down.
+TEST(AdmissionController, TakesBackWhatTheLimitCutOff) {
+    AdmissionController controller;
+    controller.close_period(100);
+    close(controller, 100.5, 0.6);
+    double now = 100.5;
+    while (controller.fraction() < 1 && now < 110) {
+        now += 0.5;
+        close(controller, now, 0.05);
+    }
+    ASSERT_EQ(now, 102.5);
+    close(controller, 103, 0.6);
+    EXPECT_NEAR(controller.fraction(), 0.992, 0.001);
+}
+
 TEST(AdmissionController, OneSlowSampleIsLimited) {
     AdmissionController limited;
     AdmissionController at_limit;
--- a/tests/gateway/endpoint_set_test.cpp
+++ b/tests/gateway/endpoint_set_test.cpp
@@ -77,8 +77,10 @@
     update(EndpointUpdateKind::snapshot, {endpoint("b")});
     ASSERT_EQ(set.find("a"), a);
     EXPECT_EQ(ids(kWholeFleet), "b");
+    set.on_answer(*set.find("b"));
     set.on_attempt_ended(*a);
     ASSERT_EQ(set.find("a"), a);
+    EXPECT_EQ(set.recent_responders()[0], set.find("b"));   // nothing was rebuilt
     a->in_flight = 0;
     set.on_attempt_ended(*a);
     EXPECT_EQ(set.find("a"), nullptr);
--- a/tests/gateway/load_balancer_test.cpp
+++ b/tests/gateway/load_balancer_test.cpp
@@ -112,6 +112,16 @@
     EXPECT_GT(choose(1000)["b"], 300);
 }
 
+TEST_F(Balancer, ARejectingBackendIsAvoidedAtAnyCost) {
+    list({"a", "b"});
+    backend("a").in_flight = 1000;
+    backend("a").health.silent_since_s = 100;
+    AttemptEnded rejected;
+    rejected.result = AttemptResult::rejected;
+    for (int i = 0; i < 2; ++i) outliers.on_result(backend("b").health, 0, rejected, 100);
+    EXPECT_LT(choose(1000)["b"], 100);   // only where a is not drawn
+}
+
 TEST_F(Balancer, ARequestThatIsNotIdempotentWeighsFailuresMore) {
     list({"a", "b"});
     AttemptEnded stale;
--- a/tests/gateway/outlier_detection_test.cpp
+++ b/tests/gateway/outlier_detection_test.cpp
@@ -37,6 +37,13 @@
     EXPECT_NEAR(failures(108), fleet + (0.5 - fleet) * std::exp(-1), 1e-12);
 }
 
+TEST_F(Outliers, MoreFailuresInARowDecayNoMoreSlowly) {
+    detector.on_result(health, 0, ended(AttemptResult::error), 100);
+    detector.on_result(health, 0, ended(AttemptResult::error), 100);
+    const double fleet = 0.02 + 0.05 * (0.4 - 0.02);
+    EXPECT_NEAR(failures(108), fleet + (0.75 - fleet) * std::exp(-1), 1e-12);
+}
+
 TEST_F(Outliers, ASuccessLeavesThreeTenthsAndTheShorterDecay) {
     detector.on_result(health, 0, ended(AttemptResult::error), 100);
     detector.on_result(health, 0, ended(AttemptResult::ok), 100);
--- a/tests/gateway/quota_estimator_test.cpp
+++ b/tests/gateway/quota_estimator_test.cpp
@@ -83,6 +83,20 @@
     EXPECT_NEAR(probability(0.2, 0.9), at_rate, 1e-12);
 }
 
+TEST_F(Estimator, AClientRetryGetsNothingFromTheBucket) {
+    const auto probability = [&](double bucket_s, bool is_client_retry) {
+        QuotaEstimator quotas(settings);
+        quotas.start(100);
+        CustomerUsage& usage = quotas.find_or_add(7, 100, plan, 1);
+        usage.bucket_s = bucket_s;
+        usage.unmetered_requests = 1000;
+        quotas.admit(usage, plan, 1, is_client_retry, 1, random);
+        return usage.probability;
+    };
+    EXPECT_EQ(probability(3, true), probability(0, true));
+    EXPECT_GT(probability(3, false), probability(0, false));
+}
+
 TEST_F(Estimator, UseAtOtherIngressesCounts) {
     QuotaEstimator alone(settings);
     const int before = run(alone, 9);
@@ -126,6 +140,7 @@
     quotas.on_meter_reading(usage, plan, 151, 100);
     EXPECT_DOUBLE_EQ(usage.metered_requests, 15);   // 1.5 times 10 requests at the plan's rate
     EXPECT_DOUBLE_EQ(usage.metered_at_rate, 10);
+    EXPECT_LT(usage.bucket_s, 3);   // more was used than estimated
     quotas.on_meter_reading(usage, plan, 151, 100.9);
     EXPECT_EQ(usage.last_reading_at_s, 100);
     quotas.on_meter_reading(usage, plan, 121, 100.4);
--- a/tests/gateway/sampling_test.cpp
+++ b/tests/gateway/sampling_test.cpp
@@ -17,6 +17,13 @@
     }
 }
 
+TEST(SystematicSampler, CarriesTheRemainderOver) {
+    SystematicSampler sampler;
+    int admitted = 0;
+    for (int i = 0; i < 1000; ++i) admitted += sampler.sample(0.3, 0) ? 1 : 0;
+    EXPECT_NEAR(admitted, 300, 1);
+}
+
 TEST(SystematicSampler, CreditAdmitsEarlierButNotMore) {
     SystematicSampler sampler;
     EXPECT_TRUE(sampler.sample(0.25, 0.75));
