--- a/bench/scale/rules.cpp
+++ b/bench/scale/rules.cpp
@@ -22,14 +22,14 @@
     for (std::size_t s = 0; s < 17; ++s) {
         rules::SubsetSettings& one = settings.subsets.emplace_back();
         one.name = "zone-" + std::to_string(s);
-        one.providers = "provider.locality == \"" + one.name + "\"";
+        one.condition = "provider.locality == \"" + one.name + "\"";
     }
     for (std::size_t i = 0; i < routes; ++i) {
         rules::RouteSettings& one = settings.routes.emplace_back();
         one.name = "r" + std::to_string(i);
         one.when = route_condition(i, classes);
         one.subset = "zone-" + std::to_string(i % 17);
-        one.spill = 1;
+        one.fallback = 1;
     }
     return settings;
 }
--- a/src/app/rules_component.cpp
+++ b/src/app/rules_component.cpp
@@ -179,13 +179,13 @@
         if (at == shape_.limits.size()) continue;
         const rules::Limiter& limiter = rules_->limiter(i);
         m.set(Id::limit_keys, static_cast<double>(limiter.keys()), at);
-        moved(Id::limit_forgotten, at, limiter.forgotten());
-        moved(Id::limit_passed, at, limiter.untracked());
+        moved(Id::limit_forgotten, at, limiter.lossy_evictions());
+        moved(Id::limit_passed, at, limiter.untracked_requests());
     }
     for (std::size_t i = 0; i < settings.subsets.size(); ++i)
         if (const std::size_t at = place(shape_.subsets, settings.subsets[i].name);
             at < shape_.subsets.size())
-            m.set(Id::subset_providers, static_cast<double>(fleet_.ready(i)), at);
+            m.set(Id::subset_providers, static_cast<double>(fleet_.serving_count(i)), at);
 }
 
 }   // namespace slatejunction::app
--- a/src/app/rules_component.hpp
+++ b/src/app/rules_component.hpp
@@ -10,6 +10,7 @@
 #include "ingress/ingress.hpp"
 #include "log/log.hpp"
 #include "rules/bucket_storage.hpp"
+#include "rules/endpoint_subsets.hpp"
 #include "rules/rules.hpp"
 #include "telemetry/telemetry.hpp"
 
--- a/src/fleet_rate_limit/rate_limit_node.hpp
+++ b/src/fleet_rate_limit/rate_limit_node.hpp
@@ -10,8 +10,9 @@
 // ingress with the highest random weight of name and key (rendezvous hashing: Thaler, Ravishankar 1998), so
 // a change of members moves the keys of the changed ones alone. Membership is a hint: two ingresses that
 // both take themselves for the owner each grant the fraction of the rate that the members they see have, so
-// a wrong list costs what error_bound() states, only while it is wrong. Where to see it: the measures and
-// the status page of app::FleetLimitPart.
+// a wrong list costs what error_bound() states, only while it is wrong.
+// Where to see it: the error bound of each limit is printed at the start
+// (app/fleet_rate_limit_component.cpp), and rejections are counted by rule (rules::RuleCount).
 //
 // A state machine without I/O or clock. Equal settings, seed and inputs give equal outputs.
 #pragma once
--- a/src/rules/condition_index.cpp
+++ b/src/rules/condition_index.cpp
@@ -9,7 +9,7 @@
 using expr::NodeId;
 using expr::Tree;
 
-constexpr std::size_t kFewPaths = 4;   // beginnings of paths, that are tried one by one
+constexpr std::size_t kMaxLinearPrefixes = 4;   // prefixes of paths; more are looked up by length
 
 // "class" of request.class; empty for anything else.
 std::string field_of(const Tree& tree, NodeId id) {
@@ -21,90 +21,100 @@
 
 }   // namespace
 
-ConditionIndex::Demand ConditionIndex::demand_of(const expr::Program& program) {
+ConditionIndex::Requirement ConditionIndex::requirement_of(const expr::Program& program) {
     const Tree& tree = program.tree;
     std::vector<NodeId> parts{tree.root};
     const Node& root = tree[tree.root];
     if (root.kind == Node::Kind::call && !root.member && root.name == "_&&_") parts = root.kids;
-    Demand demand;
+    Requirement requirement;
     for (const NodeId id : parts) {
         const Node& part = tree[id];
         if (part.kind != Node::Kind::call || part.kids.size() != 2) continue;
         std::string field = field_of(tree, part.kids[0]);
         NodeId other = part.kids[1];
-        if (field.empty() && part.name == "_==_")
-            field = field_of(tree, part.kids[1]), other = part.kids[0];
+        if (field.empty() && part.name == "_==_") {
+            field = field_of(tree, part.kids[1]);
+            other = part.kids[0];
+        }
         const Node& literal = tree[other];
-        std::vector<std::string>* words = field == "class"  ? &demand.classes
-                                          : field == "plan" ? &demand.plans
+        std::vector<std::string>* words = field == "class"  ? &requirement.classes
+                                          : field == "plan" ? &requirement.plans
                                                             : nullptr;
         if (literal.kind == Node::Kind::text) {
             const bool same = part.name == "_==_" && !part.member;
-            if (words && same && words->empty()) *words = {literal.name}, demand.known.push_back(id);
+            if (words && same && words->empty()) {
+                *words = {literal.name};
+                requirement.implied_parts.push_back(id);
+            }
             const bool begins = part.member && part.name == "startsWith";
-            if (field == "path" && (same || begins) && literal.name.size() > demand.path.size())
-                demand.path = literal.name;
+            if (field == "path" && (same || begins) && literal.name.size() > requirement.path_prefix.size())
+                requirement.path_prefix = literal.name;
         } else if (literal.kind == Node::Kind::list && part.name == "@in" && words && words->empty()) {
             std::vector<std::string> all;
             for (const NodeId item : literal.kids)
                 if (tree[item].kind == Node::Kind::text) all.push_back(tree[item].name);
             if (all.size() != literal.kids.size() || all.empty()) continue;
             *words = std::move(all);
-            demand.known.push_back(id);
+            requirement.implied_parts.push_back(id);
         }
     }
-    return demand;
+    return requirement;
 }
 
 ConditionIndex::ConditionIndex(const std::vector<const expr::Program*>& conditions) {
-    for (const expr::Program* one : conditions) demands_.push_back(one ? demand_of(*one) : Demand());
+    for (const expr::Program* one : conditions)
+        requirements_.push_back(one ? requirement_of(*one) : Requirement());
 }
 
-void ConditionIndex::fill(Group& group, std::string_view service_class, std::string_view plan) const {
+void ConditionIndex::build_group(Group& group, std::string_view service_class,
+                                 std::string_view plan) const {
     const auto has = [](const std::vector<std::string>& words, std::string_view word) {
         return words.empty() || std::find(words.begin(), words.end(), word) != words.end();
     };
-    for (std::size_t i = 0; i < demands_.size(); ++i) {
-        const Demand& demand = demands_[i];
-        if (!has(demand.classes, service_class) || !has(demand.plans, plan)) continue;
-        const auto number = static_cast<std::uint32_t>(i);
-        if (demand.path.empty()) {
-            group.any.push_back(number);
+    for (std::size_t i = 0; i < requirements_.size(); ++i) {
+        const Requirement& requirement = requirements_[i];
+        if (!has(requirement.classes, service_class) || !has(requirement.plans, plan)) continue;
+        const auto index = static_cast<std::uint32_t>(i);
+        if (requirement.path_prefix.empty()) {
+            group.any_path.push_back(index);
         } else {
-            group.paths[demand.path].push_back(number);
-            group.lengths.push_back(demand.path.size());
+            group.by_prefix[requirement.path_prefix].push_back(index);
+            group.prefix_lengths.push_back(requirement.path_prefix.size());
         }
     }
-    std::sort(group.lengths.begin(), group.lengths.end());
-    group.lengths.erase(std::unique(group.lengths.begin(), group.lengths.end()), group.lengths.end());
-    if (group.paths.size() > kFewPaths) return;
-    for (const auto& [path, numbers] : group.paths) group.few.emplace_back(path, &numbers);
+    std::sort(group.prefix_lengths.begin(), group.prefix_lengths.end());
+    group.prefix_lengths.erase(std::unique(group.prefix_lengths.begin(), group.prefix_lengths.end()),
+                               group.prefix_lengths.end());
+    if (group.by_prefix.size() > kMaxLinearPrefixes) return;
+    for (const auto& [path, numbers] : group.by_prefix) group.prefixes.emplace_back(path, &numbers);
 }
 
-const std::vector<std::uint32_t>& ConditionIndex::by_path(std::size_t pair, std::string_view service_class,
-                                                          std::string_view plan, std::string_view path) {
-    if (pair >= groups_.size()) groups_.resize(pair + 1);
-    if (!groups_[pair]) {
-        groups_[pair] = std::make_unique<Group>();
-        fill(*groups_[pair], service_class, plan);
+const std::vector<std::uint32_t>& ConditionIndex::candidates_by_path(std::size_t class_plan,
+                                                                     std::string_view service_class,
+                                                                     std::string_view plan,
+                                                                     std::string_view path) {
+    if (class_plan >= groups_.size()) groups_.resize(class_plan + 1);
+    if (!groups_[class_plan]) {
+        groups_[class_plan] = std::make_unique<Group>();
+        build_group(*groups_[class_plan], service_class, plan);
     }
-    const Group& group = *groups_[pair];
-    const std::vector<std::uint32_t>* found = &group.any;
+    const Group& group = *groups_[class_plan];
+    const std::vector<std::uint32_t>* found = &group.any_path;
     const auto add = [&](const std::vector<std::uint32_t>& some) {
-        if (found != &found_) found_ = group.any;
-        found = &found_;
-        const auto middle = static_cast<std::ptrdiff_t>(found_.size());
-        found_.insert(found_.end(), some.begin(), some.end());
-        std::inplace_merge(found_.begin(), found_.begin() + middle, found_.end());
+        if (found != &candidates_) candidates_ = group.any_path;
+        found = &candidates_;
+        const auto middle = static_cast<std::ptrdiff_t>(candidates_.size());
+        candidates_.insert(candidates_.end(), some.begin(), some.end());
+        std::inplace_merge(candidates_.begin(), candidates_.begin() + middle, candidates_.end());
     };
-    if (!group.few.empty()) {
-        for (const auto& [beginning, numbers] : group.few)
+    if (!group.prefixes.empty()) {
+        for (const auto& [beginning, numbers] : group.prefixes)
             if (path.starts_with(beginning)) add(*numbers);
         return *found;
     }
-    for (const std::size_t length : group.lengths) {
+    for (const std::size_t length : group.prefix_lengths) {
         if (length > path.size()) break;
-        if (const auto some = group.paths.find(path.substr(0, length)); some != group.paths.end())
+        if (const auto some = group.by_prefix.find(path.substr(0, length)); some != group.by_prefix.end())
             add(some->second);
     }
     return *found;
--- a/src/rules/condition_index.hpp
+++ b/src/rules/condition_index.hpp
@@ -1,10 +1,12 @@
-// Which of many conditions can hold for a request, without running them all.
-// What a condition demands of the class, the plan and the path is read from its
-// tree: the parts that && joins at its top, of the forms
+// Finds the conditions that can hold for a request, without evaluating them all.
+//
+// Rule: a condition is a candidate if the request meets what it requires of the service class, the plan and
+// the path. Inputs: compiled conditions, once; the request's class, plan and path. Output: indices of
+// candidates, in their order. What a condition requires is read from the parts that && joins at the top of
+// its tree, of the forms
 //   request.class == "x"    request.plan == "x"    request.class in ["x", "y"]
-//   request.path == "/x" request.path.startsWith("/x")
-// A condition left out by one of these would have been false: && is false when
-// one part is.
+//   request.path == "/x"    request.path.startsWith("/x")
+// A condition that is no candidate would have been false, as && is false when one part is. Owned by Rules.
 #pragma once
 
 #include <cstdint>
@@ -18,50 +20,55 @@
 
 namespace slatejunction::rules {
 
+/// The index of one list of conditions.
 class ConditionIndex {
   public:
-    // `conditions` in the order in which they are to be tried; null: always
-    // holds. Only read here.
+    /// `conditions`: in the order in which they are tried; null: always holds. Not kept.
     explicit ConditionIndex(const std::vector<const expr::Program*>& conditions);
 
-    // Numbers of the conditions that can hold, in their order. Valid until the
-    // next call. `pair` stands for the class and plan, the same in each call
-    // until forget().
-    const std::vector<std::uint32_t>& candidates(std::size_t pair, std::string_view service_class,
+    /// Indices of the conditions that can hold, in their order; valid until the next call. `class_plan`:
+    /// identifies the service class and the plan until clear_groups().
+    const std::vector<std::uint32_t>& candidates(std::size_t class_plan, std::string_view service_class,
                                                  std::string_view plan, std::string_view path) {
-        if (pair < groups_.size() && groups_[pair] && groups_[pair]->lengths.empty())
-            return groups_[pair]->any;
-        return by_path(pair, service_class, plan, path);
+        if (class_plan < groups_.size() && groups_[class_plan] &&
+            groups_[class_plan]->prefix_lengths.empty())
+            return groups_[class_plan]->any_path;
+        return candidates_by_path(class_plan, service_class, plan, path);
+    }
+    void clear_groups() { groups_.clear(); }
+    /// The parts of that condition that hold for every request that it is a candidate for.
+    const std::vector<expr::NodeId>& implied_parts(std::uint32_t number) const {
+        return requirements_[number].implied_parts;
     }
-    void forget() { groups_.clear(); }
-    // The parts of that condition that hold for each request that it is a candidate for.
-    const std::vector<expr::NodeId>& known(std::uint32_t number) const { return demands_[number].known; }
 
   private:
-    struct Demand {
-        std::vector<std::string> classes, plans;   // one of these; empty: any
-        std::string path;                          // begins with; empty: any
-        std::vector<expr::NodeId> known;           // parts of which the classes and plans are all
+    struct Requirement {
+        std::vector<std::string> classes;          // one of these; empty: any
+        std::vector<std::string> plans;            // one of these; empty: any
+        std::string path_prefix;                   // empty: any
+        std::vector<expr::NodeId> implied_parts;   // parts that require nothing but classes and plans
     };
     struct TextHash {
         using is_transparent = void;
         std::size_t operator()(std::string_view text) const { return std::hash<std::string_view>()(text); }
     };
-    // Those left for one class and plan.
+    // The conditions that one service class and plan can meet, by path.
     struct Group {
-        std::vector<std::uint32_t> any;     // of any path
-        std::vector<std::size_t> lengths;   // of the paths' beginnings, rising
-        std::vector<std::pair<std::string_view, const std::vector<std::uint32_t>*>> few;   // all of `paths`
-        std::unordered_map<std::string, std::vector<std::uint32_t>, TextHash, std::equal_to<>> paths;
+        std::vector<std::uint32_t> any_path;       // that require no path
+        std::vector<std::size_t> prefix_lengths;   // of all prefixes, ascending
+        std::vector<std::pair<std::string_view, const std::vector<std::uint32_t>*>>
+            prefixes;   // all of by_prefix, where they are few
+        std::unordered_map<std::string, std::vector<std::uint32_t>, TextHash, std::equal_to<>> by_prefix;
     };
-    const std::vector<std::uint32_t>& by_path(std::size_t pair, std::string_view service_class,
-                                              std::string_view plan, std::string_view path);
-    static Demand demand_of(const expr::Program& program);
-    void fill(Group& group, std::string_view service_class, std::string_view plan) const;
+    const std::vector<std::uint32_t>& candidates_by_path(std::size_t class_plan,
+                                                         std::string_view service_class,
+                                                         std::string_view plan, std::string_view path);
+    static Requirement requirement_of(const expr::Program& program);
+    void build_group(Group& group, std::string_view service_class, std::string_view plan) const;
 
-    std::vector<Demand> demands_;
-    std::vector<std::unique_ptr<Group>> groups_;   // by pair
-    std::vector<std::uint32_t> found_;
+    std::vector<Requirement> requirements_;
+    std::vector<std::unique_ptr<Group>> groups_;   // by class_plan
+    std::vector<std::uint32_t> candidates_;
 };
 
 }   // namespace slatejunction::rules
--- a/src/rules/fast_conditions.hpp
+++ b/src/rules/fast_conditions.hpp
@@ -1,126 +1,90 @@
-// The forms that most conditions, keys and values of rules have, looked at in the request's facts without
-// the evaluator. What a shortcut says is what the evaluator would have said; where it can't be sure (a text
-// that is not plain ASCII or over its bound, a header that came twice) it says that the evaluator is to be
-// asked. A decision room: facts in, an answer out.
+// Evaluates the common forms of conditions on the request's facts, without the evaluator.
 //
-// Conditions: parts that && joins at the top, each of the forms
+// Rule: a part that is known to be false makes the condition false, as && is false when one part is,
+// whatever the others are (CEL absorbs errors). The result is what the evaluator's would be; where that is
+// not certain (a text that is not ASCII or over its bound, a repeated header, a part of another form) it is
+// `needs_evaluator`. Inputs: a compiled condition, once; a request's facts (request_view.hpp). Output:
+// TestResult. Where to see it: the counts and costs of rules (Rules::counts(), Rules::evaluation_cost()).
+//
+// Forms of the parts that && joins at the top:
 //   TEXT == "x"  TEXT != "x"  TEXT.startsWith("x")  TEXT in ["x", "y"]
 //   INT < 5 and the other five     request.units < 5.0 and the others     bucket(request.customer, 100) < 5
 //   request.retry  !request.retry  "x" in request.headers  !("x" in request.headers)
 // where TEXT is a text variable of the request or request.headers["x"], INT is request.customer or
-// request.deadline_ms. Parts of other forms are left to the evaluator: as && is false when one part is,
-// whatever the others are (CEL's absorption of errors), the known parts can still say no.
-// Keys and values: a TEXT, an INT, or a list of them.
+// request.deadline_ms.
+//
+// Owned and called by Rules.
 #pragma once
 
 #include <cstdint>
+#include <optional>
 #include <string>
 #include <string_view>
 #include <vector>
 
 #include "expr/program.hpp"
-#include "rules/variables.hpp"
+#include "rules/request_view.hpp"
 
 namespace slatejunction::rules {
 
-// The request as shortcuts see it. Headers that some shortcut names are found in one pass over the fields,
-// when the first of them is asked for.
-class RequestView {
-  public:
-    struct Header {
-        enum class Found : std::uint8_t { absent, once, more } found = Found::absent;
-        std::string_view value;
-    };
-    // A number for the name (in lower case), the same for the same name.
-    std::uint32_t watch(std::string_view lower);
-    void begin(const RequestFacts& facts);
-    const RequestFacts& facts() const { return *facts_; }
-    const Header& header(std::uint32_t number) {
-        if (!looked_) look();
-        return headers_[number];
-    }
-    bool over_bound() {   // the head is larger than expressions are bounded by
-        if (!looked_) look();
-        return over_;
-    }
-    // Whether it is plain ASCII and within its bound.
-    bool plain(VariableId text);
-
-  private:
-    void look();
-
-    const RequestFacts* facts_ = nullptr;
-    HeadBounds bounds_;
-    std::vector<std::string> names_;
-    std::vector<Header> headers_;   // as names_
-    std::uint64_t sizes_ = 0;       // of the names, as bits; those of 63 bytes and over share one
-    bool looked_ = false, over_ = false;
-    std::uint32_t known_ = 0, plain_ = 0;   // texts, as bits of Name
-};
-
-std::string_view text_of(const RequestFacts& facts, VariableId text);
-
-// The bytes that a key is hashed by: each value behind its kind, texts behind their size, so that no two
-// keys of different form are the same bytes.
-void append_key(std::string& key, const expr::Value& value);
-
+/// One condition.
 class Condition {
   public:
     enum class TestResult : std::uint8_t {
         no,
         yes,
-        missing,           // an error: a header that is not there
-        needs_evaluator,   // the evaluator
+        missing,   ///< an error: a header that the request does not have
+        needs_evaluator,
     };
-    Condition() = default;   // asks
-    // `known`: parts that always hold when it is looked at.
-    Condition(const expr::Program& program, const std::vector<expr::NodeId>& known, RequestView& view);
+    /// Always needs the evaluator.
+    Condition() = default;
+    /// `implied`: parts that hold whenever the condition is evaluated (ConditionIndex::implied_parts());
+    /// not tested.
+    Condition(const expr::Program& program, const std::vector<expr::NodeId>& implied, RequestView& view);
     TestResult evaluate(RequestView& view) const;
-    std::size_t parts() const { return tests_.size(); }   // that are looked at: its cost in units
-    bool always() const { return whole_ && tests_.empty(); }
+    /// Number of parts that are tested: its cost in units.
+    std::size_t test_count() const { return tests_.size(); }
+    bool always_true() const { return complete_ && tests_.empty(); }
 
   private:
-    enum class What : std::uint8_t { text, header, has_header, integer, bucket, real, retry };
-    enum class Op : std::uint8_t { equal, unequal, less, less_equal, greater, greater_equal, begins, in };
+    enum class TestKind : std::uint8_t { text, header, has_header, integer, bucket, real, retry };
+    enum class Operator : std::uint8_t {
+        equal,
+        unequal,
+        less,
+        less_equal,
+        greater,
+        greater_equal,
+        starts_with,
+        in
+    };
     struct Test {
-        What what = What::retry;
-        Op op = Op::equal;
-        bool wanted = true;   // of has_header and retry
-        VariableId name = VariableId::request_method;
-        std::uint32_t header = 0;
-        std::int64_t integer = 0, buckets = 1;
-        double real = 0;
-        std::vector<std::string> texts;
+        TestKind kind = TestKind::retry;
+        Operator op = Operator::equal;
+        bool expected = true;   // of has_header and retry
+        VariableId variable = VariableId::request_method;
+        std::uint32_t header = 0;         // of RequestView
+        std::int64_t integer = 0;         // compared with
+        std::int64_t buckets = 1;         // of bucket()
+        double real = 0;                  // compared with
+        std::vector<std::string> texts;   // compared with
     };
-    static bool read(const expr::Tree& tree, expr::NodeId id, RequestView& view, Test& test);
+    static std::optional<Operator> operator_of(const expr::Node& call);
+    static std::optional<Test> parse_test(const expr::Tree& tree, expr::NodeId id, RequestView& view);
+    static std::optional<Test> parse_has_header(const expr::Tree& tree, const expr::Node& call,
+                                                RequestView& view);
+    static std::optional<Test> parse_number_test(const expr::Tree& tree, const expr::Node& call,
+                                                 Operator op);
+    static std::optional<Test> parse_text_test(const expr::Tree& tree, const expr::Node& call, Operator op,
+                                               RequestView& view);
+    template <class Number>
+    static TestResult compare(Operator op, Number left, Number right);
+    static TestResult compare_text(const Test& test, std::string_view text);
+    static TestResult evaluate_header(const Test& test, RequestView& view);
     static TestResult evaluate(const Test& test, RequestView& view);
 
     std::vector<Test> tests_;
-    bool whole_ = false;
-};
-
-class DirectKey {
-  public:
-    DirectKey() = default;   // has nothing
-    DirectKey(const expr::Program& program, RequestView& view);
-    explicit operator bool() const { return !parts_.empty(); }
-    std::size_t parts() const { return parts_.size(); }
-    // The key's bytes at the end of `key`. False, and whatever in it: the evaluator is to be asked.
-    bool key(RequestView& view, std::string& key) const;
-    // Of a single text. A null pointer: the evaluator is to be asked.
-    std::string_view text(RequestView& view) const;
-
-  private:
-    struct Part {
-        bool is_text = false, of_header = false;
-        VariableId name = VariableId::request_method;
-        std::uint32_t header = 0;
-    };
-    static bool read(const expr::Tree& tree, expr::NodeId id, RequestView& view, Part& part);
-    static std::string_view text(const Part& part, RequestView& view);
-
-    std::vector<Part> parts_;
-    bool list_ = false;
+    bool complete_ = false;   // tests_ and the implied parts are all of the condition
 };
 
 }   // namespace slatejunction::rules
--- a/src/rules/limiter.hpp
+++ b/src/rules/limiter.hpp
@@ -1,11 +1,17 @@
-// One limit for many keys, within a bound on their number. Each key that is held has a store of its own,
-// kept as the time at which it will be full again (the generic cell rate algorithm of ITU-T I.371): 40
-// bytes a key with its place in the index, and 16 for the sketch.
+// One rate limit for many keys, within a bound on their number.
 //
-// When the bound is reached, a new key takes the place of one whose store is full again (nothing is lost by
-// that), else of the coldest of a few that are looked at, and only when a sketch of all keys' counts says
-// that the new one is asked for more often. So a flood of new keys forgets cold ones alone. A key that is
-// not held is let pass: by the sketch it was asked for no more often than the coldest that is.
+// Rule: a request is admitted if its key's token bucket has room and fewer than max_in_flight requests of
+// the key are in flight. Inputs: the key's hash, what the request counts, the time (s). Output: time to
+// wait (s). Bound: exact for tracked keys; requests of a key that is not tracked are admitted and counted
+// (untracked_requests()). Where to see it: the measures of a limit's keys, evictions and untracked
+// requests.
+//
+// A bucket is kept as its theoretical arrival time, when it will be full again (GCRA, ITU-T I.371): 40
+// bytes a key with its place in the index, and 16 for the sketch. When the bound is reached, a new key
+// replaces one whose bucket is full, which loses nothing, else the least requested of a few candidates, and
+// only if the new key is requested more often by a count-min sketch (admission as in TinyLFU: Einziger,
+// Friedman, Manes 2017). So a flood of new keys evicts rare keys alone. Owned by Rules and by verdicts in
+// flight.
 #pragma once
 
 #include <cstdint>
@@ -15,78 +21,88 @@
 namespace slatejunction::rules {
 
 struct KeyHash {
-    std::uint64_t low = 0, high = 0;
+    std::uint64_t low = 0;
+    std::uint64_t high = 0;
     bool operator==(const KeyHash&) const = default;
 };
-// Of the key's bytes; 128 bits, so that no two keys of a gateway's life are taken for one.
+/// Hash of a key's bytes (key_bytes.hpp): 128 bits, so that a collision is not to be expected.
 KeyHash hash_key(std::string_view bytes);
 
+/// The limit and its keys.
 class Limiter {
   public:
     struct Limits {
-        double rate = 0;                   // a second; 0: not limited
-        double burst = 1;                  // the store's size
-        std::uint32_t max_in_flight = 0;   // 0: not limited
-        std::size_t keys_max = 10'000;
+        double rate = 0;                   ///< requests or units a second; 0: not limited
+        double burst = 1;                  ///< requests or units
+        std::uint32_t max_in_flight = 0;   ///< of a key; 0: not limited
+        std::size_t max_keys = 10'000;
         bool operator==(const Limits&) const = default;
     };
-    // Where a key is kept. Of use until it is released.
+    /// A request's hold on its key, from retry_after_s() to release().
     struct Ticket {
         KeyHash key;
-        std::uint32_t slot = kNone;   // kNone: not held
-        bool out = false;             // counted as open
-        double since = 0;
+        std::uint32_t slot = kNone;   ///< kNone: not tracked
+        bool in_flight = false;       ///< counted as in flight
+        double started_at_s = 0;
     };
     static constexpr std::uint32_t kNone = ~std::uint32_t{0};
 
     explicit Limiter(const Limits& limits);
 
-    // Asks for `count` (over the burst: all of it) at `now` (s, any clock that does not step back). 0:
-    // there is room; else so many seconds until there is. Nothing is drawn yet.
+    /// Time (s) until a request that counts `count` (at most the burst applies) is admitted; 0: it is now.
+    /// Consumes nothing. `now`: s of a monotonic clock.
     double retry_after_s(double now, const KeyHash& key, double count, Ticket& ticket);
-    // Draws what was asked for; the request is open until release().
+    /// The request was admitted: it is in flight until release().
     void consume(double now, Ticket& ticket, double count);
     void release(double now, Ticket& ticket);
 
     const Limits& limits() const { return limits_; }
-    std::size_t keys() const { return held_; }
-    std::uint64_t forgotten() const { return forgotten_; }   // keys whose store was not full
-    std::uint64_t untracked() const { return passed_; }      // asks of keys that are not held
-    std::size_t bytes() const;                               // of memory
+    std::size_t keys() const { return used_slots_; }
+    std::uint64_t lossy_evictions() const {
+        return lossy_evictions_;
+    }   ///< of a key whose bucket was not full
+    std::uint64_t untracked_requests() const {
+        return untracked_requests_;
+    }                            ///< of keys that are not tracked
+    std::size_t bytes() const;   ///< of memory
 
-    // A held key's state, for snapshots: its store is full again `full_in_s` from now.
-    struct Saved {
+    /// A tracked key's bucket, for snapshots; it is full `full_in_s` from now.
+    struct SavedBucket {
         KeyHash key;
         double full_in_s = 0;
     };
-    // The states of keys in `most` places from `from` on; that moves to where the next call goes on, 0 at
-    // the end.
-    std::vector<Saved> save(double now, std::size_t& from, std::size_t most) const;
-    void restore(double now, const Saved& saved);
+    /// The buckets in `max_slots` slots from `from` on; `from` is moved to where the next call continues, 0
+    /// at the end.
+    std::vector<SavedBucket> save(double now, std::size_t& from, std::size_t max_slots) const;
+    void restore(double now, const SavedBucket& saved);
 
   private:
     struct Slot {
         KeyHash key;
-        double full_at = 0;
-        std::uint32_t out = 0;
+        double full_at_s = 0;
+        std::uint32_t in_flight = 0;
         bool used = false;
     };
     std::uint32_t find(const KeyHash& key) const;
-    std::uint32_t place(double now, const KeyHash& key);
-    void link(std::uint32_t slot);
-    void unlink(std::uint32_t slot);
-    std::size_t home(const KeyHash& key) const { return key.low & mask_; }
-    std::uint8_t counted(const KeyHash& key) const;
-    void count(const KeyHash& key);
+    std::uint32_t allocate_slot(double now, const KeyHash& key);
+    void insert_into_index(std::uint32_t slot);
+    void remove_from_index(std::uint32_t slot);
+    std::size_t home_position(const KeyHash& key) const { return key.low & mask_; }
+    std::uint8_t estimated_count(const KeyHash& key) const;
+    void record_request(const KeyHash& key);
 
     const Limits limits_;
     std::vector<Slot> slots_;
     std::vector<std::uint32_t> index_;   // open addressing: slot + 1; 0: none
-    std::size_t mask_ = 0, held_ = 0, hand_ = 0;
-    std::vector<std::uint8_t> sketch_;   // four rows of counters, halved from time to time
-    std::size_t width_ = 0, additions_ = 0;
-    double hold_ = 0.1;   // s; how long a request stays open, averaged
-    std::uint64_t forgotten_ = 0, passed_ = 0;
+    std::size_t mask_ = 0;
+    std::size_t used_slots_ = 0;
+    std::size_t clock_hand_ = 0;         // the last slot that was a candidate for eviction
+    std::vector<std::uint8_t> sketch_;   // count-min: kSketchRows rows, halved from time to time
+    std::size_t sketch_width_ = 0;
+    std::size_t sketch_additions_ = 0;   // since it was halved
+    double mean_duration_s_ = 0.1;       // of a request in flight, exponential average
+    std::uint64_t lossy_evictions_ = 0;
+    std::uint64_t untracked_requests_ = 0;
 };
 
 }   // namespace slatejunction::rules
--- a/src/rules/settings.cpp
+++ b/src/rules/settings.cpp
@@ -4,15 +4,15 @@
 
 namespace slatejunction::rules {
 
-std::vector<std::string> words_of(const std::string& text) {
-    std::vector<std::string> all;
+std::vector<std::string> split_words(const std::string& text) {
+    std::vector<std::string> words;
     std::istringstream rest(text);
-    for (std::string one; std::getline(rest, one, ',');) {
-        one.erase(0, one.find_first_not_of(" \t"));
-        one.erase(one.find_last_not_of(" \t") + 1);
-        if (!one.empty()) all.push_back(one);
+    for (std::string word; std::getline(rest, word, ',');) {
+        word.erase(0, word.find_first_not_of(" \t"));
+        word.erase(word.find_last_not_of(" \t") + 1);
+        if (!word.empty()) words.push_back(word);
     }
-    return all;
+    return words;
 }
 
 ini::Section Settings::section() {
@@ -33,10 +33,10 @@
                        SubsetSettings& one = subsets.emplace_back();
                        one.name = name;
                        ini::Section section("subset " + name, "");
-                       section.lines("providers", one.providers, "a condition on provider.* and gateway.*");
-                       section.integer("least", one.least, 1, 1'000'000, "providers",
+                       section.lines("providers", one.condition, "a condition on provider.* and gateway.*");
+                       section.integer("least", one.min_backends, 1, 1'000'000, "providers",
                                        "with fewer ready ones it counts as empty");
-                       needs(section, "providers", one.providers);
+                       needs(section, "providers", one.condition);
                        return section;
                    }});
     all.push_back(
@@ -47,7 +47,7 @@
              ini::Section section("route " + name, "");
              section.lines("when", one.when, "a condition on request.* and gateway.*");
              section.text("subset", one.subset, "the subset's name; empty: the whole fleet");
-             section.choice("spill", one.spill, {"never", "empty", "pressed"},
+             section.choice("spill", one.fallback, {"never", "empty", "pressed"},
                             "when requests may go to the whole fleet instead");
              section.integer("order", one.order, -1'000'000, 1'000'000, "", "lower ones are tried first");
              needs(section, "when", one.when);
@@ -66,14 +66,14 @@
              section.choice("count", one.count, {"requests", "units"}, "what rate and burst count");
              section.choice("scope", one.scope, {"gateway", "fleet"},
                             "whether each gateway keeps it alone, or all together: wants [peers] members");
-             section.integer("max_out", one.max_out, 0, 1'000'000, "requests",
+             section.integer("max_out", one.max_in_flight, 0, 1'000'000, "requests",
                              "of a key open at once; 0: no such limit");
-             section.integer("keys_max", one.keys_max, 16, 10'000'000, "keys",
+             section.integer("keys_max", one.max_keys, 16, 10'000'000, "keys",
                              "held at once; beyond it the coldest are forgotten");
              section.whole([&one]() -> std::string {
                  if (one.key.empty()) return "key: is missing";
-                 if (one.scope == 1 && one.rate <= 0) return "scope: fleet wants a rate";
-                 if (one.scope == 1 && one.max_out > 0)
+                 if (one.scope == kFleetScope && one.rate <= 0) return "scope: fleet wants a rate";
+                 if (one.scope == kFleetScope && one.max_in_flight > 0)
                      return "max_out: is kept at each gateway alone, in a limit of its own";
                  return {};
              });
--- a/src/rules/settings.hpp
+++ b/src/rules/settings.hpp
@@ -1,4 +1,5 @@
 // The operator's sections of rules: [expressions], [subset NAME], [route NAME], [limit NAME], [tag NAME].
+// The INI keys are mapped to these fields in settings.cpp alone.
 #pragma once
 
 #include <cstdint>
@@ -10,34 +11,52 @@
 
 namespace slatejunction::rules {
 
-// bench/scale builds this core with a higher cap, to measure what lies beyond it; nothing else does.
+// bench/scale alone builds with a higher limit, to measure beyond it.
 #ifndef SLATEJUNCTION_ROUTES_MOST
 #define SLATEJUNCTION_ROUTES_MOST 10'000
 #endif
-inline constexpr std::size_t kSubsetsMost = 64, kLimitsMost = 16, kTagsMost = 16;
-inline constexpr std::size_t kRoutesMost = SLATEJUNCTION_ROUTES_MOST;
+inline constexpr std::size_t kMaxSubsets = 64;   // bits of a request's subsets
+inline constexpr std::size_t kMaxLimits = 16;
+inline constexpr std::size_t kMaxTags = 16;
+inline constexpr std::size_t kMaxRoutes = SLATEJUNCTION_ROUTES_MOST;
 
 struct SubsetSettings {
-    std::string name, providers;
-    std::int64_t least = 1;
+    std::string name;
+    std::string condition;           ///< on a backend
+    std::int64_t min_backends = 1;   ///< with fewer serving ones the subset counts as empty
     bool operator==(const SubsetSettings&) const = default;
 };
 struct RouteSettings {
-    std::string name, when, subset;
-    int spill = 0;   // slatejunction::Spill
-    std::int64_t order = 0;
+    std::string name;
+    std::string when;         ///< a condition on a request
+    std::string subset;       ///< its name; empty: the whole fleet
+    int fallback = 0;         ///< a slatejunction::SubsetFallback
+    std::int64_t order = 0;   ///< lower ones are tried first
     bool operator==(const RouteSettings&) const = default;
 };
+/// Values of LimitSettings::count and scope.
+inline constexpr int kCountsRequests = 0;
+inline constexpr int kCountsUnits = 1;
+inline constexpr int kGatewayScope = 0;
+inline constexpr int kFleetScope = 1;
+
 struct LimitSettings {
-    std::string name, when, key;
-    double rate = 0, burst = 1;   // requests or units a second; requests or units
-    std::int64_t max_out = 0, keys_max = 10'000;
-    int count = 0;   // requests, units
-    int scope = 0;   // gateway, fleet
+    std::string name;
+    std::string when;                 ///< a condition on a request; empty: all requests
+    std::string key;                  ///< an expression
+    double rate = 0;                  ///< requests or units a second, of each key; 0: not limited
+    double burst = 1;                 ///< requests or units
+    std::int64_t max_in_flight = 0;   ///< requests of a key; 0: not limited
+    std::int64_t max_keys = 10'000;   ///< known at once
+    int count = kCountsRequests;
+    int scope = kGatewayScope;
     bool operator==(const LimitSettings&) const = default;
 };
 struct TagSettings {
-    std::string name, when, value, values;   // values: those that become a metric's label, by commas
+    std::string name;
+    std::string when;     ///< a condition on a request; empty: all requests
+    std::string value;    ///< an expression
+    std::string values;   ///< those that become a metric's label, separated by commas
     bool operator==(const TagSettings&) const = default;
 };
 
@@ -51,9 +70,10 @@
 
     bool any() const { return !subsets.empty() || !routes.empty() || !limits.empty() || !tags.empty(); }
     ini::Section section();
-    std::vector<ini::Family> families();   // they write into this object
+    std::vector<ini::Family> families();   ///< they write into this object, which outlives them
 };
 
-std::vector<std::string> words_of(const std::string& text);   // those between commas, trimmed
+/// The words between commas, trimmed, without empty ones.
+std::vector<std::string> split_words(const std::string& text);
 
 }   // namespace slatejunction::rules
--- a/src/rules/variables.cpp
+++ b/src/rules/variables.cpp
@@ -12,18 +12,17 @@
 
 namespace {
 
-constexpr int kAskedMost = 8;   // headers looked for one by one; for more the map is worth making
+constexpr int kMaxHeaderLookups = 8;   // by name; beyond, the map of headers is built
 
-// The look for bytes that are not UTF-8.
+// Cost of the check for UTF-8.
 Units text_cost(std::size_t bytes) { return expr::cost::walk(bytes); }
-// Names in lower case, each field beside those before it, and the values that
-// are joined.
+// Cost of lowering names, comparing each field with those before it, and joining values.
 Units headers_cost(std::size_t fields, std::size_t bytes) {
     return expr::cost::plus(fields, expr::cost::times(fields, fields) / 2,
                             expr::cost::times(2, expr::cost::walk(bytes)));
 }
 
-// All names together, or all values, are no longer than the head.
+// All names together, or all values, are at most as long as the head.
 Bound of_head(HeadBounds bounds) {
     Bound bound = Bound::text(bounds.bytes);
     bound.total = bounds.bytes;
@@ -60,44 +59,44 @@
     const auto plain = [](std::string name, const Type& type) {
         return expr::Variable{std::move(name), type, {}, 0};
     };
-    std::vector<expr::Variable> all{
-        words("request.method", kMethodMost),
+    std::vector<expr::Variable> variables{
+        words("request.method", kMaxMethodBytes),
         words("request.path", bounds.bytes),
         words("request.query", bounds.bytes),
         {"request.headers", Type::map(text, text),
          Bound::map(bounds.fields, of_head(bounds), of_head(bounds)),
          headers_cost(bounds.fields, bounds.bytes)},
-        words("request.class", kWordMost),
-        words("request.plan", kWordMost),
+        words("request.class", kMaxWordBytes),
+        words("request.plan", kMaxWordBytes),
         plain("request.customer", integer),
         plain("request.units", real),
         plain("request.deadline_ms", integer),
         plain("request.retry", boolean),
         words("request.id", bounds.bytes),
-        words("gateway.name", kWordMost),
-        words("gateway.zone", kWordMost),
-        words("provider.id", kWordMost),
-        words("provider.locality", kWordMost),
-        words("provider.flavor", kWordMost),
+        words("gateway.name", kMaxWordBytes),
+        words("gateway.zone", kMaxWordBytes),
+        words("provider.id", kMaxWordBytes),
+        words("provider.locality", kMaxWordBytes),
+        words("provider.flavor", kMaxWordBytes),
         plain("provider.cell", integer),
         plain("provider.size", real),
         plain("provider.age_s", real),
     };
-    // Those of another scope keep their numbers, under a name that no expression
-    // can have.
-    for (std::size_t i = 0; i < all.size(); ++i) {
-        const bool of_request = all[i].name.starts_with("request."), of_provider = i >= kRequestNames;
-        if ((scope == Scope::request && of_provider) || (scope == Scope::provider && of_request))
-            all[i].name.clear();
+    // Variables of other scopes keep their numbers, under a name that no expression can have.
+    for (std::size_t i = 0; i < variables.size(); ++i) {
+        const bool of_request = variables[i].name.starts_with("request.");
+        const bool of_backend = i >= kRequestVariables;
+        if ((scope == Scope::request && of_backend) || (scope == Scope::provider && of_request))
+            variables[i].name.clear();
     }
-    return {std::move(all)};
+    return {std::move(variables)};
 }
 
-void RuleVariables::begin(const RequestFacts* request, const BackendFacts* provider) {
+void RuleVariables::begin(const RequestFacts* request, const BackendFacts* backend) {
     request_ = request;
-    provider_ = provider;
-    known_ = 0;
-    asked_ = 0;
+    backend_ = backend;
+    loaded_ = 0;
+    header_lookups_ = 0;
 }
 
 Value RuleVariables::text(std::string_view text, std::size_t most, Units& spent) const {
@@ -130,7 +129,8 @@
             const std::string_view before = same->value.view();
             char* joined = arena.chars(before.size() + 2 + field.value.size());
             char* at = std::copy(before.begin(), before.end(), joined);
-            *at++ = ',', *at++ = ' ';
+            *at++ = ',';
+            *at++ = ' ';
             at = std::copy(field.value.begin(), field.value.end(), at);
             same->value = Value::text({joined, static_cast<std::size_t>(at - joined)});
         }
@@ -140,22 +140,21 @@
 
 Value RuleVariables::load(std::uint32_t number, expr::Arena& arena, Units& spent) {
     const std::uint32_t bit = 1U << number;
-    if ((known_ & bit) == 0) {
+    if ((loaded_ & bit) == 0) {
         values_[number] = read(number, arena, spent);
-        known_ |= bit;
+        loaded_ |= bit;
     }
     return values_[number];
 }
 
-// A header by its name, without the map: unless it comes twice, which the map
-// joins.
+// A header by its name, without building the map; a repeated one needs the map, which joins it.
 Value RuleVariables::field(std::uint32_t number, const Value& key, bool has, expr::Arena& arena,
                            Units& spent) {
-    const auto whole = [&] { return Variables::field(number, key, has, arena, spent); };
+    const auto by_map = [&] { return Variables::field(number, key, has, arena, spent); };
     if (static_cast<VariableId>(number) != VariableId::request_headers || !request_ ||
-        (known_ & 1U << number) != 0)
-        return whole();
-    if (++asked_ > kAskedMost) return whole();
+        (loaded_ & 1U << number) != 0)
+        return by_map();
+    if (++header_lookups_ > kMaxHeaderLookups) return by_map();
     const http::Field* found = nullptr;
     std::size_t bytes = 0, equal_bytes = 0;
     for (const http::Field& field : request_->headers) {
@@ -163,10 +162,10 @@
         if (field.name.size() != key.size()) continue;
         equal_bytes += key.size();
         if (!http::equals_ignore_case(field.name, key.view())) continue;
-        if (found) return whole();
+        if (found) return by_map();
         found = &field;
     }
-    if (request_->headers.size() > bounds_.fields || bytes > bounds_.bytes) return whole();
+    if (request_->headers.size() > bounds_.fields || bytes > bounds_.bytes) return by_map();
     spent = expr::cost::find(request_->headers.size(), equal_bytes);
     if (has) return Value::boolean(found != nullptr);
     if (!found) return Value::error("no such key");
@@ -176,12 +175,12 @@
 
 Value RuleVariables::read(std::uint32_t number, expr::Arena& arena, Units& spent) {
     const auto name = static_cast<VariableId>(number);
-    if (number >= kRequestNames && !provider_) return Value::error("no provider is known here");
+    if (number >= kRequestVariables && !backend_) return Value::error("no provider is known here");
     if (number < static_cast<std::uint32_t>(VariableId::gateway_name) && !request_)
         return Value::error("no request is known here");
     switch (name) {
         case VariableId::request_method:
-            return text(request_->method, kMethodMost, spent);
+            return text(request_->method, kMaxMethodBytes, spent);
         case VariableId::request_path:
             return text(request_->path, bounds_.bytes, spent);
         case VariableId::request_query:
@@ -189,9 +188,9 @@
         case VariableId::request_headers:
             return headers(arena, spent);
         case VariableId::request_class:
-            return text(request_->service_class, kWordMost, spent);
+            return text(request_->service_class, kMaxWordBytes, spent);
         case VariableId::request_plan:
-            return text(request_->plan, kWordMost, spent);
+            return text(request_->plan, kMaxWordBytes, spent);
         case VariableId::request_customer:
             return Value::integer(request_->customer);
         case VariableId::request_units:
@@ -203,21 +202,21 @@
         case VariableId::request_id:
             return text(request_->id, bounds_.bytes, spent);
         case VariableId::gateway_name:
-            return text(gateway_.name, kWordMost, spent);
+            return text(gateway_.name, kMaxWordBytes, spent);
         case VariableId::gateway_zone:
-            return text(gateway_.zone, kWordMost, spent);
+            return text(gateway_.zone, kMaxWordBytes, spent);
         case VariableId::provider_id:
-            return text(provider_->id, kWordMost, spent);
+            return text(backend_->id, kMaxWordBytes, spent);
         case VariableId::provider_locality:
-            return text(provider_->locality, kWordMost, spent);
+            return text(backend_->locality, kMaxWordBytes, spent);
         case VariableId::provider_flavor:
-            return text(provider_->flavor, kWordMost, spent);
+            return text(backend_->flavor, kMaxWordBytes, spent);
         case VariableId::provider_cell:
-            return Value::integer(provider_->cell);
+            return Value::integer(backend_->cell);
         case VariableId::provider_size:
-            return Value::real(provider_->size);
+            return Value::real(backend_->size);
         case VariableId::provider_age_s:
-            return Value::real(provider_->age_s);
+            return Value::real(backend_->age_s);
     }
     return Value::error("an unknown variable");
 }
--- a/src/rules/variables.hpp
+++ b/src/rules/variables.hpp
@@ -1,4 +1,5 @@
-// The variables that rules may name, and where a request's come from.
+// The variables that rules may name, and their values for one request or backend. Inputs: facts, which
+// outlive their use; bounds of the head. Output: values of expressions.
 #pragma once
 
 #include <array>
@@ -11,21 +12,21 @@
 
 namespace slatejunction::rules {
 
-// The most that a head may hold; by these every expression's bound is computed.
+/// The bounds of a request's head, by which the cost bound of every expression is computed.
 struct HeadBounds {
     std::size_t bytes = http::kMaxHeadBytes;
     std::size_t fields = http::kMaxHeaderFields;
 };
 
-// Bytes: names of classes, plans, providers and the like; a method.
-inline constexpr std::size_t kWordMost = 256, kMethodMost = 32;
+inline constexpr std::size_t kMaxWordBytes = 256;   // names of classes, plans, backends and the like
+inline constexpr std::size_t kMaxMethodBytes = 32;
 
-// Their order here is that of the environments below.
+/// Numbers of the variables, in the order of environment().
 enum class VariableId : std::uint32_t {
     request_method,
     request_path,
     request_query,
-    request_headers,   // names in lower case; a field that comes twice is joined by
+    request_headers,   ///< names in lower case; repeated fields are joined by
                        // ", " (RFC 9110, 5.3)
     request_class,
     request_plan,
@@ -43,14 +44,15 @@
     provider_size,
     provider_age_s,
 };
-inline constexpr std::size_t kNames = 19,
-                             kRequestNames = 13;   // those of providers stand behind the others
+inline constexpr std::size_t kVariables = 19,
+                             kRequestVariables = 13;   // those of backends follow
 
 enum class Scope { request, provider, all };
-// Of a request: request.* and gateway.*; of a provider (subsets): provider.*
-// and gateway.*. The numbers of variables are those of Name in every scope.
+/// The variables of a scope. Scope::request: request.* and gateway.*; Scope::provider (subsets): provider.*
+/// and gateway.*. Numbers are those of VariableId in every scope.
 expr::Environment environment(Scope scope, HeadBounds bounds = {});
 
+/// What rules may know of a request.
 struct RequestFacts {
     std::string_view method, path, query, service_class, plan, id;
     std::span<const http::Field> headers;
@@ -59,26 +61,26 @@
     bool retry = false;
 };
 
+/// What rules may know of a backend.
 struct BackendFacts {
     std::string_view id, locality, flavor;
     std::int64_t cell = 0;
     double size = 0, age_s = 0;
 };
 
+/// What rules may know of this ingress.
 struct GatewayFacts {
     std::string name, zone;
 };
 
-// The values for one request or one provider; what is not given is an error
-// value when it is read. Texts that are not UTF-8 or over their bound are error
-// values too. Each is read once a request; the headers become a map then, in
-// the evaluator's arena: begin() forgets it, and goes with the evaluator's
-// reset().
+/// The values for one request or one backend. What is not given, not UTF-8 or over its bound is an error
+/// value. Each is read once between two calls of begin(); the map of headers lives in the evaluator's
+/// arena, so begin() goes with the evaluator's reset().
 class RuleVariables final : public expr::Variables {
   public:
     explicit RuleVariables(const GatewayFacts& gateway, HeadBounds bounds = {})
         : gateway_(gateway), bounds_(bounds) {}
-    void begin(const RequestFacts* request, const BackendFacts* provider);
+    void begin(const RequestFacts* request, const BackendFacts* backend);
     expr::Value load(std::uint32_t number, expr::Arena& arena, expr::cost::Units& spent) override;
     expr::Value field(std::uint32_t number, const expr::Value& key, bool has, expr::Arena& arena,
                       expr::cost::Units& spent) override;
@@ -91,10 +93,10 @@
     const GatewayFacts& gateway_;
     const HeadBounds bounds_;
     const RequestFacts* request_ = nullptr;
-    const BackendFacts* provider_ = nullptr;
-    std::array<expr::Value, kNames> values_;   // read so far
-    int asked_ = 0;                            // headers by name, without the map
-    std::uint32_t known_ = 0;                  // which, as bits
+    const BackendFacts* backend_ = nullptr;
+    std::array<expr::Value, kVariables> values_;   // valid where loaded_ says so
+    int header_lookups_ = 0;                       // of headers by name, without the map
+    std::uint32_t loaded_ = 0;                     // bits of VariableId
 };
 
 }   // namespace slatejunction::rules
--- a/src/telemetry/telemetry.cpp
+++ b/src/telemetry/telemetry.cpp
@@ -41,7 +41,7 @@
     for (const auto& one : rules.limits) add("limit", one.name, shape.limits);
     for (const auto& one : rules.tags) {
         add("tag", one.name, tags);
-        shape.tags.emplace_back(one.name, rules::words_of(one.values));
+        shape.tags.emplace_back(one.name, rules::split_words(one.values));
     }
     return shape;
 }
--- a/tests/rules/fast_conditions_test.cpp
+++ b/tests/rules/fast_conditions_test.cpp
@@ -5,6 +5,9 @@
 #include <catch2/catch.hpp>
 #include <random>
 
+#include "rules/direct_key.hpp"
+#include "rules/key_bytes.hpp"
+
 using namespace slatejunction;
 using Held = rules::Condition::TestResult;
 using Strings = std::vector<std::string>;
@@ -147,7 +150,7 @@
             const Request request(make);
             view.begin(request.facts);
             std::string key, wanted;
-            if (!direct.key(view, key)) continue;
+            if (!direct.append_to(view, key)) continue;
             ++sure;
             values.begin(&request.facts, nullptr);
             evaluator.reset();
--- a/tests/rules/limiter_test.cpp
+++ b/tests/rules/limiter_test.cpp
@@ -100,7 +100,7 @@
     }
     CHECK(fresh_passed == fresh);   // none of them is over its own limit
     CHECK(limiter.keys() == 10'000);
-    CHECK(limiter.untracked() > 0);
+    CHECK(limiter.untracked_requests() > 0);
     CHECK(limiter.bytes() / 10'000 < 80);
 }
 
@@ -138,7 +138,7 @@
     CHECK(over <= 1.001);
     CHECK(got / (keen * allowed) > 0.99);
     CHECK(short_of <= 0.01 * allowed + 1);   // and what the last one had not yet in full
-    CHECK(limiter.forgotten() == 0);
+    CHECK(limiter.lossy_evictions() == 0);
 }
 
 TEST_CASE("a key that is open is never forgotten, and the index survives any order of keys") {
@@ -171,7 +171,7 @@
     for (int i = 0; i < 10; ++i) ask(limiter, 100, "empty");
     for (int i = 0; i < 4; ++i) ask(limiter, 100, "some");
     std::size_t from = 0;
-    std::vector<Limiter::Saved> all;
+    std::vector<Limiter::SavedBucket> all;
     do
         for (const auto& one : limiter.save(100, from, 1)) all.push_back(one);
     while (from != 0);
--- a/tests/rules/routes_test.cpp
+++ b/tests/rules/routes_test.cpp
@@ -6,6 +6,7 @@
 
 #include "files.hpp"
 #include "operator_config/options.hpp"
+#include "rules/endpoint_subsets.hpp"
 #include "rules/rules.hpp"
 #include "slatejunction/gateway.hpp"
 
@@ -23,7 +24,7 @@
     return options.rules;
 }
 
-std::unique_ptr<Rules> load(const std::string& text, Rules::ErrorHost on_error = {}) {
+std::unique_ptr<Rules> load(const std::string& text, Rules::ErrorCallback on_error = {}) {
     std::vector<std::string> faults;
     auto made = Rules::load(settings(text), {"n0", "z1"}, faults, std::move(on_error));
     REQUIRE(made);
@@ -225,7 +226,7 @@
     CHECK(list.endpoints[0].subsets == 3);
     CHECK(list.endpoints[1].subsets == 1);
     CHECK(list.endpoints[2].subsets == 0);
-    CHECK(fleet.ready(0) == 2);
+    CHECK(fleet.serving_count(0) == 2);
     // One drains: the other is alone, under the least, and is told of beside the change.
     EndpointUpdate drain{EndpointUpdateKind::delta, {provider("a1", "large")}};
     drain.endpoints[0].state = EndpointState::draining;
--- a/tests/state/state.hpp
+++ b/tests/state/state.hpp
@@ -34,9 +34,9 @@
     rules::Settings settings;
     rules::LimitSettings hour, decades;
     hour.name = "hour", hour.when = "true", hour.key = "[string(request.customer), request.class]";
-    hour.rate = 0.001, hour.burst = 10, hour.keys_max = 100;
+    hour.rate = 0.001, hour.burst = 10, hour.max_keys = 100;
     decades.name = "decades", decades.when = "true", decades.key = "request.path";
-    decades.rate = 1e-9, decades.burst = 40, decades.keys_max = 100, decades.count = 1;
+    decades.rate = 1e-9, decades.burst = 40, decades.max_keys = 100, decades.count = 1;
     settings.limits = {hour, decades};
     std::vector<std::string> faults;
     auto rules = rules::Rules::load(settings, {"gateway", "zone"}, faults);
