--- a/tests/state/old_state_test.cpp
+++ b/tests/state/old_state_test.cpp
@@ -266,7 +266,7 @@
 std::vector<Bucket> buckets_of(const rules::Limiter& limiter) {
     std::vector<Bucket> all;
     std::size_t from = 0;
-    for (const rules::Limiter::Saved& one : limiter.save(net::now(), from, 1000))
+    for (const rules::Limiter::SavedBucket& one : limiter.save(net::now(), from, 1000))
         all.push_back({one.key.low, one.key.high, one.full_in_s});
     return all;
 }
