--- a/src/fleet_counters/reporter.cpp
+++ b/src/fleet_counters/reporter.cpp
@@ -5,15 +5,33 @@
 #include "fleet_counters.pb.h"
 
 namespace slatejunction::fleet_counters {
+namespace {
+
+bool decode_cut(const wire::Cut& in, PeriodCounters& cut) {
+    if (in.value_size() != static_cast<int>(kValues)) return false;
+    cut.period = in.period();
+    for (std::size_t i = 0; i < kValues; ++i) cut.values[i] = in.value(static_cast<int>(i));
+    return true;
+}
+
+// Counters that ran back would let the fleet's counters run back.
+bool continues(const PeriodCounters& previous, const PeriodCounters& next) {
+    if (next.period <= previous.period) return false;
+    for (std::size_t i = 0; i < kValues; ++i)
+        if (next.values[i] < previous.values[i]) return false;
+    return true;
+}
+
+}   // namespace
 
 std::string encode(const Report& report) {
     wire::Message out;
     out.set_process(report.process);
     out.set_counted(report.acknowledged_period);
     for (const PeriodCounters& cut : report.cuts) {
-        wire::Cut& one = *out.add_cut();
-        one.set_period(cut.period);
-        for (const std::uint64_t value : cut.values) one.add_value(value);
+        wire::Cut& entry = *out.add_cut();
+        entry.set_period(cut.period);
+        for (const std::uint64_t value : cut.values) entry.add_value(value);
     }
     return out.SerializeAsString();
 }
@@ -22,31 +40,31 @@
     wire::Message in;
     if (!in.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())) || in.process() == 0) return false;
     report = {in.process(), in.counted(), {}};
-    for (const wire::Cut& one : in.cut()) {
-        PeriodCounters& cut = report.cuts.emplace_back();
-        cut.period = one.period();
-        if (one.value_size() != static_cast<int>(kValues)) return false;
-        for (std::size_t i = 0; i < kValues; ++i) cut.values[i] = one.value(static_cast<int>(i));
-        // Guards against a program that counts down: sums would run back.
-        if (report.cuts.size() == 1) continue;
-        const PeriodCounters& before = report.cuts[report.cuts.size() - 2];
-        if (cut.period <= before.period) return false;
-        for (std::size_t i = 0; i < kValues; ++i)
-            if (cut.values[i] < before.values[i]) return false;
+    for (const wire::Cut& entry : in.cut()) {
+        PeriodCounters cut;
+        if (!decode_cut(entry, cut)) return false;
+        if (!report.cuts.empty() && !continues(report.cuts.back(), cut)) return false;
+        report.cuts.push_back(cut);
     }
     return report.cuts.empty() || report.cuts.front().period == report.acknowledged_period;
 }
 
 void Reporter::record_period(std::uint64_t period, const Values& values) {
-    if (period <= (cuts_.empty() ? base_.period : cuts_.back().period)) return;
+    const std::uint64_t last_period = cuts_.empty() ? base_.period : cuts_.back().period;
+    if (period <= last_period) return;
     cuts_.push_back({period, values});
-    // Nobody can have counted what was never told: the oldest become one.
     if (first_reported_period_ == 0) {
+        // Nobody can have counted what was never reported, so the oldest may be merged.
         if (cuts_.size() > kMaxUnreportedCuts) cuts_.pop_front();
         return;
     }
-    if (period < std::max(base_.period, first_reported_period_) + kForgetPeriods / 2) return;
-    for (const Value one : {served, refused, failed}) dropped_requests_ += values[one] - base_.values[one];
+    const std::uint64_t since = std::max(base_.period, first_reported_period_);
+    if (period >= since + kForgetPeriods / 2) drop_unacknowledged(values);
+}
+
+void Reporter::drop_unacknowledged(const Values& values) {
+    for (const Value outcome : {served, refused, failed})
+        dropped_requests_ += values[outcome] - base_.values[outcome];
     base_ = cuts_.back();
     cuts_.clear();
     first_reported_period_ = 0;
@@ -54,11 +72,11 @@
 
 std::optional<Report> Reporter::report() {
     if (cuts_.empty()) return {};
-    Report made{process_, base_.period, {}};
-    made.cuts.push_back(base_);
-    for (const PeriodCounters& cut : cuts_) made.cuts.push_back(cut);
+    Report report{process_, base_.period, {}};
+    report.cuts.push_back(base_);
+    for (const PeriodCounters& cut : cuts_) report.cuts.push_back(cut);
     if (first_reported_period_ == 0) first_reported_period_ = cuts_.back().period;
-    return made;
+    return report;
 }
 
 void Reporter::acknowledge(std::uint64_t process, std::uint64_t period) {
--- a/src/fleet_counters/reporter.hpp
+++ b/src/fleet_counters/reporter.hpp
@@ -1,8 +1,13 @@
-// One ingress's part in the fleet's sums: cuts its counters at the end of each period and tells them to
-// whoever sums, until they are counted. A decision room: figures, times and answers in, reports out.
+// One ingress's part in the fleet's counters: records its counters at the end of each period and reports
+// them to the aggregator until they are acknowledged.
 //
-// Periods are numbered by the wall clock, which names them and nothing else: two clocks that differ put an
-// increment into one period or its neighbour, never into two or none.
+// Rule: a recorded period is reported until an acknowledgement covers it; what stays unacknowledged for
+// kForgetPeriods / 2 periods after its first report is dropped for good, as it may or may not be counted.
+// Inputs: counters since the process began, periods, acknowledgements. Output: reports, dropped_requests().
+// Invariant: no increment is counted twice. Periods are numbered by the wall clock, which names them and
+// nothing else: clocks that differ put an increment into one period or its neighbour, never into two or
+// none. Seen in: dropped_requests() and Driver::periods_behind() as measures. Never does: I/O, reading a
+// clock. Driver owns it.
 #pragma once
 
 #include <array>
@@ -15,52 +20,57 @@
 
 namespace slatejunction::fleet_counters {
 
-// Counters since the process began. Worth is in millionths, so that sums are exact.
+/// Counters since the process began. Weights are in millionths, so that sums are exact.
 enum Value : std::size_t { served, refused, failed, weight_offered, weight_served, kValues };
 using Values = std::array<std::uint64_t, kValues>;
 inline constexpr double kWeightScale = 1e6;
 
-inline constexpr std::size_t kMaxUnreportedCuts =
-    8;   // that wait for somebody to tell them to; older ones become one
-// Periods after which the sums forget a process that is silent. One that has told and was not answered for
-// half of them leaves that out for good, as it can't know whether it was counted.
+/// Recorded periods that wait for a first report; older ones are merged into their successor.
+inline constexpr std::size_t kMaxUnreportedCuts = 8;
+/// Periods after which the aggregator forgets a process that does not report.
 inline constexpr std::uint64_t kForgetPeriods = 24;
 
+/// The counters as they stood at the end of a period.
 struct PeriodCounters {
     std::uint64_t period = 0;
     Values values{};
 };
 
+/// A report (with cuts), or an acknowledgement (without).
 struct Report {
     std::uint64_t process = 0;
-    std::uint64_t acknowledged_period = 0;   // 0: nothing yet
-    std::vector<PeriodCounters> cuts;   // the first is that of `counted`; empty: it says what was counted
+    std::uint64_t acknowledged_period = 0;   ///< the last one that is counted; 0: none yet
+    std::vector<PeriodCounters> cuts;        ///< rising periods; the first is acknowledged_period
 };
 std::string encode(const Report& report);
-bool decode(std::string_view bytes, Report& report);   // false: it is none
+/// False: `bytes` are no valid report.
+bool decode(std::string_view bytes, Report& report);
 
 class Reporter {
   public:
+    /// `process`: identity drawn for this process, never 0.
     explicit Reporter(std::uint64_t process) : process_(process) {}
 
-    // The period has ended, the counters stand so. A period that is not later than the last changes
-    // nothing.
+    /// Records the counters at the end of `period`; without effect if it is not later than the last one.
     void record_period(std::uint64_t period, const Values& values);
-    // What is still to be counted; none: nothing.
+    /// What is not acknowledged yet; empty: nothing.
     std::optional<Report> report();
+    /// Periods up to `period` are counted; ignored for another process.
     void acknowledge(std::uint64_t process, std::uint64_t period);
     std::uint64_t acknowledged_period() const { return base_.period; }
+    /// Recorded periods that are not acknowledged.
     std::size_t waiting() const { return cuts_.size(); }
-    std::uint64_t dropped_requests() const {
-        return dropped_requests_;
-    }   // requests that are in no sum, see kForget
+    /// Requests that are in no row.
+    std::uint64_t dropped_requests() const { return dropped_requests_; }
 
   private:
+    void drop_unacknowledged(const Values& values);
+
     const std::uint64_t process_;
-    PeriodCounters base_;
-    std::deque<PeriodCounters> cuts_;
-    std::uint64_t first_reported_period_ =
-        0;   // the newest period when what waits was first told; 0: it was not
+    PeriodCounters base_;               // acknowledged
+    std::deque<PeriodCounters> cuts_;   // not acknowledged
+    // The newest period when what waits was reported first; 0: it was not.
+    std::uint64_t first_reported_period_ = 0;
     std::uint64_t dropped_requests_ = 0;
 };
 
--- a/src/fleet_counters/settings.hpp
+++ b/src/fleet_counters/settings.hpp
@@ -1,4 +1,5 @@
-// The operator's [fleet_sums] section.
+// The operator's [fleet_sums] section, and what check-config says of it. The INI keys are the operator's
+// words; they are mapped to the code's terms here and nowhere else.
 #pragma once
 
 #include <string>
@@ -10,16 +11,16 @@
 namespace slatejunction::fleet_counters {
 
 struct Options {
-    double every_s = 0;   // 0: off
-    double grace_s = 1;
+    double period_s = 0;   ///< a period; 0: off
+    double grace_s = 1;    ///< after a period's end
     bool operator==(const Options&) const = default;
 
-    bool on() const { return every_s > 0; }
-    Settings settings() const { return {every_s, grace_s}; }
+    bool on() const { return period_s > 0; }
+    Settings settings() const { return {period_s, grace_s}; }
     ini::Section section();
 };
 
-// What is promised, for check-config.
+/// The bounds that follow from the options, for check-config.
 std::string stated(const Options& options, const lease::LeaseTimes& times);
 
 }   // namespace slatejunction::fleet_counters
