--- a/src/rollout/driver.cpp
+++ b/src/rollout/driver.cpp
@@ -10,15 +10,10 @@
 namespace slatejunction::rollout {
 namespace {
 
-constexpr double kDisconnectedAfterS = 8;             // s without a word of a source, or of a parent
-constexpr double kReportIntervalS = 1;                // s, between reports to the source
-constexpr double kVersionLogIntervalS = 60;           // s, between log lines of versions in force
-constexpr std::size_t kMaxPendingProposals = 1'000;   // proposals that are waited for
-constexpr std::size_t kMaxPropagating = 10'000;       // whose time to everywhere is measured
-constexpr std::uint64_t kMaxCommittedLogged = 256;    // records told one by one, at most so many at once
-constexpr const char* kLeaderEventNames[] = {"ready",    "committed",    "cleared", "refused",
-                                             "reverted", "irrevertible", "fenced",  "majority_lost",
-                                             "admitted", "diverged"};
+constexpr double kDisconnectedAfterS = 8;             // without a message of a leader or a parent
+constexpr double kReportIntervalS = 1;                // between reports to the leader
+constexpr std::size_t kMaxPendingProposals = 1'000;   // proposals awaiting their commit
+constexpr std::size_t kMaxPropagating = 10'000;       // whose propagation time is measured
 
 std::string folder_of(const std::string& directory) {
     const std::string path = directory + "/rollout";
@@ -27,20 +22,8 @@
     return path;
 }
 
-std::string hexadecimal(std::uint64_t number) {
-    char text[20];
-    std::snprintf(text, sizeof text, "%016llx", static_cast<unsigned long long>(number));
-    return text;
-}
-
-unsigned long long as_ull(std::uint64_t number) { return number; }
-
 }   // namespace
 
-std::string state_digest(const State& state) { return hexadecimal(snapshot_checksum({}, 0, state)); }
-
-// Home. -----------------------------------------------------------------------------------------------
-
 RolloutStorage::RolloutStorage(const std::string& directory, const Options& options)
     : path_(folder_of(directory)), lock_(path_) {
     if (!options.follows()) {
@@ -57,16 +40,15 @@
     return follower_ ? follower_->file().set_aside() : replica_->file().set_aside();
 }
 
-// Driver. ---------------------------------------------------------------------------------------------
-
 Driver::Driver(const Options& options, const std::string& name, std::vector<std::string> replicas,
                std::uint64_t process, std::uint64_t seed, const std::vector<membership::AuthKey>& keys,
-               std::unique_ptr<RolloutStorage> home, Callbacks ways, net::Timers& timers, Logger& log)
+               std::unique_ptr<RolloutStorage> storage, Callbacks callbacks, net::Timers& timers,
+               Logger& log)
     : options_(options),
       name_(name),
-      callbacks_(std::move(ways)),
+      callbacks_(std::move(callbacks)),
       log_(log),
-      storage_(std::move(home)),
+      storage_(std::move(storage)),
       transport_(
           [&] {
               Transport::Settings settings{name, options.listen, {}};
@@ -96,24 +78,16 @@
     settings.name = name;
     replica_ = std::make_unique<Replica>(settings, process, storage_->replica_->take_stored(),
                                          *storage_->replica_);
-    if (!replica_->storage_intact())
-        log_.write(Logger::Level::warning, net::now(),
-                   "rollout: nothing whole is kept here; this control machine counts in no majority until "
-                   "it has caught up");
     leader_ = std::make_unique<Leader>(leader_settings(options, replicas), seed ^ process);
     publisher_ = std::make_unique<Publisher>(publisher_settings(options), replica_->log());
-    last_committed_logged_ = replica_->commit_index();
-    const std::pair<std::string_view, std::string> fields[] = {
-        {"number", std::to_string(last_committed_logged_)},
-        {"chain", hexadecimal(replica_->log().version(last_committed_logged_).chain)},
-        {"remembers", replica_->storage_intact() ? "yes" : "no"}};
-    log_.event("replica_begins", fields);
+    log_replica_start();
 }
 
 void Driver::start() {
     transport_.start();
-    const double now = started_at_ = net::now();
-    report_at_ = publisher_ ? now + kReportIntervalS : 1e18;
+    const double now = net::now();
+    started_at_ = now;
+    report_at_ = publisher_ ? now + kReportIntervalS : kNever;
     if (follower_) follower_->start(now);
     pump();
 }
@@ -126,8 +100,6 @@
     transport_.stop();
 }
 
-// What comes in. --------------------------------------------------------------------------------------
-
 void Driver::on_replica_message(const std::string& from, std::string_view body) {
     const auto message = decode(body);
     if (!message || stopped_ || !replica_) return;
@@ -135,14 +107,14 @@
     pump();
 }
 
-// Of a control machine; those that are not for a core are passed over by it.
+// Of a control machine. Each core ignores messages that are not for it.
 void Driver::deliver(const std::string& from, const Message& message) {
     const double now = net::now();
-    // Parts of a snapshot go either way: to a source that reads, else to a replica that is far behind.
-    const bool reads = leader_->phase() == Leader::Phase::fetching_log;
+    // Snapshot parts go to a leader that fetches a log, else to a replica that is far behind.
+    const bool fetching = leader_->phase() == Leader::Phase::fetching_log;
     const bool part = std::holds_alternative<SnapshotPart>(message);
-    if (!part || !reads) replica_->receive(now, from, message);
-    if (!part || reads) leader_->receive(now, from, message);
+    if (!part || !fetching) replica_->receive(now, from, message);
+    if (!part || fetching) leader_->receive(now, from, message);
 }
 
 void Driver::on_transport_message(const std::string& from, std::uint64_t process, std::string_view body) {
@@ -157,8 +129,8 @@
     pump();
 }
 
-// Guards against children that stay with a parent which has nothing new to give, as it can't keep it or is
-// cut off: unanswered they ask another. Longer than nobody is the source after one died.
+// A node that is disconnected, or whose disk failed, stays silent, so that its children use another parent.
+// kDisconnectedAfterS exceeds the vacancy after a leader died.
 bool Driver::may_publish(double now) const {
     if (follower_) return now - std::max(follower_->last_contact_at(), started_at_) < kDisconnectedAfterS;
     return !replica_->disk_failed() &&
@@ -190,8 +162,6 @@
     pump();
 }
 
-// What goes out. --------------------------------------------------------------------------------------
-
 void Driver::on_timer() {
     if (stopped_) return;
     const double now = net::now();
@@ -212,7 +182,7 @@
     return next;
 }
 
-// The number changes while the lease is held where another's was seen: the source begins anew under it.
+// The fencing token changes during a lease when a higher one was seen: the leader begins a new term.
 void Driver::update_term() {
     if (!leads_) return;
     const std::uint64_t number = callbacks_.fencing_token();
@@ -221,11 +191,11 @@
     leader_->begin_term(net::now(), number, replica_->log());
 }
 
-void Driver::route(const OutgoingMessage& post) {
-    if (post.to == name_)
-        loopback_.emplace_back(name_, post.body);
+void Driver::route(const OutgoingMessage& message) {
+    if (message.to == name_)
+        loopback_.emplace_back(name_, message.body);
     else
-        callbacks_.send_to_replica(post.to, *post.body);
+        callbacks_.send_to_replica(message.to, *message.body);
 }
 
 void Driver::pump() {
@@ -246,12 +216,12 @@
         timer_.disarm();
 }
 
-// Whether there may be more to carry.
+// Returns whether messages may be left.
 bool Driver::pump_control_machine() {
     update_term();
     bool more = false;
-    for (const OutgoingMessage& post : leader_->take_outgoing()) route(post);
-    for (const OutgoingMessage& post : replica_->take_outgoing()) route(post);
+    for (const OutgoingMessage& message : leader_->take_outgoing()) route(message);
+    for (const OutgoingMessage& message : replica_->take_outgoing()) route(message);
     for (const auto& [from, body] : std::exchange(loopback_, {})) {
         more = true;
         if (const auto message = decode(*body)) deliver(from, *message);
@@ -264,37 +234,15 @@
     return more;
 }
 
-// Now and then: there are tens of thousands a day.
-void Driver::log_active_version(const Version& version) {
-    ++versions_since_logged_;
-    const double now = net::now();
-    if (now - version_logged_at_ < kVersionLogIntervalS) return;
-    version_logged_at_ = now;
-    log_.write(Logger::Level::info, now, "rollout: version %llu is in force, %llu since the last such line",
-               as_ull(version.number), as_ull(std::exchange(versions_since_logged_, 0)));
-}
-
 bool Driver::pump_follower() {
-    for (const OutgoingMessage& post : follower_->take_outgoing()) transport_.send(post.to, post.body);
+    for (const OutgoingMessage& message : follower_->take_outgoing())
+        transport_.send(message.to, message.body);
     for (const Activation& one : follower_->take_activations()) {
         callbacks_.activated(follower_->state(), one.changes);
         log_active_version(one.version);
         record_active_state("in_force", one.version, follower_->state());
     }
-    const std::uint64_t refused = follower_->refused();
-    if (refused != std::exchange(refusal_logged_, refused) && refused != 0) {
-        log_.write(Logger::Level::warning, net::now(), "rollout: version %llu can't be used here: %s",
-                   as_ull(refused), follower_->reason().c_str());
-        const std::pair<std::string_view, std::string> fields[] = {{"number", std::to_string(refused)},
-                                                                   {"reason", follower_->reason()}};
-        log_.event("refuses", fields);
-    }
-    const bool diverged = follower_->fault() == FollowerFault::diverged;
-    if (diverged && !std::exchange(divergence_logged_, true))
-        log_.write(Logger::Level::error, net::now(),
-                   "rollout: what is in force here (version %llu) is of another sequence than what %s has",
-                   as_ull(follower_->active_version().number), follower_->parent().c_str());
-    divergence_logged_ = diverged;
+    log_follower_faults();
     return false;
 }
 
@@ -308,20 +256,21 @@
             publisher_->advance(now, last, published_staging_);
         }
     }
-    for (const OutgoingMessage& post : publisher_->take_outgoing()) transport_.send(post.to, post.body);
+    for (const OutgoingMessage& message : publisher_->take_outgoing())
+        transport_.send(message.to, message.body);
     if (publisher_->urgent_changes() == std::exchange(urgent_changes_seen_, publisher_->urgent_changes()))
         return;
     report_upstream(now);
     if (follower_) follower_->report_now(now);
 }
 
-// What is known of the children: to the source, or with a relay's next pull.
+// Reports the children: to the leader, or with the next pull of a relay.
 void Driver::report_upstream(double now) {
     report_at_ = now + kReportIntervalS;
     if (follower_) return follower_->set_subtree(publisher_->report(now));
     if (!replica_->leader().empty()) {
-        const OutgoingMessage post{replica_->leader(), body_of(FollowerReport{publisher_->report(now)})};
-        route(post);
+        const OutgoingMessage message{replica_->leader(), body_of(FollowerReport{publisher_->report(now)})};
+        route(message);
     }
     if (is_leader()) measure_propagation(now);
 }
@@ -341,113 +290,18 @@
     }
 }
 
-// What is told. ---------------------------------------------------------------------------------------
-
 void Driver::answer_proposals(double now) {
-    const bool lost = !is_leader();
+    const bool leadership_lost = !is_leader();
     while (!pending_proposals_.empty()) {
         PendingProposal& one = pending_proposals_.front();
-        const bool committed = leader_->commit_index() >= one.number && !lost;
-        if (!committed && !lost && now < one.deadline) break;
+        const bool committed = leader_->commit_index() >= one.number && !leadership_lost;
+        if (!committed && !leadership_lost && now < one.deadline) break;
         const auto answer = std::move(one.answer);
-        const ProposeResult said{one.number, ProposeError::none, !committed};
+        const ProposeResult result{one.number, ProposeError::none, !committed};
         pending_proposals_.pop_front();
-        answer(said);
+        answer(result);
     }
-    if (lost) propagating_.clear();
-}
-
-void Driver::on_leader_event(const LeaderEvent& event) {
-    using Kind = LeaderEvent::Kind;
-    ++event_counts_[static_cast<std::size_t>(event.kind)];
-    const char* const what = kLeaderEventNames[static_cast<std::size_t>(event.kind)];
-    const std::pair<std::string_view, std::string> fields[] = {{"number", std::to_string(event.number)},
-                                                               {"term", std::to_string(leader_->term())},
-                                                               {"name", event.name},
-                                                               {"reason", event.reason}};
-    log_.event(std::string("source_") + what, fields);
-    const double now = net::now();
-    const auto number = as_ull(event.number);
-    switch (event.kind) {
-        case Kind::ready:
-            log_.write(Logger::Level::info, now, "rollout: this is the source from number %llu on", number);
-            break;
-        case Kind::refused:
-            log_.write(Logger::Level::warning, now, "rollout: %s can't use change %llu: %s",
-                       event.name.c_str(), number, event.reason.c_str());
-            break;
-        case Kind::reverted:
-            log_.write(Logger::Level::warning, now, "rollout: change %llu is taken back", number);
-            break;
-        case Kind::irrevertible:
-            log_.write(Logger::Level::error, now,
-                       "rollout: change %llu is refused and can't be taken back; propose one that mends it",
-                       number);
-            break;
-        case Kind::fenced:
-            log_.write(Logger::Level::warning, now,
-                       "rollout: another source goes on; this one has stopped");
-            break;
-        case Kind::majority_lost:
-            log_.write(Logger::Level::error, now,
-                       "rollout: fewer than a majority of the control machines remembered; changes may be "
-                       "missing (nothing, on the first start)");
-            break;
-        case Kind::learner_admitted:
-            log_.write(Logger::Level::info, now, "rollout: %s has caught up and counts again",
-                       event.name.c_str());
-            break;
-        case Kind::committed:
-        case Kind::cleared:
-            break;
-        default:
-            log_.write(Logger::Level::error, now, "rollout: %s: %s", what, event.name.c_str());
-    }
-}
-
-void Driver::log_committed() {
-    const std::uint64_t committed = replica_->commit_index();
-    const Log& log = replica_->log();
-    std::uint64_t from = std::max(last_committed_logged_, log.base().number);
-    if (committed - from > kMaxCommittedLogged) from = committed - kMaxCommittedLogged;
-    while (from < committed) {
-        const Record& one = log.record(++from);
-        const std::pair<std::string_view, std::string> fields[] = {
-            {"number", std::to_string(one.number)},
-            {"term", std::to_string(one.term)},
-            {"chain", hexadecimal(log.version(one.number).chain)},
-            {"kind", std::to_string(static_cast<unsigned>(one.kind))},
-            {"key", one.key},
-            {"value", one.value},
-            {"reverts", std::to_string(one.reverts)}};
-        log_.event("committed", fields);
-    }
-    last_committed_logged_ = std::max(last_committed_logged_, committed);
-}
-
-void Driver::record_active_state(const char* event, const Version& version, const State& state) {
-    const std::pair<std::string_view, std::string> fields[] = {{"number", std::to_string(version.number)},
-                                                               {"chain", hexadecimal(version.chain)},
-                                                               {"state", state_digest(state)}};
-    log_.event(event, fields);
-}
-
-const std::string& Driver::disk_fault() const {
-    return storage_->follower_ ? storage_->follower_->file().last_error()
-                               : storage_->replica_->last_error();
-}
-
-// Once, until it can be written again.
-void Driver::log_disk_fault() {
-    const bool failed = follower_ ? follower_->fault() == FollowerFault::disk : replica_->disk_failed();
-    if (failed == std::exchange(disk_fault_logged_, failed)) return;
-    if (failed)
-        log_.write(Logger::Level::error, net::now(),
-                   "rollout: the state directory can't be written, this process stays at what it has: %s",
-                   disk_fault().c_str());
-    else
-        log_.write(Logger::Level::info, net::now(), "rollout: the state directory is written again");
-    log_.event(failed ? "disk_failed" : "disk_written", {});
+    if (leadership_lost) propagating_.clear();
 }
 
 }   // namespace slatejunction::rollout
--- a/src/rollout/file_storage.cpp
+++ b/src/rollout/file_storage.cpp
@@ -41,12 +41,11 @@
     return true;
 }
 
-// What is written has reached the disk when this returns.
+// The bytes have reached the disk when this returns.
 std::int64_t write_through(int fd, const void* data, std::size_t size) {
     const ssize_t done = ::write(fd, data, size);
     if (done < 0) return done;
-    // A sync that a signal interrupts is begun again: told as a write, the same bytes would be written
-    // twice.
+    // An interrupted sync is repeated: reported as a failed write, the same bytes would be written twice.
     while (::fdatasync(fd) != 0)
         if (errno != EINTR) return -1;
     return done;
@@ -54,8 +53,6 @@
 
 }   // namespace
 
-// The log's file. -------------------------------------------------------------------------------------
-
 LogFile::LogFile(std::string directory, std::string name, storage::SegmentedLog::Writer writer)
     : directory_(std::move(directory)), name_(std::move(name)) {
     load();
@@ -64,14 +61,15 @@
         directory_, name_, kSegmentBytes,
         [this](std::uint64_t segment, std::uint32_t type, std::string_view payload) {
             if (segment < first_segment_ || reading_stopped_) return;
-            if (!read_entry(type, payload))
-                reading_stopped_ = true;   // what follows has lost what it rests on
+            if (!read_entry(type, payload)) reading_stopped_ = true;   // later entries depend on this one
         },
         found, std::move(writer));
     set_aside_.insert(set_aside_.end(), found.broken.begin(), found.broken.end());
-    // A snapshot begins with a segment of its own, so segments without it, or it without that, are a part.
-    const bool part = has_snapshot_ ? !segments_->segments().contains(first_segment_) : found.records > 0;
-    damaged_ = reading_stopped_ || part || found.cut_bytes > 0 || !set_aside_.empty();
+    // A snapshot begins a segment of its own: segments without it, or it without its segment, are
+    // incomplete.
+    const bool incomplete =
+        has_snapshot_ ? !segments_->segments().contains(first_segment_) : found.records > 0;
+    damaged_ = reading_stopped_ || incomplete || found.cut_bytes > 0 || !set_aside_.empty();
 }
 
 bool LogFile::rewrite_if_damaged() { return (has_snapshot_ && !damaged_) || replace(log_, commit_index_); }
@@ -137,8 +135,8 @@
     return append_entry(truncated, all.SerializeAsString());
 }
 
-// The segment first: whatever is left half done, the old snapshot with all segments says the same as the
-// new one with those from there on.
+// Begins the new segment first: after a crash in between, the old snapshot with all segments yields the
+// same log as the new snapshot with the segments from its own on.
 bool LogFile::replace(const Log& log, std::uint64_t committed) {
     if (!segments_->begin()) {
         last_error_ = segments_->last_error();
@@ -170,7 +168,7 @@
 
 FollowerFileStorage::FollowerFileStorage(const std::string& directory, storage::SegmentedLog::Writer writer)
     : file_(directory, "follower", std::move(writer)) {
-    file_.rewrite_if_damaged();   // where that fails, so does what is kept next
+    file_.rewrite_if_damaged();   // if this fails, so does the next write
 }
 
 bool FollowerFileStorage::append(const std::vector<Record>& records) { return file_.append(records); }
@@ -186,7 +184,7 @@
         promised_ = promise.term();
         storage_intact_ = promise.remembers() && file_.has_snapshot() && !file_.damaged();
     }
-    // Said before the files are mended, so that a later start does not take them for whole.
+    // Evaluated before the files are rewritten, so that a later start does not take a part for intact.
     if (promise.remembers() && !storage_intact_ && !save_promise(promised_, false)) return;
     file_.rewrite_if_damaged();
 }
--- a/src/rollout/file_storage.hpp
+++ b/src/rollout/file_storage.hpp
@@ -1,10 +1,10 @@
-// The homes of a rollout in files of the state directory: the log as a snapshot (storage::put_whole) with a
-// journal of what came after it (storage::Journal). What is cut or wrong is set aside, and the log ends at
-// the last record before it.
+// ReplicaStorage and FollowerStorage in files of the state directory: the log as a snapshot
+// (storage::write_checked_file) with segments of records after it (storage::SegmentedLog). Damaged files
+// are set aside, and the log ends at the last record before the damage.
 //
-// A killed process finds all that it was told to be kept. Where a machine loses power a follower may lose
-// its newest versions, and asks for them again; a replica loses nothing, as its journal is flushed to the
-// disk with each append.
+// Durability: a killed process finds everything that was reported as durable. On power loss a follower may
+// lose its newest versions and pulls them again; a replica loses nothing, as each append is synced to the
+// disk.
 #pragma once
 
 #include <cstdint>
@@ -18,25 +18,25 @@
 
 namespace slatejunction::rollout {
 
-// A log under `name` in a directory: NAME.log, and the journal's segments NAME-NUMBER.
+/// A log under `name` in a directory: NAME.log, and the segments NAME-NUMBER.
 class LogFile {
   public:
-    // Throws storage::Error for a directory or file that can't be read, or of another version. `writer`: as
-    // storage::Journal's.
+    /// Throws storage::Error for a directory or file that can't be read, or of another version. `writer`:
+    /// as that of storage::SegmentedLog.
     LogFile(std::string directory, std::string name, storage::SegmentedLog::Writer writer = {});
 
-    Log take_log() { return std::move(log_); }   // as it was found, once
+    Log take_log() { return std::move(log_); }   // as found at the start, once
     std::uint64_t commit_index() const { return commit_index_; }
-    // Something was cut off, set aside or is gone: the log may lack what was kept once.
+    /// Something was cut off, set aside or is missing: the log may lack what was stored.
     bool damaged() const { return damaged_; }
-    // There is a snapshot, so that files which are gone are noticed at the next start.
+    /// There is a snapshot, so that missing files are noticed at the next start.
     bool has_snapshot() const { return has_snapshot_; }
-    // Once after the start, before anything else is kept: writes anew what was found, so that what is kept
-    // from now on does not lie behind what stops the reading.
+    /// Once after the start, before any other write: rewrites a damaged log, so that later records do not
+    /// follow the damage that ends the reading.
     bool rewrite_if_damaged();
     const std::vector<std::string>& set_aside() const { return set_aside_; }   // paths
 
-    // False: nothing of it is found again; why() tells.
+    /// False: no part of it is found again, see last_error().
     bool append(const std::vector<Record>& records);   // all or none
     bool truncate(std::uint64_t number);
     bool replace(const Log& log, std::uint64_t committed);
@@ -45,7 +45,7 @@
   private:
     void load();
     bool read_entry(std::uint32_t type, std::string_view payload);
-    bool ensure_segment();   // there is a segment to append to
+    bool ensure_segment();   // opens a segment to append to
     bool append_entry(std::uint32_t type, const std::string& payload);
 
     const std::string directory_, name_;
@@ -57,7 +57,7 @@
     std::string last_error_;
 };
 
-// What a follower has in force.
+/// The active version of a follower.
 class FollowerFileStorage final : public FollowerStorage {
   public:
     explicit FollowerFileStorage(const std::string& directory, storage::SegmentedLog::Writer writer = {});
@@ -70,7 +70,7 @@
     LogFile file_;
 };
 
-// What a replica has promised and taken.
+/// The promise and the log of a replica.
 class ReplicaFileStorage final : public ReplicaStorage {
   public:
     explicit ReplicaFileStorage(const std::string& directory, storage::SegmentedLog::Writer writer = {});
@@ -79,7 +79,7 @@
     bool append(const std::vector<Record>& records) override { return file_.append(records); }
     bool truncate(std::uint64_t number) override { return file_.truncate(number); }
     bool replace(const Log& log, std::uint64_t committed) override { return file_.replace(log, committed); }
-    void save_commit_index(std::uint64_t) override {}   // the next snapshot has it
+    void save_commit_index(std::uint64_t) override {}   // stored with the next snapshot
     const LogFile& file() const { return file_; }
     const std::string& last_error() const { return last_error_.empty() ? file_.last_error() : last_error_; }
 
--- a/src/rollout/follower.hpp
+++ b/src/rollout/follower.hpp
@@ -1,14 +1,25 @@
-// An ingress's side: asks its parents for what comes after what it has, checks it, and puts one whole
-// version after another in force. No I/O or clock; what is drawn comes from the seed.
+// A follower of the replicated configuration: the side of an ingress or a relay.
 //
-// What it keeps to:
-//  1. One whole version is in force at every moment, and its number never falls.
-//  2. A version is durable (home.hpp) before it is in force, and in force before it is reported.
-//  3. A record is taken only after the one before it, by number and chain; one of another sequence is never
-//     merged: the follower stays where it is and says `diverged`.
-//  4. Of a version that the consumer can't use the change that is to blame is refused by its number, and
-//  the
-//     follower stays before it; it goes over it and its revert in one step.
+// Rule: it pulls records from its parents, validates them, and activates one consistent version after
+// another. Inputs: Offer and SnapshotPart messages of parents, the validator's verdict, `now` in s. Output:
+// Pull messages (take_outgoing) and activated versions (take_activations).
+//
+// Invariants:
+//  1. Exactly one consistent version is active at any time, and its number never falls.
+//  2. A version is durable (storage.hpp) before it is active, and active before it is reported.
+//  3. A record is accepted only after its predecessor, by number and chain (log matching). Records of
+//  another
+//     sequence are never merged: the follower keeps its version and reports FollowerFault::diverged.
+//  4. When a version is invalid, the faulty change is refused by its number and the follower stays before
+//  it;
+//     the change and its revert are later activated in one step.
+//
+// It does no I/O besides FollowerStorage, reads no clock, and draws random numbers from its seed only.
+// Called by Driver, which owns it and its storage. Parents are tried in the order of parent_order(), with
+// exponential backoff and jitter while all of them are silent. Seen in: the records begins_with, in_force
+// and refuses of the event log, GET /v1/rollout, slatejunction_rollout_in_force,
+// slatejunction_rollout_refusals_total. The parts: follower.cpp (parents, pulls, records),
+// follower_activation.cpp (versions, snapshots).
 #pragma once
 
 #include <functional>
@@ -25,44 +36,47 @@
 
 namespace slatejunction::rollout {
 
+/// A control machine or relay that this follower may pull from.
 struct Parent {
     std::string name, region;
     bool operator==(const Parent&) const = default;
 };
 
+/// Times in s.
 struct FollowerSettings {
     std::string name, region;
-    std::vector<Parent> parents;           // one at least
-    double pull_interval_s = 1;            // between pulls when quiet, +- jitter
-    double jitter_fraction = 0.1;          // part of a wait
-    double retry_interval_s = 0.5;         // a pull without an answer is repeated, each time later by half
-    double parent_timeout_s = 2;           // without an answer: the next parent
-    double preferred_retry_s = 30;         // at another than the first parent: tries that again so often
-    double first_pull_spread_s = 1;        // the first pull comes at random within it
-    double max_backoff_s = 8;              // all parents silent: the longest wait between two tries
-    double activation_interval_s = 0.25;   // the least time between two versions
-    double disk_retry_s = 2;               // after a home that could not keep a version
-    std::size_t max_log_records = 0,
-                max_log_bytes = 0;   // behind the version in force: for a relay's feeder
-    std::size_t max_pending_records =
-        8'000;   // records ahead of the version in force: with half of them it goes on
-    std::size_t compact_after_records = 2'000;   // records appended to the home, until it is compacted
+    std::vector<Parent> parents;           // at least one
+    double pull_interval_s = 1;            // between pulls without news, +- jitter
+    double jitter_fraction = 0.1;          // of a wait
+    double retry_interval_s = 0.5;         // until an unanswered pull is repeated, growing by half
+    double parent_timeout_s = 2;           // without an answer, until the next parent is used
+    double preferred_retry_s = 30;         // between tries of the preferred (first) parent
+    double first_pull_spread_s = 1;        // the first pull is spread over this time
+    double max_backoff_s = 8;              // longest wait while all parents are silent
+    double activation_interval_s = 0.25;   // minimum between two activations
+    double disk_retry_s = 2;               // after a failed write
+    std::size_t max_log_records = 0;       // up to the active version, for the publisher of a relay
+    std::size_t max_log_bytes = 0;         // the same
+    // Beyond the active version. With half of them an intermediate version is activated.
+    std::size_t max_pending_records = 8'000;
+    std::size_t compact_after_records = 2'000;   // appended to the storage since the last compaction
 };
 
-// The parents in the order in which this follower asks them: those of its region, then the others, each by
-// rendezvous hash, so that followers spread over them.
+/// The parents in the order of preference: those of the follower's region, then the others, each group by
+/// rendezvous hash, so that followers spread over them.
 std::vector<std::string> parent_order(const FollowerSettings& settings);
 
-// Whether the consumer can use this state. `changes`: what differs from the state in force. Empty: it can;
-// else why not (as the operator is to read it). Must not keep references.
+/// Validates a state. `changes`: what differs from the active state. Returns an empty text if the state is
+/// valid, else the fault in the operator's words. Must not keep references.
 using Validator = std::function<std::string(const State& state, const Changes& changes)>;
 
-// A version is in force now: the consumer takes it over. `changes`: since the one before.
+/// A version became active. `changes`: since the version before it.
 struct Activation {
     Version version;
     Changes changes;
 };
 
+/// Events since the start.
 struct FollowerCounts {
     std::uint64_t pulls = 0, records = 0, gaps = 0, parent_switches = 0;
     std::uint64_t versions = 0, validations = 0, refusals = 0, disk_failures = 0;
@@ -71,36 +85,38 @@
 
 class Follower {
   public:
-    // What `stored` holds is in force at once, without a check. `home` lives longer.
-    Follower(const FollowerSettings& settings, FollowerStored stored, FollowerStorage& home,
-             Validator check, std::uint64_t seed);
+    /// The last version of `stored` is active at once, without validation. `storage` must outlive this.
+    Follower(const FollowerSettings& settings, FollowerStored stored, FollowerStorage& storage,
+             Validator validator, std::uint64_t seed);
 
     void start(double now);
-    // Offer, SnapshotPart of a parent; others are passed over.
+    /// Offer and SnapshotPart of a parent; other messages are ignored.
     void receive(double now, const std::string& from, const Message& message);
     void on_timer(double now);
     double next_deadline() const;   // s
     std::vector<OutgoingMessage> take_outgoing() { return std::exchange(outgoing_, {}); }
     std::vector<Activation> take_activations() { return std::exchange(activations_, {}); }
-    // What the check rests on has changed (the operator's own file): what was refused is tried again.
+    /// What the validator depends on has changed: retries what was refused.
     void recheck(double now);
-    // Of a relay: all below it, told in each pull.
+    /// Of a relay: the report of its children, sent with each pull.
     void set_subtree(const Report& report) { subtree_report_ = report; }
-    void report_now(double now);   // pulls at once, so that the parent hears of a change below
+    /// Pulls at once, so that the parent learns of a change in the subtree.
+    void report_now(double now);
 
     const Version& active_version() const { return active_version_; }
-    const State& state() const { return state_; }   // of the version in force
-    const Log& log() const { return log_; }         // what it holds, for a relay's feeder
+    const State& state() const { return state_; }   // of the active version
+    const Log& log() const { return log_; }         // up to the last record received
     const Staging& staging() const { return staging_; }
     FollowerFault fault() const;
     std::uint64_t refused() const { return refused_number_; }   // 0: none
     const std::string& reason() const { return refusal_reason_; }
     const std::string& parent() const { return parents_[parent_index_]; }
-    double last_contact_at() const { return last_contact_at_; }   // s; from any parent; -1e18: never
+    double last_contact_at() const { return last_contact_at_; }   // s; from any parent; -kNever: never
     const FollowerCounts& counts() const { return counts_; }
 
   private:
-    struct LeaveNotice {   // a parent that is to be told
+    // To a parent that this follower no longer uses, until it is acknowledged.
+    struct LeaveNotice {
         double next_send_at = 0;
         unsigned attempts = 0;
     };
@@ -119,6 +135,7 @@
     enum class ActivationResult { activated, refused, disk_failed };
     ActivationResult activate(double now, std::uint64_t number, std::string& why);
     std::string apply_and_validate(Changes& changes);
+    std::vector<std::uint64_t> consistent_versions(std::uint64_t top) const;
     std::uint64_t find_faulty_change(std::uint64_t number, std::string& why);
     Changes changes_up_to(std::uint64_t number) const;
     void finish_activation(double now, const Version& version, Changes changes);
@@ -138,24 +155,24 @@
     const Validator validator_;
     std::mt19937_64 random_;
     const std::vector<std::string> parents_;
-    std::size_t parent_index_ = 0;   // in order_
+    std::size_t parent_index_ = 0;   // in parents_
     Log log_;
-    State state_;   // in force
+    State state_;   // of active_version_
     Version active_version_;
     Staging staging_;
-    std::uint64_t activation_limit_ = 0;            // the highest told
-    std::uint64_t target_number_ = 0;               // to be put in force next; stands until it is reached
-    std::map<std::uint64_t, Offer> early_offers_;   // by the previous number: came before what they follow
-    std::uint64_t refused_number_ = 0;              // the change that is to blame
-    std::uint64_t refused_version_ = 0;             // the first whole version that can't be used for it
-    std::uint64_t refused_at_log_end_ = 0;          // the last record held when it was tried
-    bool snapshot_refused_ = false;                 // a snapshot, in which no single number is to blame
+    std::uint64_t activation_limit_ = 0;            // the highest offered
+    std::uint64_t target_number_ = 0;               // next to activate; unchanged until it is reached
+    std::map<std::uint64_t, Offer> early_offers_;   // out of order, by the previous number
+    std::uint64_t refused_number_ = 0;              // the faulty change
+    std::uint64_t refused_version_ = 0;             // the first consistent version with it
+    std::uint64_t refused_at_log_end_ = 0;          // last record when it was validated
+    bool snapshot_refused_ = false;                 // a snapshot was invalid, no single change known
     std::string refusal_reason_;
     bool diverged_ = false, disk_failed_ = false;
-    double next_pull_at_ = 1e18, last_pull_at_ = -1e18, parent_timeout_at_ = 1e18,
-           preferred_retry_at_ = 1e18, leave_notice_at_ = 1e18;
-    double activation_at_ = 1e18, last_activation_at_ = -1e18, snapshot_not_before_ = -1e18;
-    double last_contact_at_ = -1e18;
+    double next_pull_at_ = kNever, last_pull_at_ = -kNever;
+    double parent_timeout_at_ = kNever, preferred_retry_at_ = kNever, leave_notice_at_ = kNever;
+    double activation_at_ = kNever, last_activation_at_ = -kNever, snapshot_not_before_ = -kNever;
+    double last_contact_at_ = -kNever;
     unsigned unanswered_pulls_ = 0, silent_parents_ = 0;   // pulls to this parent; parents in a row
     std::map<std::string, LeaveNotice> leave_notices_;
     SnapshotReceiver snapshot_receiver_;
--- /dev/null
+++ b/src/rollout/follower_activation.cpp
@@ -0,0 +1,237 @@
+// Follower, activation: the next version, its validation, refusal and installed snapshots.
+#include <algorithm>
+#include <set>
+
+#include "rollout/follower.hpp"
+
+namespace slatejunction::rollout {
+namespace {
+
+constexpr double kRefusedSnapshotRetryS = 30;   // until a snapshot is received again after one was refused
+
+}   // namespace
+
+// The number of the next version to activate; that of the active one if there is none.
+std::uint64_t Follower::next_target() {
+    const std::uint64_t have = log_.last().number;
+    if (target_number_ <= active_version_.number) target_number_ = activation_limit_;
+    std::uint64_t top = have;
+    if (have >= activation_limit_)
+        top = std::max(activation_limit_, active_version_.number);
+    else if (have >= target_number_)
+        top = target_number_;
+    else if (have - active_version_.number < settings_.max_pending_records / 2)
+        return active_version_.number;
+    return std::max(active_version_.number, log_.highest_consistent(top, have));
+}
+
+void Follower::try_activate(double now) {
+    activation_at_ = kNever;
+    const std::uint64_t top = next_target();
+    if (top <= active_version_.number) return;
+    // Refused, and no record has arrived since.
+    if (refused_number_ != 0 && refused_at_log_end_ == log_.last().number) return;
+    const double wait = disk_failed_ ? settings_.disk_retry_s : settings_.activation_interval_s;
+    if (now < last_activation_at_ + wait) {
+        activation_at_ = last_activation_at_ + wait;
+        return;
+    }
+    last_activation_at_ = now;
+    activate_highest_valid(now, top);
+}
+
+// Activates `top` if it is valid, else the last valid version below it (binary search over the consistent
+// versions), and refuses the change that made the next one invalid.
+void Follower::activate_highest_valid(double now, std::uint64_t top) {
+    std::string why;
+    const std::uint64_t log_end = log_.last().number;
+    const ActivationResult done = activate(now, top, why);
+    if (done == ActivationResult::disk_failed) activation_at_ = now + settings_.disk_retry_s;
+    if (done != ActivationResult::refused) return;
+    const bool known = refused_version_ > active_version_.number &&
+                       log_.highest_consistent(refused_version_, log_end) == refused_version_;
+    refused_at_log_end_ = log_end;
+    if (known) return;
+    const std::vector<std::uint64_t> stops = consistent_versions(top);
+    // stops[bad] is invalid; every version before stops[good] is valid.
+    std::size_t good = 0, bad = stops.size() - 1;
+    std::uint64_t best = 0;
+    while (good < bad) {
+        const std::size_t middle = (good + bad) / 2;
+        Changes changes = changes_up_to(stops[middle]);
+        const std::string fault = apply_and_validate(changes);
+        exchange(state_, changes);
+        if (fault.empty()) {
+            best = stops[middle];
+            good = middle + 1;
+        } else {
+            why = fault;
+            bad = middle;
+        }
+    }
+    std::string unused;
+    if (best != 0 && activate(now, best, unused) == ActivationResult::disk_failed) {
+        activation_at_ = now + settings_.disk_retry_s;
+        return;
+    }
+    refused_version_ = stops[bad];
+    refused_number_ = find_faulty_change(refused_version_, why);
+    refused_at_log_end_ = log_end;
+    activation_at_ = kNever;
+    refusal_reason_ = why;
+    ++counts_.refusals;
+    schedule_pull(now);
+}
+
+// The versions after the active one up to `top` that lie in no reverted stretch.
+std::vector<std::uint64_t> Follower::consistent_versions(std::uint64_t top) const {
+    const std::uint64_t log_end = log_.last().number;
+    std::vector<std::uint64_t> numbers;
+    for (std::uint64_t number = active_version_.number + 1; number <= top; ++number)
+        if (log_.highest_consistent(number, log_end) == number) numbers.push_back(number);
+    return numbers;
+}
+
+// The change that makes `number` invalid, the first consistent version after the active one. A version that
+// ends a reverted stretch brings in every change of the stretch that still counts; one of those is named
+// before the revert itself, because a revert cannot be reverted.
+std::uint64_t Follower::find_faulty_change(std::uint64_t number, std::string& why) {
+    if (log_.record(number).reverts == 0) return number;
+    std::map<std::string, std::uint64_t> latest;   // by key: the last change that counts
+    for (std::uint64_t at = active_version_.number + 1; at < number; ++at) {
+        const Record& one = log_.record(at);
+        const std::uint64_t by = log_.reverted_by(at);
+        const bool in_effect = one.kind != Kind::none && one.reverts == 0 && (by == 0 || by > number);
+        if (in_effect) latest[one.key] = at;
+    }
+    std::set<std::uint64_t> suspects;
+    for (const auto& [key, at] : latest) suspects.insert(at);
+    Changes candidate;
+    for (const std::uint64_t at : suspects) {
+        const Record& one = log_.record(at);
+        candidate[one.key] = one.kind == Kind::put ? std::optional(one.value) : std::nullopt;
+        Changes changes = candidate;
+        const std::string fault = apply_and_validate(changes);
+        exchange(state_, changes);
+        if (fault.empty()) continue;
+        why = fault;
+        return at;
+    }
+    return number;
+}
+
+Changes Follower::changes_up_to(std::uint64_t number) const {
+    Changes changes;
+    for (std::uint64_t at = active_version_.number + 1; at <= number; ++at) {
+        const Record& one = log_.record(at);
+        if (one.kind == Kind::put) changes[one.key] = one.value;
+        if (one.kind == Kind::erase) changes[one.key].reset();
+    }
+    std::erase_if(changes, [&](const auto& change) {
+        const auto old = state_.find(change.first);
+        return old == state_.end() ? !change.second : change.second && *change.second == old->second;
+    });
+    return changes;
+}
+
+// Applies the changes to the state and leaves in them what undoes them. Returns the fault; empty: valid.
+std::string Follower::apply_and_validate(Changes& changes) {
+    ++counts_.validations;
+    const Changes made = changes;
+    exchange(state_, changes);
+    return made.empty() ? std::string() : validator_(state_, made);
+}
+
+Follower::ActivationResult Follower::activate(double now, std::uint64_t number, std::string& why) {
+    Changes changes = changes_up_to(number);
+    Changes undo = changes;
+    why = apply_and_validate(undo);
+    if (!why.empty()) {
+        exchange(state_, undo);
+        return ActivationResult::refused;
+    }
+    std::vector<Record> records;
+    for (std::uint64_t at = active_version_.number + 1; at <= number; ++at)
+        records.push_back(log_.record(at));
+    disk_failed_ = !storage_.append(records);
+    if (disk_failed_) {
+        ++counts_.disk_failures;
+        exchange(state_, undo);
+        schedule_pull(now);
+        return ActivationResult::disk_failed;
+    }
+    records_since_compaction_ += records.size();
+    finish_activation(now, log_.version(number), std::move(changes));
+    return ActivationResult::activated;
+}
+
+void Follower::finish_activation(double now, const Version& version, Changes changes) {
+    active_version_ = version;
+    ++counts_.versions;
+    activations_.push_back({version, std::move(changes)});
+    log_.trim(settings_.max_log_records, settings_.max_log_bytes, version.number);
+    refused_number_ = 0;
+    refused_version_ = 0;
+    refused_at_log_end_ = 0;
+    snapshot_refused_ = false;
+    if (records_since_compaction_ >= settings_.compact_after_records) compact();
+    // The leader waits for the reports of canaries.
+    if (staging_.canary(settings_.name)) schedule_pull(now);
+    if (next_target() > active_version_.number) activation_at_ = now + settings_.activation_interval_s;
+}
+
+void Follower::compact() {
+    // A failure leaves the stored log as it is; the next compaction tries again.
+    records_since_compaction_ = 0;
+    Log active = log_;
+    active.truncate(active_version_.number);
+    storage_.replace(active);
+}
+
+void Follower::install_snapshot(double now) {
+    counts_.broken_snapshots = snapshot_receiver_.checksum_failures();
+    auto snapshot = snapshot_receiver_.take_snapshot();
+    if (!snapshot || snapshot->version.number <= log_.last().number) return;
+    Changes changes;
+    for (const auto& [key, value] : state_)
+        if (!snapshot->state.contains(key)) changes[key].reset();
+    for (const auto& [key, value] : snapshot->state) {
+        const auto old = state_.find(key);
+        if (old == state_.end() || old->second != value) changes[key] = value;
+    }
+    Changes undo = changes;
+    const std::string why = apply_and_validate(undo);
+    Log log(snapshot->version, snapshot->term, std::move(snapshot->state));
+    if (!why.empty()) {
+        exchange(state_, undo);
+        snapshot_refused_ = true;
+        refusal_reason_ = why;
+        ++counts_.snapshots_refused;
+        snapshot_not_before_ = now + kRefusedSnapshotRetryS;
+        schedule_pull(now);
+        return;
+    }
+    disk_failed_ = !storage_.replace(log);
+    if (disk_failed_) {
+        ++counts_.disk_failures;
+        exchange(state_, undo);
+        snapshot_not_before_ = now + settings_.disk_retry_s;
+        schedule_pull(now);
+        return;
+    }
+    ++counts_.snapshots;
+    log_ = std::move(log);
+    early_offers_.clear();
+    records_since_compaction_ = 0;
+    activation_limit_ = std::max(activation_limit_, log_.last().number);
+    finish_activation(now, log_.last(), std::move(changes));
+    schedule_pull(now);
+}
+
+void Follower::recheck(double now) {
+    refused_at_log_end_ = 0;
+    snapshot_not_before_ = -kNever;
+    try_activate(now);
+}
+
+}   // namespace slatejunction::rollout
--- a/src/rollout/leader.hpp
+++ b/src/rollout/leader.hpp
@@ -1,18 +1,33 @@
-// The holder of the lease: reads what a majority of the replicas has, takes changes, has them committed and
-// says how far they may be rolled out. No I/O or clock; what is drawn comes from the seed.
+// The leader of the replicated configuration log: the control machine that holds the lease.
 //
-// Reading is two rounds: first a majority promises the term, then the same processes say what they hold.
-// A replica that loses its disk between the two is noticed by its process, and all begins anew. A replica
-// that has lost its disk counts in no majority of a term whose reading began before the loss was told; for
-// it the source begins another round of its own (term_of()), and admits it once it has everything.
+// Rule: it recovers what a majority of replicas has, orders and replicates changes, and releases committed
+// changes to the fleet in two stages (canaries, then all followers).
+// Inputs: the fencing token of the lease, messages of replicas and control machines, proposals, `now` in s.
+// Output: messages (take_outgoing), events for the operator (take_events), the commit index and the
+// Staging.
 //
-// Commit: a record of the source's own term that a majority has, with all before it. Older records are
-// committed by a record of kind `none` that follows them.
+// Recovery of a term (Paxos phase 1; Raft, election restriction): a majority promises the term, then the
+// same processes report their logs, and the most up-to-date log is adopted. A replica that loses its
+// storage in between is recognised by its process id, and the leader begins another round (term_of()).
+// Commit (Raft, 5.4.2): a record of the leader's own term is committed once a majority has it and all
+// before it; records of older terms are committed by a record of kind `none` that follows them. Staged
+// release: canaries are the reporting followers of the lowest name hashes. A number is cleared for all once
+// every canary has had it active for canary_s. A canary that lacks it canary_timeout_s after the commit is
+// not waited for, and no number waits longer than both times together.
 //
-// Staging: committed records go to the canaries first: the followers of the lowest hashes among those
-// reporting. A number is cleared for all when every canary had it in force for canary_s; those that do not
-// have it canary_wait_s after its commit are not waited for, nor is anybody for longer than both together.
-// A version that some follower refuses is reverted, once, and what lies between the two is never cleared.
+// Invariants:
+//  1. A committed record is never lost or replaced while a majority of replicas has intact storage.
+//  2. A replica that lost its storage (a learner) counts in no majority of a term whose recovery began
+//  before
+//     the loss was reported; it is admitted by a later round, once it has the complete log.
+//  3. The cleared number never falls, and lies in no reverted stretch of the log.
+//  4. A change that a follower refuses is reverted once, and nothing between the two is cleared.
+//  5. A leader that sees a higher fencing token stops (Phase::fenced).
+//
+// It does no I/O, reads no clock, and draws random numbers from its seed only. Called by Driver, which owns
+// it. Seen in: the records source_* of the event log, GET /v1/rollout, slatejunction_rollout_committed,
+// _cleared. The parts: leader.cpp (terms, proposals, timers), leader_recovery.cpp, leader_replication.cpp,
+// leader_release.cpp.
 #pragma once
 
 #include <deque>
@@ -31,27 +46,30 @@
 
 namespace slatejunction::rollout {
 
+/// Times in s; the defaults are those of BoundTimes (propagation_bounds.hpp).
 struct LeaderSettings {
-    std::vector<std::string> replicas;     // names of all, the source's own machine's too
-    std::size_t canary_count = 5;          // kCanariesMost at most
-    double canary_s = 1;                   // in force at the canaries, until cleared
-    double canary_timeout_s = 2;           // from commit, for a canary to have it in force
-    double heartbeat_interval_s = 0.5;     // between appends when nothing is new
-    double retry_interval_s = 0.3;         // without an answer, until something is sent again
-    double report_timeout_s = 4;           // a machine's report counts for so long
+    std::vector<std::string> replicas;     // names of all, the leader's own too
+    std::size_t canary_count = 5;          // at most kMaxCanaries
+    double canary_s = 1;                   // active at the canaries, until cleared
+    double canary_timeout_s = 2;           // from the commit, for a canary to activate it
+    double heartbeat_interval_s = 0.5;     // between appends without new records
+    double retry_interval_s = 0.3;         // without a reply, until a request is repeated
+    double report_timeout_s = 4;           // how long the report of a control machine counts
     std::size_t max_uncommitted = 5'000;   // records proposed and not committed
     std::size_t max_log_records = kMaxLogRecords, max_log_bytes = kMaxLogBytes;
 };
 
+/// Why a proposal was rejected.
 enum class ProposeError { none, not_leader, not_ready, too_large, backlog_full };
+/// As the admin interface names them.
 inline constexpr const char* kProposeErrors[] = {"none", "not_source", "not_ready", "too_large",
                                                  "backlog_full"};
 struct ProposeOutcome {
-    std::uint64_t number = 0;   // 0: see error
+    std::uint64_t number = 0;   // 0: rejected, see error
     ProposeError error = ProposeError::none;
 };
 
-// What an operator may want to know of.
+/// Something that an operator may want to know.
 struct LeaderEvent {
     enum class Kind {
         ready,              // number: the last committed
@@ -59,35 +77,38 @@
         cleared,            // number
         refused,            // number, name, reason: the first refusal of that number
         reverted,           // number: of the refused one
-        irrevertible,       // number: refused, but it is a revert, or no longer kept
-        fenced,             // another source has a higher term; this one stops
-        majority_lost,      // fewer than a majority remembered: what they had forgotten may be missing
-        learner_admitted,   // name: a replica that had lost its disk counts again
+        irrevertible,       // number: refused, but it is itself a revert, or no longer in the log
+        fenced,             // another leader has a higher term; this one stops
+        majority_lost,      // fewer than a majority had intact storage: committed records may be missing
+        learner_admitted,   // name: a replica that had lost its storage counts again
         diverged            // name: a replica whose committed records differ from what the others have
     } kind = Kind::ready;
     std::uint64_t number = 0;
     std::string name, reason;
 };
 
+/// One instance per control machine; inactive while another holds the lease.
 class Leader {
   public:
     enum class Phase { inactive, collecting_promises, collecting_status, fetching_log, ready, fenced };
 
     Leader(const LeaderSettings& settings, std::uint64_t seed);
 
-    // The lease is held under this fencing number from now on. `own`: what this machine's replica has.
+    /// Begins to lead under the fencing token of the lease. `own`: the log of this machine's replica.
     void begin_term(double now, std::uint64_t fencing, const Log& own);
+    /// The lease is lost: forgets everything of the term.
     void end_term();
 
-    // Promise, Holding, Fetched, Appended, SnapshotPart, PartPull of replicas, Told of control machines.
+    /// Promise, LogStatus, FetchReply, AppendReply, SnapshotPart, SnapshotPartRequest of replicas and
+    /// FollowerReport of control machines; other messages are ignored.
     void receive(double now, const std::string& from, const Message& message);
     void on_timer(double now);
     double next_deadline() const;   // s
     std::vector<OutgoingMessage> take_outgoing() { return std::exchange(outgoing_, {}); }
     std::vector<LeaderEvent> take_events() { return std::exchange(events_, {}); }
 
-    // A change to be rolled out; none: the key is erased. The number is its place in the sequence; it is
-    // durable and will be rolled out once committed() has reached it under this source.
+    /// Appends a change: a value of `key`, or its removal (nullopt). The number is its position in the log;
+    /// it is durable, and will be released, once commit_index() reaches it in this term.
     ProposeOutcome propose(double now, const std::string& key, const std::optional<std::string>& value);
 
     Phase phase() const { return phase_; }
@@ -95,35 +116,35 @@
     const Log& log() const { return log_; }
     std::uint64_t commit_index() const { return commit_index_; }
     const Staging& staging() const { return staging_; }
-    Report fleet_report(double now) const;   // of all control machines that told within silence_s
+    /// The reports of control machines received within report_timeout_s, added up.
+    Report fleet_report(double now) const;
 
   private:
-    struct ReplicaProgress {   // a replica
-        std::uint64_t storage_lost_process =
-            0;                               // the process that told of a loss, in any reading of this hold
-        std::uint64_t learner_process = 0;   // the same, as it was when this reading began
-        // of this reading
+    struct ReplicaProgress {
+        std::uint64_t storage_lost_process = 0;   // that reported a loss, in any round of this lease
+        std::uint64_t learner_process = 0;        // the same, as known when this round began
+        // Recovery.
         std::uint64_t process = 0;
         bool promised = false, storage_intact = false;
         std::optional<LogStatus> log_status;
-        // of replication
-        std::uint64_t last_sent = 0, match_index = 0;   // numbers
-        bool probing = true;                            // what it has is not known yet
-        std::uint64_t probe_index = 0;                  // the previous number to try next
+        // Replication.
+        std::uint64_t last_sent = 0, match_index = 0;   // record numbers
+        bool probing = true;                            // the last matching record is unknown
+        std::uint64_t probe_index = 0;                  // the next previous number to try
         bool admitting_learner = false, diverged = false;
-        double backoff_until = -1e18;   // s; its disk failed: nothing is sent until then
-        double next_send_at = 0;        // s; to send (again) at the latest
-        double last_ack_at = -1e18;     // s; of the last append that it took
+        double backoff_until = -kNever;   // s; its disk failed: nothing is sent before
+        double next_send_at = 0;          // s; latest time of the next append
+        double last_ack_at = -kNever;     // s; its last matching AppendReply
     };
     struct Canary {
-        std::deque<std::pair<double, std::uint64_t>> activations;   // since when, number
+        std::deque<std::pair<double, std::uint64_t>> activations;   // activated at (s), number
     };
     struct TimedReport {
         double received_at = 0;
         Report report;
     };
 
-    void begin_round(double now);   // a reading, under the next round
+    void begin_round(double now);
     void handle(double now, const std::string& from, const Promise& message);
     void handle(double now, const std::string& from, const LogStatus& message);
     void handle(double now, const std::string& from, const FetchReply& message);
@@ -142,10 +163,10 @@
     void adopt_best_log(double now);
     void fetch_records(double now);
     void become_ready(double now);
-    void replicate(double now, const std::string& name, ReplicaProgress& peer);
+    void replicate(double now, const std::string& name, ReplicaProgress& replica);
     void replicate_all(double now);
     void send_snapshot(const std::string& name);
-    void handle_log_mismatch(double now, const std::string& from, ReplicaProgress& peer,
+    void handle_log_mismatch(double now, const std::string& from, ReplicaProgress& replica,
                              const AppendReply& message);
     bool append_record(double now, Record record);
     void advance_commit_index(double now);
@@ -161,25 +182,25 @@
     }
 
     const LeaderSettings settings_;
-    std::mt19937_64 random_;   // of waits only
+    std::mt19937_64 random_;   // of the nonces
     Phase phase_ = Phase::inactive;
     std::uint64_t fencing_token_ = 0, round_ = 0, term_ = 0, nonce_ = 0;
-    unsigned attempts_ = 0;   // of the reading's step
+    unsigned attempts_ = 0;   // of the current recovery step
     Log log_;
     std::uint64_t commit_index_ = 0, reported_commit_index_ = 0;
     Staging staging_;
     std::map<std::string, ReplicaProgress> replicas_;
-    std::string best_replica_;   // whose log is adopted
+    std::string best_replica_;   // whose log is fetched
     SnapshotReceiver snapshot_receiver_;
     std::uint64_t fetch_after_ = 0, fetch_back_step_ = 1;
-    double round_retry_at_ = 1e18;     // s; of the reading
-    double staging_deadline_ = 1e18;   // s; something is to be cleared, perhaps
+    double round_retry_at_ = kNever;     // s; of the recovery step
+    double staging_deadline_ = kNever;   // s; when a number may next be cleared
     double readmit_at_ = 0;
     std::optional<Snapshot> outgoing_snapshot_;
     std::map<std::string, TimedReport> reports_;
     std::map<std::string, Canary> canaries_;
-    std::deque<std::pair<double, std::uint64_t>> uncleared_commits_;   // when, number: those not cleared
-    std::set<std::uint64_t> refused_numbers_;                          // told already
+    std::deque<std::pair<double, std::uint64_t>> uncleared_commits_;   // committed at (s), number
+    std::set<std::uint64_t> refused_numbers_;                          // already handled
     std::vector<OutgoingMessage> outgoing_;
     std::vector<LeaderEvent> events_;
 };
--- a/src/rollout/log.cpp
+++ b/src/rollout/log.cpp
@@ -71,8 +71,8 @@
         if (one.key != refused.key || one.number == number || one.kind == Kind::none) continue;
         const std::string* value = one.kind == Kind::put ? &one.value : nullptr;
         if (one.reverts == 0 && reverted_by(one.number) == 0) return with(value);
-        // Takes back what lies in the base, whose state has it still: what was before that only this one
-        // says, and only where the refused record came after it.
+        // This one reverts a record in the base, whose state still contains it: the value before that is
+        // known from this revert only, and only if the refused record came after it.
         if (one.reverts != 0 && one.reverts <= base_.number) {
             if (number < one.number) return {};
             return with(value);
@@ -83,7 +83,7 @@
 }
 
 std::uint64_t Log::highest_consistent(std::uint64_t number, std::uint64_t seen) const {
-    // Stretches may overlap: one that is left may end inside of another.
+    // Stretches may overlap: the number before one may lie in another.
     for (bool again = true; again;) {
         again = false;
         for (auto at = reverts_.begin(); at != reverts_.end() && at->first <= number; ++at) {
--- a/src/rollout/log.hpp
+++ b/src/rollout/log.hpp
@@ -1,4 +1,5 @@
-// The records that a node keeps: a state at some version (the base), and every record after it. Pure.
+// The part of the log that a node has: a state at some version (the base) and every record after it. Pure.
+// Invariants: numbers are consecutive, terms never fall, and every record is valid().
 #pragma once
 
 #include <deque>
@@ -10,8 +11,8 @@
 
 class Log {
   public:
-    Log() = default;   // version 0, nothing in it
-    // `term`: that of the record of version `base`.
+    Log() = default;   // version 0, empty
+    /// `term`: of the record of version `base`.
     Log(const Version& base, std::uint64_t term, State state)
         : base_(base), base_term_(term), state_(std::move(state)) {}
 
@@ -23,34 +24,36 @@
     std::size_t size() const { return entries_.size(); }
     std::size_t bytes() const { return bytes_; }
 
-    // Whether the version of this number is known: base().number to last().number.
+    /// Whether the number lies in base().number to last().number.
     bool contains_number(std::uint64_t number) const {
         return number >= base_.number && number <= last().number;
     }
-    Version version(std::uint64_t number) const;        // wants knows(number)
-    const Record& record(std::uint64_t number) const;   // wants number > base().number, knows(number)
-    std::uint64_t term(std::uint64_t number) const {    // of that record; wants knows(number)
+    Version version(std::uint64_t number) const;   // requires contains_number(number)
+    const Record& record(
+        std::uint64_t number) const;   // requires number > base().number, contains_number(number)
+    std::uint64_t term(std::uint64_t number) const {   // of that record; requires contains_number(number)
         return number > base_.number ? record(number).term : base_term_;
     }
-    bool contains(const Version& version) const {   // this very version
+    bool contains(const Version& version) const {   // this very version, number and chain
         return contains_number(version.number) && this->version(version.number) == version;
     }
 
-    // Adds the record if it is the next one, valid, and its term does not fall. False: nothing is changed.
+    /// Appends the record if it is the next one, valid, and its term does not fall. False: nothing is
+    /// changed.
     bool push(const Record& record);
-    void truncate(std::uint64_t number);   // drops all records after this number; wants knows(number)
-    // Moves the base up, over the oldest records, until at most so many and so many bytes are kept, but not
-    // beyond `number`.
+    void truncate(
+        std::uint64_t number);   // drops all records after this number; requires contains_number(number)
+    /// Moves the base up until at most `records` and `bytes` are left, but not beyond `number`.
     void trim(std::size_t records, std::size_t bytes, std::uint64_t number);
 
-    State state_at(std::uint64_t number) const;   // wants knows(number); takes time by the records kept
-    // The number of the record that reverts this one; 0: none of those kept.
+    State state_at(std::uint64_t number) const;   // requires contains_number(number); linear in the records
+    /// The number of the record that reverts this one; 0: none in the log.
     std::uint64_t reverted_by(std::uint64_t number) const;
-    // The record to append that takes `number` back, but for its number and term. None: it isn't kept, is
-    // itself a revert or changes nothing, or is reverted already.
+    /// The record that reverts `number`, without number and term. Nullopt: it is not in the log, is itself
+    /// a revert, changes nothing, or is reverted already.
     std::optional<Record> revert_of(std::uint64_t number) const;
-    // The highest number of at most `number` that lies in no reverted stretch: not at or after a record N
-    // and before the record (up to `seen`) that reverts it.
+    /// The highest consistent number up to `number`: in no reverted stretch, which begins with a record and
+    /// ends before the record (up to number `seen`) that reverts it.
     std::uint64_t highest_consistent(std::uint64_t number, std::uint64_t seen) const;
 
   private:
--- a/src/rollout/message.cpp
+++ b/src/rollout/message.cpp
@@ -138,12 +138,12 @@
     to.set_disk_failed(from.disk_failed);
 }
 
-// Readers: false where a field is outside of what is allowed.
+// Readers return false if a field is outside its limits.
 bool is_name(std::string_view name) {
     return !name.empty() && name.size() <= kMaxNameBytes &&
            std::all_of(name.begin(), name.end(), [](char c) { return c > ' ' && c < 127; });
 }
-// A reason is told to people: what can't be printed is replaced.
+// A reason is shown to people: unprintable characters are replaced.
 std::string printable(std::string text) {
     if (text.size() > kMaxReasonBytes) text.resize(kMaxReasonBytes);
     for (char& c : text)
@@ -355,9 +355,9 @@
         case wire::Message::kAppended:
             return typed<AppendReply>(in.appended());
         case wire::Message::kTold: {
-            FollowerReport told;
-            if (!read(in.told().report(), told.report)) return {};
-            return Message(std::move(told));
+            FollowerReport report;
+            if (!read(in.told().report(), report.report)) return {};
+            return Message(std::move(report));
         }
         case wire::Message::KIND_NOT_SET:
             return {};
--- a/src/rollout/publisher.cpp
+++ b/src/rollout/publisher.cpp
@@ -15,7 +15,7 @@
 
 std::size_t size_of(const std::vector<Body>& bodies) {
     std::size_t bytes = 0;
-    for (const Body& one : bodies) bytes += one->size();
+    for (const Body& body : bodies) bytes += body->size();
     return bytes;
 }
 
@@ -26,17 +26,18 @@
 
 void Publisher::advance(double now, std::uint64_t committed, const Staging& staging) {
     const Staging before = staging_;
-    const std::uint64_t had = commit_index_;
+    const std::uint64_t index_before = commit_index_;
     commit_index_ = std::max(commit_index_, committed);
     staging_.merge(staging);
     if (staging_.cleared > before.cleared) clearances_.emplace_back(now, staging_.cleared);
-    // Of those that are old enough the last one tells all.
+    // Of the clearances older than behind_s only the latest matters.
     while (clearances_.size() > 1 && clearances_[1].first + settings_.behind_s <= now)
         clearances_.pop_front();
-    if (staging_ != before || commit_index_ != had) push_at_ = std::min(push_at_, now + settings_.batch_s);
+    if (staging_ != before || commit_index_ != index_before)
+        push_at_ = std::min(push_at_, now + settings_.batch_s);
 }
 
-// A version that a child may have in force.
+// The highest version that the child may activate: canaries up to the commit index, others what is cleared.
 std::uint64_t Publisher::activation_limit(const Child& child) const {
     if (child.hash >= staging_.canary_below) return staging_.cleared;
     return std::max(staging_.cleared, log_.highest_consistent(commit_index_, commit_index_));
@@ -66,17 +67,17 @@
         at->second.hash = hash_of(from);
     }
     Child& child = at->second;
-    const FollowerStatus standing{from, pull.active, pull.fault};
+    const FollowerStatus status{from, pull.active, pull.fault};
     const bool canary = child.hash < staging_.canary_below;
-    const bool moved = canary && (child.status != standing || child.process != process);
+    const bool canary_changed = canary && (child.status != status || child.process != process);
     const bool refuses = pull.refused != 0 && (!child.refusal || child.refusal->number != pull.refused);
-    const bool below =
+    const bool subtree_changed =
         pull.subtree && (!child.subtree || child.subtree->canaries != pull.subtree->canaries ||
                          child.subtree->refusals != pull.subtree->refusals);
-    if (moved || refuses || below) ++urgent_changes_;
+    if (canary_changed || refuses || subtree_changed) ++urgent_changes_;
     child.process = process;
     child.last_contact_at = now;
-    child.status = standing;
+    child.status = status;
     child.refusal.reset();
     if (pull.refused != 0) child.refusal = Refusal{pull.refused, from, pull.reason};
     child.subtree = pull.subtree;
@@ -87,7 +88,7 @@
     child.following = false;
     child.last_sent = pull.have.number;
     if (pull.have.number < log_.base().number) return offer_snapshot(now, from);
-    // What is not committed here may be replaced yet: nothing can be said of it.
+    // Above the commit index a record may still be replaced: divergence cannot be concluded.
     if (pull.have.number <= commit_index_ && log_.contains_number(pull.have.number) &&
         !log_.contains(pull.have)) {
         ++counts_.diverged;
@@ -117,7 +118,7 @@
     return offer;
 }
 
-// Records after `from` up to `end`, as many as one answer may have; `reached`: the last one.
+// Records after `from` up to `end`, within window_bytes. `reached`: the number of the last one.
 std::vector<Body> Publisher::encode_batches(std::uint64_t from, std::uint64_t end, std::uint64_t most,
                                             std::uint64_t& reached) const {
     std::vector<Body> bodies;
@@ -137,12 +138,12 @@
 }
 
 void Publisher::push_batches(double now) {
-    push_at_ = 1e18;
+    push_at_ = kNever;
     struct Batch {
         std::vector<Body> bodies;
         std::uint64_t reached = 0;
     };
-    std::map<std::tuple<std::uint64_t, std::uint64_t>, Batch> made;   // by where from, and up to where
+    std::map<std::tuple<std::uint64_t, std::uint64_t>, Batch> made;   // by last_sent and activation limit
     for (auto& [name, child] : children_) {
         if (!child.following || now - child.last_contact_at > settings_.child_timeout_s) continue;
         const std::uint64_t most = activation_limit(child);
--- a/src/rollout/publisher.hpp
+++ b/src/rollout/publisher.hpp
@@ -1,9 +1,18 @@
-// The side towards children (ingresses and relays): remembers them, pushes what is new, answers their
-// pulls, and adds up what they report. Used by control machines, over their replica's committed records,
-// and by relays, over their follower's. No I/O or clock; what is drawn comes from the seed.
+// Publishes the committed log to children (ingresses and relays), on control machines and relays.
 //
-// A batch is encoded once for all children that are at the same version. What is pushed is not repeated: a
-// child that missed it asks.
+// Rule: it pushes new records to children within their activation limit, answers their pulls, and adds up
+// what they report. Inputs: the log and its commit index (advance), pulls of children, `now` in s. Output:
+// offers and snapshot parts (take_outgoing), the Report of the subtree.
+//
+// Invariants:
+//  1. Only committed records are published; those that are not cleared only to canaries.
+//  2. A batch is encoded once for all children at the same version. A push is never repeated: a child that
+//     missed it pulls.
+//  3. At most bytes_per_s are sent over all children (token bucket); an answer beyond it is left to a later
+//  pull.
+//
+// It does no I/O and reads no clock. Called by Driver, which owns it; the log belongs to its Replica or
+// Follower. Seen in: GET /v1/rollout, slatejunction_rollout_counted, _behind, _silent.
 #pragma once
 
 #include <deque>
@@ -22,52 +31,53 @@
 namespace slatejunction::rollout {
 
 struct PublisherSettings {
-    double batch_s = 0.1;                // new records wait so long for others
-    double child_timeout_s = 4;          // a child not heard of for so long is silent
-    double child_retention_s = 86'400;   // a silent child is named for so long
-    double behind_s = 11;                // a child is behind if it lacks what was cleared so long ago
-    std::size_t max_children = 4'096;    // one more is not answered, so that it asks another parent
-    // Of records and parts of snapshots, over all children: 1,400 of them at 50 changes of 300 bytes a
-    // second take half of it.
+    double batch_s = 0.1;                // new records wait for others
+    double child_timeout_s = 4;          // without a message a child is silent
+    double child_retention_s = 86'400;   // how long a silent child is reported
+    double behind_s = 11;                // a child without what was cleared this long ago is behind
+    std::size_t max_children = 4'096;    // further ones are not answered, and use another parent
+    // Of records and snapshot parts, over all children.
     double bytes_per_s = 40'000'000;
-    std::size_t window_bytes = 8'000;   // of records in the answer to one pull
-    double snapshot_interval_s = 10;    // a new one is made at most so often
+    std::size_t window_bytes = 8'000;   // of records in the answers to one pull
+    double snapshot_interval_s = 10;    // minimum between two snapshots
 };
 
+/// Events since the start.
 struct PublisherCounts {
     std::uint64_t pulls = 0, pushes = 0, sent_bytes = 0;
-    std::uint64_t batches_encoded = 0;   // batches that were encoded; the others shared a body
-    std::uint64_t snapshots = 0;         // that were cut
-    std::uint64_t throttled = 0;         // answers over bytes_per_s
-    std::uint64_t rejected_pulls = 0;    // pulls over children_most
+    std::uint64_t batches_encoded = 0;   // batches encoded; other pushes share a body
+    std::uint64_t snapshots = 0;         // made
+    std::uint64_t throttled = 0;         // answers beyond bytes_per_s
+    std::uint64_t rejected_pulls = 0;    // pulls beyond max_children
     std::uint64_t diverged = 0;          // pulls with a version of another sequence
 };
 
 class Publisher {
   public:
-    // `log` lives longer. It may only grow at its end, and drop what advance() was not told of.
+    /// `log` must outlive this. It may grow, and drop only records beyond the commit index given to
+    /// advance().
     Publisher(const PublisherSettings& settings, const Log& log);
 
-    // Records up to `committed` may be given to canaries, those up to staging.cleared to all.
+    /// Records up to `committed` may go to canaries, those up to staging.cleared to all children.
     void advance(double now, std::uint64_t committed, const Staging& staging);
-    // Pull, PartPull of a child; `process` tells two lives of one name apart.
+    /// Pull and SnapshotPartRequest of a child; `process` distinguishes two incarnations of one name.
     void receive(double now, const std::string& from, std::uint64_t process, const Message& message);
     void on_timer(double now);
     double next_deadline() const;   // s
     std::vector<OutgoingMessage> take_outgoing() { return std::exchange(outgoing_, {}); }
 
     Report report(double now) const;
-    // Goes up when a canary's standing or a refusal changed: the report is wanted above at once then.
+    /// Incremented when a canary's status or a refusal changes: the report is then due upstream at once.
     std::uint64_t urgent_changes() const { return urgent_changes_; }
-    std::size_t children() const { return children_.size(); }   // silent ones too
+    std::size_t children() const { return children_.size(); }   // with silent ones
     const PublisherCounts& counts() const { return counts_; }
 
   private:
     struct Child {
         std::uint64_t process = 0, hash = 0;
         double last_contact_at = 0;
-        std::uint64_t last_sent = 0;   // the last number given to it, as far as is known
-        bool following = false;        // it is at `sent`, and new records are pushed
+        std::uint64_t last_sent = 0;   // the last number sent to it, as far as is known
+        bool following = false;        // it is at last_sent: new records are pushed
         FollowerStatus status;
         std::optional<Refusal> refusal;
         std::optional<Report> subtree;
@@ -96,9 +106,9 @@
     std::uint64_t commit_index_ = 0;
     Staging staging_;
     std::map<std::string, Child> children_;
-    double push_at_ = 1e18, cleanup_at_ = 0;
-    std::deque<std::pair<double, std::uint64_t>> clearances_;                    // when, number
-    std::deque<std::pair<double, std::shared_ptr<const Snapshot>>> snapshots_;   // made when
+    double push_at_ = kNever, cleanup_at_ = 0;
+    std::deque<std::pair<double, std::uint64_t>> clearances_;                    // at (s), number
+    std::deque<std::pair<double, std::shared_ptr<const Snapshot>>> snapshots_;   // made at (s)
     double tokens_ = 0, tokens_refilled_at_ = 0;
     std::uint64_t urgent_changes_ = 0;
     std::vector<OutgoingMessage> outgoing_;
--- a/src/rollout/record.cpp
+++ b/src/rollout/record.cpp
@@ -15,7 +15,7 @@
 
 }   // namespace
 
-// The bytes that a chain is taken over stand here, apart from any message's form: they never change.
+// The bytes under a chain, independent of any message format. They never change.
 Version after(const Version& previous, const Record& record) {
     std::string bytes;
     bytes.reserve(6 * 8 + record.key.size() + record.value.size());
--- a/src/rollout/replica.cpp
+++ b/src/rollout/replica.cpp
@@ -12,10 +12,10 @@
 }   // namespace
 
 Replica::Replica(const ReplicaSettings& settings, std::uint64_t process, ReplicaStored stored,
-                 ReplicaStorage& home)
+                 ReplicaStorage& storage)
     : settings_(settings),
       process_(process),
-      storage_(home),
+      storage_(storage),
       storage_intact_(stored.storage_intact),
       promised_(stored.promised),
       commit_index_(std::clamp(stored.commit_index, stored.log.base().number, stored.log.last().number)),
@@ -26,7 +26,7 @@
 }
 
 void Replica::on_timer(double now) {
-    if (const auto ask = snapshot_receiver_.next_request(now)) send(snapshot_sender_, *ask);
+    if (const auto request = snapshot_receiver_.next_request(now)) send(snapshot_sender_, *request);
 }
 
 bool Replica::promise(std::uint64_t term) {
@@ -42,7 +42,8 @@
     const bool newer = message.term > promised_;
     if (newer && !promise(message.term)) return;
     if (newer) promised_nonce_ = message.nonce;
-    // The same term from another process, or from before this one began: it needs one of its own.
+    // The same term of another process, or from before this one started: that leader needs a round of its
+    // own.
     const bool granted = message.term == promised_ && promised_nonce_ == message.nonce;
     send(from, Promise{message.term, promised_, process_, storage_intact_, granted});
 }
@@ -80,10 +81,10 @@
 
 void Replica::handle(double now, const std::string& from, const Append& message) {
     if (message.term < promised_) return send(from, make_reply(message.term));
-    AppendReply answer = make_reply(message.term);
+    AppendReply reply = make_reply(message.term);
     if (!promise(message.term)) {
-        answer.disk_failed = true;
-        return send(from, answer);
+        reply.disk_failed = true;
+        return send(from, reply);
     }
     disk_failed_ = false;
     leader_ = from;
@@ -91,36 +92,37 @@
     const Staging before = staging_;
     staging_.merge(message.staging);
     if (staging_ != before) ++changes_;
-    answer = make_reply(message.term);
-    if (log_matches(message, answer) && append_missing(message)) {
-        answer = make_reply(message.term);
+    reply = make_reply(message.term);
+    if (log_matches(message, reply) && append_missing(message)) {
+        reply = make_reply(message.term);
         const std::uint64_t matched = message.previous.number + message.records.size();
-        answer.matches = true;
-        answer.last = log_.version(matched);
+        reply.matches = true;
+        reply.last = log_.version(matched);
         advance_commit_index(std::min(message.committed, matched));
-        answer.committed = commit_index_;
+        reply.committed = commit_index_;
         if (message.admit && !storage_intact_) {
             disk_failed_ = !storage_.save_promise(promised_, true);
             storage_intact_ = !disk_failed_;
-            answer.storage_intact = storage_intact_;
+            reply.storage_intact = storage_intact_;
         }
     }
-    answer.disk_failed = disk_failed_;
-    send(from, answer);
+    reply.disk_failed = disk_failed_;
+    send(from, reply);
 }
 
-// Whether what comes before the append is here.
-bool Replica::log_matches(const Append& message, AppendReply& answer) {
+// Whether the previous version of the append is in the log (log matching).
+bool Replica::log_matches(const Append& message, AppendReply& reply) {
     if (log_.contains(message.previous)) return true;
     const std::uint64_t number = message.previous.number;
-    if (!log_.contains_number(number)) return false;   // the answer tells what the last one is
-    // What conflicts is not committed: up to there all sources agree.
+    if (!log_.contains_number(number)) return false;   // the reply has the last version
+    // A conflict above the commit index: all leaders agree up to there.
     if (number <= commit_index_) diverged_ = true;
-    answer.last = log_.version(std::min(commit_index_, log_.last().number));
+    reply.last = log_.version(std::min(commit_index_, log_.last().number));
     return false;
 }
 
-// Takes the records that are not here yet, in place of what conflicts with them. False: none is kept.
+// Appends the records that are missing, in place of a conflicting suffix. False: the log is unchanged or
+// shorter, and nothing was appended.
 bool Replica::append_missing(const Append& message) {
     std::size_t known = 0;
     Version version = message.previous;
@@ -168,7 +170,7 @@
 }
 
 void Replica::compact() {
-    // What it replaces stands if this fails, and it is tried again later.
+    // A failure leaves the stored log as it is; the next compaction tries again.
     records_since_compaction_ = 0;
     storage_.replace(log_, commit_index_);
 }
@@ -181,23 +183,23 @@
 }
 
 void Replica::handle(double now, const std::string& from, const SnapshotPart& message) {
-    // What a source gives is committed; the append that comes with it tells whether it is here.
+    // A leader sends committed versions only; the append that follows decides whether this one matches.
     if (message.version.number <= commit_index_ || log_.contains(message.version)) return;
     snapshot_sender_ = from;
     snapshot_receiver_.receive(now, message);
-    if (const auto ask = snapshot_receiver_.next_request(now)) send(from, *ask);
+    if (const auto request = snapshot_receiver_.next_request(now)) send(from, *request);
     install_snapshot();
 }
 
 void Replica::install_snapshot() {
-    const auto whole = snapshot_receiver_.take_snapshot();
-    if (!whole || whole->version.number <= commit_index_ || log_.contains(whole->version)) return;
-    const Log log(whole->version, whole->term, whole->state);
-    disk_failed_ = !storage_.replace(log, whole->version.number);
+    const auto snapshot = snapshot_receiver_.take_snapshot();
+    if (!snapshot || snapshot->version.number <= commit_index_ || log_.contains(snapshot->version)) return;
+    const Log log(snapshot->version, snapshot->term, snapshot->state);
+    disk_failed_ = !storage_.replace(log, snapshot->version.number);
     if (disk_failed_) return;
     log_ = log;
     records_since_compaction_ = 0;
-    commit_index_ = whole->version.number;
+    commit_index_ = snapshot->version.number;
     ++changes_;
 }
 
--- a/src/rollout/replica.hpp
+++ b/src/rollout/replica.hpp
@@ -1,12 +1,19 @@
-// A control machine's copy of the log: promises terms, takes appends, answers what it has. No I/O or clock.
+// The replica of the configuration log on a control machine (an acceptor in Paxos, a follower in Raft).
 //
-// What it keeps to, and what safety rests on:
-//  1. It takes nothing under a term below the highest that it has promised, and promises durably.
-//  2. An append is taken only where its previous version, number and chain, is in the log; records of a
-//     suffix that conflicts with it are dropped, never one that is committed.
-//  3. What it answers to have is durable.
-//  4. Without what it had (a lost disk) it says so in every answer, until a source admits it: one that has
-//     read a majority of the others after it heard of the loss (source.hpp).
+// Rule: it promises terms, appends what the leader of the highest promised term sends, and reports its log.
+// Inputs: messages of leaders, `now` in s. Output: replies (take_outgoing), the log and its commit index.
+//
+// Invariants, on which safety rests:
+//  1. It accepts nothing of a term below the highest that it promised, and promises durably.
+//  2. An append is accepted only if its previous version, number and chain, is in the log (log matching). A
+//     conflicting suffix is dropped; a committed record never is.
+//  3. Whatever it reports to have is durable.
+//  4. After a loss of storage every reply says so, until a leader admits it: one whose recovery of a
+//  majority
+//     of the others began after the loss was reported (leader.hpp, invariant 2).
+//
+// It does no I/O besides ReplicaStorage and reads no clock. Called by Driver, which owns it and its
+// storage. Seen in: the records replica_begins and committed of the event log, GET /v1/rollout.
 #pragma once
 
 #include <string>
@@ -25,16 +32,18 @@
 struct ReplicaSettings {
     std::string name;
     std::size_t max_log_records = kMaxLogRecords, max_log_bytes = kMaxLogBytes;
-    std::size_t compact_after_records = 10'000;   // records appended to the home, until it is compacted
+    std::size_t compact_after_records = 10'000;   // appended to the storage since the last compaction
 };
 
+/// One instance per control machine.
 class Replica {
   public:
-    // `process`: drawn for this life, never 0. `home` lives longer.
+    /// `process`: random id of this incarnation, never 0. `storage` must outlive this.
     Replica(const ReplicaSettings& settings, std::uint64_t process, ReplicaStored stored,
-            ReplicaStorage& home);
+            ReplicaStorage& storage);
 
-    // Prepare, Inspect, Fetch, Append, SnapshotPart, PartPull of a source; others are passed over.
+    /// Prepare, LogStatusRequest, FetchRequest, Append, SnapshotPart, SnapshotPartRequest of a leader;
+    /// other messages are ignored.
     void receive(double now, const std::string& from, const Message& message);
     void on_timer(double now);
     double next_deadline() const { return snapshot_receiver_.next_deadline(); }   // s
@@ -45,12 +54,12 @@
     const Staging& staging() const { return staging_; }
     std::uint64_t promised() const { return promised_; }
     bool storage_intact() const { return storage_intact_; }
-    const std::string& leader() const { return leader_; }   // whose append was taken last; empty: nobody's
-    double last_append_at() const { return last_append_at_; }   // s; when that was
-    bool disk_failed() const { return disk_failed_; }           // the last thing to keep could not be kept
-    // Committed records here differ from a source's: it takes nothing of it.
+    const std::string& leader() const { return leader_; }       // of the last append; empty: none yet
+    double last_append_at() const { return last_append_at_; }   // s; of that append
+    bool disk_failed() const { return disk_failed_; }           // the last write failed
+    /// Committed records here differ from those of a leader, whose appends are rejected.
     bool diverged() const { return diverged_; }
-    // Goes up when committed() or staging() changed: the feeder is to be told then.
+    /// Incremented when commit_index() or staging() changes, for the publisher.
     std::uint64_t changes() const { return changes_; }
 
   private:
@@ -78,17 +87,17 @@
     ReplicaStorage& storage_;
     bool storage_intact_;
     std::uint64_t promised_, commit_index_;
-    std::uint64_t promised_nonce_ = 0;   // the nonce of the Prepare, since this process began
+    std::uint64_t promised_nonce_ = 0;   // nonce of the promised Prepare, since the start
     Log log_;
     Staging staging_;
     std::string leader_;
-    double last_append_at_ = -1e18;
+    double last_append_at_ = -kNever;
     bool disk_failed_ = false, diverged_ = false;
     std::uint64_t changes_ = 0;
     std::size_t records_since_compaction_ = 0;
     SnapshotReceiver snapshot_receiver_;
     std::string snapshot_sender_;
-    std::optional<Snapshot> outgoing_snapshot_;   // to a source that is far behind
+    std::optional<Snapshot> outgoing_snapshot_;   // to a leader that is far behind
     std::vector<OutgoingMessage> outgoing_;
 };
 
--- a/src/rollout/report.cpp
+++ b/src/rollout/report.cpp
@@ -15,7 +15,7 @@
     if (names.size() > most) names.pop_back();
 }
 
-// One that has moved to another machine may be told by both for a while: what is higher is newer.
+// A follower that switched parents may be reported by both for a while: the higher number is newer.
 void insert_canary(std::vector<FollowerStatus>& canaries, const FollowerStatus& one) {
     const auto same = std::find_if(canaries.begin(), canaries.end(),
                                    [&](const FollowerStatus& known) { return known.name == one.name; });
--- a/src/rollout/settings.cpp
+++ b/src/rollout/settings.cpp
@@ -13,20 +13,20 @@
 namespace slatejunction::rollout {
 namespace {
 
-constexpr std::size_t kMaxRegionBytes = 64;   // bytes
+constexpr std::size_t kMaxRegionBytes = 64;
 constexpr std::size_t kMaxParents = 64;
-constexpr double kMaxCanaryS = 4;      // s; in_force_within_s() stays below kInForceMost
-constexpr double kRoundTripS = 0.02;   // s, between control machines, as other bounds state it
+constexpr double kMaxCanaryS = 4;      // keeps active_within_s() below kMaxActiveWithinS
+constexpr double kRoundTripS = 0.02;   // between control machines, as in other stated bounds
 
 constexpr bool canaries_fit() {
     BoundTimes times;
     times.canary_s = kMaxCanaryS;
-    return in_force_within_s(times) < kInForceMost;
+    return active_within_s(times) < kMaxActiveWithinS;
 }
 static_assert(canaries_fit());
 
-// Names and regions are shown to people and stand in JSON.
-bool plain(const std::string& text, std::size_t most) {
+// Names and regions are printed and written to JSON.
+bool is_plain(const std::string& text, std::size_t most) {
     return !text.empty() && text.size() <= most && std::all_of(text.begin(), text.end(), [](char c) {
         return c > ' ' && c < 127 && c != '"' && c != '\\' && c != '=';
     });
@@ -44,9 +44,9 @@
         const std::size_t mark = pair.find('=');
         const std::string name = pair.substr(0, mark);
         const std::string address = mark == std::string::npos ? "" : pair.substr(mark + 1);
-        if (words >> rest || !plain(name, kMaxNameBytes) || !net::parse_address(address))
+        if (words >> rest || !is_plain(name, kMaxNameBytes) || !net::parse_address(address))
             return "'" + line + "' is not NAME=ADDRESS:PORT or NAME=ADDRESS:PORT REGION";
-        if (!region.empty() && !plain(region, kMaxRegionBytes))
+        if (!region.empty() && !is_plain(region, kMaxRegionBytes))
             return "'" + region + "' is no region: up to 64 plain characters";
         if (!names.insert(name).second) return "'" + name + "' stands twice";
         parents.push_back({{name, region}, address});
@@ -70,7 +70,7 @@
                   "relays that this process asks; without it this is a control machine");
     section.text("region", region, "where this process stands; parents of the same region are asked first",
                  [](const std::string& text) -> std::string {
-                     return text.empty() || plain(text, kMaxRegionBytes)
+                     return text.empty() || is_plain(text, kMaxRegionBytes)
                                 ? ""
                                 : "'" + text + "' is no region: up to 64 plain characters";
                  });
@@ -102,7 +102,7 @@
     made.region = options.region;
     for (const ParentAddress& one : parents_of(options)) made.parents.push_back(one.parent);
     if (options.publishes()) {
-        made.max_log_records = kMaxLogRecords;   // for its children, as a control machine does
+        made.max_log_records = kMaxLogRecords;   // for its children, as on a control machine
         made.max_log_bytes = kMaxLogBytes;
     }
     return made;
@@ -149,15 +149,15 @@
         text, sizeof text,
         "rollout: a change is in force at every ingress that can use it within %.1f s while links "
         "lose at most %d datagrams in a row; no version without all before it",
-        in_force_within_s(bound), bound.losses);
+        active_within_s(bound), bound.losses);
     all.emplace_back(text);
     if (!options.is_control_machine()) return all;
-    std::snprintf(
-        text, sizeof text,
-        "rollout: within %.1f s where the source dies in between (a majority of the %zu control "
-        "machines up); at most %.0f changes a second at [peers] interval_s = %g",
-        in_force_after_death_s(bound, lease::max_vacancy_s(times, kRoundTripS, static_cast<int>(replicas))),
-        replicas, changes_per_s(replicas, interval_s), interval_s);
+    std::snprintf(text, sizeof text,
+                  "rollout: within %.1f s where the source dies in between (a majority of the %zu control "
+                  "machines up); at most %.0f changes a second at [peers] interval_s = %g",
+                  active_after_leader_death_s(
+                      bound, lease::max_vacancy_s(times, kRoundTripS, static_cast<int>(replicas))),
+                  replicas, changes_per_s(replicas, interval_s), interval_s);
     all.emplace_back(text);
     return all;
 }
--- a/src/rollout/settings.hpp
+++ b/src/rollout/settings.hpp
@@ -1,8 +1,8 @@
-// The operator's [rollout] section.
+// The operator's [rollout] section, and the settings of the cores that follow from it.
 //
-// A process that names `from` follows: it takes its configuration from those parents. One that names
-// `listen` alone is a control machine: a voter of [lease], which keeps the changes and feeds children. One
-// that names both is a relay.
+// A process with `from` follows: it gets its configuration from those parents. One with `listen` alone is a
+// control machine: an acceptor of [lease] that stores the log and publishes to children. One with both is a
+// relay.
 #pragma once
 
 #include <cstdint>
@@ -20,10 +20,11 @@
 
 namespace slatejunction::rollout {
 
+/// The section as read; its keys are those of the INI file.
 struct Options {
     std::string listen;     // ADDRESS:PORT, UDP, where children reach this process
     std::string from;       // NAME=ADDRESS:PORT [REGION], one a line
-    std::string region;     // where this process stands
+    std::string region;     // of this process
     std::string key_file;   // empty: that of [peers]
     std::int64_t canaries = 5;
     double canary_s = 1;
@@ -37,28 +38,28 @@
     ini::Section section();
 };
 
-// A parent as the section names it.
+/// A parent as the section names it.
 struct ParentAddress {
     Parent parent;
     std::string address;   // ADDRESS:PORT
 };
 
-// Parents in the section's order. Without a fault: the section has been checked.
+/// Parents in the order of the section, which must have been checked.
 std::vector<ParentAddress> parents_of(const Options& options);
 FollowerSettings follower_settings(const Options& options, const std::string& name);
 PublisherSettings publisher_settings(const Options& options);
 LeaderSettings leader_settings(const Options& options, const std::vector<std::string>& replicas);
-// The times of the bound under these options.
+/// The times of the propagation bound under these options.
 BoundTimes bound_times(const Options& options);
-// The keys of key_file, or of `otherwise` where it is empty; "key_file: why" when there are none to be had.
+/// Reads the keys of key_file, or of `otherwise` if it is empty. Returns "key_file: fault" on an error.
 std::string load_keys(const Options& options, const std::string& otherwise,
                       std::vector<membership::AuthKey>& keys);
 
-// Changes a second that the control machines can carry among themselves: `interval_s` of [peers], which
-// bounds their datagrams; each change is an append and a commit for each of the other replicas.
+/// Changes a second that the control machines can replicate: `interval_s` of [peers] bounds their
+/// datagrams, and each change takes an append and a commit for each of the other replicas.
 double changes_per_s(std::size_t replicas, double interval_s);
 
-// What is promised, for check-config. `replicas`: control machines; 0: not known here.
+/// The bounds as check-config prints them. `replicas`: number of control machines; 0: unknown here.
 std::vector<std::string> stated_bounds(const Options& options, const lease::LeaseTimes& times,
                                        std::size_t replicas, double interval_s);
 
--- a/src/rollout/snapshot.cpp
+++ b/src/rollout/snapshot.cpp
@@ -7,22 +7,24 @@
 namespace slatejunction::rollout {
 namespace {
 
-void mix(std::uint64_t& check, std::string_view bytes) {
+constexpr double kStaleRetries = 4;   // retry intervals without a part, until a transfer is stale
+
+void add_to_checksum(std::uint64_t& checksum, std::string_view bytes) {
     const std::uint64_t size = bytes.size();
-    check = storage::checksum(&size, sizeof size, check);
-    check = storage::checksum(bytes.data(), bytes.size(), check);
+    checksum = storage::checksum(&size, sizeof size, checksum);
+    checksum = storage::checksum(bytes.data(), bytes.size(), checksum);
 }
 
 }   // namespace
 
 std::uint64_t snapshot_checksum(const Version& version, std::uint64_t term, const State& state) {
     const std::uint64_t head[] = {version.number, version.chain, term, state.size()};
-    std::uint64_t check = storage::checksum(head, sizeof head);
+    std::uint64_t checksum = storage::checksum(head, sizeof head);
     for (const auto& [key, value] : state) {
-        mix(check, key);
-        mix(check, value);
+        add_to_checksum(checksum, key);
+        add_to_checksum(checksum, value);
     }
-    return check;
+    return checksum;
 }
 
 Snapshot::Snapshot(const Version& version, std::uint64_t term, const State& state)
@@ -48,7 +50,7 @@
     const bool same = active_ && part.version == version_;
     if (same && (part.checksum != checksum_ || part.parts != parts_.size() || part.term != term_)) return;
     if (!same) {
-        const bool stale = now - last_part_at_ > 4 * kRetryIntervalS;
+        const bool stale = now - last_part_at_ > kStaleRetries * kRetryIntervalS;
         if (active_ && part.version.number <= version_.number && !stale) return;
         reset();
         active_ = true;
@@ -77,17 +79,17 @@
 }
 
 void SnapshotReceiver::finish() {
-    Received whole{version_, term_, {}};
+    Received received{version_, term_, {}};
     std::size_t entries = 0;
     for (const auto& part : parts_) {
-        for (const auto& [key, value] : *part) whole.state.emplace(key, value);
+        for (const auto& [key, value] : *part) received.state.emplace(key, value);
         entries += part->size();
     }
-    const bool good =
-        entries == whole.state.size() && snapshot_checksum(version_, term_, whole.state) == checksum_;
+    const bool valid =
+        entries == received.state.size() && snapshot_checksum(version_, term_, received.state) == checksum_;
     reset();
-    if (good)
-        received_ = std::move(whole);
+    if (valid)
+        received_ = std::move(received);
     else
         ++checksum_failures_;
 }
@@ -95,8 +97,10 @@
 void SnapshotReceiver::reset() {
     active_ = false;
     parts_.clear();
-    missing_ = first_missing_ = requested_until_ = 0;
-    next_request_at_ = 1e18;
+    missing_ = 0;
+    first_missing_ = 0;
+    requested_until_ = 0;
+    next_request_at_ = kNever;
 }
 
 }   // namespace slatejunction::rollout
--- a/src/rollout/transport.cpp
+++ b/src/rollout/transport.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr double kBindRetryS = 0.1;    // s
-constexpr double kMaxResendAgeS = 2;   // s; an older message is not worth sending once the process is known
+constexpr double kMaxResendAgeS = 2;   // an older message is not sent again once the process is known
 enum Kind : std::uint32_t { hello = 1, here_is = 2, carried = 3 };
 
 net::Address any_port(GSocketFamily family) {
@@ -17,7 +17,7 @@
     return net::Address(g_inet_socket_address_new(any.get(), 0));
 }
 
-bool plain(const std::string& name) {
+bool is_plain_name(const std::string& name) {
     return !name.empty() && name.size() <= kMaxNameBytes &&
            std::all_of(name.begin(), name.end(),
                        [](char c) { return c > ' ' && c < 127 && c != '"' && c != '\\'; });
@@ -26,11 +26,11 @@
 }   // namespace
 
 Transport::Transport(const Settings& settings, std::uint64_t process,
-                     const std::vector<membership::AuthKey>& keys, MessageHandler heard,
+                     const std::vector<membership::AuthKey>& keys, MessageHandler on_message,
                      net::Timers& timers, Logger& log)
     : settings_(settings),
       auth_(keys, process),
-      on_message_(std::move(heard)),
+      on_message_(std::move(on_message)),
       log_(log),
       socket_(timers,
               [this](std::string_view bytes, const net::Sender& from) { on_datagram(bytes, from); }),
@@ -42,7 +42,7 @@
 void Transport::start() { bind(); }
 
 void Transport::bind() {
-    // Without children any port of the family by which the parents are reached.
+    // Without children: any port, of the address family of the parents.
     GSocketFamily family = G_SOCKET_FAMILY_IPV4;
     for (const auto& [name, parent] : parents_) family = g_socket_address_get_family(parent.address.get());
     const net::Address address =
@@ -67,11 +67,11 @@
 }
 
 std::string Transport::encode_datagram(std::uint32_t kind, std::string_view body) const {
-    kept::Datagram made;
-    made.set_kind(kind);
-    made.set_name(settings_.name);
-    made.set_body(body.data(), body.size());
-    return made.SerializeAsString();
+    kept::Datagram datagram;
+    datagram.set_kind(kind);
+    datagram.set_name(settings_.name);
+    datagram.set_body(body.data(), body.size());
+    return datagram.SerializeAsString();
 }
 
 void Transport::count(bool sent, std::size_t bytes) {
@@ -109,23 +109,24 @@
     std::string_view payload;
     const membership::OpenResult opened = auth_.open(bytes, process, payload);
     if (opened == membership::OpenResult::unknown_sender) {
-        // For nobody or for an earlier process, perhaps old: it only learns who is here.
+        // For nobody, or for an earlier process and perhaps replayed: only the identity is answered.
         const std::string answer = auth_.seal(process, encode_datagram(here_is, {}));
         return count(socket_.send(from, answer), answer.size());
     }
     if (opened != membership::OpenResult::fresh) return;
-    kept::Datagram said;
-    if (!said.ParseFromArray(payload.data(), static_cast<int>(payload.size())) || !plain(said.name())) {
+    kept::Datagram received;
+    if (!received.ParseFromArray(payload.data(), static_cast<int>(payload.size())) ||
+        !is_plain_name(received.name())) {
         ++counts_.unreadable;
         return;
     }
-    if (said.kind() == here_is) return on_parent_process(process, said.name());
-    if (said.kind() != carried) return;
-    if (!is_parent(said.name())) update_child(said.name(), process, from);
-    on_message_(said.name(), process, said.body());
+    if (received.kind() == here_is) return on_parent_process(process, received.name());
+    if (received.kind() != carried) return;
+    if (!is_parent(received.name())) update_child(received.name(), process, from);
+    on_message_(received.name(), process, received.body());
 }
 
-// Tells of a parent's process: what it was to hear last goes out again.
+// A parent's process is known: the last message is sent again if it is recent.
 void Transport::on_parent_process(std::uint64_t process, const std::string& name) {
     const auto at = parents_.find(name);
     if (at == parents_.end()) {
--- a/src/rollout/transport.hpp
+++ b/src/rollout/transport.hpp
@@ -1,8 +1,9 @@
-// Carries messages between this process and named others over one UDP socket, sealed: parents by their
-// addresses in the operator's file, children by where their datagrams come from. Decides nothing.
+// Carries messages between this process and named others over one UDP socket, authenticated: parents at the
+// addresses of the operator's file, children at the address of their last datagram. Decides nothing.
 //
-// What is carried is sealed for one process. Whoever does not know the process at the other end says hello,
-// sealed for nobody; such a one, or one for an earlier process, is only ever answered by who is here.
+// Every datagram is authenticated for one process (membership::DatagramAuth). A sender that does not know
+// the process at the other end sends a greeting addressed to nobody; such a datagram, or one for an earlier
+// process, is only answered with the identity of this process. Owned by Driver.
 #pragma once
 
 #include <array>
@@ -22,11 +23,11 @@
 
 namespace slatejunction::rollout {
 
-using Logger = slatejunction::Log;   // `Log` is that of the changes here
+using Logger = slatejunction::Log;   // rollout::Log is the replicated log
 
 class Transport {
   public:
-    static constexpr std::size_t kMaxChildren = 8'192;   // whose addresses are remembered
+    static constexpr std::size_t kMaxChildren = 8'192;   // with known addresses
 
     struct Settings {
         std::string name;
@@ -34,16 +35,16 @@
         std::map<std::string, std::string> parents;   // addresses by name
     };
     struct Counts {
-        std::uint64_t sent = 0, sent_bytes = 0;   // datagrams, with what sealing adds
-        std::uint64_t unsent = 0;                 // the system took them not, or nobody is known there
+        std::uint64_t sent = 0, sent_bytes = 0;   // datagrams; bytes with authentication
+        std::uint64_t unsent = 0;                 // refused by the system, or without a known address
         std::uint64_t hellos = 0, unreadable = 0;
     };
-    // `heard`: from whom, its process, the message's bytes.
+    /// Sender, its process, the bytes of the message.
     using MessageHandler = std::function<void(const std::string&, std::uint64_t, std::string_view)>;
 
     Transport(const Settings& settings, std::uint64_t process, const std::vector<membership::AuthKey>& keys,
-              MessageHandler heard, net::Timers& timers, Logger& log);
-    // Binds; while the address is held by another process it is tried again.
+              MessageHandler on_message, net::Timers& timers, Logger& log);
+    /// Binds the socket; retries every kBindRetryS while another process has the address.
     void start();
     void stop();
     void send(const std::string& to, const Body& body);
@@ -56,9 +57,9 @@
   private:
     struct Parent {
         net::Address address;
-        std::uint64_t process = 0;   // 0: not known yet
-        Body last_body;              // goes out again once the process is known
-        double last_sent_at = -1e18;
+        std::uint64_t process = 0;   // 0: unknown
+        Body last_body;              // sent again once the process is known
+        double last_sent_at = -kNever;
         bool name_mismatch_logged = false;
     };
     struct Child {
--- a/tests/fleet/rollout_test.cpp
+++ b/tests/fleet/rollout_test.cpp
@@ -135,7 +135,7 @@
     CHECK(verdict.restarts == 1);
     std::size_t judged = 0;
     const auto late = records::judge_bound(verdict, {"n3", "n4", "n6"}, from, raw_ns(),
-                                           rollout::in_force_within_s({}), &judged);
+                                           rollout::active_within_s({}), &judged);
     for (const std::string& one : late) UNSCOPED_INFO(one);
     CHECK(late.empty());
 }
@@ -372,7 +372,7 @@
     // Everything runs again; a follower may wait for as long as its back-off before it asks.
     sleep_s(rollout::FollowerSettings{}.max_backoff_s);
     const std::int64_t from = raw_ns();
-    const double bound = rollout::in_force_within_s({});
+    const double bound = rollout::active_within_s({});
     sleep_s(3);
     over = true;
     proposer.join();
--- a/tests/rollout/cases_test.cpp
+++ b/tests/rollout/cases_test.cpp
@@ -47,7 +47,7 @@
     const auto* append = std::get_if<Append>(&message);
     return append && !append->records.empty();
 }
-const double kBound = in_force_within_s({});
+const double kBound = active_within_s({});
 
 }   // namespace
 
--- a/tests/rollout/rollout_test.cpp
+++ b/tests/rollout/rollout_test.cpp
@@ -86,13 +86,13 @@
 
 TEST_CASE("the bound for its defaults is below 11 s, and adds up", "[rollout]") {
     const BoundTimes times;
-    CHECK(in_force_within_s(times) == Approx(7.2));
-    CHECK(in_force_within_s(times) < kInForceMost);
+    CHECK(active_within_s(times) == Approx(7.2));
+    CHECK(active_within_s(times) < kMaxActiveWithinS);
     BoundTimes two = times;
     two.hops = 2;
-    CHECK(in_force_within_s(two) == Approx(in_force_within_s(times) + hop_s(times)));
-    CHECK(in_force_within_s(two) < kInForceMost);
-    CHECK(in_force_after_death_s(times, 4.7) > in_force_within_s(times) + 4.7);
+    CHECK(active_within_s(two) == Approx(active_within_s(times) + hop_s(times)));
+    CHECK(active_within_s(two) < kMaxActiveWithinS);
+    CHECK(active_after_leader_death_s(times, 4.7) > active_within_s(times) + 4.7);
     // What the bound is made of is what the parts do.
     CHECK(times.canary_s == LeaderSettings{}.canary_s);
     CHECK(times.canary_wait_s == LeaderSettings{}.canary_timeout_s);
--- a/tests/rollout/world.hpp
+++ b/tests/rollout/world.hpp
@@ -70,12 +70,12 @@
         plan.records_kept = kMaxLogRecords;
         plan.burst_every = 1e9;
         plan.propose_every = std::max(plan.propose_every, 0.2);
-        plan.bound_s = in_force_within_s(times);
+        plan.bound_s = active_within_s(times);
         if (one_of(2)) {
             plan.gap_most = 4.7;
             plan.change_every = 40;
             plan.length = 45;
-            plan.bound_s = in_force_after_death_s(times, plan.gap_most);
+            plan.bound_s = active_after_leader_death_s(times, plan.gap_most);
         }
         return plan;
     }
--- a/tests/scale/scale_test.cpp
+++ b/tests/scale/scale_test.cpp
@@ -203,7 +203,7 @@
         CHECK(one_of(table, "all_worst_s") >= 1);   // the canaries' time
         rollout::BoundTimes times;
         times.losses = 0;
-        CHECK(one_of(table, "all_worst_s") <= rollout::in_force_within_s(times));
+        CHECK(one_of(table, "all_worst_s") <= rollout::active_within_s(times));
     }
     const Table memory = tables.table("rollout_memory");
     CHECK(one_of(memory, "diverged") == 0);
