--- a/src/storage/persistent_counters.cpp
+++ b/src/storage/persistent_counters.cpp
@@ -4,7 +4,7 @@
 #include <sys/mman.h>
 #include <sys/stat.h>
 #include <unistd.h>
-// Inside this file, as an update takes a check for each of its figures.
+// Inlined here: an update computes a checksum for each counter.
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
@@ -25,20 +25,18 @@
 constexpr std::uint64_t kVersion = 1;
 constexpr std::uint64_t kArmed = 0xa5c3'96f0'5a3c'690fULL;
 
-// The first 24 bytes keep their form in every version, so that another version can be told from a broken
-// file.
+// The first 24 bytes are the same in every version, so that another version is distinguished from damage.
 struct Header {
     std::uint64_t magic, version, prefix_check;
     std::uint64_t count, names_size, created_ms, names_check;
     std::uint64_t check;   // of all before it
 };
-constexpr std::size_t kPrefix = 16, kHeaderChecked = sizeof(Header) - 8;
+constexpr std::size_t kPrefixBytes = 16, kCheckedHeaderBytes = sizeof(Header) - 8;
 
-// The kernel keeps a killed process's stores in the order in which it made them: only the compiler has to
-// be held back.
-void in_order() { std::atomic_signal_fence(std::memory_order_seq_cst); }
+// A killed process's stores reach the mapping in program order: only the compiler must not reorder them.
+void compiler_fence() { std::atomic_signal_fence(std::memory_order_seq_cst); }
 
-std::string packed(const std::vector<std::string>& names) {
+std::string pack(const std::vector<std::string>& names) {
     std::string all;
     for (const std::string& name : names) {
         const auto size = static_cast<std::uint32_t>(name.size());
@@ -48,10 +46,10 @@
     return all;
 }
 
-std::string why() { return std::strerror(errno); }
+std::string errno_text() { return std::strerror(errno); }
 
 template <class Entry>
-std::uint64_t check_redo(const Entry* entries, std::uint64_t count) {
+std::uint64_t redo_checksum(const Entry* entries, std::uint64_t count) {
     return XXH3_64bits_withSeed(entries, count * sizeof(Entry), count);
 }
 
@@ -61,7 +59,7 @@
     struct Entry {
         std::uint64_t cell, bits;
     };
-    std::uint64_t armed;   // kArmed: the entries are to be written again; 0: they mean nothing
+    std::uint64_t armed;   // kArmed: the entries must be applied again; 0: no update
     std::uint64_t count, check;
     Entry entries[kChangesMost];
 };
@@ -78,14 +76,14 @@
         created_ms_ = now_ms;
         old.clear();
     }
-    // Always written anew beside the old one and renamed: a file of this name is whole or not there.
-    const std::string fresh = path + ".new", all = packed(names);
-    const std::size_t size = sizeof(Header) + sizeof(Redo) + count_ * sizeof(Figure) + all.size();
+    // Written to a new file that replaces the old one by rename: the file is complete or absent.
+    const std::string fresh = path + ".new", all = pack(names);
+    const std::size_t size = sizeof(Header) + sizeof(Redo) + count_ * sizeof(Slot) + all.size();
     ::unlink(fresh.c_str());
     {
         const File file(::open(fresh.c_str(), O_RDWR | O_CREAT | O_EXCL | O_CLOEXEC, 0600));
-        if (!file) throw Error(fresh + " can't be made: " + why());
-        // All of its room is taken here: a full disk is told now, and never by a signal in an update.
+        if (!file) throw Error(fresh + " can't be made: " + errno_text());
+        // Allocated completely here: a full disk is an error now, not a SIGBUS during an update.
         if (const int fault = ::posix_fallocate(file.get(), 0, static_cast<off_t>(size)); fault != 0) {
             ::unlink(fresh.c_str());
             throw Error(fresh + " can't be made: " + std::strerror(fault));
@@ -95,14 +93,14 @@
     std::unordered_map<std::string, std::size_t> places;
     for (std::size_t i = 0; i < names.size(); ++i) {
         places.emplace(names[i], i);
-        put(i, std::bit_cast<std::uint64_t>(0.0));
+        write_slot(i, std::bit_cast<std::uint64_t>(0.0));
     }
     for (const auto& [name, value] : old) {
         const auto at = places.find(name);
         if (at == places.end())
             ++dropped_;
         else
-            put(at->second, std::bit_cast<std::uint64_t>(value));
+            write_slot(at->second, std::bit_cast<std::uint64_t>(value));
     }
     std::memcpy(base_ + size - all.size(), all.data(), all.size());
     Header header{kMagic,
@@ -113,10 +111,11 @@
                   static_cast<std::uint64_t>(created_ms_),
                   checksum(all.data(), all.size()),
                   0};
-    header.prefix_check = checksum(&header, kPrefix);
-    header.check = checksum(&header, kHeaderChecked);
+    header.prefix_check = checksum(&header, kPrefixBytes);
+    header.check = checksum(&header, kCheckedHeaderBytes);
     std::memcpy(base_, &header, sizeof header);
-    if (std::rename(fresh.c_str(), path.c_str()) != 0) throw Error(path + " can't be made: " + why());
+    if (std::rename(fresh.c_str(), path.c_str()) != 0)
+        throw Error(path + " can't be made: " + errno_text());
 }
 
 PersistentCounters::~PersistentCounters() {
@@ -129,7 +128,7 @@
       base_(std::exchange(other.base_, nullptr)),
       size_(other.size_),
       redo_(std::exchange(other.redo_, nullptr)),
-      figures_(std::exchange(other.figures_, nullptr)),
+      slots_(std::exchange(other.slots_, nullptr)),
       created_ms_(other.created_ms_),
       broken_(std::move(other.broken_)),
       dropped_(other.dropped_) {}
@@ -137,11 +136,11 @@
 void PersistentCounters::map(const std::string& path, std::size_t size) {
     const File file(::open(path.c_str(), O_RDWR | O_CLOEXEC));
     void* at = file ? ::mmap(nullptr, size, PROT_READ | PROT_WRITE, MAP_SHARED, file.get(), 0) : MAP_FAILED;
-    if (at == MAP_FAILED) throw Error(path + " can't be mapped: " + why());
+    if (at == MAP_FAILED) throw Error(path + " can't be mapped: " + errno_text());
     base_ = static_cast<char*>(at);
     size_ = size;
     redo_ = reinterpret_cast<Redo*>(base_ + sizeof(Header));
-    figures_ = reinterpret_cast<Figure*>(base_ + sizeof(Header) + sizeof(Redo));
+    slots_ = reinterpret_cast<Slot*>(base_ + sizeof(Header) + sizeof(Redo));
 }
 
 bool PersistentCounters::load(const std::string& path,
@@ -152,31 +151,33 @@
     const std::string bytes = all.str();
     if (!in) throw Error(path + " can't be read");
     Header header{};
-    if (bytes.size() < kPrefix + 8) return false;
+    if (bytes.size() < kPrefixBytes + 8) return false;
     std::memcpy(&header, bytes.data(), std::min(bytes.size(), sizeof header));
-    if (header.magic != kMagic || header.prefix_check != checksum(bytes.data(), kPrefix)) return false;
+    if (header.magic != kMagic || header.prefix_check != checksum(bytes.data(), kPrefixBytes)) return false;
     if (header.version != kVersion)
         throw Error(path + " has version " + std::to_string(header.version) + "; this program knows " +
                     std::to_string(kVersion));
-    if (bytes.size() < sizeof header + sizeof(Redo) || header.check != checksum(&header, kHeaderChecked))
+    if (bytes.size() < sizeof header + sizeof(Redo) ||
+        header.check != checksum(&header, kCheckedHeaderBytes))
         return false;
-    if (header.count > bytes.size() / sizeof(Figure) || header.names_size > bytes.size()) return false;
-    const std::size_t figures_at = sizeof header + sizeof(Redo);
-    const std::size_t names_at = figures_at + header.count * sizeof(Figure);
+    if (header.count > bytes.size() / sizeof(Slot) || header.names_size > bytes.size()) return false;
+    const std::size_t slots_at = sizeof header + sizeof(Redo);
+    const std::size_t names_at = slots_at + header.count * sizeof(Slot);
     if (bytes.size() != names_at + header.names_size) return false;
     if (header.names_check != checksum(bytes.data() + names_at, header.names_size)) return false;
-    created_ms_ = static_cast<std::int64_t>(header.created_ms);   // the checks below depend on it
+    created_ms_ = static_cast<std::int64_t>(header.created_ms);   // the checksums below depend on it
 
-    std::vector<Figure> figures(header.count);
-    std::memcpy(figures.data(), bytes.data() + figures_at, header.count * sizeof(Figure));
+    std::vector<Slot> slots(header.count);
+    std::memcpy(slots.data(), bytes.data() + slots_at, header.count * sizeof(Slot));
     Redo redo;
     std::memcpy(&redo, bytes.data() + sizeof header, sizeof redo);
     if (redo.armed == kArmed) {
-        if (redo.count > kChangesMost || redo.check != check_redo(redo.entries, redo.count)) return false;
+        if (redo.count > kChangesMost || redo.check != redo_checksum(redo.entries, redo.count))
+            return false;
         for (std::size_t i = 0; i < redo.count; ++i) {
             const auto [cell, bits] = redo.entries[i];
             if (cell >= header.count) return false;
-            figures[cell] = {bits, check(cell, bits)};
+            slots[cell] = {bits, slot_checksum(cell, bits)};
         }
     } else if (redo.armed != 0) {
         return false;
@@ -188,8 +189,8 @@
         std::memcpy(&size, bytes.data() + at, sizeof size);
         at += sizeof size;
         if (bytes.size() - at < size) return false;
-        if (figures[i].check != check(i, figures[i].bits)) return false;
-        values.emplace_back(bytes.substr(at, size), std::bit_cast<double>(figures[i].bits));
+        if (slots[i].checksum != slot_checksum(i, slots[i].bits)) return false;
+        values.emplace_back(bytes.substr(at, size), std::bit_cast<double>(slots[i].bits));
         at += size;
     }
     return at == bytes.size();
@@ -202,37 +203,37 @@
     return values;
 }
 
-std::uint64_t PersistentCounters::check(std::uint64_t cell, std::uint64_t bits) const {
+std::uint64_t PersistentCounters::slot_checksum(std::uint64_t cell, std::uint64_t bits) const {
     const std::uint64_t both[2] = {cell, bits};
     return XXH3_64bits_withSeed(both, sizeof both, static_cast<std::uint64_t>(created_ms_));
 }
 
-void PersistentCounters::put(std::uint64_t cell, std::uint64_t bits) {
-    figures_[cell] = {bits, check(cell, bits)};
+void PersistentCounters::write_slot(std::uint64_t cell, std::uint64_t bits) {
+    slots_[cell] = {bits, slot_checksum(cell, bits)};
 }
 
-double PersistentCounters::of_file(std::size_t cell) const {
-    return std::bit_cast<double>(figures_[cell].bits);
+double PersistentCounters::slot_value(std::size_t cell) const {
+    return std::bit_cast<double>(slots_[cell].bits);
 }
 
 void PersistentCounters::apply(std::span<const Change> changes) {
-    if (!figures_) {
+    if (!slots_) {
         for (const Change& change : changes) values_[change.cell] += change.by;
         return;
     }
     std::size_t count = 0;
     for (const Change& change : changes.first(std::min(changes.size(), kChangesMost)))
         redo_->entries[count++] = {change.cell,
-                                   std::bit_cast<std::uint64_t>(of_file(change.cell) + change.by)};
+                                   std::bit_cast<std::uint64_t>(slot_value(change.cell) + change.by)};
     redo_->count = count;
-    redo_->check = check_redo(redo_->entries, count);
-    in_order();
+    redo_->check = redo_checksum(redo_->entries, count);
+    compiler_fence();
     redo_->armed = kArmed;
-    in_order();
-    for (std::size_t i = 0; i < count; ++i) put(redo_->entries[i].cell, redo_->entries[i].bits);
-    in_order();
+    compiler_fence();
+    for (std::size_t i = 0; i < count; ++i) write_slot(redo_->entries[i].cell, redo_->entries[i].bits);
+    compiler_fence();
     redo_->armed = 0;
-    in_order();
+    compiler_fence();
 }
 
 void PersistentCounters::set(std::uint32_t cell, double value) {
--- a/src/storage/persistent_counters.hpp
+++ b/src/storage/persistent_counters.hpp
@@ -1,10 +1,17 @@
-// Figures that survive a killed process: numbers under fixed names, changed several at a time as one.
+// Counters that survive a killed process: numbers under fixed names, several of them updated atomically.
 //
-// In a file they lie in memory that the file is mapped to. An update writes its new values to a redo list,
-// arms it, writes the figures and disarms it, so that a process killed at any instruction leaves either all
-// of an update or none of it. Each figure carries a check of its value, place and file. An update allocates
-// nothing, locks nothing and calls nothing of the system. Power that fails may lose pages not yet written
-// back by the kernel: that is found by the checks, not repaired.
+// Inputs: names, and changes by number (unit of the caller). Output: the values; times in Unix ms.
+// In a file they live in mapped memory, with a redo log of one update.
+//
+// Invariants:
+//  1. A process killed at any instruction leaves all of an update or nothing of it: the update is written
+//  to the
+//     redo log, the log is armed, the values are written, the log is disarmed.
+//  2. Each value carries a checksum of its value, place and file, so damage is found when the file is read.
+//  3. An update allocates nothing, takes no lock and makes no system call.
+//
+// Power loss may lose pages that the kernel has not written back: the checksums find that; it is not
+// repaired. Used by metrics::Measures. Never throws after construction.
 #pragma once
 
 #include <cstdint>
@@ -20,47 +27,50 @@
 
 class PersistentCounters {
   public:
+    /// Adds `by` to the counter at index `cell`.
     struct Change {
         std::uint32_t cell = 0;
         double by = 0;
     };
     static constexpr std::size_t kChangesMost = 64;   // in one update
 
-    // In memory only, all 0.
+    /// In memory only, all 0. `now_ms`: Unix time.
     PersistentCounters(std::size_t count, std::int64_t now_ms);
-    // In the file `path`, which is made where it is not there. `names` are distinct and give each figure
-    // its place; figures of names that the file knows go on, others begin at 0, and names that are gone are
-    // dropped. Throws Error for a file of another version, which is left alone, and when the file can't be
-    // made (no room, no permission). A file cut or changed anywhere is set aside: see broken().
+    /// In the file `path`, created if missing. `names` are distinct and define the order of the counters.
+    /// Counters that the file has continue, others begin at 0, and those without a name are dropped. Throws
+    /// Error for a file of another version, which is left unchanged, and when the file can't be created
+    /// (disk full, permissions). A damaged file is set aside: see broken().
     PersistentCounters(const std::string& path, const std::vector<std::string>& names, std::int64_t now_ms);
     ~PersistentCounters();
     PersistentCounters(PersistentCounters&&) noexcept;
     PersistentCounters& operator=(PersistentCounters&&) = delete;
 
-    // What a file holds, by name, without changing it. Throws Error when it can't be read, is broken or of
-    // another version.
+    /// The values of a file by name; the file is unchanged. Throws Error when it can't be read, is damaged
+    /// or of another version.
     static std::vector<std::pair<std::string, double>> read(const std::string& path);
 
-    double get(std::size_t cell) const { return figures_ ? of_file(cell) : values_[cell]; }
-    // All or none survive a kill. The cells are distinct, at most kChangesMost.
+    double get(std::size_t cell) const { return slots_ ? slot_value(cell) : values_[cell]; }
+    /// Atomic with respect to a kill. The cells are distinct, at most kChangesMost.
     void apply(std::span<const Change> changes);
     void set(std::uint32_t cell, double value);
     std::size_t size() const { return count_; }
-    bool durable() const { return figures_ != nullptr; }
-    std::int64_t created_ms() const { return created_ms_; }   // Unix time; when the figures began at 0
-    const std::string& broken() const { return broken_; }     // where a broken file was put; empty: none
-    std::size_t dropped() const { return dropped_; }          // figures whose names are gone
+    bool durable() const { return slots_ != nullptr; }
+    std::int64_t created_ms() const { return created_ms_; }   // Unix time of the creation
+    const std::string& broken() const {
+        return broken_;
+    }   // path of a damaged file that was set aside; empty: none
+    std::size_t dropped() const { return dropped_; }   // counters of the file without a name
 
   private:
-    struct Figure {
-        std::uint64_t bits, check;
+    struct Slot {
+        std::uint64_t bits, checksum;
     };
     struct Redo;
-    double of_file(std::size_t cell) const;
-    void put(std::uint64_t cell, std::uint64_t bits);
-    std::uint64_t check(std::uint64_t cell, std::uint64_t bits) const;
+    double slot_value(std::size_t cell) const;
+    void write_slot(std::uint64_t cell, std::uint64_t bits);
+    std::uint64_t slot_checksum(std::uint64_t cell, std::uint64_t bits) const;
     void map(const std::string& path, std::size_t size);
-    // Reads the file into `values`; false: it is broken.
+    /// Reads the file into `values`; false: it is damaged.
     bool load(const std::string& path, std::vector<std::pair<std::string, double>>& values);
 
     std::size_t count_;
@@ -68,7 +78,7 @@
     char* base_ = nullptr;
     std::size_t size_ = 0;
     Redo* redo_ = nullptr;
-    Figure* figures_ = nullptr;
+    Slot* slots_ = nullptr;
     std::int64_t created_ms_;
     std::string broken_;
     std::size_t dropped_ = 0;
--- a/src/storage/segmented_log.cpp
+++ b/src/storage/segmented_log.cpp
@@ -9,6 +9,7 @@
 #include <cstdio>
 #include <cstring>
 #include <fstream>
+#include <iterator>
 #include <memory>
 #include <sstream>
 
@@ -17,7 +18,9 @@
 
 constexpr std::uint64_t kMagic = 0x4c4e524a4c4a4c53ULL;   // "SLJLJRNL"
 constexpr std::uint64_t kVersion = 1;
-constexpr std::size_t kRecordMost = 16 << 20;   // bytes; a larger size is a broken one
+constexpr std::size_t kMaxRecordBytes = 16 << 20;   // a larger size is damage
+
+constexpr std::size_t kCheckedHeaderBytes = 16;   // magic and version
 
 struct Header {
     std::uint64_t magic, version, check;   // check: of the two before it
@@ -28,7 +31,7 @@
     std::uint64_t check;   // of size, type and payload, seeded with the segment's number
 };
 
-std::uint64_t check_record(std::uint64_t number, std::uint32_t type, std::string_view payload) {
+std::uint64_t record_checksum(std::uint64_t number, std::uint32_t type, std::string_view payload) {
     const std::uint32_t both[2] = {static_cast<std::uint32_t>(payload.size()), type};
     return checksum(payload.data(), payload.size(), checksum(both, sizeof both, number));
 }
@@ -42,6 +45,14 @@
       name_(std::move(name)),
       segment_bytes_(segment_bytes),
       writer_(std::move(writer)) {
+    find_segments();
+    for (auto at = segments_.begin(); at != segments_.end();) {
+        newest_ = std::max(newest_, at->first);
+        at = read_segment(at->first, visit, found) ? std::next(at) : segments_.erase(at);
+    }
+}
+
+void SegmentedLog::find_segments() {
     const std::unique_ptr<DIR, int (*)(DIR*)> folder(::opendir(path_.c_str()), ::closedir);
     if (!folder) throw Error(path_ + " can't be read: " + std::strerror(errno));
     while (const dirent* entry = ::readdir(folder.get())) {
@@ -52,39 +63,37 @@
         const auto [end, fault] = std::from_chars(digits.data(), digits.data() + digits.size(), number);
         if (fault == std::errc() && end == digits.data() + digits.size()) segments_[number] = 0;
     }
-    for (auto at = segments_.begin(); at != segments_.end();) {
-        const std::uint64_t number = at->first;
-        std::ifstream in(path_of(number), std::ios::binary);
-        std::stringstream all;
-        all << in.rdbuf();
-        const std::string bytes = all.str();
-        Header header{};
-        std::memcpy(&header, bytes.data(), std::min(bytes.size(), sizeof header));
-        newest_ = std::max(newest_, number);
-        if (bytes.size() < sizeof header || header.magic != kMagic ||
-            header.check != checksum(&header, 16)) {
-            found.broken.push_back(set_aside(path_of(number)));
-            at = segments_.erase(at);
-            continue;
-        }
-        if (header.version != kVersion)
-            throw Error(path_of(number) + " has version " + std::to_string(header.version) +
-                        "; this program knows " + std::to_string(kVersion));
-        std::size_t place = sizeof header;
-        Frame one{};
-        while (bytes.size() - place >= sizeof one) {
-            std::memcpy(&one, bytes.data() + place, sizeof one);
-            if (one.size > kRecordMost || bytes.size() - place - sizeof one < one.size) break;
-            const std::string_view payload(bytes.data() + place + sizeof one, one.size);
-            if (one.check != check_record(number, one.type, payload)) break;
-            visit(number, one.type, payload);
-            ++found.records;
-            place += sizeof one + one.size;
-        }
-        found.cut_bytes += bytes.size() - place;
-        at->second = bytes.size();
-        ++at;
+}
+
+bool SegmentedLog::read_segment(std::uint64_t number, const Visitor& visit, Found& found) {
+    std::ifstream in(path_of(number), std::ios::binary);
+    std::stringstream all;
+    all << in.rdbuf();
+    const std::string bytes = all.str();
+    Header header{};
+    std::memcpy(&header, bytes.data(), std::min(bytes.size(), sizeof header));
+    if (bytes.size() < sizeof header || header.magic != kMagic ||
+        header.check != checksum(&header, kCheckedHeaderBytes)) {
+        found.broken.push_back(set_aside(path_of(number)));
+        return false;
     }
+    if (header.version != kVersion)
+        throw Error(path_of(number) + " has version " + std::to_string(header.version) +
+                    "; this program knows " + std::to_string(kVersion));
+    std::size_t place = sizeof header;
+    Frame frame{};
+    while (bytes.size() - place >= sizeof frame) {
+        std::memcpy(&frame, bytes.data() + place, sizeof frame);
+        if (frame.size > kMaxRecordBytes || bytes.size() - place - sizeof frame < frame.size) break;
+        const std::string_view payload(bytes.data() + place + sizeof frame, frame.size);
+        if (frame.check != record_checksum(number, frame.type, payload)) break;
+        visit(number, frame.type, payload);
+        ++found.records;
+        place += sizeof frame + frame.size;
+    }
+    found.cut_bytes += bytes.size() - place;
+    segments_[number] = bytes.size();
+    return true;
 }
 
 std::string SegmentedLog::path_of(std::uint64_t number) const {
@@ -93,24 +102,25 @@
 
 std::string SegmentedLog::header() {
     Header header{kMagic, kVersion, 0};
-    header.check = checksum(&header, 16);
+    header.check = checksum(&header, kCheckedHeaderBytes);
     return {reinterpret_cast<const char*>(&header), sizeof header};
 }
 
-void SegmentedLog::frame(std::string& out, std::uint64_t number, std::uint32_t type,
-                         std::string_view payload) {
-    const Frame one{static_cast<std::uint32_t>(payload.size()), type, check_record(number, type, payload)};
-    out.append(reinterpret_cast<const char*>(&one), sizeof one);
+void SegmentedLog::append_frame(std::string& out, std::uint64_t number, std::uint32_t type,
+                                std::string_view payload) {
+    const Frame frame{static_cast<std::uint32_t>(payload.size()), type,
+                      record_checksum(number, type, payload)};
+    out.append(reinterpret_cast<const char*>(&frame), sizeof frame);
     out += payload;
 }
 
-bool SegmentedLog::put(int fd, std::string_view bytes) {
+bool SegmentedLog::write_all(int fd, std::string_view bytes) {
     while (!bytes.empty()) {
         const std::int64_t done =
             writer_ ? writer_(fd, bytes.data(), bytes.size()) : ::write(fd, bytes.data(), bytes.size());
         if (done < 0 && errno == EINTR) continue;
         if (done <= 0) {
-            why_ = std::strerror(done < 0 ? errno : ENOSPC);
+            last_error_ = std::strerror(done < 0 ? errno : ENOSPC);
             return false;
         }
         bytes.remove_prefix(static_cast<std::size_t>(done));
@@ -122,41 +132,44 @@
     const std::uint64_t number = newest_ + 1;
     File file(::open(path_of(number).c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_APPEND | O_CLOEXEC, 0600));
     if (!file) {
-        why_ = std::strerror(errno);
+        last_error_ = std::strerror(errno);
         return false;
     }
     const std::string bytes = header();
-    if (!put(file.get(), bytes)) {
+    if (!write_all(file.get(), bytes)) {
         ::unlink(path_of(number).c_str());
         return false;
     }
     file_ = std::move(file);
     newest_ = number;
-    segments_[number] = newest_size_ = bytes.size();
+    newest_size_ = bytes.size();
+    segments_[number] = newest_size_;
     return true;
 }
 
 bool SegmentedLog::append(std::uint32_t type, std::string_view payload) {
     if (!file_) return false;
     std::string bytes;
-    frame(bytes, newest_, type, payload);
-    if (!put(file_.get(), bytes)) {
-        // Half a record would hide all that follows it.
+    append_frame(bytes, newest_, type, payload);
+    if (!write_all(file_.get(), bytes)) {
+        // An incomplete record would hide all that follow.
         if (::ftruncate(file_.get(), static_cast<off_t>(newest_size_)) != 0) file_ = File();
         return false;
     }
-    segments_[newest_] = newest_size_ += bytes.size();
+    newest_size_ += bytes.size();
+    segments_[newest_] = newest_size_;
     return true;
 }
 
 bool SegmentedLog::replace(std::uint64_t number, const std::vector<Record>& records) {
     if (number == newest_ || !segments_.contains(number)) return false;
     std::string bytes = header();
-    for (const Record& one : records) frame(bytes, number, one.type, one.payload);
+    for (const Record& record : records) append_frame(bytes, number, record.type, record.payload);
     const std::string fresh = path_of(number) + ".new";
     File file(::open(fresh.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600));
-    if (!file) why_ = std::strerror(errno);
-    if (!file || !put(file.get(), bytes) || std::rename(fresh.c_str(), path_of(number).c_str()) != 0) {
+    if (!file) last_error_ = std::strerror(errno);
+    if (!file || !write_all(file.get(), bytes) ||
+        std::rename(fresh.c_str(), path_of(number).c_str()) != 0) {
         ::unlink(fresh.c_str());
         return false;
     }
--- a/src/storage/state_directory.cpp
+++ b/src/storage/state_directory.cpp
@@ -32,25 +32,26 @@
 }
 
 namespace {
-constexpr std::size_t kMagic = 8, kHead = kMagic + 8;   // bytes; behind the magic the check
+constexpr std::size_t kMagicBytes = 8;
+constexpr std::size_t kHeaderBytes = kMagicBytes + sizeof(std::uint64_t);   // magic and checksum
 }   // namespace
 
 bool write_checked_file(const std::string& directory, const std::string& name, const char* magic,
                         const std::string& body, std::string& why) {
     const std::string path = directory + "/" + name, fresh = path + "~";
-    std::string bytes(magic, kMagic);
+    std::string bytes(magic, kMagicBytes);
     const std::uint64_t check = checksum(body.data(), body.size());
     bytes.append(reinterpret_cast<const char*>(&check), sizeof check);
     bytes += body;
     const File file(::open(fresh.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600));
     const File folder(::open(directory.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
-    const bool good =
+    const bool written =
         file && folder &&
         ::write(file.get(), bytes.data(), bytes.size()) == static_cast<ssize_t>(bytes.size()) &&
         ::fdatasync(file.get()) == 0 && std::rename(fresh.c_str(), path.c_str()) == 0 &&
         ::fsync(folder.get()) == 0;
-    if (!good) why = path + ": " + std::strerror(errno);
-    return good;
+    if (!written) why = path + ": " + std::strerror(errno);
+    return written;
 }
 
 std::optional<std::string> read_checked_file(const std::string& directory, const std::string& name,
@@ -63,13 +64,13 @@
     }
     const std::string bytes((std::istreambuf_iterator<char>(in)), std::istreambuf_iterator<char>());
     std::uint64_t check = 0;
-    if (bytes.size() >= kHead) std::memcpy(&check, bytes.data() + kMagic, sizeof check);
-    if (bytes.size() < kHead || std::memcmp(bytes.data(), magic, kMagic) != 0 ||
-        check != checksum(bytes.data() + kHead, bytes.size() - kHead)) {
+    if (bytes.size() >= kHeaderBytes) std::memcpy(&check, bytes.data() + kMagicBytes, sizeof check);
+    if (bytes.size() < kHeaderBytes || std::memcmp(bytes.data(), magic, kMagicBytes) != 0 ||
+        check != checksum(bytes.data() + kHeaderBytes, bytes.size() - kHeaderBytes)) {
         broken = set_aside(path);
         return {};
     }
-    return bytes.substr(kHead);
+    return bytes.substr(kHeaderBytes);
 }
 
 std::string set_aside(const std::string& path) {
--- a/src/storage/state_directory.hpp
+++ b/src/storage/state_directory.hpp
@@ -1,5 +1,6 @@
-// The durable homes of the program, below every subsystem that keeps state: a directory that one process
-// owns, and what may go wrong with it.
+// The state directory, which one process owns, and small checked files in it. Below every module that
+// stores state. Errors for the operator are exceptions (Error); a failed write is a result. No threads, no
+// clock.
 #pragma once
 
 #include <cstdint>
@@ -9,12 +10,12 @@
 
 namespace slatejunction::storage {
 
-// The operator has to act: the text names the path. Nothing was changed.
+/// The operator has to act: the text names the path. Nothing was changed.
 struct Error : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
-// A descriptor, closed with its owner.
+/// Owns a file descriptor.
 class File {
   public:
     explicit File(int fd = -1) : fd_(fd) {}
@@ -28,8 +29,8 @@
     int fd_;
 };
 
-// An existing directory, locked (flock) for as long as this lives, also by a process that is killed.
-// Throws Error when it is no directory, can't be written, or another process holds it.
+/// An existing directory, locked (flock) during the lifetime of this object; the kernel unlocks it after a
+/// kill. Throws Error when it is no directory, can't be written, or is locked by another process.
 class StateDirectory {
   public:
     explicit StateDirectory(std::string path);
@@ -41,20 +42,20 @@
     File lock_;
 };
 
-// A small file that is whole or not there: `magic` (8 bytes, with the version), a check of what follows,
-// the body. put_whole() leaves the old or the new one, also where a machine loses power; false: `why`
-// tells, and the old one stands.
+/// Writes a small file atomically: `magic` (8 bytes, with the version), a checksum of the body, the body.
+/// Leaves the old file or the new one, also on power loss. False: the old file is unchanged, `why` has the
+/// error.
 bool write_checked_file(const std::string& directory, const std::string& name, const char* magic,
                         const std::string& body, std::string& why);
-// What stands there; nothing: no file. Throws Error when it can't be read. One that is broken is set aside,
-// and `broken` tells where.
+/// The body of such a file; nullopt: no file. Throws Error when it can't be read. A damaged file is set
+/// aside, and `broken` receives its new path.
 std::optional<std::string> read_checked_file(const std::string& directory, const std::string& name,
                                              const char* magic, std::string& broken);
 
-// Gives a broken file another name beside it, which it returns: "NAME.broken-N" with the first free N.
+/// Renames a damaged file to "NAME.broken-N" with the first free N and returns the new path. Throws Error.
 std::string set_aside(const std::string& path);
 
-// XXH64 of the bytes.
+/// XXH64 of the bytes.
 std::uint64_t checksum(const void* data, std::size_t size, std::uint64_t seed = 0);
 
 }   // namespace slatejunction::storage
