--- a/bench/limit-model.cpp
+++ b/bench/limit-model.cpp
@@ -1,4 +1,4 @@
-// Limits over the fleet beside exact stores: slatejunction-limit-model [SCHEDULES] [FIRST_SEED]; by mode
+// Limits over the fleet compared with exact buckets: slatejunction-limit-model [SCHEDULES] [FIRST_SEED]; by mode
 // the worst seen of what is stated, and refused with room. Prints each breach with its seed; exit status 1
 // on one.
 #include <array>
--- a/src/fleet_rate_limit/rate_limit_node.cpp
+++ b/src/fleet_rate_limit/rate_limit_node.cpp
@@ -150,11 +150,11 @@
     const auto bucket = owned_buckets_.find(id);
     const double rate = s.rate * visible_fraction();
     const double burst = s.burst * visible_fraction();
-    const double room = bucket == owned_buckets_.end()
-                            ? burst
-                            : burst - std::max(0.0, bucket->second.full_at_s - now) * rate;
+    const double available = bucket == owned_buckets_.end()
+                                 ? burst
+                                 : burst - std::max(0.0, bucket->second.full_at_s - now) * rate;
     const double wanted = std::min(units, burst);
-    return room >= wanted - kUnitsTolerance ? 0 : (wanted - room) / rate;
+    return available >= wanted - kUnitsTolerance ? 0 : (wanted - available) / rate;
 }
 
 double RateLimitNode::retry_after_s(double now, std::uint32_t limit, std::uint64_t key, double units) {
@@ -168,15 +168,15 @@
     const auto found = reporter_states_.find(id);
     const ReporterState state = found == reporter_states_.end() ? ReporterState{} : found->second;
     if (owner_unresponsive(owner)) {
-        const double room = fallback_units_available(*s, state, now);
-        return room >= units - kUnitsTolerance
+        const double available = fallback_units_available(*s, state, now);
+        return available >= units - kUnitsTolerance
                    ? 0
-                   : (units - room) / fallback_rate(*s, settings_.ingresses.size());
+                   : (units - available) / fallback_rate(*s, settings_.ingresses.size());
     }
     if (state.owner_level_at_s > kNeverS) {
-        const double room = available_units(*s, state, now);
-        if (room < std::min(units, s->burst * visible_fraction()) - kUnitsTolerance)
-            return (units - room) / (s->rate * visible_fraction());
+        const double available = available_units(*s, state, now);
+        if (available < std::min(units, s->burst * visible_fraction()) - kUnitsTolerance)
+            return (units - available) / (s->rate * visible_fraction());
     }
     const double not_at_owner = state.unreported_units + state.in_flight_units;
     return not_at_owner + units <= max_unreported(*s, settings_.max_unreported_units) + kUnitsTolerance
--- a/src/quota/admission.cpp
+++ b/src/quota/admission.cpp
@@ -14,10 +14,10 @@
 constexpr double kUnitsTolerance = 1e-9;    // of sums of units
 constexpr std::size_t kEvictionCandidates = 16;
 
-// Time (s) until a bucket with room for `room` units has room for `units`; 0: now.
-double time_until_room_s(double units, double room, double rate) {
-    if (room >= units - kUnitsTolerance) return 0;
-    return rate > 0 ? std::max(kMinRetryAfterS, (units - room) / rate) : kDefaultRetryAfterS;
+// Time (s) until a bucket with `available` units has `units`; 0: now.
+double time_until_available_s(double units, double available, double rate) {
+    if (available >= units - kUnitsTolerance) return 0;
+    return rate > 0 ? std::max(kMinRetryAfterS, (units - available) / rate) : kDefaultRetryAfterS;
 }
 
 }   // namespace
@@ -80,16 +80,16 @@
 // Time (s) until `units` are admitted; 0: now.
 double SharedQuota::time_until_admitted(const CustomerState& state, double units) const {
     const BucketLayout layout = layout_of(state);
-    const double local_wait_s = time_until_room_s(units, local_level(state), layout.local_rate);
+    const double local_wait_s = time_until_available_s(units, local_level(state), layout.local_rate);
     if (local_wait_s == 0 || state.ingresses.count <= 1) return local_wait_s;
     if (uses_fallback(state))
         return std::min(local_wait_s,
-                        time_until_room_s(units, fallback_level(state), layout.fallback_rate));
+                        time_until_available_s(units, fallback_level(state), layout.fallback_rate));
     const double multiplier = cost_multiplier(state);
     if (state.full_at_s != kNeverS) {
         // A reply may show room sooner than this, not later.
         const double shared_wait_s =
-            time_until_room_s(units, level(state) / multiplier, layout.rate / multiplier);
+            time_until_available_s(units, level(state) / multiplier, layout.rate / multiplier);
         if (shared_wait_s > 0) return std::min(local_wait_s, shared_wait_s);
     }
     const double not_on_counter = state.unreported_units + state.in_flight_units;
--- a/tests/fleet_rate_limit/rate_limit_node_test.cpp
+++ b/tests/fleet_rate_limit/rate_limit_node_test.cpp
@@ -5,7 +5,7 @@
 
 using namespace limit_world;
 
-TEST_CASE("random schedules of faults keep the stated bound of a fleet's limit", "[fleetlimit]") {
+TEST_CASE("random schedules of faults keep the error bound of a fleet's limit", "[fleetlimit]") {
     double closest = 0;
     for (std::uint64_t seed = 1; seed <= 100; ++seed) {
         const auto result = World(random_plan(seed), seed).run();
@@ -17,7 +17,7 @@
     CHECK(closest > 0.3);   // else the bound says nothing
 }
 
-TEST_CASE("the first request of a key passes at any ingress, and what one spends the others know",
+TEST_CASE("the first request of a key is admitted at any ingress, and usage at one is known to the others",
           "[fleetlimit]") {
     Plan plan;
     plan.load = 0.5;
@@ -32,7 +32,7 @@
           0.95 * plan.spec.rate * plan.length * static_cast<double>(plan.keys));
 }
 
-TEST_CASE("floods of new keys take no lasting memory and forget no key that is asked for", "[fleetlimit]") {
+TEST_CASE("floods of new keys take no lasting memory and evict no key in use", "[fleetlimit]") {
     RateLimitNode node({"n0", {"n0"}, 2, 1000}, 1);
     node.define(1, {1, 5, 1});
     double now = 0;
--- a/tests/quota/shared_quota_test.cpp
+++ b/tests/quota/shared_quota_test.cpp
@@ -1,5 +1,5 @@
-// Quotas by a shared counter: the stated error over random and over all small schedules of faults, and the
-// plain cases one by one.
+// Quotas by a shared counter: the error bound over random and over all small schedules of faults, and
+// single cases.
 #include <catch2/catch.hpp>
 
 #include "quota/model.hpp"
@@ -18,7 +18,7 @@
     return made;
 }
 
-// Passes until it is refused; so many.
+// Requests until one is rejected; returns how many were admitted.
 int drain(SharedQuota& shared_quota, double now, std::uint64_t customer, quota::IngressSet ingresses) {
     int passed = 0;
     for (; passed < 1000 && shared_quota.retry_after_s(now, customer, 0, ingresses, 1) == 0; ++passed) {
@@ -28,7 +28,7 @@
     return passed;
 }
 
-// A counter that answers at once, to any number of shared_quotas.
+// A counter that replies at once to any number of ingresses.
 struct Counter {
     std::map<std::string, double> names;
     std::uint64_t calls = 0;
@@ -47,7 +47,7 @@
 
 }   // namespace
 
-TEST_CASE("random schedules of faults never break the stated error") {
+TEST_CASE("random schedules of faults never exceed the error bound") {
     double closest = 0;
     std::uint64_t passed = 0;
     for (std::uint64_t seed = 1; seed <= 3'000; ++seed) {
@@ -61,7 +61,7 @@
     CHECK(closest > 0.6);   // the statement is no idle one
 }
 
-TEST_CASE("the model tells a breach: a stated error that is too small is broken") {
+TEST_CASE("the model reports a breach: an error bound that is too small is exceeded") {
     int breaches = 0;
     for (std::uint64_t seed = 1; seed <= 300; ++seed) {
         auto result = model::World(model::random_plan(seed), seed).run();
@@ -71,7 +71,7 @@
     CHECK(breaches > 20);
 }
 
-TEST_CASE("all schedules of up to five steps keep the stated error") {
+TEST_CASE("all schedules of up to five steps keep the error bound") {
     quota::Settings one = settings(2, {"p", 2, 3, 0});
     one.max_unreported_units = 2;
     one.local_fraction = 0.3;
@@ -90,7 +90,7 @@
     CHECK(a.worst == b.worst);
 }
 
-TEST_CASE("a customer with one ingress has its whole store there, without a call") {
+TEST_CASE("a customer with one ingress has its whole bucket there, without a call") {
     SharedQuota shared_quota(settings(3, {"p", 2, 5, 0}), 1);
     CHECK(drain(shared_quota, 100, 9, {0, 1}) == 5);
     CHECK(shared_quota.retry_after_s(100, 9, 0, {0, 1}, 1) == Approx(0.5));
@@ -123,11 +123,11 @@
         ++passed;
         counter.serve(1000.1, {&a, &b});
     }
-    CHECK(passed <= 5);   // its free part, and one unit on no news
+    CHECK(passed <= 5);   // its local bucket, and one unreported unit
     CHECK(b.level(5) < 1);
 }
 
-TEST_CASE("a counter that is emptied gives no customer a new store") {
+TEST_CASE("a counter that lost its state gives no customer a full bucket") {
     const quota::Settings both = settings(2, {"p", 1, 20, 0});
     quota::Settings second = both;
     second.ingress_index = 1;
@@ -151,7 +151,7 @@
     CHECK(passed <= 50 * 2);   // half a second of the rate, and rounding
 }
 
-TEST_CASE("noise from the counter is no answer, and many of it are a loss") {
+TEST_CASE("implausible totals are no replies, and many of them make the counter unreachable") {
     SharedQuota shared_quota(settings(2, {"p", 1, 4, 0}), 1);
     shared_quota.on_timer(1000);
     for (const double total : {-5.0, 1e12, std::nan("")}) {
@@ -168,7 +168,7 @@
     CHECK_FALSE(shared_quota.unreachable(0));
 }
 
-TEST_CASE("customers that come once take no lasting memory") {
+TEST_CASE("customers that request once take no lasting memory") {
     quota::Settings one = settings(2, {"p", 1, 4, 0});
     one.max_customers = 1'000;
     SharedQuota shared_quota(one, 1);
@@ -185,7 +185,7 @@
     CHECK(counter.calls < 1'000);   // the free part does for them
 }
 
-TEST_CASE("attempts out are shared out evenly") {
+TEST_CASE("the limit of attempts in flight is split evenly") {
     SharedQuota shared_quota(settings(3, {"p", 0, 0, 6}), 1);
     for (int i = 0; i < 2; ++i) {
         CHECK(shared_quota.retry_after_s(10, 4, 0, {0, 3}, 1) == 0);
@@ -196,7 +196,7 @@
     CHECK(shared_quota.retry_after_s(10, 4, 0, {0, 3}, 1) == 0);
 }
 
-TEST_CASE("settings that can't be are refused, and a plan that is not known is nobody's quota") {
+TEST_CASE("impossible settings are rejected, and an unknown plan has no quota") {
     quota::Settings one = settings(12, {"p", 1, 4, 0});
     CHECK_THROWS_AS(SharedQuota(one, 1), std::invalid_argument);
     one.ingress_count = 3;
@@ -209,7 +209,7 @@
     CHECK(shared_quota.customers() == 0);
 }
 
-TEST_CASE("the stated error grows with credit, ingresses and trouble") {
+TEST_CASE("the error bound grows with unreported units, ingresses and faults") {
     quota::Settings one = settings(3, {"p", 1.8, 8, 0});
     const auto small = quota::error_bound(one, one.plans[0], 3, 1);
     CHECK(small.counter_unreachable > small.healthy);
--- a/tests/rules/fast_conditions_test.cpp
+++ b/tests/rules/fast_conditions_test.cpp
@@ -1,4 +1,4 @@
-// Shortcuts against the evaluator: whatever a shortcut is sure of, the evaluator says too, over random
+// Fast conditions against the evaluator: whatever one decides, the evaluator decides too, over random
 // conditions, keys and requests, with headers that are missing, come twice or are not UTF-8.
 #include "rules/fast_conditions.hpp"
 
@@ -9,7 +9,7 @@
 #include "rules/key_bytes.hpp"
 
 using namespace slatejunction;
-using Held = rules::Condition::TestResult;
+using Result = rules::Condition::TestResult;
 using Strings = std::vector<std::string>;
 
 namespace {
@@ -89,7 +89,7 @@
 
 }   // namespace
 
-TEST_CASE("what a shortcut says of a condition is what the evaluator says") {
+TEST_CASE("a fast condition decides as the evaluator does") {
     Maker make;
     const auto environment = rules::environment(rules::Scope::request);
     const rules::GatewayFacts gateway;
@@ -104,21 +104,21 @@
         for (int i = 0; i < 40; ++i) {
             const Request request(make);
             view.begin(request.facts);
-            const Held held = condition.evaluate(view);
+            const Result result = condition.evaluate(view);
             values.begin(&request.facts, nullptr);
             evaluator.reset();
             const auto value = evaluator.run(program, values).value;
             INFO(source);
-            asked += held == Held::needs_evaluator;
-            if (held == Held::needs_evaluator) continue;
+            asked += result == Result::needs_evaluator;
+            if (result == Result::needs_evaluator) continue;
             ++sure;
-            missing += held == Held::missing;
-            if (held == Held::missing) {
+            missing += result == Result::missing;
+            if (result == Result::missing) {
                 REQUIRE(value.is_error());
                 REQUIRE(value.view() == "no such key");
             } else {
                 REQUIRE(value.is(expr::Kind::boolean));
-                REQUIRE(value.truth() == (held == Held::yes));
+                REQUIRE(value.truth() == (result == Result::yes));
             }
         }
     }
@@ -128,7 +128,7 @@
     CHECK(missing > 300);
 }
 
-TEST_CASE("a key's bytes are the same by shortcut and by the evaluator") {
+TEST_CASE("a direct key has the same bytes as the evaluator's value") {
     Maker make;
     const auto environment = rules::environment(rules::Scope::request);
     const rules::GatewayFacts gateway;
@@ -175,12 +175,12 @@
     std::vector<http::Field> fields(http::kMaxHeaderFields + 1, http::Field{"x", "y"});
     facts.headers = fields;
     view.begin(facts);
-    CHECK(condition.evaluate(view) == Held::needs_evaluator);
+    CHECK(condition.evaluate(view) == Result::needs_evaluator);
     facts.headers = std::span(fields).first(http::kMaxHeaderFields);
     view.begin(facts);
-    CHECK(condition.evaluate(view) == Held::no);
+    CHECK(condition.evaluate(view) == Result::no);
     const std::string large(http::kMaxHeadBytes, 'x');
     fields[0].value = large;
     view.begin(facts);
-    CHECK(condition.evaluate(view) == Held::needs_evaluator);
+    CHECK(condition.evaluate(view) == Result::needs_evaluator);
 }
--- a/tests/rules/limiter_test.cpp
+++ b/tests/rules/limiter_test.cpp
@@ -1,4 +1,4 @@
-// Limits by key: what is let pass over time, floods of new keys, and what is kept over a restart.
+// Rate limits by key: what is admitted over time, floods of new keys, and what is restored after a restart.
 #include "rules/limiter.hpp"
 
 #include <catch2/catch.hpp>
@@ -15,8 +15,8 @@
     return {rate, burst, out, keys};
 }
 
-// Asks once; 0 when it passed.
-double ask(Limiter& limiter, double now, const std::string& key, double count = 1) {
+// One request; 0 when it was admitted, else the time to wait (s).
+double request(Limiter& limiter, double now, const std::string& key, double count = 1) {
     Limiter::Ticket ticket;
     const double wait = limiter.retry_after_s(now, hash_key(key), count, ticket);
     if (wait == 0) limiter.consume(now, ticket, count), limiter.release(now, ticket);
@@ -25,23 +25,23 @@
 
 }   // namespace
 
-TEST_CASE("a key takes its burst at once, then its rate, and Retry-After is when it has room") {
+TEST_CASE("a key takes its burst at once, then its rate, and Retry-After is when a token is available") {
     Limiter limiter(limits(2, 3));
-    for (int i = 0; i < 3; ++i) CHECK(ask(limiter, 10, "a") == 0);
-    const double wait = ask(limiter, 10, "a");
+    for (int i = 0; i < 3; ++i) CHECK(request(limiter, 10, "a") == 0);
+    const double wait = request(limiter, 10, "a");
     CHECK(wait == Approx(0.5));
-    CHECK(ask(limiter, 10 + 0.9 * wait, "a") > 0);
-    CHECK(ask(limiter, 10 + wait, "a") == 0);
-    CHECK(ask(limiter, 10 + wait, "a") > 0);
-    CHECK(ask(limiter, 10, "b") == 0);          // each key for itself
-    CHECK(ask(limiter, 1000, "a", 100) == 0);   // more than the burst takes all of it
-    CHECK(ask(limiter, 1000, "a") == Approx(0.5));
+    CHECK(request(limiter, 10 + 0.9 * wait, "a") > 0);
+    CHECK(request(limiter, 10 + wait, "a") == 0);
+    CHECK(request(limiter, 10 + wait, "a") > 0);
+    CHECK(request(limiter, 10, "b") == 0);          // each key for itself
+    CHECK(request(limiter, 1000, "a", 100) == 0);   // more than the burst takes all of it
+    CHECK(request(limiter, 1000, "a") == Approx(0.5));
     // What is looked at is not drawn.
     Limiter::Ticket ticket;
     for (int i = 0; i < 5; ++i) CHECK(limiter.retry_after_s(10, hash_key("c"), 1, ticket) == 0);
 }
 
-TEST_CASE("over a long time exactly the rate passes, whatever asks for more") {
+TEST_CASE("over a long time exactly the rate is admitted, however much is requested") {
     std::mt19937 random(20261201);
     for (const double rate : {0.5, 7.0, 100.0}) {
         Limiter limiter(limits(rate, 5));
@@ -49,13 +49,13 @@
         std::exponential_distribution<double> gap(rate * 4);
         while (now < 1000 / rate) {
             now += gap(random);
-            passed += ask(limiter, now, "k") == 0;
+            passed += request(limiter, now, "k") == 0;
         }
         CHECK(passed == Approx(rate * now + 5).epsilon(0.01));
     }
 }
 
-TEST_CASE("open requests of a key are held to max_out, and release makes room") {
+TEST_CASE("requests of a key in flight are limited by max_in_flight, and release frees a place") {
     Limiter limiter(limits(0, 1, 100, 2));
     Limiter::Ticket one, two, three;
     const auto key = hash_key("a");
@@ -66,13 +66,13 @@
     CHECK(limiter.retry_after_s(0, key, 1, three) > 0);
     CHECK(limiter.retry_after_s(0, hash_key("b"), 1, three) == 0);
     limiter.release(1, one);
-    limiter.release(1, one);   // a second time is nothing
+    limiter.release(1, one);   // a second release has no effect
     CHECK(limiter.retry_after_s(1, key, 1, three) == 0);
     limiter.consume(1, three, 1);
     CHECK(limiter.retry_after_s(1, key, 1, one) > 0);
 }
 
-TEST_CASE("a million new keys in a second against 10,000 places: 100 hot keys are held to their limits") {
+TEST_CASE("a million new keys in a second against 10,000 slots: 100 hot keys keep their limits") {
     constexpr double kRate = 5, kBurst = 10;
     Limiter limiter(limits(kRate, kBurst, 10'000));
     std::mt19937_64 random(20261201);
@@ -84,12 +84,12 @@
     const auto hot = [&] {
         const std::size_t one = random() % 100;
         ++asked[one];
-        passed[one] += ask(limiter, now, "hot" + std::to_string(one)) == 0;
+        passed[one] += request(limiter, now, "hot" + std::to_string(one)) == 0;
     };
     for (int i = 0; i < 10'000; ++i) now += 1e-4, hot();
     for (int i = 0; i < 1'000'000; ++i) {
         now += 1e-6;
-        fresh_passed += ask(limiter, now, "new" + std::to_string(random())) == 0;
+        fresh_passed += request(limiter, now, "new" + std::to_string(random())) == 0;
         ++fresh;
         if (i % 100 == 0) hot();
     }
@@ -104,7 +104,7 @@
     CHECK(limiter.bytes() / 10'000 < 80);
 }
 
-TEST_CASE("at 10,000 keys under a skewed load every held key gets its rate, within 1%") {
+TEST_CASE("at 10,000 keys under a skewed load every tracked key gets its rate, within 1%") {
     constexpr double kRate = 2, kBurst = 4;
     constexpr std::size_t kKeys = 10'000;
     Limiter limiter(limits(kRate, kBurst, kKeys));
@@ -122,11 +122,11 @@
         const auto one = static_cast<std::size_t>(std::lower_bound(upto.begin(), upto.end(), pick(random)) -
                                                   upto.begin());
         ++asked[one];
-        passed[one] += ask(limiter, now, std::to_string(one)) == 0;
+        passed[one] += request(limiter, now, std::to_string(one)) == 0;
     }
     const double allowed = kRate * now + kBurst;
     double over = 0, short_of = 0, got = 0;
-    int keen = 0;   // that ask for far more than they may have
+    int keen = 0;   // keys that request far more than their rate
     for (std::size_t i = 0; i < kKeys; ++i) {
         over = std::max(over, passed[i] / allowed);
         if (asked[i] < 5 * allowed) continue;
@@ -156,7 +156,7 @@
         if (wait > 0 || ticket.slot == Limiter::kNone) continue;
         limiter.consume(now, ticket, 1);
         limiter.release(now, ticket);
-        Limiter::Ticket again;   // the same place, and now without room
+        Limiter::Ticket again;   // the same slot, now without a token
         REQUIRE(limiter.retry_after_s(now, hash_key(key), 1, again) > 0);
         REQUIRE(again.slot == ticket.slot);
     }
@@ -166,10 +166,10 @@
     CHECK(still.slot == open.slot);
 }
 
-TEST_CASE("what is saved and restored goes on where it stood, and never over a full store") {
+TEST_CASE("saved buckets are restored as they were, and never beyond a full bucket") {
     Limiter limiter(limits(1, 10));
-    for (int i = 0; i < 10; ++i) ask(limiter, 100, "empty");
-    for (int i = 0; i < 4; ++i) ask(limiter, 100, "some");
+    for (int i = 0; i < 10; ++i) request(limiter, 100, "empty");
+    for (int i = 0; i < 4; ++i) request(limiter, 100, "some");
     std::size_t from = 0;
     std::vector<Limiter::SavedBucket> all;
     do
@@ -179,9 +179,9 @@
     Limiter fresh(limits(1, 10));
     for (const auto& one : all) fresh.restore(5, one);   // another clock
     fresh.restore(5, {hash_key("broken"), 1e9});
-    CHECK(ask(fresh, 5, "empty") == Approx(1));
-    for (int i = 0; i < 6; ++i) CHECK(ask(fresh, 5, "some") == 0);
-    CHECK(ask(fresh, 5, "some") > 0);
-    CHECK(ask(fresh, 5, "broken") == Approx(1));
-    CHECK(ask(fresh, 6, "empty") == 0);
+    CHECK(request(fresh, 5, "empty") == Approx(1));
+    for (int i = 0; i < 6; ++i) CHECK(request(fresh, 5, "some") == 0);
+    CHECK(request(fresh, 5, "some") > 0);
+    CHECK(request(fresh, 5, "broken") == Approx(1));
+    CHECK(request(fresh, 6, "empty") == 0);
 }
--- a/tests/rules/routes_test.cpp
+++ b/tests/rules/routes_test.cpp
@@ -1,5 +1,5 @@
-// Rules: loading with all faults told, first match, what is skipped without being run, subsets of the
-// fleet, and what the module makes of them.
+// Rules: loading with all faults reported, first match, what is skipped without being evaluated, subsets of
+// the fleet, and what the module makes of them.
 #include <catch2/catch.hpp>
 #include <deque>
 #include <random>
@@ -92,8 +92,8 @@
     CHECK(faults_of("[subset s]\n  providers = true\n") == Faults{"line 2: indented"});
 }
 
-TEST_CASE("the first route by order matches, errors do not match, are counted and told") {
-    std::vector<std::string> told;
+TEST_CASE("the first route by order matches, errors do not match, are counted and reported") {
+    std::vector<std::string> reported;
     const auto rules = load(
         "[subset big]\nproviders = provider.flavor == 'large'\n[subset small]\nproviders = provider.flavor "
         "== 'small'\n"
@@ -103,14 +103,14 @@
         "big\norder = 1\n"
         "[tag desk]\nvalue = request.headers['x-desk']\n",
         [&](const std::string& rule, std::string_view why) {
-            told.push_back(rule + ": " + std::string(why));
+            reported.push_back(rule + ": " + std::string(why));
         });
     const std::vector<http::Field> fields{{"X-Desk", "storm"}};
     auto facts = request("risk-read", "basis");
     auto verdict = rules->evaluate(0, facts);
     CHECK(verdict.route == 0);
     CHECK(verdict.subset == 2);
-    CHECK(told == std::vector<std::string>{"route desk: no such key", "tag desk: no such key"});
+    CHECK(reported == std::vector<std::string>{"route desk: no such key", "tag desk: no such key"});
     facts.headers = fields;
     verdict = rules->evaluate(0, facts);
     CHECK(verdict.route == 1);
@@ -125,7 +125,7 @@
     CHECK(rules->evaluation_cost() > 0);
 }
 
-// Every condition is run by hand beside the matcher, which must leave out none that holds.
+// Every condition is evaluated beside the index, which must leave out none that holds.
 TEST_CASE("what the matcher leaves out would not have held: random routes and requests") {
     std::mt19937 random(20261201);
     const std::vector<std::string> classes{"risk-read", "warn-send", "x"},
@@ -227,7 +227,7 @@
     CHECK(list.endpoints[1].subsets == 1);
     CHECK(list.endpoints[2].subsets == 0);
     CHECK(fleet.serving_count(0) == 2);
-    // One drains: the other is alone, under the least, and is told of beside the change.
+    // One drains: the other is alone, under the least, and is added to the update.
     EndpointUpdate drain{EndpointUpdateKind::delta, {provider("a1", "large")}};
     drain.endpoints[0].state = EndpointState::draining;
     fleet.update(0, drain, rules.get());
--- a/tests/rules/site_test.cpp
+++ b/tests/rules/site_test.cpp
@@ -224,7 +224,7 @@
     site.start();
     CHECK(site.count("keys of an earlier process go on") == 2);
     CHECK(passed("f", 2) <= 1);   // one more may have room by now
-    // Other figures are another limit: its stores are full.
+    // Other figures are another limit: its buckets are full.
     site.rules(limit + "[limit all]\nkey = request.plan\nrate = 0.01\nburst = 2\n");
     CHECK(site.request("g", "X-Desk: new\r\n").starts_with("HTTP/1.1 200"));
     CHECK(site.request("h", "X-Desk: new\r\n").starts_with("HTTP/1.1 200"));
