--- a/src/expr/compile.cpp
+++ b/src/expr/compile.cpp
@@ -1,14 +1,16 @@
 // From a checked tree to instructions, with the bound of every part: the most
 // its value can be and the most that it can cost. The formulas are those that
 // the evaluator charges by (cost.hpp).
-#include <arpa/inet.h>
-
 #include <algorithm>
 #include <cstdio>
 #include <map>
 
 #include "expr/check.hpp"
+#include "expr/explain.hpp"
+#include "expr/function_costs.hpp"
+#include "expr/literals.hpp"
 #include "expr/program.hpp"
+#include "expr/value_bounds.hpp"
 
 namespace slatejunction::expr {
 namespace {
@@ -18,82 +20,7 @@
 using cost::Units;
 using Tag = Type::Tag;
 
-constexpr int kPatternMost = 2000;                 // instructions of RE2's program
-constexpr std::int64_t kPatternMemory = 1 << 20;   // bytes, for RE2's program and caches of one pattern
-constexpr Units kFoldMost = 100'000;               // units, for the constants of one expression
-
-Bound bound_of(const Value& value) {
-    switch (value.kind()) {
-        case Kind::text:
-        case Kind::bytes:
-            return Bound::text(value.size());
-        case Kind::list: {
-            Bound item;
-            for (const Value& one : value.items()) item = either(item, bound_of(one));
-            return Bound::list(value.size(), item);
-        }
-        case Kind::map: {
-            Bound key, of;
-            for (const Pair& one : value.pairs()) {
-                key = either(key, bound_of(one.key));
-                of = either(of, bound_of(one.value));
-            }
-            return Bound::map(value.size(), key, of);
-        }
-        default:
-            return {};
-    }
-}
-
-const Bound& part(const Bound& bound, std::size_t number) {
-    static const Bound kNothing;
-    return number < bound.of.size() ? bound.of[number] : kNothing;
-}
-
-// What == may cost at most with a value of that bound on its left.
-Units weight(const Bound& bound) {
-    Units units = plus(1, cost::sweep(bound.size));
-    if (bound.of.size() == 1) units = plus(units, times(bound.size, weight(bound.of[0])));
-    if (bound.of.size() == 2) {
-        const Bound& key = bound.of[0];
-        const Units each =
-            plus(cost::find(bound.size, times(bound.size, key.size)), weight(bound.of[1]), weight(key));
-        units = plus(units, times(bound.size, each));
-    }
-    return units;
-}
-
-Units equality(const Bound& a, const Bound& b) {
-    if (a.of.empty() && b.of.empty()) return plus(1, cost::compare(a.size, b.size));
-    return plus(weight(a), weight(b));
-}
-
-// A pattern of shells as a regular expression: * within a part of a path, **
-// over parts, ? one character.
-std::string glob_pattern(std::string_view glob) {
-    std::string pattern = "(?s)";
-    for (std::size_t i = 0; i < glob.size(); ++i) {
-        if (glob.substr(i).starts_with("**")) {
-            pattern += ".*";
-            ++i;
-        } else if (glob[i] == '*') {
-            pattern += "[^/]*";
-        } else if (glob[i] == '?') {
-            pattern += "[^/]";
-        } else {
-            std::size_t end = i + 1;
-            while (end < glob.size() && (static_cast<unsigned char>(glob[end]) & 0xc0) == 0x80) ++end;
-            pattern += RE2::QuoteMeta(re2::StringPiece(glob.data() + i, end - i));
-            i = end - 1;
-        }
-    }
-    return pattern;
-}
-
-struct Estimate {
-    Bound bound;
-    Units cost = 0;
-};
+constexpr Units kFoldMost = 100'000;   // units, for the constants of one expression
 
 class NoVariables final : public Variables {
   public:
@@ -439,7 +366,7 @@
         std::uint32_t ready = 0;
         if (meaning.ready) ready = make_ready(meaning.fn, node(n.kids[1]));
         put(Op::call, ready, 0, static_cast<std::uint8_t>(taken), meaning.fn);
-        return function(meaning.fn, ready, bounds, cost);
+        return estimate_function(meaning.fn, pattern_size(meaning.fn, ready), bounds, cost);
     }
 
     Estimate operation(const Node& n, const std::vector<Bound>& b, Units cost) {
@@ -461,14 +388,14 @@
             }
             case Op::equal:
             case Op::unequal:
-                return {{}, plus(cost, equality(b[0], b[1]))};
+                return {{}, plus(cost, equality_cost(b[0], b[1]))};
             case Op::less:
             case Op::less_equal:
             case Op::greater:
             case Op::greater_equal:
                 return {{}, plus(cost, cost::compare(b[0].size, b[1].size))};
             case Op::in: {
-                const Units in_list = times(b[1].size, equality(b[0], part(b[1], 0)));
+                const Units in_list = times(b[1].size, equality_cost(b[0], part(b[1], 0)));
                 return {{}, plus(cost, in_list, look_up(b[1], b[0]))};
             }
             case Op::index:
@@ -480,103 +407,16 @@
 
     std::uint32_t make_ready(Fn fn, const Node& literal) {
         if (fn == Fn::in_cidr) {
-            p_.networks.push_back(network(literal));
+            p_.networks.push_back(parse_network(literal));
             return static_cast<std::uint32_t>(p_.networks.size() - 1);
         }
-        const std::string source = fn == Fn::glob ? glob_pattern(literal.name) : literal.name;
-        RE2::Options options(RE2::Quiet);
-        options.set_max_mem(kPatternMemory);
-        auto pattern = std::make_unique<RE2>(source, options);
-        if (!pattern->ok()) throw LoadError(literal.at, "this pattern can't be used: " + pattern->error());
-        if (pattern->ProgramSize() > kPatternMost)
-            throw LoadError(literal.at, "this pattern makes a program of " +
-                                            std::to_string(pattern->ProgramSize()) + " instructions; " +
-                                            std::to_string(kPatternMost) + " are allowed");
-        p_.patterns.push_back(std::move(pattern));
+        p_.patterns.push_back(compile_pattern(fn, literal));
         return static_cast<std::uint32_t>(p_.patterns.size() - 1);
     }
 
-    static Network network(const Node& literal) {
-        const std::string& text = literal.name;
-        const std::size_t slash = text.find('/');
-        const std::string address = text.substr(0, slash);
-        Network made;
-        made.v4 = ::inet_pton(AF_INET, address.c_str(), made.address.data() + 12) == 1;
-        if (made.v4)
-            made.address[10] = made.address[11] = 0xff;
-        else if (::inet_pton(AF_INET6, address.c_str(), made.address.data()) != 1)
-            throw LoadError(literal.at, "'" + text + "' is no network: ADDRESS/BITS");
-        const unsigned most = made.v4 ? 32 : 128;
-        unsigned bits = most;
-        char more = 0;
-        if (slash != std::string::npos &&
-            (std::sscanf(text.c_str() + slash + 1, "%3u%c", &bits, &more) != 1 || bits > most))
-            throw LoadError(literal.at,
-                            "'" + text + "' is no network: at most " + std::to_string(most) + " bits");
-        made.bits = bits + 128 - most;
-        for (unsigned bit = made.bits; bit < 128; ++bit)
-            if (made.address[bit / 8] & (0x80 >> bit % 8))
-                throw LoadError(literal.at,
-                                "'" + text + "' has bits set behind its " + std::to_string(bits));
-        return made;
-    }
-
-    Estimate function(Fn fn, std::uint32_t ready, const std::vector<Bound>& b, Units cost) {
-        const Units size = b[0].size;
-        const Units other = b.size() > 1 ? b[1].size : 0;
-        switch (fn) {
-            case Fn::size:
-            case Fn::hash:
-            case Fn::bucket:
-                return {{}, plus(cost, cost::walk(size))};
-            case Fn::contains:
-                return {{}, plus(cost, cost::search(size, other))};
-            case Fn::starts_with:
-            case Fn::ends_with:
-                return {{}, plus(cost, cost::compare(size, other))};
-            case Fn::matches:
-            case Fn::glob:
-                return {
-                    {},
-                    plus(cost, cost::match(size, static_cast<Units>(p_.patterns[ready]->ProgramSize())))};
-            case Fn::index_of:
-            case Fn::last_index_of:
-                return {{}, plus(cost, times(4, cost::search(size, other)))};
-            case Fn::char_at:
-                return {Bound::text(std::min<Units>(size, 4)), plus(cost, times(3, cost::walk(size)))};
-            case Fn::substring:
-                return {Bound::text(size), plus(cost, times(3, cost::walk(size)))};
-            case Fn::lower:
-            case Fn::upper:
-            case Fn::trim:
-                return {Bound::text(size), plus(cost, 1, cost::walk(size))};
-            case Fn::split: {
-                const Units parts = plus(size, 1);
-                return {Bound::list(parts, Bound::text(size)),
-                        plus(cost, times(2, cost::search(size, other)), cost::make(parts, 0))};
-            }
-            case Fn::replace: {
-                const Units places = plus(size, 1), made = plus(size, times(places, b[2].size));
-                return {Bound::text(made),
-                        plus(cost, times(2, cost::search(size, other)), cost::make(places, made))};
-            }
-            case Fn::join: {
-                const Units made = times(size, plus(part(b[0], 0).size, other));
-                return {Bound::text(made), plus(cost, cost::make(plus(size, 1), made))};
-            }
-            case Fn::to_dyn:
-                return {b[0], cost};
-            case Fn::type_of:
-            case Fn::in_cidr:
-                return {{}, cost};
-            case Fn::to_string:
-                return {Bound::text(std::max<Units>(size, std::max(cost::kTimeText, cost::kAddressText))),
-                        plus(cost, cost::kTime, cost::walk(size))};
-            case Fn::to_bytes:
-                return {Bound::text(size), plus(cost, cost::kTime, cost::walk(size))};
-            default:   // the other conversions, and parts of times
-                return {{}, plus(cost, cost::kTime, cost::walk(size))};
-        }
+    Units pattern_size(Fn fn, std::uint32_t ready) const {
+        const bool has_pattern = fn == Fn::matches || fn == Fn::glob;
+        return has_pattern ? static_cast<Units>(p_.patterns[ready]->ProgramSize()) : 0;
     }
 
     Program& p_;
@@ -592,22 +432,6 @@
     Units kids_ = 0;     // cost of the parts below it so far
 };
 
-std::string short_text(const Tree& tree, NodeId id) {
-    // The part's source is not kept as a range: it is printed, as a tree of its
-    // own.
-    Tree part = tree;
-    part.root = id;
-    std::string text = print(part);
-    if (text.size() > 48) {
-        std::size_t cut = 45;
-        while ((static_cast<unsigned char>(text[cut]) & 0xc0) == 0x80) --cut;
-        text = text.substr(0, cut) + "...";
-    }
-    return text;
-}
-
-std::string units(Units count) { return count == cost::kMost ? "without end" : std::to_string(count); }
-
 void want(const Program& program, const LoadOptions& options) {
     const Type& type = program.type;
     const auto key = [](const Type& one) {
@@ -640,57 +464,12 @@
         std::string dear;
         for (std::size_t i = 0; i < std::min<std::size_t>(2, parts.size()); ++i)
             dear += (i ? ", " : "; dearest: ") + short_text(program.tree, parts[i].node) + " " +
-                    units(parts[i].own);
-        throw LoadError(program.tree[parts[0].node].at, "may cost " + units(program.bound) +
+                    format_units(parts[i].own);
+        throw LoadError(program.tree[parts[0].node].at, "may cost " + format_units(program.bound) +
                                                             ", over max_cost " +
                                                             std::to_string(options.max_cost) + dear);
     }
     return program;
 }
 
-std::string explain(const Program& program, const Environment& environment) {
-    std::string text = "type " + program.type.name() + "\nbound " + units(program.bound) + "\n\n";
-    char line[200];
-    std::snprintf(line, sizeof line, "%12s %12s  %-24s %s\n", "whole", "own", "type", "part");
-    text += line;
-    for (const PartCost& part : program.parts) {
-        std::snprintf(line, sizeof line, "%12s %12s  %-24s ", units(part.whole).c_str(),
-                      units(part.own).c_str(), program.types[part.node].name().c_str());
-        text += line + short_text(program.tree, part.node) + "\n";
-    }
-    text += "\n";
-    constexpr std::array<const char*, 38> kNames{
-        "constant",      "variable", "local",  "and_jump",   "and_join",  "or_jump",        "or_join",
-        "branch",        "jump",     "negate", "invert",     "add",       "subtract",       "multiply",
-        "divide",        "modulo",   "equal",  "unequal",    "less",      "less_equal",     "greater",
-        "greater_equal", "in",       "index",  "field",      "has_field", "variable_field", "variable_has",
-        "list",          "map",      "call",   "loop_begin", "loop_next", "loop_filter",    "loop_step",
-        "loop_end",      "end",      ""};
-    const auto all = overloads();
-    for (std::size_t i = 0; i < program.code.size(); ++i) {
-        const Instruction& one = program.code[i];
-        std::string what;
-        if (one.op == Op::constant || one.op == Op::field || one.op == Op::has_field)
-            what = to_json(program.constants[one.a]).substr(0, 60);
-        else if (one.op == Op::variable_field || one.op == Op::variable_has)
-            what = environment.variables[one.a].name + "[" + to_json(program.constants[one.b]) + "]";
-        else if (one.op == Op::variable)
-            what = environment.variables[one.a].name;
-        else if (one.op == Op::call)
-            what = std::string(std::find_if(all.begin(), all.end(),
-                                            [&](const Overload& o) { return o.fn == one.fn; })
-                                   ->name) +
-                   "/" + std::to_string(one.n);
-        else if (one.op == Op::branch || one.op == Op::loop_next)
-            what = std::to_string(one.a) + ", " + std::to_string(one.b);
-        else if (one.op == Op::loop_begin)
-            what = std::to_string(one.b);
-        else if (one.op != Op::end)
-            what = one.a || one.op == Op::jump ? std::to_string(one.a) : "";
-        std::snprintf(line, sizeof line, "%5zu  %-14s ", i, kNames[static_cast<std::size_t>(one.op)]);
-        text += line + what + "\n";
-    }
-    return text;
-}
-
 }   // namespace slatejunction::expr
