--- a/src/expr/lexer.hpp
+++ b/src/expr/lexer.hpp
@@ -1,6 +1,7 @@
-// Splits the source of an expression into tokens. Input: UTF-8 text, which outlives the lexer. Output: one
-// token a call; LoadError with the byte at which the source is malformed. Used by the parser alone
-// (parse.cpp).
+// Splits the source of an expression into tokens.
+// Input: UTF-8 text, which outlives the lexer.
+// Output: one token a call; LoadError with the byte at which the source is malformed. Used by the parser
+// alone (parse.cpp).
 #pragma once
 
 #include <cstddef>
--- a/src/fleet_rate_limit/rate_limit_node.hpp
+++ b/src/fleet_rate_limit/rate_limit_node.hpp
@@ -1,16 +1,18 @@
 // Rate limits by key that hold over all ingresses of a fleet.
 //
-// Rule: the owner of a key, one of the alive ingresses, keeps its token bucket; every other ingress admits
-// a request if the level that the owner last replied has room for it, or at most
+// Rule: the owner of a key, one of the alive ingresses, keeps its token bucket; every other ingress
+// admits a request if the level that the owner last replied has room for it, or at most
 // Settings::max_unreported_units are not yet known to the owner, and reports what it admitted. While the
 // owner does not answer, an ingress admits from its fallback bucket, an even share of rate and burst. No
-// request waits for a reply. Inputs: requests (limit, key, units), datagrams, the alive members, the time
-// (s). Output: whether to admit and how long to wait (s), datagrams, the next deadline. Error bound:
-// error_bound() (staleness_bound.hpp), units beyond burst + rate * t. Reason: the owner is the alive
-// ingress with the highest random weight of name and key (rendezvous hashing: Thaler, Ravishankar 1998), so
-// a change of members moves the keys of the changed ones alone. Membership is a hint: two ingresses that
-// both take themselves for the owner each grant the fraction of the rate that the members they see have, so
-// a wrong list costs what error_bound() states, only while it is wrong.
+// request waits for a reply.
+// Inputs: requests (limit, key, units), datagrams, the alive members, the time (s).
+// Output: whether to admit and how long to wait (s), datagrams, the next deadline.
+// Error bound: error_bound() (staleness_bound.hpp), units beyond burst + rate * t.
+// Reason: the owner is the alive ingress with the highest random weight of name and key (rendezvous
+// hashing: Thaler, Ravishankar 1998), so a change of members moves the keys of the changed ones alone.
+// Membership is a hint: two ingresses that both take themselves for the owner each grant the fraction of
+// the rate that the members they see have, so a wrong list costs what error_bound() states, only while it
+// is wrong.
 // Where to see it: the error bound of each limit is printed at the start
 // (app/fleet_rate_limit_component.cpp), and rejections are counted by rule (rules::RuleCount).
 //
--- a/src/quota/counter_incarnation.hpp
+++ b/src/quota/counter_incarnation.hpp
@@ -1,13 +1,15 @@
 // Agreement of the fleet on how often each part of the shared counter has lost its state (its epoch).
 //
 // Rule: an ingress that finds the fleet's own name on a part lower than before, or its own check gone,
-// reports a suspected loss to the leader (src/lease); the leader reads the name itself and, if it was lost,
-// raises the epoch, sets the name again and broadcasts the epoch. Inputs: totals that were read, messages,
-// leadership, the time (s). Output: reads and writes of the name, messages, parts whose loss is confirmed.
-// Bound: loss_propagation_bound_s() until all ingresses know. Reason: one ingress's finding counts at all
-// of them at once, and an ingress with a wrong check empties nobody's buckets but its own. Epochs come by
-// messages alone, so a call that is carried out twice does no harm. Where to see it: the event
-// sentinel_seen and the log line of a lost state (driver.cpp).
+// reports a suspected loss to the leader (src/lease); the leader reads the name itself and, if it was
+// lost, raises the epoch, sets the name again and broadcasts the epoch.
+// Inputs: totals that were read, messages, leadership, the time (s).
+// Output: reads and writes of the name, messages, parts whose loss is confirmed.
+// Bound: loss_propagation_bound_s() until all ingresses know.
+// Reason: one ingress's finding counts at all of them at once, and an ingress with a wrong check empties
+// nobody's buckets but its own. Epochs come by messages alone, so a call that is carried out twice does
+// no harm.
+// Where to see it: the event sentinel_seen and the log line of a lost state (driver.cpp).
 //
 // A state machine without I/O or clock, owned and called by Driver. An ingress that receives no messages
 // relies on its own check.
--- a/src/quota/counter_protocol.hpp
+++ b/src/quota/counter_protocol.hpp
@@ -1,12 +1,13 @@
-// The two protocols by which a counter is called, as state machines without sockets. Input: calls, and
-// bytes received. Output: bytes to send, and replies in the order of the calls, which are pipelined. Driver
-// owns one for each connection.
+// The two protocols by which a counter is called, as state machines without sockets.
+// Input: calls, and bytes received.
+// Output: bytes to send, and replies in the order of the calls, which are pipelined. Driver owns one for
+// each connection.
 //
-// HTTP (PROTOCOL, section "The counter"): POST /counters/NAME?by=AMOUNT&expire_ms=LIFE; 200 with the total,
-// 503, 400 and 404 add nothing. RESP, version 2 of the protocol that Redis-compatible servers speak (its
-// public definition): MULTI, SET NAME 0 PX LIFE NX, INCRBYFLOAT NAME AMOUNT, EXEC. The transaction is
-// carried out whole or not at all; an error in place of its replies means that nothing was added. If a
-// connection ends before the reply to EXEC, it is unknown whether it was.
+// HTTP (PROTOCOL, section "The counter"): POST /counters/NAME?by=AMOUNT&expire_ms=LIFE; 200 with the
+// total, 503, 400 and 404 add nothing. RESP, version 2 of the protocol that Redis-compatible servers
+// speak (its public definition): MULTI, SET NAME 0 PX LIFE NX, INCRBYFLOAT NAME AMOUNT, EXEC. The
+// transaction is carried out whole or not at all; an error in place of its replies means that nothing was
+// added. If a connection ends before the reply to EXEC, it is unknown whether it was.
 #pragma once
 
 #include <memory>
--- a/src/quota/shared_quota.hpp
+++ b/src/quota/shared_quota.hpp
@@ -1,15 +1,18 @@
 // Quotas that hold over several ingresses, kept through a shared counter.
 //
 // Rule: a request is admitted if the ingress's local bucket, or else the customer's shared bucket on the
-// counter, has room for its units; while the counter is unreachable a fallback bucket, an even split of the
-// shared one, takes its place. Inputs: requests (customer, plan, units, the ingresses they come through),
-// replies of the counter and how calls ended, the time (s). Output: whether to admit and how long to wait
-// (s), calls to the counter, the next deadline. Error bound: error_bound() (bucket_layout.hpp), in units
-// beyond burst + rate * t, for each state of the counter. Reason: a customer's name on the counter holds
-// its theoretical arrival time, in s from the start of a generation (generic cell rate algorithm, ITU-T
-// I.371), so adding units is one atomic addition. A part of each rate is kept locally, so that customers
-// far below their quota need no calls. See docs/design/shared-quota.md. Where to see it: the log lines
-// "quota: the counter ..." and the measure of counter losses (driver.hpp).
+// counter, has room for its units; while the counter is unreachable a fallback bucket, an even split of
+// the shared one, takes its place.
+// Inputs: requests (customer, plan, units, the ingresses they come through), replies of the counter and
+// how calls ended, the time (s).
+// Output: whether to admit and how long to wait (s), calls to the counter, the next deadline.
+// Error bound: error_bound() (bucket_layout.hpp), in units beyond burst + rate * t, for each state of the
+// counter.
+// Reason: a customer's name on the counter holds its theoretical arrival time, in s from the start of a
+// generation (generic cell rate algorithm, ITU-T I.371), so adding units is one atomic addition. A part
+// of each rate is kept locally, so that customers far below their quota need no calls. See
+// docs/design/shared-quota.md.
+// Where to see it: the log lines "quota: the counter ..." and the measure of counter losses.
 //
 // A state machine without I/O, clock or globals: equal settings, seed and inputs give equal calls. Driver
 // owns it and is its only caller.
--- a/src/rules/bucket_storage.hpp
+++ b/src/rules/bucket_storage.hpp
@@ -1,10 +1,11 @@
 // Keeps the buckets of rate limits in the state directory, so that a restart gives no key a full bucket.
 //
-// Rule: all buckets are written once every kSnapshotPeriodS, a part at each timer. Input: the rules in
-// force. Output: the segmented log "limits". Error bound: after a crash a bucket is at most
-// kSnapshotPeriodS old (older where a limit has over a million keys), so a key may be granted again at most
-// its rate times that and what the bucket held then. Where to see it: the log lines "limits: ...". Owned by
-// app::RulesPart; owns one timer and the log file.
+// Rule: all buckets are written once every kSnapshotPeriodS, a part at each timer.
+// Input: the rules in force.
+// Output: the segmented log "limits".
+// Error bound: after a crash a bucket is at most kSnapshotPeriodS old (older where a limit has over a
+// million keys), so a key may be granted again at most its rate times that and what the bucket held then.
+// Where to see it: the log lines "limits: ...". Owned by app::RulesPart; owns one timer and the log file.
 #pragma once
 
 #include <functional>
--- a/src/rules/endpoint_subsets.hpp
+++ b/src/rules/endpoint_subsets.hpp
@@ -1,9 +1,10 @@
-// Keeps the subsets of each endpoint as the rules give them, and sets them in endpoint updates on their way
-// to the gateway.
+// Keeps the subsets of each endpoint as the rules give them, and sets them in endpoint updates on their
+// way to the gateway.
 //
 // Rule: an endpoint is in a subset if the subset's condition holds for it and at least `min_backends`
-// serving endpoints match; else the subset has none. Inputs: endpoint updates, the rules in force, the time
-// (s; for provider.age_s). Output: the update, with endpoints added whose subsets have changed with it.
+// serving endpoints match; else the subset has none.
+// Inputs: endpoint updates, the rules in force, the time (s; for provider.age_s).
+// Output: the update, with endpoints added whose subsets have changed with it.
 // Where to see it: the measure of serving endpoints by subset. Owned by app::RulesPart.
 #pragma once
 
--- a/src/rules/fast_conditions.hpp
+++ b/src/rules/fast_conditions.hpp
@@ -1,10 +1,12 @@
 // Evaluates the common forms of conditions on the request's facts, without the evaluator.
 //
 // Rule: a part that is known to be false makes the condition false, as && is false when one part is,
-// whatever the others are (CEL absorbs errors). The result is what the evaluator's would be; where that is
-// not certain (a text that is not ASCII or over its bound, a repeated header, a part of another form) it is
-// `needs_evaluator`. Inputs: a compiled condition, once; a request's facts (request_view.hpp). Output:
-// TestResult. Where to see it: the counts and costs of rules (Rules::counts(), Rules::evaluation_cost()).
+// whatever the others are (CEL absorbs errors). The result is what the evaluator's would be; where that
+// is not certain (a text that is not ASCII or over its bound, a repeated header, a part of another form)
+// it is `needs_evaluator`.
+// Inputs: a compiled condition, once; a request's facts (request_view.hpp).
+// Output: TestResult.
+// Where to see it: the counts and costs of rules (Rules::counts(), Rules::evaluation_cost()).
 //
 // Forms of the parts that && joins at the top:
 //   TEXT == "x"  TEXT != "x"  TEXT.startsWith("x")  TEXT in ["x", "y"]
--- a/src/rules/json_value.hpp
+++ b/src/rules/json_value.hpp
@@ -1,6 +1,7 @@
-// Reads JSON values as values of an expression's types, for the `expr` command. Input: a parsed JSON value
-// and the wanted type. Output: the value, whose bytes live in the caller's arena, or a CommandError that
-// names what was wanted.
+// Reads JSON values as values of an expression's types, for the `expr` command.
+// Input: a parsed JSON value and the wanted type.
+// Output: the value, whose bytes live in the caller's arena, or a CommandError that names what was
+// wanted.
 #pragma once
 
 #include <rapidjson/document.h>
--- a/src/rules/limiter.hpp
+++ b/src/rules/limiter.hpp
@@ -1,17 +1,19 @@
 // One rate limit for many keys, within a bound on their number.
 //
 // Rule: a request is admitted if its key's token bucket has room and fewer than max_in_flight requests of
-// the key are in flight. Inputs: the key's hash, what the request counts, the time (s). Output: time to
-// wait (s). Bound: exact for tracked keys; requests of a key that is not tracked are admitted and counted
-// (untracked_requests()). Where to see it: the measures of a limit's keys, evictions and untracked
-// requests.
+// the key are in flight.
+// Inputs: the key's hash, what the request counts, the time (s).
+// Output: time to wait (s).
+// Bound: exact for tracked keys; requests of a key that is not tracked are admitted and counted
+// (untracked_requests()).
+// Where to see it: the measures of a limit's keys, evictions and untracked requests.
 //
 // A bucket is kept as its theoretical arrival time, when it will be full again (GCRA, ITU-T I.371): 40
 // bytes a key with its place in the index, and 16 for the sketch. When the bound is reached, a new key
-// replaces one whose bucket is full, which loses nothing, else the least requested of a few candidates, and
-// only if the new key is requested more often by a count-min sketch (admission as in TinyLFU: Einziger,
-// Friedman, Manes 2017). So a flood of new keys evicts rare keys alone. Owned by Rules and by verdicts in
-// flight.
+// replaces one whose bucket is full, which loses nothing, else the least requested of a few candidates,
+// and only if the new key is requested more often by a count-min sketch (admission as in TinyLFU:
+// Einziger, Friedman, Manes 2017). So a flood of new keys evicts rare keys alone. Owned by Rules and by
+// verdicts in flight.
 #pragma once
 
 #include <cstdint>
--- a/src/rules/request_view.hpp
+++ b/src/rules/request_view.hpp
@@ -1,6 +1,6 @@
-// The facts of a request as conditions and keys that need no evaluator see them. Input: RequestFacts
-// (variables.hpp), which outlive their use. Headers that some rule names are found in one pass over the
-// fields, when the first is asked for. Owned by Rules; begun anew for each request.
+// The facts of a request as conditions and keys that need no evaluator see them.
+// Input: RequestFacts (variables.hpp), which outlive their use. Headers that some rule names are found in
+// one pass over the fields, when the first is asked for. Owned by Rules; begun anew for each request.
 #pragma once
 
 #include <cstdint>
--- a/src/rules/rules.hpp
+++ b/src/rules/rules.hpp
@@ -1,12 +1,13 @@
-// The operator's rules: which subset of the fleet a request goes to, which rate limits count it, its tags,
-// and which backends are in which subset.
+// The operator's rules: which subset of the fleet a request goes to, which rate limits count it, its
+// tags, and which backends are in which subset.
 //
 // Rule: the first route by order whose condition holds gives the subset; each limit whose condition holds
-// counts the request by its key, and the longest time to wait applies; each tag whose condition holds gives
-// a value. A condition that evaluates to an error does not hold; the error is counted under the rule's name
-// and passed to the error callback. Inputs: settings, facts of requests and backends, the time (s). Output:
-// RequestVerdict, subsets as bits. Where to see it: counts() (measures by rule), the tags in the request
-// log.
+// counts the request by its key, and the longest time to wait applies; each tag whose condition holds
+// gives a value. A condition that evaluates to an error does not hold; the error is counted under the
+// rule's name and passed to the error callback.
+// Inputs: settings, facts of requests and backends, the time (s).
+// Output: RequestVerdict, subsets as bits.
+// Where to see it: counts() (measures by rule), the tags in the request log.
 //
 // No I/O, no clock. Owned by app::RulesPart, which is its only caller; verdicts may outlive it.
 #pragma once
--- a/src/rules/variables.hpp
+++ b/src/rules/variables.hpp
@@ -1,5 +1,6 @@
-// The variables that rules may name, and their values for one request or backend. Inputs: facts, which
-// outlive their use; bounds of the head. Output: values of expressions.
+// The variables that rules may name, and their values for one request or backend.
+// Inputs: facts, which outlive their use; bounds of the head.
+// Output: values of expressions.
 #pragma once
 
 #include <array>
