--- a/bench/lease-model.cpp
+++ b/bench/lease-model.cpp
@@ -1,5 +1,5 @@
 // Every schedule of a small world to a depth: slatejunction-lease-model explore [DEPTH LOST LATE TWICE
-// FORGET]. Random schedules of faults over lease rooms: slatejunction-lease-model [SCHEDULES] [FIRST_SEED].
+// FORGET]. Random schedules of faults over lease nodes: slatejunction-lease-model [SCHEDULES] [FIRST_SEED].
 // Prints each breach with its seed (the command with that seed and 1 repeats it) and what was seen; exit
 // status 1 on a breach.
 #include <cstdio>
--- a/src/fleet_counters/aggregator.hpp
+++ b/src/fleet_counters/aggregator.hpp
@@ -1,17 +1,18 @@
 // Sums the fleet's counters period by period, for the holder of the lease.
 //
-// Rule: at the end of a period and a grace the reports received are added to the pages; once a majority of
-// the acceptors has all pages, the period's row is added to the totals; once it has the totals, the row is
-// published and the reports in it are acknowledged.
+// Rule: at the end of a period and a grace the reports received are added to the pages; once a
+// majority of the acceptors has all pages, the period's row is added to the totals; once it has the
+// totals, the row is published and the reports in it are acknowledged.
 // Inputs: reports, register messages, `now` in s (boot_clock.hpp), `unix_s` of the wall clock.
 // Output: rows to write, acknowledgements, register messages.
-// Invariants: each period has one row, and it is written outside only after a majority of the acceptors has
-// it; a later holder continues from there. So a row may be written twice (by the old holder and the new
-// one, bit for bit the same), and none is missing. Where a majority of the acceptors lost its state
-// (RegisterClient::lost) the rows between are skipped and the counters begin at 0.
+// Invariants: each period has one row, and it is written outside only after a majority of the
+// acceptors has it; a later holder continues from there. So a row may be written twice (by the old
+// holder and the new one, bit for bit the same), and none is missing. Where a majority of the
+// acceptors lost its state (RegisterClient::lost) the rows between are skipped and the counters begin
+// at 0.
 // Reason: a counter must not run back or count an increment twice when the holder changes.
 // From: RAMBO for the registers (lease/replicated_register.hpp); docs/design/fleet.md.
-// Seen in: skipped_periods(), resets() and rejected_reports() as measures.
+// Seen in: skipped_periods() as a measure; a reset in the log line "fleet_sums: a majority ...".
 // Never does: I/O, reading a clock. Driver owns it.
 #pragma once
 
--- a/src/fleet_counters/driver.hpp
+++ b/src/fleet_counters/driver.hpp
@@ -1,13 +1,14 @@
-// Runs the fleet's counters in one ingress: records this ingress's counters when the wall clock says that a
-// period has ended, reports them to the holder of the lease, and, where this is the holder, writes the rows
-// by remote write.
+// Runs the fleet's counters in one ingress: records this ingress's counters when the wall clock says
+// that a period has ended, reports them to the holder of the lease, and, where this is the holder,
+// writes the rows by remote write.
 //
-// Inputs: timers, the wall clock, counters, messages of other ingresses. Output: messages, rows.
-// Invariant: rows are handed to the receiver only while the lease permits it; those that are not go out by
-// the next holder, as the acceptors have them.
+// Inputs: timers, the wall clock, counters, messages of other ingresses.
+// Output: messages, rows.
+// Invariant: rows are handed to the receiver only while the lease permits it; those that are not go
+// out by the next holder, as the acceptors have them.
 // Seen in: log event `row`; delivered_rows() and periods_behind() as measures.
-// Never does: deciding what is counted (Aggregator, Reporter). src/app/fleet_component owns it; timers and
-// log must outlive it.
+// Never does: deciding what is counted (Aggregator, Reporter). src/app/fleet_component owns it; timers
+// and log must outlive it.
 #pragma once
 
 #include <algorithm>
--- a/src/fleet_counters/reporter.hpp
+++ b/src/fleet_counters/reporter.hpp
@@ -1,13 +1,16 @@
-// One ingress's part in the fleet's counters: records its counters at the end of each period and reports
-// them to the aggregator until they are acknowledged.
+// One ingress's part in the fleet's counters: records its counters at the end of each period and
+// reports them to the aggregator until they are acknowledged.
 //
-// Rule: a recorded period is reported until an acknowledgement covers it; what stays unacknowledged for
-// kForgetPeriods / 2 periods after its first report is dropped for good, as it may or may not be counted.
-// Inputs: counters since the process began, periods, acknowledgements. Output: reports, dropped_requests().
-// Invariant: no increment is counted twice. Periods are numbered by the wall clock, which names them and
-// nothing else: clocks that differ put an increment into one period or its neighbour, never into two or
-// none. Seen in: dropped_requests() and Driver::periods_behind() as measures. Never does: I/O, reading a
-// clock. Driver owns it.
+// Rule: a recorded period is reported until an acknowledgement covers it; what stays unacknowledged
+// for kForgetPeriods / 2 periods after its first report is dropped for good, as it may or may not be
+// counted.
+// Inputs: counters since the process began, periods, acknowledgements.
+// Output: reports, dropped_requests().
+// Invariant: no increment is counted twice. Periods are numbered by the wall clock, which names them
+// and nothing else: clocks that differ put an increment into one period or its neighbour, never into
+// two or none.
+// Seen in: dropped_requests() and Driver::periods_behind() as measures.
+// Never does: I/O, reading a clock. Driver owns it.
 #pragma once
 
 #include <array>
--- a/src/fleet_counters/settings.hpp
+++ b/src/fleet_counters/settings.hpp
@@ -1,5 +1,5 @@
-// The operator's [fleet_sums] section, and what check-config says of it. The INI keys are the operator's
-// words; they are mapped to the code's terms here and nowhere else.
+// The operator's [fleet_sums] section, and what check-config says of it. The INI keys are the
+// operator's words; they are mapped to the code's terms here and nowhere else.
 #pragma once
 
 #include <string>
--- a/src/lease/acceptor.hpp
+++ b/src/lease/acceptor.hpp
@@ -1,19 +1,23 @@
-// One acceptor (PaxosLease): to whom it has granted each lease, until when, and the highest fencing token.
+// One acceptor (PaxosLease): to whom it has granted each lease, until when, and the highest fencing
+// token.
 //
-// Rule: a request is granted if no grant to another holder is live, its round is not older than the last of
-// that holder, its fencing token is above all known ones or already that holder's, its duration is not
-// longer than this acceptor's own, and its epoch is not older.
-// Inputs: messages, and `now` in s of a clock that also runs while the machine sleeps (boot_clock.hpp).
-// Output: one answer or none; grants() and revision() tell the owner what it must save before it sends it.
+// Rule: a request is granted if no grant to another holder is live, its round is not older than the
+// last of that holder, its fencing token is above all known ones or already that holder's, its
+// duration is not longer than this acceptor's own, and its epoch is not older.
+// Inputs: messages, and `now` in s of a clock that also runs while the machine sleeps
+// (boot_clock.hpp).
+// Output: one answer or none; grants() and revision() tell the owner what it must save before it sends
+// it.
 // Invariants (docs/design/fleet.md):
 //  1. While a grant lives the lease is granted to nobody else.
 //  2. A fencing token is accepted only if it is higher than any known one, or its owner's again.
 //  3. A round older than the last one of that holder changes nothing.
 //  4. Without its state the acceptor is silent for recovery_wait_s(), and its tokens begin at
-//  `token_floor`.
+//     `token_floor`.
 //  5. Requests of an older epoch of the acceptor set are refused, for good.
 // Reason: two majorities share an acceptor, so at most one candidate has a majority of live grants.
-// From: PaxosLease (Trencseni, Gazso, Reinhardt 2012). Seen in: the "voting" field of the admin page.
+// From: PaxosLease (Trencseni, Gazso, Reinhardt 2012).
+// Seen in: the "voting" field of the admin page.
 // Never does: I/O, reading a clock. LeaseNode owns and calls it.
 #pragma once
 
--- a/src/lease/acceptor_storage.hpp
+++ b/src/lease/acceptor_storage.hpp
@@ -1,10 +1,12 @@
 // An acceptor's state in files of the state directory: grants in `leases`, registers in `notes`.
 //
-// Each save writes the whole file with a checksum, and renames it into place after the bytes have reached
-// the disk: a killed process or a power loss leaves the old state or the new one, never a part.
-// Inputs: the acceptor's state. Output: whether it was saved; at the start, the restored state.
-// A broken file is put aside (quarantined_path) and counts as lost state: the acceptor then waits.
-// Grants are saved when a lease changes its holder or token, not at each renewal.
+// Each save writes the whole file with a checksum, and renames it into place after the bytes have
+// reached the disk: a killed process or a power loss leaves the old state or the new one, never a
+// part.
+// Inputs: the acceptor's state.
+// Output: whether it was saved; at the start, the restored state. A broken file is put aside
+// (quarantined_path) and counts as lost state: the acceptor then waits. Grants are saved when a lease
+// changes its holder or token, not at each renewal.
 // Used by src/app/fleet_component, which owns both objects and logs their errors.
 #pragma once
 
--- a/src/lease/candidate.hpp
+++ b/src/lease/candidate.hpp
@@ -1,13 +1,14 @@
-// One process's candidacy for one lease, and its hold: asks all acceptors, holds with a majority, renews,
-// and stops in time (PaxosLease with fencing tokens).
+// One process's candidacy for one lease, and its hold: asks all acceptors, holds with a majority,
+// renews, and stops in time (PaxosLease with fencing tokens).
 //
 // Rule: a lease is held from two rounds in which a majority of the acceptors granted it: the first
-// (preparing) learns the highest fencing token of that majority, the second (proposing) claims the next one
-// while the first still counts. Each later round renews both.
-// Inputs: campaign()/release(), answers of acceptors, and `now` in s of a clock that also runs while the
-// machine sleeps. Output: messages to acceptors; state(), fencing_token(), valid_until().
-// Invariants: valid_until() counts from before the request was sent, so it ends before a majority's grants
-// do; rounds only go up; a token is claimed only above all that a majority knows.
+// (preparing) learns the highest fencing token of that majority, the second (proposing) claims the
+// next one while the first still counts. Each later round renews both.
+// Inputs: campaign()/release(), answers of acceptors, and `now` in s of a clock that also runs while
+// the machine sleeps.
+// Output: messages to acceptors; state(), fencing_token(), valid_until().
+// Invariants: valid_until() counts from before the request was sent, so it ends before a majority's
+// grants do; rounds only go up; a token is claimed only above all that a majority knows.
 // Reason: a holder that is paused or cut off must not act after another one was elected.
 // From: PaxosLease (Trencseni, Gazso, Reinhardt 2012); docs/design/fleet.md.
 // Seen in: LeaseStatus on the admin page, LeaseEvent of LeaseNode, which owns and calls it.
--- a/src/lease/fleet_context.hpp
+++ b/src/lease/fleet_context.hpp
@@ -1,6 +1,6 @@
-// What the fleet offers to modules that act together with other ingresses: datagrams between them, and the
-// leader's lease. Implemented by src/app/fleet_component, which has membership and leases, and passed to
-// the modules that need it; a module without one acts alone.
+// What the fleet offers to modules that act together with other ingresses: datagrams between them, and
+// the leader's lease. Implemented by src/app/fleet_component, which has membership and leases, and
+// passed to the modules that need it; a module without one acts alone.
 #pragma once
 
 #include <cstdint>
--- a/src/lease/holder_webhook.hpp
+++ b/src/lease/holder_webhook.hpp
@@ -1,13 +1,14 @@
-// Announces the holder of a lease at an address outside the fleet: one HTTP POST at a time, each with the
-// fencing token.
+// Announces the holder of a lease at an address outside the fleet: one HTTP POST at a time, each with
+// the fencing token.
 //
-// Rule: while the lease is held a call is made every interval_s; the permit is checked right before its
-// bytes are sent, on a connection that is already open.
-// Inputs: whether the lease is held, permits, the receiver's status codes. Output: calls; counters.
-// Invariant: no call begins without a permit. A process that is stopped between permit and send is caught
-// by the receiver, which must refuse a token lower than the highest it has seen (status 409). Seen in: log
-// events act_begin and act_end; accepted(), fenced() and failed() as measures. src/app/fleet_component owns
-// it and calls set_held().
+// Rule: while the lease is held a call is made every interval_s; the permit is checked right before
+// its bytes are sent, on a connection that is already open.
+// Inputs: whether the lease is held, permits, the receiver's status codes.
+// Output: calls; counters.
+// Invariant: no call begins without a permit. A process that is stopped between permit and send is
+// caught by the receiver, which must refuse a token lower than the highest it has seen (status 409).
+// Seen in: log events act_begin and act_end; accepted(), fenced() and failed() as measures.
+// src/app/fleet_component owns it and calls set_held().
 #pragma once
 
 #include <functional>
--- a/src/lease/lease_bounds.hpp
+++ b/src/lease/lease_bounds.hpp
@@ -1,12 +1,13 @@
 // Times of a lease, derived from its settings.
 //
-// Rule: a holder may act for the grant's duration, shortened by the clocks' drift and a margin; an acceptor
-// that lost its state stays silent for the grant's duration, lengthened by the same.
-// Inputs: LeaseTimes, all in s but `drift` (a ratio). Output: durations in s.
-// Invariant: usable_duration_s() ends, by any two clocks within `drift`, before any acceptor's grant does,
-// and recovery_wait_s() ends after every grant that the acceptor may have given.
-// From: PaxosLease (Trencseni, Gazso, Reinhardt 2012); docs/design/fleet.md. Code, check-config, measures
-// and tests call these functions; nobody keeps the figures a second time.
+// Rule: a holder may act for the grant's duration, shortened by the clocks' drift and a margin; an
+// acceptor that lost its state stays silent for the grant's duration, lengthened by the same.
+// Inputs: LeaseTimes, all in s but `drift` (a ratio).
+// Output: durations in s.
+// Invariant: usable_duration_s() ends, by any two clocks within `drift`, before any acceptor's grant
+// does, and recovery_wait_s() ends after every grant that the acceptor may have given.
+// From: PaxosLease (Trencseni, Gazso, Reinhardt 2012); docs/design/fleet.md. Code, check-config,
+// measures and tests call these functions; nobody keeps the figures a second time.
 #pragma once
 
 #include <algorithm>
--- a/src/lease/lease_node.hpp
+++ b/src/lease/lease_node.hpp
@@ -1,13 +1,17 @@
-// All leases of one process: its acceptor, if the configuration names it one, and its candidacies, each
-// with k slots where a lease has several.
+// All leases of one process: its acceptor, if the configuration names it one, and its candidacies,
+// each with k slots where a lease has several.
 //
-// Rule: a process holds at most one slot of a lease; a candidate that is denied its slot tries the next
-// one. Inputs: datagrams and `now` in s of a clock that also runs while the machine sleeps
-// (boot_clock.hpp). Output: datagrams (take_outgoing), changes (take_events), permits to act (permit).
+// Rule: a process holds at most one slot of a lease; a candidate that is denied its slot tries the
+// next one.
+// Inputs: datagrams and `now` in s of a clock that also runs while the machine sleeps
+// (boot_clock.hpp).
+// Output: datagrams (take_outgoing), changes (take_events), permits to act (permit).
 // Invariant: the acceptor's answer leaves only after what it rests on was saved.
 // Reason: an acceptor that forgets an answer could grant the lease twice.
-// From: PaxosLease; docs/design/fleet.md. Seen in: statuses() on the admin page; the events' log lines.
-// Never does: I/O, reading a clock. The owner (src/app/fleet_component) sends, saves and calls on_timer.
+// From: PaxosLease; docs/design/fleet.md.
+// Seen in: statuses() on the admin page; the events' log lines.
+// Never does: I/O, reading a clock. The owner (src/app/fleet_component) sends, saves and calls
+// on_timer.
 #pragma once
 
 #include <cstdint>
--- a/src/lease/replicated_register.hpp
+++ b/src/lease/replicated_register.hpp
@@ -1,18 +1,20 @@
-// Replicated registers: small values that the holder of a lease leaves for the holders after it, stored by
-// the acceptors. One register per name, fenced by the lease's fencing tokens.
+// Replicated registers: small values that the holder of a lease leaves for the holders after it,
+// stored by the acceptors. One register per name, fenced by the lease's fencing tokens.
 //
-// Rule: a write is committed once a majority of the acceptors has stored it; an acceptor refuses everything
-// under a token lower than the highest it has seen.
-// Inputs: messages and `now` in s (RegisterClient). Output: messages; values once a majority has answered.
-// Invariant: whoever reads under a higher token sees all committed writes under lower ones and shuts out
-// those still under way.
+// Rule: a write is committed once a majority of the acceptors has stored it; an acceptor refuses
+// everything under a token lower than the highest it has seen.
+// Inputs: messages and `now` in s (RegisterClient).
+// Output: messages; values once a majority has answered.
+// Invariant: whoever reads under a higher token sees all committed writes under lower ones and shuts
+// out those still under way.
 // Reason: two holders never have the same token, so tokens serve as ballots.
-// From: RAMBO (Gilbert, Lynch, Shvartsman 2010), Disk Paxos (Gafni, Lamport 2003); docs/design/fleet.md.
-// Safety rests on the tokens alone, but for acceptors that lost their state: they don't answer during
-// recovery (Acceptor::is_voting) and mark what they may have forgotten (`remembers`). A register that fewer
-// than a majority remember, though a majority answers, is `lost` after kLostAfterGrants grant durations:
-// its reader continues from the highest value seen. Never does: I/O, reading a clock.
-// src/app/fleet_component owns the acceptor, the users of registers (fleet_counters, rollout) the clients.
+// From: RAMBO (Gilbert, Lynch, Shvartsman 2010), Disk Paxos (Gafni, Lamport 2003);
+// docs/design/fleet.md. Safety rests on the tokens alone, but for acceptors that lost their state:
+// they don't answer during recovery (Acceptor::is_voting) and mark what they may have forgotten
+// (`remembers`). A register that fewer than a majority remember, though a majority answers, is `lost`
+// after kLostAfterGrants grant durations: its reader continues from the highest value seen.
+// Never does: I/O, reading a clock. src/app/fleet_component owns the acceptor, the users of registers
+// (fleet_counters, rollout) the clients.
 #pragma once
 
 #include <cstdint>
--- a/src/membership/datagram_auth.hpp
+++ b/src/membership/datagram_auth.hpp
@@ -5,11 +5,13 @@
 // Rule: a datagram is fresh if a known key made its tag, it is addressed to this very process, and its
 // sequence was not accepted from that sender before. The tag is libsodium's keyed BLAKE2b
 // (crypto_generichash).
-// Inputs: bytes, keys. Output: an OpenResult, the sender's process and the payload.
+// Inputs: bytes, keys.
+// Output: an OpenResult, the sender's process and the payload.
 // Invariant: `from` and `to` are processes, drawn at each start, so nothing fresh is older than this
-// process. Addressed to another process, or to nobody (to 0), a datagram may be a replay: the receiver only
-// answers who is here.
-// Seen in: counts() as a measure. Never does: I/O, encryption. GossipTransport owns it.
+// process. Addressed to another process, or to nobody (to 0), a datagram may be a replay: the receiver
+// only answers who is here.
+// Seen in: counts() as a measure.
+// Never does: I/O, encryption. GossipTransport owns it.
 #pragma once
 
 #include <array>
--- a/src/membership/detection_bounds.hpp
+++ b/src/membership/detection_bounds.hpp
@@ -1,7 +1,7 @@
 // Constants of membership, and the bounds that follow from them.
 //
-// All times are multiples of one protocol period. Code, docs, check-config, the measure and the tests use
-// these constants and functions; nobody keeps the figures a second time.
+// All times are multiples of one protocol period. Code, docs, check-config, the measure and the tests
+// use these constants and functions; nobody keeps the figures a second time.
 // From: SWIM (Das, Gupta, Motivala 2002); Lifeguard (Dadgar, Phillips, Currey 2018).
 #pragma once
 
--- a/src/membership/gossip_transport.hpp
+++ b/src/membership/gossip_transport.hpp
@@ -1,9 +1,11 @@
-// Carries the datagrams of SwimMembership over one UDP socket, authenticated, and passes user messages to
-// the modules above by channel.
+// Carries the datagrams of SwimMembership over one UDP socket, authenticated, and passes user messages
+// to the modules above by channel.
 //
-// Inputs: the socket, timers, send(). Output: calls of listeners, in the order of arrival.
-// Never does: deciding who is alive, retransmitting. src/app/fleet_component owns it; timers and log must
-// outlive it. Seen in: the log lines "peers: ...".
+// Inputs: the socket, timers, send().
+// Output: calls of listeners, in the order of arrival.
+// Never does: deciding who is alive, retransmitting. src/app/fleet_component owns it; timers and log
+// must outlive it.
+// Seen in: the log lines "peers: ...".
 #pragma once
 
 #include <functional>
--- a/src/membership/send_budget.hpp
+++ b/src/membership/send_budget.hpp
@@ -1,8 +1,10 @@
 // Token bucket over the datagrams of membership.
 //
-// Rule: a datagram needs one token; an urgent one (probes, acks, user messages) may also use the last part
-// of a token. Tokens refill at kDatagramsPerPeriod a protocol period, up to twice that.
-// Inputs: `now` in s. Output: whether the datagram may be sent. Reason: bounds the load that faults cause.
+// Rule: a datagram needs one token; an urgent one (probes, acks, user messages) may also use the last
+// part of a token. Tokens refill at kDatagramsPerPeriod a protocol period, up to twice that.
+// Inputs: `now` in s.
+// Output: whether the datagram may be sent.
+// Reason: bounds the load that faults cause.
 // Seen in: TrafficCounts::rate_limited. SwimMembership owns it.
 #pragma once
 
--- a/src/membership/swim.hpp
+++ b/src/membership/swim.hpp
@@ -1,20 +1,22 @@
 // Membership of the fleet by SWIM, with suspicion and Lifeguard's local health.
 //
-// Rule: each protocol period one member is pinged; without an ack, others ping it too; without any ack it
-// is suspected, and gone when it does not refute the suspicion by a higher incarnation in time. Inputs:
-// payloads of authenticated datagrams, and `now` in s. Output: datagrams, changes of members, and messages
-// of other members for the modules above. Invariants: only a process raises its own incarnation; of one
-// process, a worse state replaces a better one at the same incarnation; a late timer never counts against
-// others. Reason: constant load per member, and detection within detection_bound_s()
-// (detection_bounds.hpp). From: SWIM (Das, Gupta, Motivala 2002); Lifeguard (Dadgar, Phillips, Currey
-// 2018); docs/design/fleet.md. Seen in: the members on the admin page, the log lines "peers: ...",
-// TrafficCounts as measures. Never does: I/O, reading a clock; all randomness comes from the seed.
-// GossipTransport owns it. Nothing above may rest its safety on this list: it says who is probably alive,
-// and may be out of date by staleness_s(), or for as long as links are cut.
+// Rule: each protocol period one member is pinged; without an ack, others ping it too; without any ack
+// it is suspected, and gone when it does not refute the suspicion by a higher incarnation in time.
+// Inputs: payloads of authenticated datagrams, and `now` in s.
+// Output: datagrams, changes of members, and messages of other members for the modules above.
+// Invariants: only a process raises its own incarnation; of one process, a worse state replaces a
+// better one at the same incarnation; a late timer never counts against others.
+// Reason: constant load per member, and detection within detection_bound_s() (detection_bounds.hpp).
+// From: SWIM (Das, Gupta, Motivala 2002); Lifeguard (Dadgar, Phillips, Currey 2018);
+// docs/design/fleet.md.
+// Seen in: the members on the admin page, the log lines "peers: ...", TrafficCounts as measures.
+// Never does: I/O, reading a clock; all randomness comes from the seed. GossipTransport owns it.
+// Nothing above may rest its safety on this list: it says who is probably alive, and may be out of
+// date by staleness_s(), or for as long as links are cut.
 //
 // swim.cpp: life cycle, timers, receipt of packets. swim_probing.cpp: failure detection.
-// swim_updates.cpp: what an update changes, name conflicts. swim_dissemination.cpp: joining, gossip, sync,
-// sending. packet_codec.hpp: the packets.
+// swim_updates.cpp: what an update changes, name conflicts. swim_dissemination.cpp: joining, gossip,
+// sync, sending. packet_codec.hpp: the packets.
 #pragma once
 
 #include <cstdint>
--- a/tests/fleet_counters/fleet_counters_test.cpp
+++ b/tests/fleet_counters/fleet_counters_test.cpp
@@ -1,4 +1,5 @@
-// The fleet's sums and the notes they stand on: random schedules of faults, and the plain cases one by one.
+// The fleet's counters and the registers they rest on: random schedules of faults, and the plain cases one
+// by one.
 #include <catch2/catch.hpp>
 
 #include "files.hpp"
@@ -10,7 +11,7 @@
 using namespace slatejunction::fleet_counters;
 using lease::RegisterAcceptor;
 using lease::RegisterMessage;
-using NoteKind = lease::RegisterMessage::Kind;
+using RegisterKind = lease::RegisterMessage::Kind;
 
 namespace {
 
@@ -19,10 +20,10 @@
     values[served] = value;
     return values;
 }
-RegisterMessage ask(NoteKind kind, std::uint64_t number, std::uint64_t sequence = 0,
+RegisterMessage ask(RegisterKind kind, std::uint64_t number, std::uint64_t sequence = 0,
                     std::string text = {}) {
     RegisterMessage made{kind, "sums", number, 1, {number, sequence, std::move(text)}, false, 1};
-    if (kind == NoteKind::read) made.value = {};
+    if (kind == RegisterKind::read) made.value = {};
     return made;
 }
 
@@ -44,32 +45,32 @@
     CHECK(changes > 300);
 }
 
-TEST_CASE("a voter shuts out writes under lower numbers, and says what it has forgotten", "[sums]") {
-    RegisterAcceptor keeper(true, {});
+TEST_CASE("an acceptor refuses writes under lower tokens, and says what it has forgotten", "[sums]") {
+    RegisterAcceptor acceptor(true, {});
     RegisterMessage answer;
-    REQUIRE(keeper.receive(ask(NoteKind::read, 5), answer));
-    CHECK(answer.kind == NoteKind::read_reply);
+    REQUIRE(acceptor.receive(ask(RegisterKind::read, 5), answer));
+    CHECK(answer.kind == RegisterKind::read_reply);
     CHECK(answer.remembers);
-    REQUIRE(keeper.receive(ask(NoteKind::write, 4, 1, "old"), answer));
-    CHECK(answer.kind == NoteKind::superseded);
-    REQUIRE(keeper.receive(ask(NoteKind::write, 5, 2, "b"), answer));
-    CHECK(answer.kind == NoteKind::write_ack);
-    CHECK_FALSE(keeper.receive(ask(NoteKind::write, 5, 1, "a"), answer));   // late
-    REQUIRE(keeper.receive(ask(NoteKind::write, 5, 2, "b"), answer));       // twice
-    CHECK(answer.kind == NoteKind::write_ack);
-    CHECK_FALSE(keeper.receive(ask(NoteKind::write, 5, 2, "c"), answer));
-    REQUIRE(keeper.receive(ask(NoteKind::read, 6), answer));
+    REQUIRE(acceptor.receive(ask(RegisterKind::write, 4, 1, "old"), answer));
+    CHECK(answer.kind == RegisterKind::superseded);
+    REQUIRE(acceptor.receive(ask(RegisterKind::write, 5, 2, "b"), answer));
+    CHECK(answer.kind == RegisterKind::write_ack);
+    CHECK_FALSE(acceptor.receive(ask(RegisterKind::write, 5, 1, "a"), answer));   // late
+    REQUIRE(acceptor.receive(ask(RegisterKind::write, 5, 2, "b"), answer));       // twice
+    CHECK(answer.kind == RegisterKind::write_ack);
+    CHECK_FALSE(acceptor.receive(ask(RegisterKind::write, 5, 2, "c"), answer));
+    REQUIRE(acceptor.receive(ask(RegisterKind::read, 6), answer));
     CHECK(answer.value.text == "b");
     RegisterAcceptor forgot(false, {});
-    REQUIRE(forgot.receive(ask(NoteKind::read, 6), answer));
+    REQUIRE(forgot.receive(ask(RegisterKind::read, 6), answer));
     CHECK_FALSE(answer.remembers);
-    REQUIRE(forgot.receive(ask(NoteKind::write, 6, 1, "c"), answer));
-    REQUIRE(forgot.receive(ask(NoteKind::read, 6), answer));
+    REQUIRE(forgot.receive(ask(RegisterKind::write, 6, 1, "c"), answer));
+    REQUIRE(forgot.receive(ask(RegisterKind::read, 6), answer));
     CHECK(answer.remembers);
     CHECK(answer.value.text == "c");
 }
 
-TEST_CASE("notes outlive the process in a file, and a broken one is put aside", "[sums]") {
+TEST_CASE("registers outlive the process in a file, and a broken one is put aside", "[sums]") {
     Folder folder;
     const RegisterAcceptor::Registers all{{"sums", {7, {6, 3, std::string("a\0b", 3)}}}};
     {
@@ -91,13 +92,13 @@
     CHECK_FALSE(lease::FileRegisterStorage("/nowhere").save(all));
 }
 
-TEST_CASE("a teller keeps what is not counted, and leaves out what it can't be sure of", "[sums]") {
-    Reporter teller(9);
-    CHECK_FALSE(teller.report());
-    teller.record_period(10, of(3));
-    teller.record_period(10, of(4));   // the wall clock was set back
-    teller.record_period(11, of(5));
-    auto report = teller.report();
+TEST_CASE("a reporter keeps what is not counted, and leaves out what it can't be sure of", "[sums]") {
+    Reporter reporter(9);
+    CHECK_FALSE(reporter.report());
+    reporter.record_period(10, of(3));
+    reporter.record_period(10, of(4));   // the wall clock was set back
+    reporter.record_period(11, of(5));
+    auto report = reporter.report();
     REQUIRE(report);
     REQUIRE(report->cuts.size() == 3);
     CHECK(report->cuts[0].period == 0);
@@ -105,20 +106,20 @@
     Report back;
     REQUIRE(decode(encode(*report), back));
     CHECK(back.cuts[2].values == report->cuts[2].values);
-    teller.acknowledge(8, 11);   // another process's
-    CHECK(teller.waiting() == 2);
-    teller.acknowledge(9, 10);
-    report = teller.report();
+    reporter.acknowledge(8, 11);   // another process's
+    CHECK(reporter.waiting() == 2);
+    reporter.acknowledge(9, 10);
+    report = reporter.report();
     REQUIRE(report->cuts.size() == 2);
     CHECK(report->cuts[0].values[served] == 3);
     // Nobody answers any more: half of the time after which it is forgotten it leaves that out.
     for (std::uint64_t period = 12; period < 10 + kForgetPeriods / 2; ++period)
-        teller.record_period(period, of(6)), teller.report();
-    CHECK(teller.dropped_requests() == 0);
+        reporter.record_period(period, of(6)), reporter.report();
+    CHECK(reporter.dropped_requests() == 0);
     for (std::uint64_t period = 12; period <= 11 + kForgetPeriods; ++period)
-        teller.record_period(period, of(6));
-    CHECK(teller.dropped_requests() == 3);
-    CHECK(teller.report()->cuts[0].values[served] == 6);
+        reporter.record_period(period, of(6));
+    CHECK(reporter.dropped_requests() == 3);
+    CHECK(reporter.report()->cuts[0].values[served] == 6);
 }
 
 TEST_CASE("reports that can't be are not read", "[sums]") {
@@ -131,32 +132,32 @@
     CHECK(decode(encode({1, 1, {{1, of(0)}, {4, of(5)}}}), report));
 }
 
-TEST_CASE("three hundred processes fit into the notes", "[sums]") {
+TEST_CASE("three hundred processes fit into the registers", "[sums]") {
     // The largest page: as many entries as are taken, each the longest.
-    const lease::AcceptorSet voters{{"n0"}, {}, 1};
-    Aggregator collector({1, 0.1}, {1, 0.05, 0.02, 0.1}, voters, 1);
-    RegisterAcceptor keeper(true, {});
+    const lease::AcceptorSet acceptors{{"n0"}, {}, 1};
+    Aggregator aggregator({1, 0.1}, {1, 0.05, 0.02, 0.1}, acceptors, 1);
+    RegisterAcceptor acceptor(true, {});
     std::size_t longest = 0;
     const auto settle = [&](double now) {
         for (bool more = true; more;) {
             more = false;
-            for (const auto& post : collector.take_register_messages()) {
+            for (const auto& post : aggregator.take_register_messages()) {
                 RegisterMessage answer;
                 longest = std::max(longest, post.message.value.text.size());
-                if (keeper.receive(post.message, answer))
-                    collector.on_register_message(now, now, "n0", answer), more = true;
+                if (acceptor.receive(post.message, answer))
+                    aggregator.on_register_message(now, now, "n0", answer), more = true;
             }
         }
     };
-    collector.begin_term(1000, 1000, 7);
+    aggregator.begin_term(1000, 1000, 7);
     settle(1000);
     Values values;
     values.fill(1'000'000'000'000'000);
     for (std::uint64_t process = 1; process <= 1000; ++process)
-        collector.on_report(1000.5, 1000.5, "n", {process, 0, {{0, {}}, {1001, values}}});
-    for (double now = 1000.5; now < 1010; now += 0.5) collector.on_timer(now, now), settle(now);
-    CHECK(collector.last_committed_period() >= 1005);
-    CHECK(collector.rejected_reports() > 0);
+        aggregator.on_report(1000.5, 1000.5, "n", {process, 0, {{0, {}}, {1001, values}}});
+    for (double now = 1000.5; now < 1010; now += 0.5) aggregator.on_timer(now, now), settle(now);
+    CHECK(aggregator.last_committed_period() >= 1005);
+    CHECK(aggregator.rejected_reports() > 0);
     CHECK(longest <= lease::kMaxValueBytes);
     CHECK(longest > lease::kMaxValueBytes / 2);
 }
--- a/tests/fleet_counters/world.hpp
+++ b/tests/fleet_counters/world.hpp
@@ -1,4 +1,4 @@
-// The fleet's sums under faults, in one process: tellers that are killed and started anew, voters that
+// The fleet's sums under faults, in one process: reporters that are killed and started anew, acceptors that
 // forget, holders that follow one another and are stopped in the middle of anything, datagrams lost, late,
 // twice and out of order, a receiver that is behind. The lease itself is taken as given (tests/lease): one
 // holder at a time, rising numbers; what an old holder had sent may still arrive after a new one began.
@@ -21,10 +21,10 @@
 using namespace slatejunction;
 
 struct Plan {
-    std::size_t processes = 5, voters = 3;
+    std::size_t processes = 5, acceptors = 3;
     double loss = 0, twice = 0, delay_most = 0.02, length = 30;
     double kill_every = 1e9, change_every = 1e9, stop_every = 1e9, cut_every = 1e9, behind_most = 0.2;
-    bool remembers = true;   // voters have their memory after a kill
+    bool remembers = true;   // acceptors have their memory after a kill
 };
 
 inline Plan random_plan(std::uint64_t seed) {
@@ -35,8 +35,8 @@
     const auto one_of = [&](std::size_t n) { return random() % n == 0; };
     Plan plan;
     plan.processes = 3 + random() % 6;
-    plan.voters = one_of(3) ? 5 : 3;
-    plan.voters = std::min(plan.voters, plan.processes);
+    plan.acceptors = one_of(3) ? 5 : 3;
+    plan.acceptors = std::min(plan.acceptors, plan.processes);
     plan.loss = one_of(2) ? draw(0, 0.5) : 0;
     plan.twice = one_of(2) ? draw(0, 0.3) : 0;
     plan.delay_most = one_of(2) ? draw(0.02, 1.5) : 0.02;
@@ -57,7 +57,7 @@
 class World {
   public:
     World(const Plan& plan, std::uint64_t seed) : plan_(plan), random_(seed), nodes_(plan.processes) {
-        for (std::size_t v = 0; v < plan.voters; ++v) voters_.current.push_back(name(v));
+        for (std::size_t v = 0; v < plan.acceptors; ++v) acceptors_.current.push_back(name(v));
         for (std::size_t i = 0; i < nodes_.size(); ++i) begin(i);
     }
 
@@ -74,7 +74,7 @@
             cut_ = pick(), events_.at(events_.now() + draw(0.2, 3), [this] { cut_ = nodes_.size(); });
         });
         events_.run_until(plan_.length);
-        // Calm again: everything that is still told is counted.
+        // Calm again: everything that is still reported is counted.
         plan_.loss = plan_.twice = 0;
         calm_ = true;
         cut_ = nodes_.size();
@@ -92,9 +92,9 @@
 
     struct Node {
         std::uint64_t process = 0;
-        std::unique_ptr<fleet_counters::Reporter> teller;
-        std::unique_ptr<fleet_counters::Aggregator> collector;
-        std::unique_ptr<lease::RegisterAcceptor> keeper;
+        std::unique_ptr<fleet_counters::Reporter> reporter;
+        std::unique_ptr<fleet_counters::Aggregator> aggregator;
+        std::unique_ptr<lease::RegisterAcceptor> acceptor;
         double votes_from = 0, stopped_until = 0;
         fleet_counters::Values values{};
         std::uint64_t period = 0;
@@ -120,16 +120,16 @@
         Node& node = nodes_[i];
         const bool first = node.process == 0;
         node.process = ++processes_;
-        node.teller = std::make_unique<fleet_counters::Reporter>(node.process);
+        node.reporter = std::make_unique<fleet_counters::Reporter>(node.process);
         node.values = {};
-        node.collector = std::make_unique<fleet_counters::Aggregator>(
-            fleet_counters::Settings{kEvery, 0.15}, times_, voters_, random_());
+        node.aggregator = std::make_unique<fleet_counters::Aggregator>(
+            fleet_counters::Settings{kEvery, 0.15}, times_, acceptors_, random_());
         node.waiting.clear();
-        if (i >= plan_.voters) return;
+        if (i >= plan_.acceptors) return;
         const bool knows = first || plan_.remembers;
-        node.keeper = std::make_unique<lease::RegisterAcceptor>(
+        node.acceptor = std::make_unique<lease::RegisterAcceptor>(
             knows,
-            first || !plan_.remembers ? lease::RegisterAcceptor::Registers{} : node.keeper->registers());
+            first || !plan_.remembers ? lease::RegisterAcceptor::Registers{} : node.acceptor->registers());
         node.votes_from = knows ? events_.now() : events_.now() + lease::recovery_wait_s(times_);
     }
     void kill() {
@@ -147,13 +147,13 @@
         holder_ = pick();
         nodes_[holder_].stopped_until = 0;
         ++result_.changes;
-        nodes_[holder_].collector->begin_term(events_.now(), unix_s(), ++number_);
+        nodes_[holder_].aggregator->begin_term(events_.now(), unix_s(), ++number_);
         pump(holder_);
     }
     void lose() {
         if (holder_ == nodes_.size()) return;
         // Whatever it has handed over by now is out; what its lease no longer permits is not.
-        nodes_[holder_].collector->end_term();
+        nodes_[holder_].aggregator->end_term();
         nodes_[holder_].waiting.clear();
         holder_ = nodes_.size();
     }
@@ -166,19 +166,19 @@
             if (!calm_ && random_() % 3 == 0)
                 for (std::uint64_t& value : node.values) value += random_() % 5;
             const auto period = static_cast<std::uint64_t>(unix_s() / kEvery);
-            if (period > node.period) node.teller->record_period(node.period = period, node.values);
+            if (period > node.period) node.reporter->record_period(node.period = period, node.values);
             if (random_() % 4 == 0) tell(i);
-            if (node.collector->next_deadline(events_.now(), unix_s()) <= events_.now())
-                node.collector->on_timer(events_.now(), unix_s());
+            if (node.aggregator->next_deadline(events_.now(), unix_s()) <= events_.now())
+                node.aggregator->on_timer(events_.now(), unix_s());
             pump(i);
         }
         events_.at(events_.now() + 0.02, [this] { tick(); });
     }
     void tell(std::size_t i) {
-        const auto report = nodes_[i].teller->report();
+        const auto report = nodes_[i].reporter->report();
         if (!report || holder_ == nodes_.size()) return;
         send(i, holder_, [this, i, report = *report](Node& to) {
-            to.collector->on_report(events_.now(), unix_s(), name(i), report);
+            to.aggregator->on_report(events_.now(), unix_s(), name(i), report);
         });
     }
     void send(std::size_t from, std::size_t to, std::function<void(Node&)> call) {
@@ -204,25 +204,26 @@
         call(node);
         pump(to);
     }
-    void ask(std::size_t i, std::size_t voter, const lease::RegisterMessage& message) {
-        send(i, voter, [this, i, voter, message](Node& to) {
+    void ask(std::size_t i, std::size_t acceptor, const lease::RegisterMessage& message) {
+        send(i, acceptor, [this, i, acceptor, message](Node& to) {
             lease::RegisterMessage answer;
-            if (!to.keeper || events_.now() < to.votes_from || !to.keeper->receive(message, answer)) return;
-            send(voter, i, [this, voter, answer](Node& asker) {
-                asker.collector->on_register_message(events_.now(), unix_s(), name(voter), answer);
+            if (!to.acceptor || events_.now() < to.votes_from || !to.acceptor->receive(message, answer))
+                return;
+            send(acceptor, i, [this, acceptor, answer](Node& client) {
+                client.aggregator->on_register_message(events_.now(), unix_s(), name(acceptor), answer);
             });
         });
     }
     void pump(std::size_t i) {
         Node& node = nodes_[i];
-        for (auto posts = node.collector->take_register_messages(); !posts.empty();
-             posts = node.collector->take_register_messages())
-            for (auto& post : posts) ask(i, number_of(post.to), post.message);
-        for (auto& answer : node.collector->take_acknowledgements())
+        for (auto outgoing = node.aggregator->take_register_messages(); !outgoing.empty();
+             outgoing = node.aggregator->take_register_messages())
+            for (auto& post : outgoing) ask(i, number_of(post.to), post.message);
+        for (auto& answer : node.aggregator->take_acknowledgements())
             send(i, number_of(answer.to), [report = answer.report](Node& to) {
-                to.teller->acknowledge(report.process, report.acknowledged_period);
+                to.reporter->acknowledge(report.process, report.acknowledged_period);
             });
-        for (const fleet_counters::Row& row : node.collector->take_rows()) write_row(i, row);
+        for (const fleet_counters::Row& row : node.aggregator->take_rows()) write_row(i, row);
     }
     // Handed over while the lease permits it; the receiver has it now or a little later, if its writer
     // lives.
@@ -237,7 +238,7 @@
                            node.waiting.front();   // a sender keeps their order
                        node.waiting.pop_front();
                        take(first);
-                       node.collector->on_rows_delivered(first.period);
+                       node.aggregator->on_rows_delivered(first.period);
                    });
     }
     void take(const fleet_counters::Row& row) {
@@ -247,9 +248,9 @@
             result_.breach = "period " + std::to_string(row.period) + " has two values";
     }
     void count(const Node& node) {
-        result_.anew += node.collector->resets();
-        result_.skipped += node.collector->skipped_periods();
-        left_out_ += node.teller->dropped_requests();
+        result_.anew += node.aggregator->resets();
+        result_.skipped += node.aggregator->skipped_periods();
+        left_out_ += node.reporter->dropped_requests();
     }
     void judge() {
         for (const Node& node : nodes_) count(node);
@@ -283,7 +284,7 @@
 
     Plan plan_;
     std::mt19937_64 random_;
-    lease::AcceptorSet voters_;
+    lease::AcceptorSet acceptors_;
     std::vector<Node> nodes_;
     Events events_;
     std::map<std::uint64_t, fleet_counters::Values> values_;   // what the receiver has, by period
--- a/tests/lease/explore.hpp
+++ b/tests/lease/explore.hpp
@@ -1,16 +1,16 @@
-// Every schedule of a small world, by the lease rooms' own code: 3 voters, 2 seekers. A step is one of
-//  - the time goes on by a quantum, all clocks by their rates (voters fast, seekers slow, as far as drift
-//  says);
-//  - a seeker whose time has come wakes, or wakes later;
-//  - what a seeker has to say goes out: to each voter it comes now and the answer comes now, it is lost,
-//  the
+// Every schedule of a small world, by the lease code: 3 acceptors, 2 candidates. A step is one of
+//  - the time goes on by a quantum, all clocks by their rates (acceptors fast, candidates slow, as far as
+//  drift says);
+//  - a candidate whose time has come wakes, or wakes later;
+//  - what a candidate has to say goes out: to each acceptor it comes now and the answer comes now, it is
+//  lost, the
 //    answer is lost, the message comes late, or the answer does (budgets of lost and late ones);
 //  - a late message comes, or comes twice (a budget);
-//  - a voter is killed and forgets (a budget).
-// Within one quantum messages to different voters commute, so that nothing is left out by taking a round as
-// one step; two rounds that cross are made of late messages. States that were seen before with as much left
-// of depth are not gone on from. After each step: never two hold at once, and no number is gained that is
-// not higher than all before.
+//  - an acceptor is killed and forgets (a budget).
+// Within one quantum messages to different acceptors commute, so that nothing is left out by taking a round
+// as one step; two rounds that cross are made of late messages. States that were seen before with as much
+// left of depth are not gone on from. After each step: never two hold at once, and no number is gained that
+// is not higher than all before.
 #pragma once
 
 #include <cstdint>
@@ -44,11 +44,11 @@
 
     Found run() {
         State start;
-        for (int i = 0; i < 3; ++i) start.voters.emplace_back(times_, -10.0, 0, true);
+        for (int i = 0; i < 3; ++i) start.acceptors.emplace_back(times_, -10.0, 0, true);
         const AcceptorSet set{{"v0", "v1", "v2"}, {}, 1};
         for (std::uint64_t i = 0; i < 2; ++i) {
-            start.seekers.emplace_back("job", "s", i + 1, times_, set, i + 1);
-            start.seekers.back().campaign(0);
+            start.candidates.emplace_back("job", "s", i + 1, times_, set, i + 1);
+            start.candidates.back().campaign(0);
         }
         start.lost = bounds_.lost;
         start.late_left = bounds_.late;
@@ -60,13 +60,13 @@
 
   private:
     struct Late {
-        int seeker = 0, voter = 0;
+        int candidate = 0, acceptor = 0;
         bool answer = false;
         Message message;
     };
     struct State {
-        std::vector<Acceptor> voters;
-        std::vector<Candidate> seekers;
+        std::vector<Acceptor> acceptors;
+        std::vector<Candidate> candidates;
         std::vector<Late> late;
         std::vector<AddressedMessage> pending[2];
         double now = 0;   // s, true time
@@ -77,14 +77,14 @@
     };
 
     static constexpr double kDrift = 0.1;
-    static double voter_clock(double now) { return now * (1 + kDrift); }
-    static double seeker_clock(double now) { return now * (1 - kDrift); }
+    static double acceptor_clock(double now) { return now * (1 + kDrift); }
+    static double candidate_clock(double now) { return now * (1 - kDrift); }
 
     std::string key(const State& s) const {
         std::string all;
         const auto put = [&](std::uint64_t value) { all.append(reinterpret_cast<const char*>(&value), 8); };
-        const double v = voter_clock(s.now);
-        for (const Acceptor& one : s.voters) {
+        const double v = acceptor_clock(s.now);
+        for (const Acceptor& one : s.acceptors) {
             put(static_cast<std::uint64_t>(std::max(0.0, one.recovery_ends_at() - v) * 1e3));
             for (const auto& [lease, grant] : one.grants()) {
                 put(grant.holder);
@@ -95,10 +95,10 @@
             }
             all += '|';
         }
-        for (const Candidate& one : s.seekers) all += one.state_digest(seeker_clock(s.now)) + '|';
+        for (const Candidate& one : s.candidates) all += one.state_digest(candidate_clock(s.now)) + '|';
         std::vector<std::string> late;
         for (const Late& one : s.late)
-            late.push_back(std::to_string(one.seeker) + std::to_string(one.voter) +
+            late.push_back(std::to_string(one.candidate) + std::to_string(one.acceptor) +
                            (one.answer ? 'a' : 'q') + encode(one.message));
         std::sort(late.begin(), late.end());
         for (const auto& one : late) all += one + '|';
@@ -112,9 +112,9 @@
 
     // False: nothing more is to be looked at.
     bool check(State& s) {
-        const double clock = seeker_clock(s.now);
+        const double clock = candidate_clock(s.now);
         for (int i = 0; i < 2; ++i) {
-            Candidate& one = s.seekers[static_cast<std::size_t>(i)];
+            Candidate& one = s.candidates[static_cast<std::size_t>(i)];
             auto& pending = s.pending[i];
             for (auto& out : one.take_outgoing()) pending.push_back(out);
             if (one.state() == Candidate::State::held && one.fencing_token() != 0 && !s.held[i]) {
@@ -127,7 +127,7 @@
             }
             s.held[i] = one.state() == Candidate::State::held;
         }
-        if (s.seekers[0].holds(clock) && s.seekers[1].holds(clock)) return breach("two hold at once");
+        if (s.candidates[0].holds(clock) && s.candidates[1].holds(clock)) return breach("two hold at once");
         return true;
     }
     bool breach(const std::string& what) {
@@ -157,10 +157,10 @@
         for (int i = 0; i < 2; ++i)
             if (!s.pending[i].empty()) return flush(s, i, depth);
         for (int i = 0; i < 2; ++i) {
-            const Candidate& one = s.seekers[static_cast<std::size_t>(i)];
-            if (one.next_deadline() > seeker_clock(s.now) + 1e-9) continue;
+            const Candidate& one = s.candidates[static_cast<std::size_t>(i)];
+            if (one.next_deadline() > candidate_clock(s.now) + 1e-9) continue;
             State next = s;
-            next.seekers[static_cast<std::size_t>(i)].on_timer(seeker_clock(s.now));
+            next.candidates[static_cast<std::size_t>(i)].on_timer(candidate_clock(s.now));
             step(std::move(next), depth, "wake" + std::to_string(i));
         }
         for (std::size_t k = 0; k < s.late.size(); ++k)
@@ -173,7 +173,7 @@
                     --next.twice;
                 bring(next, late);
                 step(std::move(next), depth,
-                     (late.answer ? "late-answer" : "late-ask") + std::to_string(late.seeker));
+                     (late.answer ? "late-answer" : "late-ask") + std::to_string(late.candidate));
             }
         if (s.forget > 0)
             for (std::size_t v = 0; v < 3; ++v) {
@@ -190,20 +190,21 @@
         std::vector<Acceptor> all;
         for (std::size_t i = 0; i < 3; ++i)
             i == v
-                ? all.emplace_back(times_, voter_clock(s.now),
+                ? all.emplace_back(times_, acceptor_clock(s.now),
                                    static_cast<std::uint64_t>(1000 * (1 + s.now / bounds_.quantum)), false)
-                : all.emplace_back(s.voters[i]);
-        s.voters.swap(all);
+                : all.emplace_back(s.acceptors[i]);
+        s.acceptors.swap(all);
     }
     void bring(State& s, const Late& late) {
-        const auto seeker = static_cast<std::size_t>(late.seeker),
-                   voter = static_cast<std::size_t>(late.voter);
+        const auto candidate = static_cast<std::size_t>(late.candidate),
+                   acceptor = static_cast<std::size_t>(late.acceptor);
         if (late.answer)
-            return s.seekers[seeker].receive(seeker_clock(s.now), "v" + std::to_string(late.voter),
-                                             late.message);
+            return s.candidates[candidate].receive(candidate_clock(s.now),
+                                                   "v" + std::to_string(late.acceptor), late.message);
         Message answer;
-        if (s.voters[voter].receive(voter_clock(s.now), late.message, answer))
-            s.seekers[seeker].receive(seeker_clock(s.now), "v" + std::to_string(late.voter), answer);
+        if (s.acceptors[acceptor].receive(acceptor_clock(s.now), late.message, answer))
+            s.candidates[candidate].receive(candidate_clock(s.now), "v" + std::to_string(late.acceptor),
+                                            answer);
     }
 
     // The first message that waits, in each way it may fare; then the next.
@@ -211,12 +212,12 @@
         State base = s;
         const AddressedMessage out = base.pending[i].front();
         base.pending[i].erase(base.pending[i].begin());
-        const int voter = out.to[1] - '0';
-        const Late ask{i, voter, false, out.message};
+        const int acceptor = out.to[1] - '0';
+        const Late ask{i, acceptor, false, out.message};
         const auto more = [&](State next, const char* how) {
             // One round is one step of depth.
             const int after = next.pending[i].empty() ? depth : depth + 1;
-            step(std::move(next), after, std::string(how) + std::to_string(i) + std::to_string(voter));
+            step(std::move(next), after, std::string(how) + std::to_string(i) + std::to_string(acceptor));
         };
         {
             State next = base;
@@ -228,7 +229,8 @@
             --next.lost;
             more(next, "lost");
             Message answer;
-            next.voters[static_cast<std::size_t>(voter)].receive(voter_clock(s.now), out.message, answer);
+            next.acceptors[static_cast<std::size_t>(acceptor)].receive(acceptor_clock(s.now), out.message,
+                                                                       answer);
             more(std::move(next), "answer-lost");
         }
         if (s.late_left > 0) {
@@ -238,9 +240,9 @@
             more(next, "late");
             next.late.pop_back();
             Message answer;
-            if (next.voters[static_cast<std::size_t>(voter)].receive(voter_clock(s.now), out.message,
-                                                                     answer)) {
-                next.late.push_back({i, voter, true, answer});
+            if (next.acceptors[static_cast<std::size_t>(acceptor)].receive(acceptor_clock(s.now),
+                                                                           out.message, answer)) {
+                next.late.push_back({i, acceptor, true, answer});
                 more(std::move(next), "answer-late");
             }
         }
--- a/tests/lease/lease_test.cpp
+++ b/tests/lease/lease_test.cpp
@@ -1,4 +1,4 @@
-// Leases: the rooms over random and over all small schedules, and the plain cases one by one.
+// Leases: the nodes over random and over all small schedules, and the plain cases one by one.
 #include <catch2/catch.hpp>
 
 #include "files.hpp"
@@ -67,59 +67,59 @@
 }
 
 TEST_CASE("a voter grants to one at a time, and takes each number once", "[lease]") {
-    Acceptor voter(kTimes, 0, 100, true);
+    Acceptor acceptor(kTimes, 0, 100, true);
     Message answer;
-    REQUIRE(voter.receive(0, ask(1, 1), answer));
+    REQUIRE(acceptor.receive(0, ask(1, 1), answer));
     CHECK(answer.kind == MessageKind::granted);
     CHECK(answer.fencing_token == 100);
-    REQUIRE(voter.receive(0.5, ask(2, 1), answer));
+    REQUIRE(acceptor.receive(0.5, ask(2, 1), answer));
     CHECK(answer.kind == MessageKind::denied);
     CHECK(answer.duration_s == Approx(0.5));
     CHECK(answer.holder_name == "h1");
-    REQUIRE(voter.receive(0.5, ask(1, 2, 101), answer));
+    REQUIRE(acceptor.receive(0.5, ask(1, 2, 101), answer));
     CHECK(answer.kind == MessageKind::granted);
     CHECK(answer.fencing_token == 101);
     // Free again after its life, but the number stays another's.
-    REQUIRE(voter.receive(1.6, ask(2, 2, 101), answer));
+    REQUIRE(acceptor.receive(1.6, ask(2, 2, 101), answer));
     CHECK(answer.kind == MessageKind::denied);
-    REQUIRE(voter.receive(1.6, ask(2, 3, 102), answer));
+    REQUIRE(acceptor.receive(1.6, ask(2, 3, 102), answer));
     CHECK(answer.kind == MessageKind::granted);
 }
 
 TEST_CASE("late and doubled rounds change nothing", "[lease]") {
-    Acceptor voter(kTimes, 0, 0, true);
+    Acceptor acceptor(kTimes, 0, 0, true);
     Message answer;
-    REQUIRE(voter.receive(0, ask(1, 5), answer));
-    CHECK_FALSE(voter.receive(0.1, release(1, 4), answer));   // of an earlier round
-    REQUIRE(voter.receive(0.2, ask(2, 1), answer));
+    REQUIRE(acceptor.receive(0, ask(1, 5), answer));
+    CHECK_FALSE(acceptor.receive(0.1, release(1, 4), answer));   // of an earlier round
+    REQUIRE(acceptor.receive(0.2, ask(2, 1), answer));
     CHECK(answer.kind == MessageKind::denied);
-    CHECK_FALSE(voter.receive(0.3, ask(1, 4), answer));   // an earlier ask
-    voter.receive(0.4, release(1, 6), answer);
-    REQUIRE(voter.receive(0.4, ask(2, 2), answer));
+    CHECK_FALSE(acceptor.receive(0.3, ask(1, 4), answer));   // an earlier ask
+    acceptor.receive(0.4, release(1, 6), answer);
+    REQUIRE(acceptor.receive(0.4, ask(2, 2), answer));
     CHECK(answer.kind == MessageKind::granted);
-    voter.receive(0.5, release(1, 6), answer);   // again
-    REQUIRE(voter.receive(0.5, ask(3, 1), answer));
+    acceptor.receive(0.5, release(1, 6), answer);   // again
+    REQUIRE(acceptor.receive(0.5, ask(3, 1), answer));
     CHECK(answer.kind == MessageKind::denied);
 }
 
 TEST_CASE("a voter that forgot is silent for longer than any grant", "[lease]") {
-    Acceptor voter(kTimes, 10, 0, false);
+    Acceptor acceptor(kTimes, 10, 0, false);
     Message answer;
-    CHECK_FALSE(voter.receive(10 + recovery_wait_s(kTimes) - 0.01, ask(1, 1), answer));
-    CHECK(voter.receive(10 + recovery_wait_s(kTimes) + 0.01, ask(1, 2), answer));
+    CHECK_FALSE(acceptor.receive(10 + recovery_wait_s(kTimes) - 0.01, ask(1, 1), answer));
+    CHECK(acceptor.receive(10 + recovery_wait_s(kTimes) + 0.01, ask(1, 2), answer));
     CHECK(recovery_wait_s(kTimes) > kTimes.grant_duration_s * (1 + kTimes.drift));
 }
 
 TEST_CASE("grants for longer than this voter reckons with, and earlier steps, are refused", "[lease]") {
-    Acceptor voter(kTimes, 0, 0, true, {}, 3);
+    Acceptor acceptor(kTimes, 0, 0, true, {}, 3);
     Message longer = ask(1, 1), answer;
     longer.epoch = 3;
     longer.duration_s = 1.5;
-    REQUIRE(voter.receive(0, longer, answer));
+    REQUIRE(acceptor.receive(0, longer, answer));
     CHECK(answer.kind == MessageKind::denied);
     Message earlier = ask(1, 2);
     earlier.epoch = 2;
-    REQUIRE(voter.receive(0, earlier, answer));
+    REQUIRE(acceptor.receive(0, earlier, answer));
     CHECK(answer.kind == MessageKind::stale_epoch);
     CHECK(answer.epoch == 3);
 }
@@ -150,41 +150,41 @@
 TEST_CASE("a voter's memory is kept whole, and a broken one is put aside", "[lease]") {
     Folder folder;
     {
-        FileAcceptorStorage home(folder.path());
-        CHECK(home.restored() == nullptr);
-        REQUIRE(home.save(7, {{"job", {11, 2, 33, 11, 99, "n1"}}}));
+        FileAcceptorStorage storage(folder.path());
+        CHECK(storage.restored() == nullptr);
+        REQUIRE(storage.save(7, {{"job", {11, 2, 33, 11, 99, "n1"}}}));
     }
     {
-        FileAcceptorStorage home(folder.path());
-        REQUIRE(home.restored() != nullptr);
-        CHECK(home.restored()->epoch == 7);
-        const Grant& grant = home.restored()->grants.at("job");
+        FileAcceptorStorage storage(folder.path());
+        REQUIRE(storage.restored() != nullptr);
+        CHECK(storage.restored()->epoch == 7);
+        const Grant& grant = storage.restored()->grants.at("job");
         CHECK(grant.holder == 11);
         CHECK(grant.fencing_token == 33);
         // Whoever held may hold still: the lease is free only after a whole life.
-        Acceptor voter(kTimes, 0, 0, true, home.restored()->grants, 7);
+        Acceptor acceptor(kTimes, 0, 0, true, storage.restored()->grants, 7);
         Message answer, other = ask(12, 1);
         other.epoch = 7;
-        REQUIRE(voter.receive(0.9, other, answer));
+        REQUIRE(acceptor.receive(0.9, other, answer));
         CHECK(answer.kind == MessageKind::denied);
     }
     std::string bytes = folder.read("leases");
     bytes[bytes.size() / 2] ^= 1;
     folder.write("leases", bytes);
-    FileAcceptorStorage home(folder.path());
-    CHECK(home.restored() == nullptr);
-    CHECK(home.quarantined_path() == folder.file("leases.broken-1"));
+    FileAcceptorStorage storage(folder.path());
+    CHECK(storage.restored() == nullptr);
+    CHECK(storage.quarantined_path() == folder.file("leases.broken-1"));
 }
 
-TEST_CASE("what can't be kept is not said", "[lease]") {
+TEST_CASE("what can't be saved is not answered", "[lease]") {
     struct Full : AcceptorStorage {
         bool save(std::uint32_t, const std::map<std::string, Grant>&) override { return false; }
     } full;
     const AcceptorState nothing;
-    LeaseNode room({"v", kTimes, {{"v", "w", "x"}, {}, 1}}, 9, 1, 0, 0, &nothing, &full);
-    room.receive(1, "s", encode(ask(5, 1)));
-    CHECK(room.take_outgoing().empty());
-    CHECK(room.failed_saves() == 1);
+    LeaseNode lease_node({"v", kTimes, {{"v", "w", "x"}, {}, 1}}, 9, 1, 0, 0, &nothing, &full);
+    lease_node.receive(1, "s", encode(ask(5, 1)));
+    CHECK(lease_node.take_outgoing().empty());
+    CHECK(lease_node.failed_saves() == 1);
 }
 
 TEST_CASE("faults of the file's [lease] and [peers] name section and key", "[lease]") {
--- a/tests/lease/world.hpp
+++ b/tests/lease/world.hpp
@@ -1,6 +1,7 @@
-// A world for lease rooms: processes with clocks of their own rates, a network that loses, doubles, delays
-// and reorders, kills with and without memory, pauses and cuts, by a seeded schedule. Holders act at random
-// times; a judge that sees only acts says whether two acted at once. Time is the model's own.
+// A simulated fleet of lease nodes: processes with clocks of their own rates, a network that loses,
+// doubles, delays and reorders, kills with and without memory, pauses and cuts, by a seeded schedule.
+// Holders act at random times; a checker that sees only acts says whether two acted at once. Time is the
+// model's own.
 #pragma once
 
 #include <algorithm>
@@ -25,7 +26,7 @@
 inline constexpr std::size_t kHolder = ~std::size_t{0};
 
 struct Fault {
-    enum class Kind { kill, forget, pause, cut, one_way, loss, hand_over, voters };
+    enum class Kind { kill, forget, pause, cut, one_way, loss, hot_restart, acceptors };
     Kind kind = Kind::kill;
     double at = 0, until = 0;   // s; a killed one is started again at `until`
     std::size_t who = 0;        // kHolder: whoever holds then
@@ -33,12 +34,12 @@
 };
 
 struct Plan {
-    std::size_t processes = 5, voters = 3, spare_voters = 0;   // spare: may become voters
+    std::size_t processes = 5, acceptors = 3, spare_acceptors = 0;   // spare: may become acceptors
     LeaseTimes times{1, 0.05, 0.02, 0.1};
     std::vector<double> rates;   // of the clocks; 1 where none is given
     double loss = 0, twice = 0, delay_least = 0.001, delay_most = 0.02;
     unsigned slots = 1;
-    bool kept = false;   // voters' memories outlive them, but for Kind::forget
+    bool kept = false;   // acceptors' memories outlive them, but for Kind::forget
     double length = 20;
     std::vector<Fault> faults;
 };
@@ -54,8 +55,8 @@
   public:
     World(Plan plan, std::uint64_t seed) : plan_(std::move(plan)), random_(seed) {
         plan_.rates.resize(plan_.processes, 1.0);
-        nodes_.reserve(plan_.processes);   // rooms point to their homes
-        for (std::size_t i = 0; i < plan_.voters; ++i) voters_.push_back(name(i));
+        nodes_.reserve(plan_.processes);   // nodes point to their storage
+        for (std::size_t i = 0; i < plan_.acceptors; ++i) acceptors_.push_back(name(i));
         for (std::size_t i = 0; i < plan_.processes; ++i) {
             nodes_.push_back({});
             nodes_[i].offset = 1000.0 * static_cast<double>(i + 1);
@@ -72,7 +73,7 @@
     }
 
     Result run() {
-        // The voters have waited for what they could have forgotten: nobody holds before that.
+        // The acceptors have waited for what they could have forgotten: nobody holds before that.
         while (!events_.empty() && result_.breach.empty()) {
             const auto [time, order, call] = events_.top();
             if (time > plan_.length) break;
@@ -82,14 +83,14 @@
             measure();
         }
         for (const Node& one : nodes_)
-            if (one.room) result_.lost += one.room->lost();
+            if (one.lease_node) result_.lost += one.lease_node->lost();
         return result_;
     }
-    // Of all that the rooms have put out so far: messages, changes of leases, permits, what voters keep.
+    // Of all that the nodes have put out so far: messages, changes of leases, permits, what acceptors keep.
     std::uint64_t digest() const { return digest_.value(); }
 
   private:
-    struct Memories : AcceptorStorage {
+    struct SavedState : AcceptorStorage {
         bool save(std::uint32_t step, const std::map<std::string, Grant>& grants) override {
             memory = AcceptorState{step, grants};
             return true;
@@ -97,8 +98,8 @@
         std::optional<AcceptorState> memory;
     };
     struct Node {
-        std::unique_ptr<LeaseNode> room;
-        Memories home;
+        std::unique_ptr<LeaseNode> lease_node;
+        SavedState storage;
         double offset = 0;
         std::uint64_t life = 0;   // goes up with each start and kill
         std::uint64_t holder = 0;
@@ -133,31 +134,31 @@
         ++node.life;
         node.paused = false;
         node.waiting.clear();
-        AcceptorSet set{voters_, before_, step_};
-        const AcceptorState* memory = plan_.kept && node.home.memory ? &*node.home.memory : nullptr;
+        AcceptorSet set{acceptors_, before_, step_};
+        const AcceptorState* memory = plan_.kept && node.storage.memory ? &*node.storage.memory : nullptr;
         // A fleet that is started for the first time has granted nothing; a later start can't know that.
         const auto floor = static_cast<std::uint64_t>(1e6 + now_ * 1e3);
         node.holder = ++lives_;
-        node.room = std::make_unique<LeaseNode>(LeaseNodeSettings{name(i), plan_.times, set}, node.holder,
-                                                random_(), clock(i), floor, memory,
-                                                plan_.kept ? &node.home : nullptr);
-        node.room->campaign(clock(i), "job", plan_.slots);
+        node.lease_node = std::make_unique<LeaseNode>(LeaseNodeSettings{name(i), plan_.times, set},
+                                                      node.holder, random_(), clock(i), floor, memory,
+                                                      plan_.kept ? &node.storage : nullptr);
+        node.lease_node->campaign(clock(i), "job", plan_.slots);
         settle(i);
         act_later(i);
     }
     void kill(std::size_t i) {
         ++nodes_[i].life;
-        nodes_[i].room.reset();
+        nodes_[i].lease_node.reset();
         nodes_[i].armed = 1e18;
     }
 
     void settle(std::size_t i) {
         Node& node = nodes_[i];
-        for (const auto& post : node.room->take_outgoing()) {
+        for (const auto& post : node.lease_node->take_outgoing()) {
             digest_.add(now_, i, post.to, post.body);
             send(i, place(post.to), post.body);
         }
-        for (const auto& change : node.room->take_events()) {
+        for (const auto& change : node.lease_node->take_events()) {
             digest_.add(now_, i, change.kind, change.lease, change.slot, change.fencing_token,
                         change.valid_until);
             if (change.kind == LeaseEvent::Kind::lost) continue;
@@ -173,24 +174,24 @@
         }
         digest_views(i);
         act_last(i);
-        const double due = node.room->next_deadline();
+        const double due = node.lease_node->next_deadline();
         if (due > 1e17) return;
         const double time = std::max(now_, (due - node.offset) / plan_.rates[i]) + 1e-9;
         if (time >= node.armed - 1e-9 && node.armed > now_) return;
         node.armed = time;
         at(time, [this, i, life = node.life] { wake(i, life); });
     }
-    // What the room holds or seeks, as it says itself, and what its voter has made durable.
+    // What the lease_node holds or seeks, as it says itself, and what its acceptor has made durable.
     void digest_views(std::size_t i) {
         const Node& node = nodes_[i];
-        for (const LeaseStatus& view : node.room->statuses())
+        for (const LeaseStatus& view : node.lease_node->statuses())
             digest_.add(view.lease, view.slot, view.state, view.fencing_token, view.valid_until,
                         view.held_since, view.other_holder);
-        digest_.add(node.room->next_deadline(), node.room->gained(), node.room->lost(),
-                    node.room->failed_saves());
-        if (!node.home.memory) return;
-        digest_.add(node.home.memory->epoch);
-        for (const auto& [lease, grant] : node.home.memory->grants)
+        digest_.add(node.lease_node->next_deadline(), node.lease_node->gained(), node.lease_node->lost(),
+                    node.lease_node->failed_saves());
+        if (!node.storage.memory) return;
+        digest_.add(node.storage.memory->epoch);
+        for (const auto& [lease, grant] : node.storage.memory->grants)
             digest_.add(lease, grant.holder, grant.round, grant.fencing_token, grant.token_owner,
                         grant.expires_at, grant.holder_name);
     }
@@ -198,7 +199,7 @@
         Node& node = nodes_[i];
         if (node.life != life || node.paused) return;
         node.armed = 1e18;
-        node.room->on_timer(clock(i));
+        node.lease_node->on_timer(clock(i));
         settle(i);
     }
 
@@ -211,9 +212,9 @@
     }
     void deliver(std::size_t from, std::size_t to, const std::string& body) {
         Node& node = nodes_[to];
-        if (!node.room) return;
+        if (!node.lease_node) return;
         if (node.paused) return node.waiting.emplace_back(name(from), body), void();
-        node.room->receive(clock(to), name(from), body);
+        node.lease_node->receive(clock(to), name(from), body);
         settle(to);
     }
 
@@ -227,13 +228,13 @@
     }
     std::size_t holder() {
         for (std::size_t i = 0; i < plan_.processes; ++i)
-            if (nodes_[i].room && nodes_[i].room->holds(clock(i), "job")) return i;
+            if (nodes_[i].lease_node && nodes_[i].lease_node->holds(clock(i), "job")) return i;
         return random_() % plan_.processes;
     }
     // The latest moment at which an act may begin by this hold, as it stands now.
     void act_last(std::size_t i) {
         Node& node = nodes_[i];
-        for (const LeaseStatus& view : node.room->statuses()) {
+        for (const LeaseStatus& view : node.lease_node->statuses()) {
             const double time =
                 (view.valid_until - plan_.times.max_action_s - node.offset) / plan_.rates[i] - 1e-6;
             if (view.state != Candidate::State::held || time < now_ || time == node.last_act) continue;
@@ -246,11 +247,11 @@
     void act(std::size_t i, bool longest = false) {
         Node& node = nodes_[i];
         Permit permit;
-        const bool permitted = !node.paused && node.room->permit(clock(i), "job", permit);
+        const bool permitted = !node.paused && node.lease_node->permit(clock(i), "job", permit);
         digest_.add(permitted, permit.fencing_token, permit.valid_until);
         if (!permitted) return;
         std::string slot = "job";
-        for (const LeaseStatus& view : node.room->statuses()) slot += "/" + std::to_string(view.slot);
+        for (const LeaseStatus& view : node.lease_node->statuses()) slot += "/" + std::to_string(view.slot);
         ++result_.acts;
         const double takes =
             longest || draw(0, 1) < 0.5 ? plan_.times.max_action_s : draw(0, plan_.times.max_action_s);
@@ -274,13 +275,13 @@
             case Fault::Kind::kill:
                 return kill(fault.who);
             case Fault::Kind::forget:
-                nodes_[fault.who].home.memory.reset();
+                nodes_[fault.who].storage.memory.reset();
                 return kill(fault.who);
             case Fault::Kind::pause:
                 // Not in the middle of an act: that is what the fencing number is for (tests/fleet).
                 for (const auto& [slot, act] : acts_)
                     if (act.who == fault.who && act.until > now_) return;
-                nodes_[fault.who].paused = nodes_[fault.who].room != nullptr;
+                nodes_[fault.who].paused = nodes_[fault.who].lease_node != nullptr;
                 return;
             case Fault::Kind::cut:
             case Fault::Kind::one_way:
@@ -293,28 +294,28 @@
             case Fault::Kind::loss:
                 loss_ = fault.part;
                 return;
-            case Fault::Kind::hand_over:
-                return hand_over(fault.who);
-            case Fault::Kind::voters:
-                return change_voters();
+            case Fault::Kind::hot_restart:
+                return hot_restart(fault.who);
+            case Fault::Kind::acceptors:
+                return change_acceptors();
         }
     }
     void end(const Fault& fault) {
         switch (fault.kind) {
             case Fault::Kind::kill:
             case Fault::Kind::forget:
-                if (!nodes_[fault.who].room) start(fault.who);
+                if (!nodes_[fault.who].lease_node) start(fault.who);
                 return;
             case Fault::Kind::pause: {
                 Node& node = nodes_[fault.who];
-                if (!node.room || !node.paused) return;
+                if (!node.lease_node || !node.paused) return;
                 node.paused = false;
                 node.armed = 1e18;
                 // Woken: what waits in its socket comes first, or its timers do.
                 const bool timers_first = draw(0, 1) < 0.5;
                 if (timers_first) wake(fault.who, node.life);
                 for (const auto& [from, body] : std::exchange(node.waiting, {}))
-                    node.room->receive(clock(fault.who), from, body);
+                    node.lease_node->receive(clock(fault.who), from, body);
                 settle(fault.who);
                 wake(fault.who, node.life);
                 return;
@@ -333,35 +334,35 @@
         }
     }
     // An upgrade: the other process of this ingress goes on with what was held.
-    void hand_over(std::size_t i) {
+    void hot_restart(std::size_t i) {
         Node& node = nodes_[i];
-        if (!node.room || node.paused || node.room->acceptor()) return;
-        const auto holds = node.room->export_holds(clock(i));
+        if (!node.lease_node || node.paused || node.lease_node->acceptor()) return;
+        const auto holds = node.lease_node->export_holds(clock(i));
         for (const auto& hold : holds)
             digest_.add(hold.lease, hold.holder, hold.round, hold.fencing_token, hold.valid_until,
                         hold.held_since);
         settle(i);
-        AcceptorSet set{voters_, before_, step_};
-        node.room = std::make_unique<LeaseNode>(LeaseNodeSettings{name(i), plan_.times, set}, ++lives_,
-                                                random_(), clock(i), 0);
-        node.room->campaign(clock(i), "job", plan_.slots);
-        node.room->import_holds(clock(i), holds);
+        AcceptorSet set{acceptors_, before_, step_};
+        node.lease_node = std::make_unique<LeaseNode>(LeaseNodeSettings{name(i), plan_.times, set},
+                                                      ++lives_, random_(), clock(i), 0);
+        node.lease_node->campaign(clock(i), "job", plan_.slots);
+        node.lease_node->import_holds(clock(i), holds);
         node.armed = 1e18;
         settle(i);
     }
-    // One voter is exchanged for a spare one in two steps, told to each process at a time of its own.
-    void change_voters() {
-        if (plan_.spare_voters == 0) return;
-        before_ = voters_;
-        const std::string spare = name(plan_.voters);
-        const auto at_spare = std::find(voters_.begin(), voters_.end(), spare);
-        at_spare == voters_.end() ? voters_.push_back(spare) : void(voters_.erase(at_spare));
+    // One acceptor is exchanged for a spare one in two steps, told to each process at a time of its own.
+    void change_acceptors() {
+        if (plan_.spare_acceptors == 0) return;
+        before_ = acceptors_;
+        const std::string spare = name(plan_.acceptors);
+        const auto at_spare = std::find(acceptors_.begin(), acceptors_.end(), spare);
+        at_spare == acceptors_.end() ? acceptors_.push_back(spare) : void(acceptors_.erase(at_spare));
         ++step_;
         for (std::size_t i = 0; i < plan_.processes; ++i)
-            at(now_ + draw(0, 1.5), [this, i, set = AcceptorSet{voters_, before_, step_}] {
-                if (!nodes_[i].room || nodes_[i].paused) return;
-                if (set.epoch <= nodes_[i].room->settings().acceptors.epoch) return;
-                nodes_[i].room->set_acceptors(clock(i), set);
+            at(now_ + draw(0, 1.5), [this, i, set = AcceptorSet{acceptors_, before_, step_}] {
+                if (!nodes_[i].lease_node || nodes_[i].paused) return;
+                if (set.epoch <= nodes_[i].lease_node->settings().acceptors.epoch) return;
+                nodes_[i].lease_node->set_acceptors(clock(i), set);
                 settle(i);
             });
     }
@@ -369,7 +370,8 @@
     void measure() {
         bool held = false;
         for (std::size_t i = 0; i < plan_.processes && !held; ++i)
-            held = nodes_[i].room && !nodes_[i].paused && nodes_[i].room->holds(clock(i), "job");
+            held =
+                nodes_[i].lease_node && !nodes_[i].paused && nodes_[i].lease_node->holds(clock(i), "job");
         if (held_) result_.held += now_ - measured_at_;
         measured_at_ = now_;
         if (held && !held_ && ever_) result_.gaps.push_back(now_ - gone_at_);
@@ -381,7 +383,7 @@
     Plan plan_;
     std::mt19937_64 random_;
     std::vector<Node> nodes_;
-    std::vector<std::string> voters_, before_;
+    std::vector<std::string> acceptors_, before_;
     std::uint32_t step_ = 1;
     std::priority_queue<Event> events_;
     std::uint64_t order_ = 0, lives_ = 0;
@@ -427,16 +429,16 @@
     };
     const auto upto = [&](std::size_t most) { return static_cast<std::size_t>(random() % (most + 1)); };
     Plan plan;
-    plan.voters = upto(1) == 0 ? 3 : 5;
-    plan.processes = plan.voters + 1 + upto(2);
-    plan.spare_voters = upto(3) == 0 ? 1 : 0;
+    plan.acceptors = upto(1) == 0 ? 3 : 5;
+    plan.processes = plan.acceptors + 1 + upto(2);
+    plan.spare_acceptors = upto(3) == 0 ? 1 : 0;
     plan.times = {1, draw(0, 0.1), draw(0.005, 0.05), draw(0.02, 0.2)};
     for (std::size_t i = 0; i < plan.processes; ++i)
         plan.rates.push_back(1 + draw(-1, 1) * (upto(1) == 0 ? plan.times.drift : 0.01 * plan.times.drift));
-    // The worst that is promised against: a slow holder and fast voters.
+    // The worst that is promised against: a slow holder and fast acceptors.
     if (upto(2) == 0)
         for (std::size_t i = 0; i < plan.processes; ++i)
-            plan.rates[i] = i < plan.voters / 2 + 1 ? 1 + plan.times.drift : 1 - plan.times.drift;
+            plan.rates[i] = i < plan.acceptors / 2 + 1 ? 1 + plan.times.drift : 1 - plan.times.drift;
     plan.loss = upto(2) == 0 ? draw(0, 0.5) : 0;
     plan.twice = upto(1) == 0 ? draw(0, 0.3) : 0;
     plan.delay_most = upto(2) == 0 ? draw(0.05, 0.6) : 0.02;
@@ -451,15 +453,15 @@
         fault.who = upto(1) == 0 ? kHolder : upto(plan.processes - 1);
         fault.part = draw(0, 0.9);
         // A step follows the one before only once that is everywhere, as docs/fleet.md says.
-        if (fault.kind == Fault::Kind::voters)
+        if (fault.kind == Fault::Kind::acceptors)
             for (const Fault& other : plan.faults)
-                if (other.kind == Fault::Kind::voters) fault.kind = Fault::Kind::cut;
+                if (other.kind == Fault::Kind::acceptors) fault.kind = Fault::Kind::cut;
         plan.faults.push_back(fault);
     }
     // Now and then a majority forgets within one grant, or all are killed at once.
     if (upto(4) == 0) {
         const double when = draw(2, 10);
-        for (std::size_t i = 0; i < (upto(1) == 0 ? plan.voters : plan.voters / 2 + 1); ++i)
+        for (std::size_t i = 0; i < (upto(1) == 0 ? plan.acceptors : plan.acceptors / 2 + 1); ++i)
             plan.faults.push_back({upto(1) == 0 ? Fault::Kind::forget : Fault::Kind::kill,
                                    when + draw(0, 0.3), when + draw(0.31, 0.6), i, 0});
     }
--- a/tests/membership/decision_digest_test.cpp
+++ b/tests/membership/decision_digest_test.cpp
@@ -21,7 +21,7 @@
 }
 
 // A schedule by its seed: sizes, loss, and in each round a member that dies and is started again, leaves,
-// is cut off, starves or claims another's name; a body for a room above goes out each time.
+// is cut off, starves or claims another's name; a user message goes out each time.
 std::uint64_t play(std::uint64_t seed) {
     std::mt19937_64 random(seed * 7919 + 11);
     const auto upto = [&](std::size_t most) { return static_cast<std::size_t>(random() % (most + 1)); };
--- a/tests/membership/network_model.hpp
+++ b/tests/membership/network_model.hpp
@@ -108,7 +108,7 @@
     // Of members that were up: called gone by one that was up, without ever having been killed before.
     std::uint64_t false_deaths() const { return false_deaths_; }
     std::uint64_t disputes() const { return disputes_; }
-    const std::vector<ReceivedMessage>& heard(std::size_t i) const { return nodes_[i].heard; }
+    const std::vector<ReceivedMessage>& messages(std::size_t i) const { return nodes_[i].messages; }
     // Of all that the members have put out so far: datagrams, changes, bodies for rooms above.
     std::uint64_t digest() const { return digest_.value(); }
     void settle(std::size_t i) {
@@ -117,7 +117,7 @@
         for (const Datagram& one : node.members->take_datagrams()) send(i, one);
         for (auto& one : node.members->take_messages()) {
             digest_.add(now(), i, one.from, one.process, one.channel, one.body);
-            node.heard.push_back(std::move(one));
+            node.messages.push_back(std::move(one));
         }
         for (const MemberChange& one : node.members->take_changes()) {
             digest_.add(now(), i, one.kind, one.member.name, one.member.address, one.member.site,
@@ -149,7 +149,7 @@
         std::string address;
         std::uint64_t process = 0, life = 0;
         double armed = 1e18, every = 0;
-        std::vector<ReceivedMessage> heard;
+        std::vector<ReceivedMessage> messages;
     };
     double draw(double from, double to) {
         return std::uniform_real_distribution<double>(from, to)(random_);
--- a/tests/membership/swim_test.cpp
+++ b/tests/membership/swim_test.cpp
@@ -69,7 +69,7 @@
     CHECK(net.false_deaths() == 0);
 }
 
-TEST_CASE("two processes that claim one name are told of, and the later one waits", "[peers]") {
+TEST_CASE("two processes that claim one name are reported, and the later one waits", "[peers]") {
     net_model::Plan plan;
     plan.members = 5;
     Net net(plan, 7);
@@ -106,7 +106,7 @@
     CHECK(net.largest() <= kMaxDatagramBytes);
 }
 
-TEST_CASE("what a room above sends arrives with its sender's process", "[peers]") {
+TEST_CASE("a user message arrives with its sender's process", "[peers]") {
     Net net({}, 9);
     REQUIRE(net.run_until(60, [&] { return net.all_alive(); }));
     REQUIRE(net.member(0).send(net.now(), Net::name(1), 7, "hello"));
@@ -114,10 +114,10 @@
     CHECK_FALSE(net.member(0).send(net.now(), Net::name(1), 7, std::string(kMaxMessageBytes + 1, 'x')));
     net.settle(0);
     net.run(net.now() + 1);
-    REQUIRE(net.heard(1).size() == 1);
-    CHECK(net.heard(1)[0].from == Net::name(0));
-    CHECK(net.heard(1)[0].body == "hello");
-    CHECK(net.heard(1)[0].channel == 7);
+    REQUIRE(net.messages(1).size() == 1);
+    CHECK(net.messages(1)[0].from == Net::name(0));
+    CHECK(net.messages(1)[0].body == "hello");
+    CHECK(net.messages(1)[0].channel == 7);
 }
 
 TEST_CASE("noise that was sealed right still spoils nothing", "[peers]") {
