--- a/src/app/component.hpp
+++ b/src/app/component.hpp
@@ -1,5 +1,5 @@
-// What the program does with each of its parts, whatever they are: starts, reloads and stops them in their
-// order. A part joins the ingress by the interfaces of ingress/part.hpp.
+// The interface of the program's components: what Program starts, reloads and stops in order. A component
+// joins the ingress by the interfaces of ingress/extensions.hpp.
 #pragma once
 
 #include <functional>
@@ -10,22 +10,23 @@
 
 namespace slatejunction::app {
 
-class Part {
+class Component {
   public:
-    virtual ~Part() = default;
-    virtual const char* name() const = 0;   // the section that turns it on
-    virtual void start() {}                 // the ingress serves
-    // Nothing comes from the ingress any more. Calls `done` within `most_s` (s), whatever it waits for; a
-    // part that does not is left behind when the process ends.
+    virtual ~Component() = default;
+    virtual const char* name() const = 0;   // the INI section that enables it
+    virtual void start() {}                 // called when the ingress serves
+    /// The ingress has ended. Calls `done` within `most_s` (s) at the latest; a component that does not is
+    /// abandoned when the process ends.
     virtual void stop(double most_s, std::function<void()> done) {
         static_cast<void>(most_s);
         done();
     }
-    // A reload in two steps, so that a fault changes nothing. prepare() throws std::runtime_error for what
-    // can't be used; it may change what the ingress is told of the platform's file.
+    /// First step of a reload, so that a fault changes nothing. Throws std::runtime_error for options that
+    /// can't be used; may change the configuration that the ingress receives.
     virtual void prepare(const operator_config::Options&, config::Config&) {}
-    // Takes what was prepared; returns what waits for the next start, empty: nothing does.
-    virtual std::string take(const operator_config::Options&) { return {}; }
+    /// Second step: applies what was prepared. Returns the sections that apply at the next start only;
+    /// empty: none.
+    virtual std::string apply(const operator_config::Options&) { return {}; }
 };
 
 }   // namespace slatejunction::app
--- a/src/app/fleet_rate_limit_component.cpp
+++ b/src/app/fleet_rate_limit_component.cpp
@@ -34,56 +34,60 @@
     return lines;
 }
 
-LimitsPart::LimitsPart(const std::string& name, std::vector<std::string> all, double largest_units,
-                       const operator_config::Options& options, lease::FleetContext& fleet,
-                       std::uint64_t seed, net::Timers& timers)
+FleetRateLimitComponent::FleetRateLimitComponent(const std::string& name, std::vector<std::string> all,
+                                                 double largest_units,
+                                                 const operator_config::Options& options,
+                                                 lease::FleetContext& fleet, std::uint64_t seed,
+                                                 net::Timers& timers)
     : largest_units_(largest_units),
       fleet_(fleet),
-      room_({name, std::move(all), options.fleet_rate_limits.credit,
+      node_({name, std::move(all), options.fleet_rate_limits.credit,
              static_cast<std::size_t>(options.fleet_rate_limits.keys_max)},
             seed),
       timer_(timers, [this] {
-          room_.on_timer(net::now());
+          node_.on_timer(net::now());
           pump();
       }) {
-    fleet_.listen(membership::Channel::rate_limits, [this](const membership::ReceivedMessage& heard) {
-        room_.receive(net::now(), heard.from, heard.process, heard.body);
+    fleet_.listen(membership::Channel::rate_limits, [this](const membership::ReceivedMessage& message) {
+        node_.receive(net::now(), message.from, message.process, message.body);
         pump();
     });
-    fleet_.on_members([this](const std::vector<std::string>& there) {
-        room_.set_alive_members(net::now(), there);
+    fleet_.on_members([this](const std::vector<std::string>& alive) {
+        node_.set_alive_members(net::now(), alive);
         pump();
     });
 }
 
-void LimitsPart::stop(double, std::function<void()> done) {
-    room_.on_timer(net::now());
+void FleetRateLimitComponent::stop(double, std::function<void()> done) {
+    node_.on_timer(net::now());
     pump();
     stopped_ = true;
     timer_.disarm();
     done();
 }
 
-void LimitsPart::define(std::uint32_t limit, const rules::LimitSettings& settings) {
-    room_.define(limit, spec_of(settings, largest_units_));
+void FleetRateLimitComponent::define(std::uint32_t limit, const rules::LimitSettings& settings) {
+    node_.define(limit, spec_of(settings, largest_units_));
 }
 
-double LimitsPart::retry_after_s(double now, std::uint32_t limit, std::uint64_t key, double count) {
-    return room_.retry_after_s(now, limit, key, count);
+double FleetRateLimitComponent::retry_after_s(double now, std::uint32_t limit, std::uint64_t key,
+                                              double count) {
+    return node_.retry_after_s(now, limit, key, count);
 }
 
-// What is to be told goes out when this wake-up of the loop is over, not in the request's way.
-void LimitsPart::consume(double now, std::uint32_t limit, std::uint64_t key, double count) {
-    room_.consume(now, limit, key, count);
-    if (const double due = room_.next_deadline(); due < 1e17 && !stopped_) timer_.arm(std::max(due, now));
+// Messages are sent after the current iteration of the loop, not within the request.
+void FleetRateLimitComponent::consume(double now, std::uint32_t limit, std::uint64_t key, double count) {
+    node_.consume(now, limit, key, count);
+    if (const double deadline = node_.next_deadline(); deadline < 1e17 && !stopped_)
+        timer_.arm(std::max(deadline, now));
 }
 
-void LimitsPart::pump() {
+void FleetRateLimitComponent::pump() {
     if (stopped_) return;
-    for (const auto& post : room_.take_outgoing())
-        fleet_.send(post.to, membership::Channel::rate_limits, post.body);
-    if (const double due = room_.next_deadline(); due < 1e17)
-        timer_.arm(std::max(due, net::now()));
+    for (const auto& message : node_.take_outgoing())
+        fleet_.send(message.to, membership::Channel::rate_limits, message.body);
+    if (const double deadline = node_.next_deadline(); deadline < 1e17)
+        timer_.arm(std::max(deadline, net::now()));
     else
         timer_.disarm();
 }
--- a/src/app/fleet_rate_limit_component.hpp
+++ b/src/app/fleet_rate_limit_component.hpp
@@ -1,4 +1,5 @@
-// Limits over the fleet in the program: carries the room's datagrams over peers, and answers the rules.
+// Fleet-wide rate limits in the program: carries the datagrams of RateLimitNode over the gossip transport,
+// and answers the rules. Owned by Program; owns the node. Times in s of net::now().
 #pragma once
 
 #include "app/component.hpp"
@@ -9,12 +10,12 @@
 
 namespace slatejunction::app {
 
-class LimitsPart final : public Part, public rules::FleetRateLimits {
+class FleetRateLimitComponent final : public Component, public rules::FleetRateLimits {
   public:
-    // `all`: every ingress of the fleet by name.
-    LimitsPart(const std::string& name, std::vector<std::string> all, double largest_units,
-               const operator_config::Options& options, lease::FleetContext& fleet, std::uint64_t seed,
-               net::Timers& timers);
+    /// `all`: the names of every ingress of the fleet.
+    FleetRateLimitComponent(const std::string& name, std::vector<std::string> all, double largest_units,
+                            const operator_config::Options& options, lease::FleetContext& fleet,
+                            std::uint64_t seed, net::Timers& timers);
 
     const char* name() const override { return "limits"; }
     void stop(double most_s, std::function<void()> done) override;
@@ -22,22 +23,22 @@
     void define(std::uint32_t limit, const rules::LimitSettings& settings) override;
     double retry_after_s(double now, std::uint32_t limit, std::uint64_t key, double count) override;
     void consume(double now, std::uint32_t limit, std::uint64_t key, double count) override;
-    const fleet_rate_limit::RateLimitNode& room() const { return room_; }
+    const fleet_rate_limit::RateLimitNode& node() const { return node_; }
 
   private:
     void pump();
 
     const double largest_units_;
     lease::FleetContext& fleet_;
-    fleet_rate_limit::RateLimitNode room_;
+    fleet_rate_limit::RateLimitNode node_;
     net::Timer timer_;
     bool stopped_ = false;
 };
 
-// What is promised of the file's limits over the fleet, for check-config. `all`: ingresses.
+/// The error bounds of fleet-wide limits, for check-config. `all`: number of ingresses.
 std::vector<std::string> stated(const operator_config::Options& options, std::size_t all,
                                 double largest_units);
-// As the room is to have it.
+/// The limit as RateLimitNode takes it.
 fleet_rate_limit::LimitSpec spec_of(const rules::LimitSettings& settings, double largest_units);
 
 }   // namespace slatejunction::app
--- a/src/app/program.cpp
+++ b/src/app/program.cpp
@@ -33,11 +33,10 @@
 namespace slatejunction::app {
 namespace {
 
-constexpr char kRolledOut[] = "rolled out";   // in place of a file's name, in faults
-constexpr std::size_t kWarningsMost = 8;      // of the configuration, in the log
-constexpr double kLastLines = 0.5;            // s; at the end, for a log reader that is slow
-// s; of the time that is left for the end, what is kept for the log's last lines
-constexpr double kLastLinesLeast = 0.03;
+constexpr char kRolledOut[] = "rolled out";   // instead of a file name in faults
+constexpr std::size_t kMaxWarnings = 8;       // of the configuration, in the log
+constexpr double kMaxLogFlushS = 0.5;         // at the end, for a slow reader of the log
+constexpr double kMinLogFlushS = 0.03;
 
 // Prints every fault of the operator's file; false when there is one.
 bool load_options(const std::string& path, operator_config::Options& options) {
@@ -61,12 +60,13 @@
     return config.settings.max_request_units > 0 ? config.settings.max_request_units : 1;
 }
 
-// What needs both files: checked once, for the start and for check-config. Throws for a fault.
-struct Promised {
+// Checks that need both files, for the start and for check-config. Throws for a fault.
+struct CheckedOptions {
     quota::Settings quotas;
-    std::vector<std::string> lines;   // what is promised, for check-config
+    std::vector<std::string> lines;   // the bounds, for check-config
 
-    Promised(const Files& files, const operator_config::Options& options, const config::Config& config) {
+    CheckedOptions(const Files& files, const operator_config::Options& options,
+                   const config::Config& config) {
         std::string fault;
         if (options.membership.on()) {
             std::vector<membership::AuthKey> keys;
@@ -92,19 +92,19 @@
     }
 };
 
-// Not more lines than leave room for what the start has to say beside them.
-void tell_warnings(const config::Config& config, Log& log) {
-    const std::size_t told = std::min(kWarningsMost, config.warnings.size());
-    for (std::size_t i = 0; i < told; ++i)
+// Logs at most kMaxWarnings, so that other lines of the start remain visible.
+void log_warnings(const config::Config& config, Log& log) {
+    const std::size_t logged = std::min(kMaxWarnings, config.warnings.size());
+    for (std::size_t i = 0; i < logged; ++i)
         log.write(Log::Level::warning, net::now(), "%s", config.warnings[i].c_str());
-    if (told < config.warnings.size())
+    if (logged < config.warnings.size())
         log.write(Log::Level::warning, net::now(), "%zu warnings more of the configuration: check-config",
-                  config.warnings.size() - told);
+                  config.warnings.size() - logged);
 }
 
-class TelemetryPart final : public Part {
+class TelemetryComponent final : public Component {
   public:
-    TelemetryPart(telemetry::Telemetry& telemetry, ingress::Ingress& ingress)
+    TelemetryComponent(telemetry::Telemetry& telemetry, ingress::Ingress& ingress)
         : telemetry_(telemetry), ingress_(ingress) {}
     const char* name() const override { return "metrics"; }
     void start() override {
@@ -113,7 +113,7 @@
     void stop(double most_s, std::function<void()> done) override {
         telemetry_.stop(most_s, std::move(done));
     }
-    std::string take(const operator_config::Options& fresh) override {
+    std::string apply(const operator_config::Options& fresh) override {
         telemetry_.reload(fresh);
         return {};
     }
@@ -134,15 +134,15 @@
     void make_rollout(const operator_config::Options& options, const config::Config& config,
                       lease::FleetContext* fleet);
     std::vector<std::string> read_options(std::string& text, operator_config::Options& fresh) const;
-    std::string check_rollout(const rollout::State& state);
-    void take_rollout(const rollout::State& state);
+    std::string validate_rollout(const rollout::State& state);
+    void apply_rollout(const rollout::State& state);
     void stop();
     void ingress_ended();
-    void stop_parts();
-    void leave_parts();
+    void stop_components();
+    void abandon_components();
     void reload();
     bool reload_options(std::string& text, operator_config::Options& fresh);
-    void take(const operator_config::Options& fresh);
+    void apply(const operator_config::Options& fresh);
     void on_signal(int fd);
 
     const Files& files_;
@@ -150,68 +150,71 @@
     const discovery::UnixTimeConverter clock_;
     const net::Loop loop_{g_main_loop_new(nullptr, FALSE)};
     std::unique_ptr<Log> log_;
-    net::Timers timers_;   // one for all: each source of the loop costs every wake-up a look
-    std::unique_ptr<telemetry::Telemetry> telemetry_;   // lives longer than the ingress that tells it
-    std::vector<std::unique_ptr<Part>> parts_;          // in the order of their start
+    net::Timers timers_;   // one for all, as every source of the loop is polled in each iteration
+    std::unique_ptr<telemetry::Telemetry> telemetry_;      // outlives the ingress, which reports to it
+    std::vector<std::unique_ptr<Component>> components_;   // in the order of their start
     std::unique_ptr<ingress::Ingress> ingress_;
-    std::size_t parts_left_ = 0;   // while stopping: the last of these is being stopped
-    double ends_by_ = 0;           // s, net::now(); once the ingress has ended
-    net::Timer parts_timer_{timers_, [this] { leave_parts(); }};
-    // Of a follower: the operator's own file as it was taken last, and what lies over it.
-    std::string text_, left_out_;
-    std::unique_ptr<rollout::RolloutStorage> home_;   // until the part has it
-    RulesPart* rules_ = nullptr;                      // null: no operator's file
-    RolloutPart* rollout_ = nullptr;                  // null: off
-    operator_config::Options prepared_;               // with what is rolled out, checked last
+    std::size_t components_running_ = 0;   // while stopping: the last of these is being stopped
+    double ends_by_ = 0;                   // s, net::now(); set once the ingress has ended
+    net::Timer stop_timer_{timers_, [this] { abandon_components(); }};
+    // Of a follower: the operator's own file as last loaded, and why the overlay is not applied at the
+    // start.
+    std::string options_text_, overlay_fault_;
+    std::unique_ptr<rollout::RolloutStorage> rollout_storage_;   // until the component owns it
+    RulesComponent* rules_ = nullptr;                            // null: no operator's file
+    RolloutComponent* rollout_ = nullptr;                        // null: off
+    operator_config::Options prepared_;                          // with the overlay, as last validated
     std::optional<rollout::State> prepared_state_;
 };
 
-// The operator's own file, with what was in force before the start; false when it has a fault, which is
-// printed. What was in force and can't be used any more is left out.
+// Loads the operator's own file with the stored active version as overlay. False: it has a fault, which is
+// printed. An overlay that can't be used any more is not applied.
 bool Program::load(operator_config::Options& options) {
     if (files_.options.empty()) return true;
     if (!load_options(files_.options, options)) return false;
     if (!options.rollout.on()) return true;
-    if (!ini::load(files_.options, text_)) return false;
-    home_ = std::make_unique<rollout::RolloutStorage>(options.metrics.directory, options.rollout);
-    if (home_->version().number == 0) return true;
+    if (!ini::load(files_.options, options_text_)) return false;
+    rollout_storage_ =
+        std::make_unique<rollout::RolloutStorage>(options.metrics.directory, options.rollout);
+    if (rollout_storage_->version().number == 0) return true;
     operator_config::Options rolled;
     const auto faults = operator_config::load_text(
-        kRolledOut, operator_config::apply_overlay(text_, home_->state()), rolled);
+        kRolledOut, operator_config::apply_overlay(options_text_, rollout_storage_->state()), rolled);
     if (faults.empty())
         options = rolled;
     else
-        left_out_ = faults.front();
+        overlay_fault_ = faults.front();
     return true;
 }
 
 void Program::make_rollout(const operator_config::Options& options, const config::Config& config,
                            lease::FleetContext* fleet) {
-    if (!left_out_.empty())
+    if (!overlay_fault_.empty())
         log_->write(
             Log::Level::error, net::now(),
             "rollout: version %llu can't be used with this file or program, the file serves without "
             "it: %s",
-            static_cast<unsigned long long>(home_->version().number), left_out_.c_str());
-    RolloutPart::Ways ways;
-    ways.check = [this](const rollout::State& state) { return check_rollout(state); };
-    ways.take = [this](const rollout::State& state) { take_rollout(state); };
-    ways.left_out = left_out_;
-    auto part = std::make_unique<RolloutPart>(options, config, std::move(home_), std::move(ways), *ingress_,
-                                              fleet, telemetry_.get(), timers_, *log_);
-    rollout_ = part.get();
-    parts_.push_back(std::move(part));
+            static_cast<unsigned long long>(rollout_storage_->version().number), overlay_fault_.c_str());
+    RolloutComponent::Callbacks callbacks;
+    callbacks.validate = [this](const rollout::State& state) { return validate_rollout(state); };
+    callbacks.apply = [this](const rollout::State& state) { apply_rollout(state); };
+    callbacks.overlay_fault = overlay_fault_;
+    auto component = std::make_unique<RolloutComponent>(options, config, std::move(rollout_storage_),
+                                                        std::move(callbacks), *ingress_, fleet,
+                                                        telemetry_.get(), timers_, *log_);
+    rollout_ = component.get();
+    components_.push_back(std::move(component));
 }
 
-// As a reload, but for what is rolled out alone: nothing else of this machine (its key files) may make it
-// refuse what all get.
-std::string Program::check_rollout(const rollout::State& state) {
+// Like a reload, but of the overlay alone: other files of this machine (keys) must not make it refuse a
+// version.
+std::string Program::validate_rollout(const rollout::State& state) {
     prepared_state_.reset();
-    const auto faults =
-        operator_config::parse_text(kRolledOut, operator_config::apply_overlay(text_, state), prepared_);
+    const auto faults = operator_config::parse_text(
+        kRolledOut, operator_config::apply_overlay(options_text_, state), prepared_);
     if (!faults.empty()) return faults.front();
     try {
-        rules_->prepare(prepared_);   // compiles them: once is enough, it is all that a version costs
+        rules_->prepare(prepared_);   // compiles the rules, once for a version
     } catch (const std::exception& bad) {
         return std::string(kRolledOut) + ": " + bad.what();
     }
@@ -219,86 +222,85 @@
     return {};
 }
 
-void Program::take_rollout(const rollout::State& state) {
+void Program::apply_rollout(const rollout::State& state) {
     if (prepared_state_ != state)
-        if (const std::string why = check_rollout(state); !why.empty()) {
+        if (const std::string why = validate_rollout(state); !why.empty()) {
             log_->write(Log::Level::error, net::now(), "rollout: what is in force can't be used: %s",
                         why.c_str());
             return;
         }
-    rules_->take(prepared_);
+    rules_->apply(prepared_);
     if (telemetry_) telemetry_->set_rules(prepared_.rules);
     prepared_state_.reset();
 }
 
-// Nothing is made, counted or looked at where the operator's file names nothing of it.
+// Creates only the components that the operator's file enables.
 void Program::make(operator_config::Options& options) {
     auto config = config::load(files_.config, clock_);
     config::hold_descriptors(config);
-    tell_warnings(config, *log_);
-    const Promised promised(files_, options, config);
+    log_warnings(config, *log_);
+    const CheckedOptions checked(files_, options, config);
     if (options.quota.on()) config.settings = quota::without_quotas(config.settings);
     if (options.collects() || options.log.requests != 0)
         telemetry_ =
             std::make_unique<telemetry::Telemetry>(options, config, SLATEJUNCTION_VERSION, timers_, *log_);
     ingress_ = std::make_unique<ingress::Ingress>(
         config, clock_, timers_, *log_, [this] { ingress_ended(); }, telemetry_.get());
-    if (telemetry_) parts_.push_back(std::make_unique<TelemetryPart>(*telemetry_, *ingress_));
-    RulesPart* rules = nullptr;
-    if (!files_.options.empty()) {   // rules may come with a reload
-        auto part =
-            std::make_unique<RulesPart>(options, config, *ingress_, telemetry_.get(), timers_, *log_);
-        rules = rules_ = part.get();
-        parts_.push_back(std::move(part));
+    if (telemetry_) components_.push_back(std::make_unique<TelemetryComponent>(*telemetry_, *ingress_));
+    RulesComponent* rules = nullptr;
+    if (!files_.options.empty()) {   // a reload may add rules
+        auto component =
+            std::make_unique<RulesComponent>(options, config, *ingress_, telemetry_.get(), timers_, *log_);
+        rules = rules_ = component.get();
+        components_.push_back(std::move(component));
     }
     lease::FleetContext* fleet = nullptr;
     if (options.membership.on()) {
-        auto part =
-            std::make_unique<FleetPart>(options, config, *ingress_, telemetry_.get(), timers_, *log_);
-        if (options.lease.on()) fleet = part.get();
-        FleetPart& floor = *part;
-        parts_.push_back(std::move(part));
+        auto component =
+            std::make_unique<FleetComponent>(options, config, *ingress_, telemetry_.get(), timers_, *log_);
+        if (options.lease.on()) fleet = component.get();
+        FleetComponent& fleet_component = *component;
+        components_.push_back(std::move(component));
         if (options.has_fleet_rate_limits()) {
-            auto limits = std::make_unique<LimitsPart>(config.name, ingresses_of(options, config.name),
-                                                       largest_units(config), options, floor,
-                                                       draw_process(), timers_);
-            rules->share(limits.get());
-            parts_.push_back(std::move(limits));
+            auto limits = std::make_unique<FleetRateLimitComponent>(
+                config.name, ingresses_of(options, config.name), largest_units(config), options,
+                fleet_component, draw_process(), timers_);
+            rules->set_fleet_rate_limits(limits.get());
+            components_.push_back(std::move(limits));
         }
     }
     if (options.rollout.on()) make_rollout(options, config, fleet);
     if (options.quota.on())
-        parts_.push_back(std::make_unique<QuotaPart>(options, promised.quotas, config, *ingress_, fleet,
-                                                     telemetry_.get(), timers_, *log_));
+        components_.push_back(std::make_unique<QuotaComponent>(options, checked.quotas, config, *ingress_,
+                                                               fleet, telemetry_.get(), timers_, *log_));
 }
 
 void Program::ingress_ended() {
     ends_by_ = ingress_->ends_by();
-    parts_left_ = parts_.size();
-    parts_timer_.arm(ends_by_ - kLastLinesLeast);
-    stop_parts();
+    components_running_ = components_.size();
+    stop_timer_.arm(ends_by_ - kMinLogFlushS);
+    stop_components();
 }
 
-// The last one first: what it still has to say goes through those before it.
-void Program::stop_parts() {
-    if (parts_left_ == 0) return g_main_loop_quit(loop_.get());
-    const double most_s = std::max(0.0, ends_by_ - kLastLinesLeast - net::now());
-    parts_[parts_left_ - 1]->stop(most_s, [this] {
-        --parts_left_;
-        stop_parts();
+// In reverse order: a component's last messages need those before it.
+void Program::stop_components() {
+    if (components_running_ == 0) return g_main_loop_quit(loop_.get());
+    const double most_s = std::max(0.0, ends_by_ - kMinLogFlushS - net::now());
+    components_[components_running_ - 1]->stop(most_s, [this] {
+        --components_running_;
+        stop_components();
     });
 }
 
-// Guards against a part that waits for something outside without end.
-void Program::leave_parts() {
-    if (parts_left_ > 0)
+// Abandons a component that does not stop in time.
+void Program::abandon_components() {
+    if (components_running_ > 0)
         log_->write(Log::Level::warning, net::now(), "stopping: the time is up: %s is left unfinished",
-                    parts_[parts_left_ - 1]->name());
+                    components_[components_running_ - 1]->name());
     g_main_loop_quit(loop_.get());
 }
 
-// SIGHUP: the files have changed. Guards against one that is broken or half written: nothing of either
-// is taken then, and what is running stays in force.
+// SIGHUP: reloads both files. A fault in either of them changes nothing.
 void Program::reload() {
     const double now = net::now();
     operator_config::Options fresh;
@@ -306,20 +308,20 @@
     try {
         if (!reload_options(text, fresh)) return;
         auto config = config::load(files_.config, clock_, config::LoadTime::reload);
-        for (const auto& part : parts_) part->prepare(fresh, config);
-        if (!files_.options.empty()) take(fresh);
+        for (const auto& component : components_) component->prepare(fresh, config);
+        if (!files_.options.empty()) apply(fresh);
         ingress_->reload(config);
         if (rollout_) {
-            text_ = text;
+            options_text_ = text;
             prepared_state_.reset();
-            rollout_->reloaded();
+            rollout_->on_reloaded();
         }
     } catch (const std::exception& bad) {
         log_->write(Log::Level::error, now, "reload refused, nothing changes: %s", bad.what());
     }
 }
 
-// False where it has faults. Guards against one that is a pipe by now, whose writer may never come.
+// False: the file has faults, which are logged. A pipe is rejected, as its writer may never come.
 bool Program::reload_options(std::string& text, operator_config::Options& fresh) {
     if (files_.options.empty()) return true;
     std::error_code fault;
@@ -331,7 +333,7 @@
     return faults.empty();
 }
 
-// With what is rolled out laid over it; faults.
+// Reads the operator's file with the overlay; returns the faults.
 std::vector<std::string> Program::read_options(std::string& text, operator_config::Options& fresh) const {
     if (!rollout_) return operator_config::load(files_.options, fresh);
     if (!ini::load(files_.options, text)) return {files_.options + ": can't be read"};
@@ -339,7 +341,7 @@
                                       operator_config::apply_overlay(text, rollout_->state()), fresh);
 }
 
-void Program::take(const operator_config::Options& fresh) {
+void Program::apply(const operator_config::Options& fresh) {
     if (!telemetry_) {
         log_->configure(fresh.log);
         const bool later = fresh.collects() || fresh.log.requests != 0;
@@ -347,28 +349,29 @@
                     later ? "; after the next start: log.requests, metrics, remote_write" : "");
     }
     std::string later;
-    const auto waits = [&](const std::string& what) {
+    const auto defer = [&](const std::string& what) {
         if (!what.empty()) later += (later.empty() ? "" : ", ") + what;
     };
-    for (const auto& part : parts_) waits(part->take(fresh));
-    const auto there = [&](std::string_view name) {
-        return std::any_of(parts_.begin(), parts_.end(),
+    for (const auto& component : components_) defer(component->apply(fresh));
+    const auto running = [&](std::string_view name) {
+        return std::any_of(components_.begin(), components_.end(),
                            [&](const auto& one) { return one->name() == name; });
     };
-    if (fresh.quota.on() && !there("quota")) waits("quota");
-    if (fresh.membership.on() && !there("peers")) waits("peers");
-    if (fresh.rollout.on() && !there("rollout")) waits("rollout");
-    if (fresh.has_fleet_rate_limits() && !there("limits"))
-        waits("limits with scope = fleet, kept at each gateway till then");
+    if (fresh.quota.on() && !running("quota")) defer("quota");
+    if (fresh.membership.on() && !running("peers")) defer("peers");
+    if (fresh.rollout.on() && !running("rollout")) defer("rollout");
+    if (fresh.has_fleet_rate_limits() && !running("limits"))
+        defer("limits with scope = fleet, kept at each gateway till then");
     if (!later.empty())
         log_->write(Log::Level::info, net::now(), "reloaded: after the next start: %s", later.c_str());
 }
 
 void Program::stop() {
     ingress_->stop();
-    if (ends_by_ == 0) return;   // after a handover the parts may be stopping already, with more time
+    if (ends_by_ == 0)
+        return;   // after a hot restart the components may be stopping already, with more time
     ends_by_ = std::min(ends_by_, ingress_->ends_by());
-    parts_timer_.arm(ends_by_ - kLastLinesLeast);
+    stop_timer_.arm(ends_by_ - kMinLogFlushS);
 }
 
 void Program::on_signal(int fd) {
@@ -380,8 +383,8 @@
         stop();
 }
 
-// Before the loop runs: false where SIGTERM or SIGINT came. SIGHUP stays for the loop.
-bool pause_unless_told(double seconds) {
+// Before the loop runs. False: SIGTERM or SIGINT arrived. SIGHUP stays pending for the loop.
+bool sleep_unless_signalled(double seconds) {
     sigset_t numbers;
     sigemptyset(&numbers);
     for (const int number : {SIGTERM, SIGINT}) sigaddset(&numbers, number);
@@ -398,10 +401,10 @@
     if (!signals) return fail("no descriptor for signals: " + std::string(std::strerror(errno)));
     const net::SourceWatch watch(timers_, signals.get(), [this, fd = signals.get()] { on_signal(fd); });
     std::string why;
-    if (!ingress_->start(why, pause_unless_told)) return why.empty() ? 0 : fail(why);
-    for (std::size_t i = parts_.size(); i-- > 0;) parts_[i]->start();
+    if (!ingress_->start(why, sleep_unless_signalled)) return why.empty() ? 0 : fail(why);
+    for (std::size_t i = components_.size(); i-- > 0;) components_[i]->start();
     g_main_loop_run(loop_.get());
-    log_->flush(std::min(kLastLines, std::max(0.0, ends_by_ - net::now())));
+    log_->flush(std::min(kMaxLogFlushS, std::max(0.0, ends_by_ - net::now())));
     return 0;
 }
 
@@ -413,8 +416,8 @@
 }
 
 int serve(const Files& files) {
-    // A descriptor of its own for signals: GLib's way would start a thread, and make every wake-up cost
-    // more. Blocked first of all, so that none can end the program while it is starting.
+    // A signalfd: GLib's own sources would start a thread and make each iteration more expensive. Blocked
+    // first, so that no signal ends the program while it starts.
     sigset_t numbers;
     sigemptyset(&numbers);
     for (const int number : {SIGTERM, SIGINT, SIGHUP}) sigaddset(&numbers, number);
@@ -426,22 +429,22 @@
 
 int check(const Files& files) {
     operator_config::Options options;
-    bool good = load_options(files.options, options);
+    bool valid = load_options(files.options, options);
     try {
-        const auto read = config::load(files.config, discovery::UnixTimeConverter());
-        for (const std::string& line : read.warnings) std::printf("warning: %s\n", line.c_str());
-        if (good) {
-            const Promised promised(files, options, read);
-            for (const std::string& line : promised.lines) std::printf("%s\n", line.c_str());
+        const auto config = config::load(files.config, discovery::UnixTimeConverter());
+        for (const std::string& line : config.warnings) std::printf("warning: %s\n", line.c_str());
+        if (valid) {
+            const CheckedOptions checked(files, options, config);
+            for (const std::string& line : checked.lines) std::printf("%s\n", line.c_str());
             std::printf("configuration of %s is good: %zu classes, %zu plans, %zu providers known\n",
-                        read.name.c_str(), read.settings.classes.size(), read.settings.plans.size(),
-                        read.known.update.endpoints.size());
+                        config.name.c_str(), config.settings.classes.size(), config.settings.plans.size(),
+                        config.known.update.endpoints.size());
         }
     } catch (const std::exception& fault) {
-        good = false;
+        valid = false;
         fail(fault.what());
     }
-    return good ? 0 : kBadUse;
+    return valid ? 0 : kBadUse;
 }
 
 }   // namespace slatejunction::app
--- a/src/app/quota_component.hpp
+++ b/src/app/quota_component.hpp
@@ -1,4 +1,5 @@
-// Quotas that a shared counter keeps in place of the module.
+// Quotas that a shared counter enforces in place of the gateway's own estimate: filters requests with
+// quota::Driver. Owned by Program; owns the driver. The gateway receives a configuration without quotas.
 #pragma once
 
 #include "app/component.hpp"
@@ -9,18 +10,18 @@
 
 namespace slatejunction::app {
 
-class QuotaPart final : public Part, ingress::RequestFilter {
+class QuotaComponent final : public Component, ingress::RequestFilter {
   public:
-    // `settings` as quota::settings_of() made them, without a fault; `config` is told without quotas.
-    // `fleet`: null where there are no leases; then each ingress has its own check of the counter only.
-    QuotaPart(const operator_config::Options& options, const quota::Settings& settings,
-              const config::Config& config, ingress::Ingress& ingress, lease::FleetContext* fleet,
-              telemetry::Telemetry* telemetry, net::Timers& timers, Log& log);
+    /// `settings`: of quota::settings_of(), without a fault. `fleet`: null without leases; then each
+    /// ingress checks the counter by itself.
+    QuotaComponent(const operator_config::Options& options, const quota::Settings& settings,
+                   const config::Config& config, ingress::Ingress& ingress, lease::FleetContext* fleet,
+                   telemetry::Telemetry* telemetry, net::Timers& timers, Log& log);
 
     const char* name() const override { return "quota"; }
     void start() override { driver_.start(); }
     void prepare(const operator_config::Options& fresh, config::Config& config) override;
-    std::string take(const operator_config::Options& fresh) override;
+    std::string apply(const operator_config::Options& fresh) override;
 
   private:
     void on_request(client::ClientRequest& invocation, slatejunction::Request& request,
@@ -29,11 +30,11 @@
                           bool spilled) override;
     slatejunction::RejectReason on_rate_limited(ingress::FilterState mark) override;
     void on_request_end(const client::ClientRequest& invocation, ingress::FilterState mark) override;
-    unsigned plan_number(std::string_view plan) const;   // in the settings; their number: none of them
+    unsigned plan_number(std::string_view plan) const;   // index in the settings; their count: unknown plan
 
     const std::vector<slatejunction::Plan> plans_;
     quota::Driver driver_;
-    std::uint64_t losses_ = 0;   // counted
+    std::uint64_t losses_counted_ = 0;
 };
 
 }   // namespace slatejunction::app
--- a/src/app/rollout_component.cpp
+++ b/src/app/rollout_component.cpp
@@ -17,14 +17,14 @@
 using rollout::LeaderEvent;
 using rollout::ProposeError;
 
-std::vector<membership::AuthKey> keys_of(const operator_config::Options& options) {
+std::vector<membership::AuthKey> load_keys_or_throw(const operator_config::Options& options) {
     std::vector<membership::AuthKey> keys;
     const std::string why = rollout::load_keys(options.rollout, options.membership.key_file, keys);
     if (!why.empty()) throw std::runtime_error("[rollout] " + why);
     return keys;
 }
 
-// The control machines: the voters of the lease.
+// The control machines: the acceptors of the lease.
 std::vector<std::string> replicas_of(const operator_config::Options& options, const std::string& name) {
     if (!options.rollout.is_control_machine()) return {};
     return lease::settings_of(options.lease, name).acceptors.names;
@@ -38,7 +38,7 @@
     json.Key(key);
     json.Uint64(value);
 }
-void standings(Json& json, const char* key, const std::vector<rollout::FollowerStatus>& all) {
+void write_statuses(Json& json, const char* key, const std::vector<rollout::FollowerStatus>& all) {
     json.Key(key);
     json.StartArray();
     for (const rollout::FollowerStatus& one : all) {
@@ -50,7 +50,7 @@
     }
     json.EndArray();
 }
-void report(Json& json, const char* key, const rollout::Report& all) {
+void write_report(Json& json, const char* key, const rollout::Report& all) {
     json.Key(key);
     json.StartObject();
     number(json, "counted", all.counted);
@@ -58,8 +58,8 @@
     number(json, "behind", all.behind);
     number(json, "silent", all.silent);
     number(json, "refuse", all.refused);
-    standings(json, "behind_names", all.behind_names);
-    standings(json, "silent_names", all.silent_names);
+    write_statuses(json, "behind_names", all.behind_names);
+    write_statuses(json, "silent_names", all.silent_names);
     json.Key("refusals");
     json.StartArray();
     for (const rollout::Refusal& one : all.refusals) {
@@ -73,14 +73,15 @@
     json.EndObject();
 }
 
-const char* stage_of(const rollout::Leader& source) {
-    using Stage = rollout::Leader::Phase;
-    switch (source.phase()) {
-        case Stage::inactive:
+// As the admin interface names the phases.
+const char* phase_name(const rollout::Leader& leader) {
+    using Phase = rollout::Leader::Phase;
+    switch (leader.phase()) {
+        case Phase::inactive:
             return "off";
-        case Stage::ready:
+        case Phase::ready:
             return "ready";
-        case Stage::fenced:
+        case Phase::fenced:
             return "fenced";
         default:
             return "reads";
@@ -108,23 +109,23 @@
                                   options.membership.interval_s);
 }
 
-RolloutPart::RolloutPart(const operator_config::Options& options, const config::Config& config,
-                         std::unique_ptr<rollout::RolloutStorage> home, Ways ways,
-                         ingress::Ingress& ingress, lease::FleetContext* fleet,
-                         telemetry::Telemetry* telemetry, net::Timers& timers, Log& log)
+RolloutComponent::RolloutComponent(const operator_config::Options& options, const config::Config& config,
+                                   std::unique_ptr<rollout::RolloutStorage> storage, Callbacks callbacks,
+                                   ingress::Ingress& ingress, lease::FleetContext* fleet,
+                                   telemetry::Telemetry* telemetry, net::Timers& timers, Log& log)
     : options_(options.rollout),
       name_(config.name),
       replicas_(replicas_of(options, config.name)),
       fleet_(fleet),
-      left_out_(ways.left_out),
-      driver_(options.rollout, config.name, replicas_, draw_process(), config.seed, keys_of(options),
-              std::move(home),
-              {[this, check = ways.check](const rollout::State& state, const rollout::Changes&) {
-                   return check(state);
+      overlay_fault_(callbacks.overlay_fault),
+      driver_(options.rollout, config.name, replicas_, draw_process(), config.seed,
+              load_keys_or_throw(options), std::move(storage),
+              {[this, validate = callbacks.validate](const rollout::State& state, const rollout::Changes&) {
+                   return validate(state);
                },
-               [this, take = ways.take](const rollout::State& state, const rollout::Changes&) {
-                   left_out_.clear();
-                   take(state);
+               [this, apply = callbacks.apply](const rollout::State& state, const rollout::Changes&) {
+                   overlay_fault_.clear();
+                   apply(state);
                },
                [this](const std::string& to, std::string_view body) {
                    return fleet_ && fleet_->send(to, membership::Channel::rollout, body);
@@ -139,44 +140,44 @@
     for (const std::string& line : stated_of_rollout(options))
         log.write(Log::Level::info, net::now(), "%s", line.c_str());
     if (!fleet_ || !options_.is_control_machine()) return;
-    fleet_->listen(membership::Channel::rollout, [this](const membership::ReceivedMessage& heard) {
-        driver_.on_replica_message(heard.from, heard.body);
+    fleet_->listen(membership::Channel::rollout, [this](const membership::ReceivedMessage& message) {
+        driver_.on_replica_message(message.from, message.body);
     });
     fleet_->on_leadership_change([this](bool on) { driver_.on_leadership_change(on); });
 }
 
-void RolloutPart::stop(double, std::function<void()> done) {
+void RolloutComponent::stop(double, std::function<void()> done) {
     driver_.stop();
     done();
 }
 
-void RolloutPart::prepare(const operator_config::Options& fresh, config::Config&) {
-    prepared_keys_ = fresh.rollout.on() ? keys_of(fresh) : std::vector<membership::AuthKey>{};
+void RolloutComponent::prepare(const operator_config::Options& fresh, config::Config&) {
+    prepared_keys_ = fresh.rollout.on() ? load_keys_or_throw(fresh) : std::vector<membership::AuthKey>{};
 }
 
-// Keys are taken at once; the rest waits.
-std::string RolloutPart::take(const operator_config::Options& fresh) {
+// Keys apply at once; other changes at the next start.
+std::string RolloutComponent::apply(const operator_config::Options& fresh) {
     if (!prepared_keys_.empty()) driver_.set_keys(prepared_keys_);
     prepared_keys_.clear();
-    auto as_here = fresh.rollout;
-    as_here.key_file = options_.key_file;
-    const bool later = as_here != options_ || (fresh.lease.on() && replicas_of(fresh, name_) != replicas_);
+    auto comparable = fresh.rollout;
+    comparable.key_file = options_.key_file;
+    const bool later =
+        comparable != options_ || (fresh.lease.on() && replicas_of(fresh, name_) != replicas_);
     return later ? "rollout" : "";
 }
 
-const rollout::State& RolloutPart::state() const {
+const rollout::State& RolloutComponent::state() const {
     static const rollout::State kNothing;
     return driver_.follower() ? driver_.follower()->state() : kNothing;
 }
 
-void RolloutPart::reloaded() {
-    left_out_.clear();
+void RolloutComponent::on_reloaded() {
+    overlay_fault_.clear();
     driver_.recheck();
 }
 
-// Operators. ------------------------------------------------------------------------------------------
-
-bool RolloutPart::on_call(const admin::AdminCall& call, std::function<void(admin::AdminReply)>& reply) {
+bool RolloutComponent::on_call(const admin::AdminCall& call,
+                               std::function<void(admin::AdminReply)>& reply) {
     using What = admin::AdminCall::Kind;
     if (call.kind == What::rollout) {
         reply({200, describe()});
@@ -187,7 +188,7 @@
     return true;
 }
 
-void RolloutPart::propose(const admin::AdminCall& call, std::function<void(admin::AdminReply)> reply) {
+void RolloutComponent::propose(const admin::AdminCall& call, std::function<void(admin::AdminReply)> reply) {
     const bool erases = call.kind == admin::AdminCall::Kind::erase;
     if (call.id.size() > rollout::kMaxKeyBytes || call.body.size() > rollout::kMaxValueBytes)
         return reply({413, "a section's header is of 80 bytes at most, its lines of 700 together"});
@@ -201,13 +202,13 @@
                     });
 }
 
-admin::AdminReply RolloutPart::reply_to(const rollout::Driver::ProposeResult& answer) const {
+admin::AdminReply RolloutComponent::reply_to(const rollout::Driver::ProposeResult& answer) const {
     const std::string number = std::to_string(answer.number);
     switch (answer.error) {
         case ProposeError::none:
             break;
         case ProposeError::not_leader: {
-            const std::string other = source();
+            const std::string other = leader();
             return {409, other.empty() || other == name_ ? "not the source, and nobody is known to be it"
                                                          : "not the source: ask " + other};
         }
@@ -223,13 +224,13 @@
     return {200, "number " + number + " is committed"};
 }
 
-std::string RolloutPart::source() const {
+std::string RolloutComponent::leader() const {
     if (driver_.is_leader()) return name_;
     if (driver_.replica()) return driver_.replica()->leader();
     return {};
 }
 
-std::string RolloutPart::describe() const {
+std::string RolloutComponent::describe() const {
     rapidjson::StringBuffer out;
     Json json(out);
     const rollout::Follower* const follower = driver_.follower();
@@ -242,13 +243,13 @@
         number(json, "cleared", follower->staging().cleared);
         number(json, "term", follower->staging().term);
         text(json, "parent", follower->parent());
-        const double heard = net::now() - follower->last_contact_at();
+        const double silent_s = net::now() - follower->last_contact_at();
         json.Key("unheard_s");
-        heard < 1e9 ? json.Double(heard) : json.Null();
+        silent_s < 1e9 ? json.Double(silent_s) : json.Null();
         text(json, "trouble", rollout::kFollowerFaults[static_cast<std::size_t>(follower->fault())]);
         number(json, "refused", follower->refused());
         text(json, "reason", follower->refused() != 0 ? follower->reason() : "");
-        text(json, "left_out", left_out_);
+        text(json, "left_out", overlay_fault_);
         number(json, "records_taken", follower->counts().records);
         number(json, "snapshots_taken", follower->counts().snapshots);
     } else {
@@ -256,35 +257,33 @@
         number(json, "committed", replica->commit_index());
         number(json, "cleared", replica->staging().cleared);
         number(json, "term", replica->promised());
-        text(json, "source", source());
-        text(json, "here", stage_of(*driver_.leader()));
+        text(json, "source", leader());
+        text(json, "here", phase_name(*driver_.leader()));
         json.Key("remembers");
         json.Bool(replica->storage_intact());
         json.Key("disk_failed");
         json.Bool(replica->disk_failed());
     }
-    if (driver_.publisher()) report(json, "children", driver_.children_report());
+    if (driver_.publisher()) write_report(json, "children", driver_.children_report());
     if (driver_.is_leader()) {
-        report(json, "fleet", driver_.fleet_report());
+        write_report(json, "fleet", driver_.fleet_report());
         json.Key("last_everywhere_s");
         json.Double(driver_.last_propagation_s());
     }
     json.Key("keys");
     json.StartArray();
-    const rollout::State held =
+    const rollout::State active =
         follower ? follower->state() : replica->log().state_at(replica->commit_index());
-    for (const auto& [key, value] : held) json.String(key.data(), static_cast<unsigned>(key.size()));
+    for (const auto& [key, value] : active) json.String(key.data(), static_cast<unsigned>(key.size()));
     json.EndArray();
     json.EndObject();
     return {out.GetString(), out.GetSize()};
 }
 
-// Measures. -------------------------------------------------------------------------------------------
-
-void RolloutPart::count(metrics::Measures& m) {
+void RolloutComponent::count(metrics::Measures& m) {
     using metrics::Id;
     const auto set = [&](Id id, double value, std::size_t label = 0) { m.set(id, value, label); };
-    const auto moved = [&](Id id, std::uint64_t now, std::size_t label = 0) {
+    const auto add_increase = [&](Id id, std::uint64_t now, std::size_t label = 0) {
         std::uint64_t& seen = counted_[{id, label}];
         if (now > seen) m.add(id, label, static_cast<double>(now - std::exchange(seen, now)));
     };
@@ -295,11 +294,11 @@
     if (follower) {
         set(Id::rollout_in_force, of(follower->active_version().number));
         set(Id::rollout_cleared, of(follower->staging().cleared));
-        const double now = net::now(), heard = std::max(follower->last_contact_at(), started_);
-        set(Id::rollout_unheard, now - heard);
-        const auto trouble = static_cast<std::size_t>(follower->fault());
+        const double last_contact_at = std::max(follower->last_contact_at(), started_at_);
+        set(Id::rollout_unheard, net::now() - last_contact_at);
+        const auto fault = static_cast<std::size_t>(follower->fault());
         for (std::size_t i = 0; i < metrics::kRolloutFaults.size(); ++i)
-            set(Id::rollout_trouble, trouble == i + 1 || (i == 2 && !left_out_.empty()) ? 1 : 0, i);
+            set(Id::rollout_trouble, fault == i + 1 || (i == 2 && !overlay_fault_.empty()) ? 1 : 0, i);
         refusals = follower->counts().refusals;
         disk_failures = follower->counts().disk_failures;
         snapshots = follower->counts().snapshots;
@@ -309,13 +308,13 @@
         set(Id::rollout_trouble, replica->disk_failed() ? 1 : 0, 0);
         refusals = driver_.event_count(LeaderEvent::Kind::refused);
     }
-    moved(Id::rollout_refusals, refusals);
-    moved(Id::rollout_disk_failures, disk_failures);
-    moved(Id::rollout_snapshots_taken, snapshots);
-    moved(Id::rollout_sent, driver_.transport().counts().sent);
-    moved(Id::rollout_sent_bytes, driver_.transport().counts().sent_bytes);
+    add_increase(Id::rollout_refusals, refusals);
+    add_increase(Id::rollout_disk_failures, disk_failures);
+    add_increase(Id::rollout_snapshots_taken, snapshots);
+    add_increase(Id::rollout_sent, driver_.transport().counts().sent);
+    add_increase(Id::rollout_sent_bytes, driver_.transport().counts().sent_bytes);
     if (!driver_.publisher()) return;
-    moved(Id::rollout_snapshots_cut, driver_.publisher()->counts().snapshots);
+    add_increase(Id::rollout_snapshots_cut, driver_.publisher()->counts().snapshots);
     const rollout::Report all = driver_.fleet_report();
     set(Id::rollout_counted, of(all.counted));
     set(Id::rollout_everywhere, of(rollout::active_everywhere(all)));
--- a/src/app/rules_component.hpp
+++ b/src/app/rules_component.hpp
@@ -1,4 +1,6 @@
-// Routes, limits and tags of the operator's rules, where requests and providers pass.
+// The operator's rules in the program: routes, limits and tags, as a filter of requests and of the endpoint
+// list. Compiles the rules, applies reloads, stores the buckets of limits and sets the measures. Owned by
+// Program.
 #pragma once
 
 #include <map>
@@ -15,30 +17,32 @@
 
 namespace slatejunction::app {
 
-class RulesPart final : public Part, ingress::RequestFilter, ingress::EndpointListFilter {
+class RulesComponent final : public Component, ingress::RequestFilter, ingress::EndpointListFilter {
   public:
-    // `telemetry`: null where nobody counts. The options have been checked.
-    RulesPart(const operator_config::Options& options, const config::Config& config,
-              ingress::Ingress& ingress, telemetry::Telemetry* telemetry, net::Timers& timers, Log& log);
-    // Where limits over the fleet are kept; before start(). Lives longer than requests do.
-    void share(rules::FleetRateLimits* shared);
-    ~RulesPart() override;
+    /// `telemetry`: null without measures. The options have been checked.
+    RulesComponent(const operator_config::Options& options, const config::Config& config,
+                   ingress::Ingress& ingress, telemetry::Telemetry* telemetry, net::Timers& timers,
+                   Log& log);
+    /// The fleet-wide limits; before start(). Must outlive all requests.
+    void set_fleet_rate_limits(rules::FleetRateLimits* limits);
+    ~RulesComponent() override;
 
     const char* name() const override { return "rules"; }
     void start() override;
     void stop(double most_s, std::function<void()> done) override;
     void prepare(const operator_config::Options& fresh, config::Config&) override { prepare(fresh); }
-    void prepare(const operator_config::Options& fresh);   // throws as the other
-    std::string take(const operator_config::Options& fresh) override;
+    void prepare(const operator_config::Options& fresh);   // throws like the other
+    std::string apply(const operator_config::Options& fresh) override;
 
   private:
-    struct Judged {
+    // The verdict of one request, between on_request() and on_request_end().
+    struct Evaluation {
         rules::RequestVerdict verdict;
-        std::uint64_t rules = 0;   // which made it, as they were counted
+        std::uint64_t generation = 0;   // of the rules that evaluated it
     };
     std::unique_ptr<rules::Rules> compile(const operator_config::Options& options);
     void set(std::unique_ptr<rules::Rules> rules);
-    rules::FleetRateLimits* shared_ = nullptr;   // null: limits are kept here alone
+    rules::FleetRateLimits* fleet_limits_ = nullptr;   // null: all limits are local
     void on_error(const std::string& rule, std::string_view why);
     void count(metrics::Measures& measures);
 
@@ -55,19 +59,19 @@
     const rules::GatewayFacts facts_;
     ingress::Ingress& ingress_;
     Log& log_;
-    rules::Settings settings_;   // in force
+    rules::Settings settings_;   // of rules_
     std::unique_ptr<rules::Rules> rules_, prepared_;
-    bool joined_ = false;
-    std::uint64_t number_ = 0;                     // of the rules in force
-    std::vector<std::unique_ptr<Judged>> spare_;   // their memory, for the next requests
-    rules::EndpointSubsets fleet_;
-    std::optional<storage::StateDirectory> state_;   // else telemetry's own
-    std::unique_ptr<rules::BucketStorage> keeper_;
+    bool registered_ = false;
+    std::uint64_t generation_ = 0;                                // of rules_
+    std::vector<std::unique_ptr<Evaluation>> free_evaluations_;   // reused memory
+    rules::EndpointSubsets endpoint_subsets_;
+    std::optional<storage::StateDirectory> state_;   // set if telemetry does not own it
+    std::unique_ptr<rules::BucketStorage> bucket_storage_;
     metrics::Measures::Shape shape_;
-    // As far as the rules' own figures have been counted, by where they are counted to.
-    std::map<std::pair<metrics::Id, std::size_t>, std::uint64_t> seen_;
-    double judged_at_ = 0;   // the time, while rules judge a request; else 0
-    double told_ = -1e18;    // when an error of one was last logged
+    // What of the rules' counts is in the measures, by measure and label.
+    std::map<std::pair<metrics::Id, std::size_t>, std::uint64_t> counted_;
+    double evaluating_at_ = 0;         // s, while rules evaluate a request; else 0
+    double error_logged_at_ = -1e18;   // s
 };
 
 }   // namespace slatejunction::app
--- a/src/rollout/driver.hpp
+++ b/src/rollout/driver.hpp
@@ -4,8 +4,8 @@
 // Rule: it carries messages, times and storage between the cores and the sockets, and decides nothing.
 // Inputs: messages of the transport and of other control machines, the lease (on_leadership_change,
 // Callbacks::fencing_token), proposals. Output: datagrams, active states (Callbacks::activated), log lines
-// and records of the event log. Owned by RolloutPart (app); owns the cores, the transport and the storage.
-// Runs on the loop's thread only; callbacks are called from within its methods.
+// and records of the event log. Owned by RolloutComponent (app); owns the cores, the transport and the
+// storage. Runs on the loop's thread only; callbacks are called from within its methods.
 #pragma once
 
 #include <cstdint>
