--- a/bench/slices.cpp
+++ b/bench/slices.cpp
@@ -66,7 +66,7 @@
             double now = 0;
             while (!sender.empty()) {
                 batches.time([&] { sender.next(now); });
-                sender.ended(now, {Answer::How::answered, 204, -1, -1});
+                sender.on_answer(now, {Answer::How::answered, 204, -1, -1});
                 now += 100;
             }
             batches.print("a batch of " + std::to_string(samples) + " samples, " +
--- a/src/remotewrite/backlog.cpp
+++ b/src/remotewrite/backlog.cpp
@@ -9,7 +9,9 @@
 namespace slatejunction::remotewrite {
 namespace {
 
-// Figures in the machine's own order: a folder is read by the machine that wrote it.
+constexpr double kMaxLiveFraction = 0.75;   // of a segment's bytes: above it, compaction frees too little
+
+// Numbers in native byte order: a directory is read by the machine that wrote it.
 class Out {
   public:
     template <class T>
@@ -132,10 +134,10 @@
             done = std::max(done, In(payload).get<std::uint64_t>());
         }
     };
-    journal_ = std::make_unique<storage::SegmentedLog>(path, "backlog", kSegment, visit, found_,
-                                                       std::move(writer));
+    segments_ = std::make_unique<storage::SegmentedLog>(path, "backlog", kSegment, visit, found_,
+                                                        std::move(writer));
     std::vector<std::uint64_t> old;
-    for (const auto& [number, size] : journal_->segments()) old.push_back(number);
+    for (const auto& [number, size] : segments_->segments()) old.push_back(number);
     for (auto& [number, frame] : left) {
         if (number < done) continue;
         sender_.restore(std::move(frame));
@@ -143,12 +145,13 @@
     }
     sender_.number_from(done);
     done_ = sender_.done_before();
-    // What is left is written anew, in as many segments as it takes, before the old ones go.
+    // The restored frames are written to new segments before the old ones are removed.
     bool all = false;
-    while (!(all = follow()) && !failing_) {
-    }
+    do {
+        all = follow();
+    } while (!all && !failing_);
     if (all)
-        for (const std::uint64_t number : old) journal_->drop(number);
+        for (const std::uint64_t number : old) segments_->drop(number);
 }
 
 bool Backlog::failed() {
@@ -158,23 +161,23 @@
 
 bool Backlog::write_layout(const std::shared_ptr<const Layout>& layout) {
     if (layout_ == layout) return true;
-    if (!journal_->append(kLayout, bytes_of(*layout))) return false;
+    if (!segments_->append(kLayout, bytes_of(*layout))) return false;
     layout_ = layout;
     return true;
 }
 
 bool Backlog::follow() {
-    // What has been answered: told once, and the segments with nothing else in them go.
-    if (const std::uint64_t done = sender_.done_before(); done > done_ && journal_->open()) {
+    // Finished frames: the number is written once, and segments with only finished frames are removed.
+    if (const std::uint64_t done = sender_.done_before(); done > done_ && segments_->open()) {
         Out out;
-        if (!journal_->append(kDone, out.put(done).bytes)) return failed();
+        if (!segments_->append(kDone, out.put(done).bytes)) return failed();
         done_ = done;
-        std::vector<std::uint64_t> over;
-        for (const auto& [number, frames] : frames_of_)
-            if (number != journal_->newest() && frames.last < done) over.push_back(number);
-        for (const std::uint64_t number : over) {
-            journal_->drop(number);
-            frames_of_.erase(number);
+        std::vector<std::uint64_t> finished;
+        for (const auto& [number, frames] : segment_frames_)
+            if (number != segments_->newest() && frames.last < done) finished.push_back(number);
+        for (const std::uint64_t number : finished) {
+            segments_->drop(number);
+            segment_frames_.erase(number);
         }
     }
     const auto& waiting = sender_.waiting();
@@ -182,55 +185,58 @@
     for (auto at = waiting.lower_bound(written_); at != waiting.end(); ++at) {
         const auto& [number, frame] = *at;
         if (count++ == kFramesAtOnce) return false;
-        if (!journal_->open() || journal_->full()) {
-            if (!journal_->begin()) return failed();
+        if (!segments_->open() || segments_->full()) {
+            if (!segments_->begin()) return failed();
             layout_.reset();
-            frames_of_[journal_->newest()] = {};
-            // The newest segment alone has to tell what is done: the others may go.
+            segment_frames_[segments_->newest()] = {};
+            // Repeated in each segment, as older ones may be removed.
             Out out;
-            if (!journal_->append(kDone, out.put(sender_.done_before()).bytes)) return failed();
+            if (!segments_->append(kDone, out.put(sender_.done_before()).bytes)) return failed();
         }
-        if (!write_layout(frame.layout) || !journal_->append(kFrame, bytes_of(frame))) return failed();
-        Segment& segment = frames_of_[journal_->newest()];
+        if (!write_layout(frame.layout) || !segments_->append(kFrame, bytes_of(frame))) return failed();
+        Segment& segment = segment_frames_[segments_->newest()];
         if (segment.first == 0) segment.first = number;
         segment.last = number;
         written_ = number + 1;
         failing_ = false;
     }
-    if (journal_->bytes() > kRoom * sender_.limit() + kSegment && !compact()) return failed();
+    if (segments_->bytes() > kRoom * sender_.limit() + kSegment && !compact()) return failed();
     failing_ = false;
     return true;
 }
 
-// Guards the disk through a long outage: what was thinned in memory leaves the folder too. One segment a
-// call, the one that holds the least that still waits for its size.
+// Limits the directory during a long outage: removes frames that were thinned in memory. One segment a
+// call, the one with the smallest fraction of waiting frames.
 bool Backlog::compact() {
     const auto& waiting = sender_.waiting();
     std::uint64_t best = 0;
-    double best_part = 0.75;   // of its bytes: rewriting one that is full frees nothing
-    for (const auto& [number, size] : journal_->segments()) {
-        const auto held = frames_of_.find(number);
-        if (number == journal_->newest() || held == frames_of_.end()) continue;
+    double best_fraction = kMaxLiveFraction;
+    for (const auto& [number, size] : segments_->segments()) {
+        const auto range = segment_frames_.find(number);
+        if (number == segments_->newest() || range == segment_frames_.end()) continue;
         std::size_t live = 0;
-        for (auto at = waiting.lower_bound(held->second.first);
-             at != waiting.end() && at->first <= held->second.last; ++at)
+        for (auto at = waiting.lower_bound(range->second.first);
+             at != waiting.end() && at->first <= range->second.last; ++at)
             live += at->second.bytes();
-        const double part = static_cast<double>(live) / static_cast<double>(size);
-        if (part < best_part) best = number, best_part = part;
+        const double fraction = static_cast<double>(live) / static_cast<double>(size);
+        if (fraction < best_fraction) {
+            best = number;
+            best_fraction = fraction;
+        }
     }
     if (best == 0) return true;
     std::vector<storage::Record> records;
     std::shared_ptr<const Layout> layout;
-    const Segment held = frames_of_[best];
-    for (auto at = waiting.lower_bound(held.first); at != waiting.end() && at->first <= held.last; ++at) {
+    const Segment range = segment_frames_[best];
+    for (auto at = waiting.lower_bound(range.first); at != waiting.end() && at->first <= range.last; ++at) {
         const Frame& frame = at->second;
         if (frame.layout != layout) records.push_back({kLayout, bytes_of(*frame.layout)});
         layout = frame.layout;
         records.push_back({kFrame, bytes_of(frame)});
     }
-    if (!records.empty()) return journal_->replace(best, records);
-    journal_->drop(best);
-    frames_of_.erase(best);
+    if (!records.empty()) return segments_->replace(best, records);
+    segments_->drop(best);
+    segment_frames_.erase(best);
     return true;
 }
 
--- a/src/remotewrite/backlog.hpp
+++ b/src/remotewrite/backlog.hpp
@@ -1,6 +1,9 @@
-// The sender's frames in a folder as well, so that a process that comes back sends what an earlier one
-// left. Each frame is written once, each answer once, by appending; no more than a few slices of work at a
-// time.
+// Stores the sender's waiting frames in a directory, so that the next process sends what this one did not.
+//
+// Rule: each frame and each finished number is appended once (storage::SegmentedLog), a few frames per
+// call. Input: the sender's waiting frames. Output: at the start, the frames of an earlier process,
+// restored into the sender. Never blocks on the disk beyond a write. Used and owned by Driver; the sender
+// must outlive it.
 #pragma once
 
 #include <memory>
@@ -16,28 +19,27 @@
 class Backlog {
   public:
     static constexpr std::size_t kSegment = 128 * 1024;   // bytes
-    static constexpr std::size_t kFramesAtOnce = 16;      // written in one slice
-    // Of the sender's limit, what the folder may take before segments are written again without what was
-    // thinned meanwhile.
+    static constexpr std::size_t kFramesAtOnce = 16;      // written in one call of follow()
+    // In times of the sender's limit: above it segments are compacted.
     static constexpr std::size_t kRoom = 2;
 
-    // Opens the folder, gives the sender what an earlier process left and begins a segment with it. Throws
-    // storage::Error for a folder that can't be used or is another process's.
+    /// Opens the directory and restores the frames of an earlier process into the sender. Throws
+    /// storage::Error for a directory that can't be used or is locked by another process.
     Backlog(const std::string& path, Sender& sender, storage::SegmentedLog::Writer writer = {});
 
-    // One slice of bringing the folder after the sender. True: it holds all that waits.
+    /// Writes the next few frames. True: all waiting frames are stored.
     bool follow();
-    // The folder can't be written: what waits is in memory alone. Told to the operator by who asks.
+    /// The directory can't be written: frames wait in memory only. The caller reports it.
     bool failing() const { return failing_; }
-    const std::string& why() const { return journal_->last_error(); }
-    std::size_t bytes() const { return journal_->bytes(); }
+    const std::string& why() const { return segments_->last_error(); }
+    std::size_t bytes() const { return segments_->bytes(); }
     std::size_t restored() const { return restored_; }
     const storage::SegmentedLog::Found& found() const { return found_; }
 
   private:
     enum Type : std::uint32_t { kLayout = 1, kFrame = 2, kDone = 3 };
     struct Segment {
-        std::uint64_t first = 0, last = 0;   // frames; 0: none
+        std::uint64_t first = 0, last = 0;   // numbers of frames; 0: none
     };
     bool write_layout(const std::shared_ptr<const Layout>& layout);
     bool compact();
@@ -46,10 +48,10 @@
     storage::StateDirectory directory_;
     Sender& sender_;
     storage::SegmentedLog::Found found_;
-    std::unique_ptr<storage::SegmentedLog> journal_;
-    std::unordered_map<std::uint64_t, Segment> frames_of_;
-    std::shared_ptr<const Layout> layout_;   // the one that the newest segment knows
-    std::uint64_t written_ = 0, done_ = 0;   // frames below written_ lie in the folder
+    std::unique_ptr<storage::SegmentedLog> segments_;
+    std::unordered_map<std::uint64_t, Segment> segment_frames_;
+    std::shared_ptr<const Layout> layout_;   // the last one in the newest segment
+    std::uint64_t written_ = 0, done_ = 0;   // frames below written_ are stored
     std::size_t restored_ = 0;
     bool failing_ = false;
 };
--- a/src/remotewrite/driver.cpp
+++ b/src/remotewrite/driver.cpp
@@ -19,9 +19,9 @@
     return !text.empty() && fault == std::errc() && end == text.data() + text.size();
 }
 
-// s; a connection that waits longer for its next batch is ended: each that is open costs every wake-up of
-// the loop a look (550 instructions a request), a new one costs one dial an interval
-constexpr double kIdleMost = 2;
+// An idle connection is closed for a longer interval between batches: every open one is polled in each
+// iteration.
+constexpr double kMaxIdleS = 2;
 
 double unix_s() {
     return std::chrono::duration<double>(std::chrono::system_clock::now().time_since_epoch()).count();
@@ -29,10 +29,10 @@
 
 }   // namespace
 
-// One connection. An answer is known by its head: what follows of it is read only as far as it came along,
-// so that an answer without end, or one that trickles, costs nothing. The connection then is not kept.
-struct Driver::Link final : net::Protocol {
-    explicit Link(Driver& driver) : driver_(driver), parser_(http::Parser::Kind::response) {}
+// One connection. The head decides about an answer; its body is used only as far as it arrived with the
+// head, so that an endless or slow body costs nothing. Such a connection is not reused.
+struct Driver::Connection final : net::Protocol {
+    explicit Connection(Driver& driver) : driver_(driver), parser_(http::Parser::Kind::response) {}
 
     void write(const Batch& batch) {
         char length[48];
@@ -63,29 +63,29 @@
     }
 
     void on_open() override {
-        dialling = false;
+        connecting = false;
         if (pending) write(*std::exchange(pending, nullptr));
     }
     std::span<char> receive_buffer() override { return parser_.room(buffer_); }
     void on_bytes(std::size_t size) override {
         buffer_.commit(size);
-        if (!busy) return lose();   // nothing was asked
-        look(parser_.feed(buffer_));
+        if (!busy) return close();   // unsolicited
+        on_response(parser_.feed(buffer_));
     }
     void on_end(bool) override {
-        const bool was_busy = busy || dialling;
-        const char* what = dialling ? "no connection" : "the connection broke";
-        const auto keep = shared_from_this();
-        lose();
-        if (was_busy) driver_.ended({Answer::How::broke, 0, -1, -1}, what);
+        const bool was_busy = busy || connecting;
+        const char* what = connecting ? "no connection" : "the connection broke";
+        const auto self = shared_from_this();
+        close();
+        if (was_busy) driver_.on_answer({Answer::How::broke, 0, -1, -1}, what);
     }
 
-    void look(http::Step step) {
+    void on_response(http::Step step) {
         if (step == http::Step::more && !parser_.has_head()) return;
-        const auto keep = shared_from_this();
+        const auto self = shared_from_this();
         if (step == http::Step::bad || step == http::Step::head_too_large) {
-            lose();
-            return driver_.ended({Answer::How::broke, 0, -1, -1}, "an answer that can't be read");
+            close();
+            return driver_.on_answer({Answer::How::broke, 0, -1, -1}, "an answer that can't be read");
         }
         Answer answer;
         const http::Head& head = parser_.head();
@@ -106,14 +106,15 @@
         busy = false;
         parser_.reset();
         buffer_.clear();
-        if (!reusable) lose();
-        driver_.ended(answer, what);
+        if (!reusable) close();
+        driver_.on_answer(answer, what);
     }
-    void lose() {
+    void close() {
         stream.close();
-        busy = dialling = false;
+        busy = false;
+        connecting = false;
         pending = nullptr;
-        if (driver_.link_.get() == this) driver_.link_.reset();
+        if (driver_.connection_.get() == this) driver_.connection_.reset();
     }
 
     Driver& driver_;
@@ -121,7 +122,7 @@
     http::Parser parser_;
     http::Buffer buffer_;
     const Batch* pending = nullptr;
-    bool busy = false, dialling = false;
+    bool busy = false, connecting = false;
 };
 
 Driver::Driver(const Settings& settings, std::uint64_t seed, std::string version, net::Timers& timers,
@@ -131,8 +132,8 @@
       sender_(settings, seed),
       log_(log),
       timers_(timers),
-      timer_(timers, [this] { due(); }),
-      keep_timer_(timers, [this] { keep(); }) {
+      timer_(timers, [this] { on_timer(); }),
+      store_timer_(timers, [this] { store_frames(); }) {
     last_success_ = unix_s();
     configure(settings);
     if (settings.backlog_directory.empty()) return;
@@ -148,46 +149,46 @@
     if (found.cut_bytes > 0)
         log_.write(Log::Level::warning, now,
                    "remote write: %zu bytes of the backlog were cut off and are lost", found.cut_bytes);
-    keep();
+    store_frames();
 }
 
-// Brings the folder after the sender, a slice at a time.
-void Driver::keep() {
+// Stores new frames in the backlog, a few at a time.
+void Driver::store_frames() {
     if (!backlog_) return;
     const bool all = backlog_->follow();
     const bool failing = backlog_->failing();
-    if (failing && !told_failing_)
+    if (failing && !backlog_failure_logged_)
         log_.write(Log::Level::error, net::now(),
                    "remote write: the backlog's folder can't be written, samples wait in memory alone: %s",
                    backlog_->why().c_str());
-    if (!failing && told_failing_)
+    if (!failing && backlog_failure_logged_)
         log_.write(Log::Level::info, net::now(), "remote write: the backlog's folder is written again");
-    told_failing_ = failing;
-    if (!all && !failing) keep_timer_.arm(net::now());
+    backlog_failure_logged_ = failing;
+    if (!all && !failing) store_timer_.arm(net::now());
 }
 
 Driver::~Driver() {
-    if (link_) link_->stream.close();
+    if (connection_) connection_->stream.close();
 }
 
 void Driver::configure(const Settings& settings) {
     std::string why = read_url(settings.url, url_);
     const std::string authorization = remotewrite::authorization(settings, why);
     if (!why.empty()) throw std::runtime_error("remote_write: " + why);
-    const bool elsewhere = settings.url != settings_.url || authorization != authorization_;
+    const bool receiver_changed = settings.url != settings_.url || authorization != authorization_;
     settings_ = settings;
     authorization_ = authorization;
     address_ = net::parse_address(url_.host_port);
     sender_.configure(settings);
-    if (!elsewhere) return;
-    if (const auto link = link_) link->lose();
-    sender_.moved(net::now());
+    if (!receiver_changed) return;
+    if (const auto connection = connection_) connection->close();
+    sender_.on_receiver_changed(net::now());
     pump();
 }
 
 void Driver::add(Frame frame) {
     sender_.add(std::move(frame));
-    keep();
+    store_frames();
     pump();
 }
 
@@ -206,22 +207,22 @@
             log_.write(Log::Level::warning, now, "remote write: stopping with %zu frames not sent%s",
                        sender_.frames(),
                        backlog_ && !backlog_->failing() ? ", kept for the next start" : "");
-        if (link_) link_->lose();
+        if (connection_) connection_->close();
         backlog_.reset();
-        keep_timer_.disarm();
+        store_timer_.disarm();
         sender_.give_up();
         timer_.disarm();
         return std::exchange(done_, {})();
     }
     if (const Batch* batch = sender_.next(now)) {
-        until_ = now + settings_.timeout_s;
-        post(*batch);
+        batch_timeout_at_ = now + settings_.timeout_s;
+        send(*batch);
     }
     arm();
 }
 
 void Driver::arm() {
-    double at = sender_.out() ? until_ : sender_.wake_at();
+    double at = sender_.in_flight() ? batch_timeout_at_ : sender_.next_deadline();
     if (done_) at = std::min(at, finish_by_);
     if (std::isfinite(at))
         timer_.arm(at);
@@ -229,42 +230,44 @@
         timer_.disarm();
 }
 
-void Driver::post(const Batch& batch) {
-    if (link_ && link_->stream.readable()) link_->lose();   // the receiver has ended it meanwhile
-    if (link_) return link_->write(batch);
-    link_ = std::make_shared<Link>(*this);
-    const auto keep = link_;
-    link_->pending = &batch;
-    link_->dialling = true;
-    if (!keep->stream.dial(address_.get())) keep->on_end(false);
+void Driver::send(const Batch& batch) {
+    if (connection_ && connection_->stream.readable())
+        connection_->close();   // closed by the receiver meanwhile
+    if (connection_) return connection_->write(batch);
+    connection_ = std::make_shared<Connection>(*this);
+    const auto self = connection_;
+    connection_->pending = &batch;
+    connection_->connecting = true;
+    if (!self->stream.dial(address_.get())) self->on_end(false);
 }
 
-void Driver::due() {
-    if (sender_.out() && net::now() >= until_) {
-        if (const auto link = link_) link->lose();
-        return ended({Answer::How::timed_out, 0, -1, -1}, "no answer in time");
+void Driver::on_timer() {
+    if (sender_.in_flight() && net::now() >= batch_timeout_at_) {
+        if (const auto connection = connection_) connection->close();
+        return on_answer({Answer::How::timed_out, 0, -1, -1}, "no answer in time");
     }
     pump();
 }
 
-void Driver::ended(const Answer& answer, const std::string& what) {
+void Driver::on_answer(const Answer& answer, const std::string& what) {
     const double now = net::now();
-    const bool taken = answer.how == Answer::How::answered && answer.status / 100 == 2;
+    const bool accepted = answer.how == Answer::How::answered && answer.status / 100 == 2;
     const std::uint64_t rejected = sender_.tally().rejected;
-    sender_.ended(now, answer);
-    keep();
-    if (taken && sender_.empty() && settings_.interval_s > kIdleMost && link_) link_->lose();
-    if (taken) last_success_ = unix_s();
+    sender_.on_answer(now, answer);
+    store_frames();
+    if (accepted && sender_.empty() && settings_.interval_s > kMaxIdleS && connection_)
+        connection_->close();
+    if (accepted) last_success_ = unix_s();
     if (sender_.tally().rejected != rejected)
         log_.write(Log::Level::error, now, "remote write: %llu samples turned down: %s",
                    static_cast<unsigned long long>(sender_.tally().rejected - rejected), what.c_str());
-    else if (!taken && !std::exchange(failing_, true))
+    else if (!accepted && !std::exchange(failure_logged_, true))
         log_.write(Log::Level::warning, now, "remote write: %s; it is tried again", what.c_str());
-    else if (taken && std::exchange(failing_, false))
+    else if (accepted && std::exchange(failure_logged_, false))
         log_.write(Log::Level::info, now, "remote write: the receiver takes samples again, %zu frames wait",
                    sender_.frames());
-    // Not from here: carrying out the next batch may fail at once, and so on without end.
-    const double at = sender_.wake_at();
+    // The next batch is sent by the timer: sent from here it could fail at once, in an endless recursion.
+    const double at = sender_.next_deadline();
     if (done_)
         timer_.arm(std::min(at, std::min(finish_by_, sender_.empty() ? now : finish_by_)));
     else if (std::isfinite(at))
--- a/src/remotewrite/driver.hpp
+++ b/src/remotewrite/driver.hpp
@@ -1,4 +1,6 @@
-// Carries a Sender's batches to its receiver: one connection, one timer. Decides nothing of its own.
+// Sends the batches of a Sender to its receiver: one connection, one timer, HTTP/1.1. Decides nothing of
+// its own. Owns the sender and its backlog. Owned by telemetry::Telemetry and fleet_counters::Driver. Times
+// in s of net::now(). Seen in: the log lines "remote write: ...".
 #pragma once
 
 #include <functional>
@@ -15,31 +17,31 @@
 
 class Driver {
   public:
-    // `version` is the program's, for the User-Agent field. Throws std::runtime_error for settings that
-    // can't be used, which their checks have found before, and storage::Error for a backlog's folder.
+    /// `version`: of the program, for the User-Agent field. Throws std::runtime_error for settings that
+    /// can't be used, and storage::Error for the backlog's directory.
     Driver(const Settings& settings, std::uint64_t seed, std::string version, net::Timers& timers,
            Log& log);
     ~Driver();
 
-    // Takes new settings; what waits goes to the receiver that they name.
+    /// Applies new settings; waiting frames go to the receiver that they name.
     void configure(const Settings& settings);
     void add(Frame frame);
-    // Once all that waits has been taken, or after `most_s`, calls `done`. No more frames may come.
+    /// Calls `done` once all frames were sent, or after `most_s` (s). No frames may be added afterwards.
     void finish(double most_s, std::function<void()> done);
 
     Sender& sender() { return sender_; }
     const Sender& sender() const { return sender_; }
-    bool durable() const { return backlog_ != nullptr; }   // what waits outlives the process
+    bool durable() const { return backlog_ != nullptr; }   // waiting frames survive the process
     double last_success_unix_s() const { return last_success_; }
 
   private:
-    struct Link;
+    struct Connection;
     void pump();
-    void post(const Batch& batch);
-    void ended(const Answer& answer, const std::string& what);
-    void due();
+    void send(const Batch& batch);
+    void on_answer(const Answer& answer, const std::string& what);
+    void on_timer();
     void arm();
-    void keep();
+    void store_frames();
 
     Settings settings_;
     Url url_;
@@ -48,14 +50,14 @@
     net::Address address_;
     Sender sender_;
     std::unique_ptr<Backlog> backlog_;
-    bool told_failing_ = false;
+    bool backlog_failure_logged_ = false;
     Log& log_;
     net::Timers& timers_;
-    net::Timer timer_, keep_timer_;
-    std::shared_ptr<Link> link_;
-    double until_ = 0;   // of the batch that is out
+    net::Timer timer_, store_timer_;
+    std::shared_ptr<Connection> connection_;
+    double batch_timeout_at_ = 0;   // s; timeout of the batch in flight
     double last_success_ = 0;
-    bool failing_ = false;   // the log has told that the receiver takes nothing
+    bool failure_logged_ = false;   // logged that the receiver rejects batches
     std::function<void()> done_;
     double finish_by_ = 0;
 };
--- a/src/remotewrite/encode.cpp
+++ b/src/remotewrite/encode.cpp
@@ -17,7 +17,7 @@
 
 using google::protobuf::Arena;
 
-std::string valid(const std::string& text) {
+std::string valid_utf8(const std::string& text) {
     const std::unique_ptr<char, decltype(&g_free)> made(
         g_utf8_make_valid(text.data(), static_cast<gssize>(text.size())), &g_free);
     return made.get();
@@ -48,11 +48,11 @@
         }
         if (one.family == family) continue;
         family = one.family;
-        auto& about = *request.add_metadata();
-        about.set_type(static_cast<int>(one.type));
-        about.set_metric_family_name(one.family);
-        about.set_help(one.help);
-        about.set_unit(one.unit);
+        auto& metadata = *request.add_metadata();
+        metadata.set_type(static_cast<int>(one.type));
+        metadata.set_metric_family_name(one.family);
+        metadata.set_help(one.help);
+        metadata.set_unit(one.unit);
     }
 }
 
@@ -71,10 +71,10 @@
             series.add_labels_refs(symbol(name));
             series.add_labels_refs(symbol(value));
         }
-        auto& about = *series.mutable_metadata();
-        about.set_type(static_cast<int>(one.type));
-        about.set_help_ref(symbol(one.help));
-        about.set_unit_ref(symbol(one.unit));
+        auto& metadata = *series.mutable_metadata();
+        metadata.set_type(static_cast<int>(one.type));
+        metadata.set_help_ref(symbol(one.help));
+        metadata.set_unit_ref(symbol(one.unit));
         if (one.type != Layout::Type::gauge) series.set_created_timestamp(layout.created_ms);
     }
 }
@@ -89,21 +89,21 @@
             own.push_back(one);
     own.emplace_back("__name__", std::move(name));
     std::erase_if(own, [](const auto& one) { return one.second.empty(); });
-    for (auto& [label, value] : own) value = valid(value);
+    for (auto& [label, value] : own) value = valid_utf8(value);
     std::sort(own.begin(), own.end());
     series.push_back({std::move(own), type, std::move(family), std::move(help), std::move(unit)});
 }
 
 double stale_marker() { return std::bit_cast<double>(std::uint64_t{0x7ff0000000000002}); }
 
-struct Encoder::Kept {
+struct Encoder::Cache {
     Arena arena;
     std::shared_ptr<const Layout> layout;
     std::size_t first = 0, last = 0;
     Protocol protocol = Protocol::v2;
     v1::WriteRequest* one = nullptr;
     v2::Request* two = nullptr;
-    std::string plain;
+    std::string uncompressed;
 };
 
 Encoder::Encoder() = default;
@@ -114,31 +114,31 @@
 std::string Encoder::encode(std::span<const Frame* const> frames, std::size_t first, std::size_t last,
                             Protocol protocol) {
     const auto& layout = frames[0]->layout;
-    if (!kept_ || kept_->layout != layout || kept_->first != first || kept_->last != last ||
-        kept_->protocol != protocol) {
-        kept_ = std::make_unique<Kept>();
-        kept_->layout = layout;
-        kept_->first = first;
-        kept_->last = last;
-        kept_->protocol = protocol;
+    if (!cache_ || cache_->layout != layout || cache_->first != first || cache_->last != last ||
+        cache_->protocol != protocol) {
+        cache_ = std::make_unique<Cache>();
+        cache_->layout = layout;
+        cache_->first = first;
+        cache_->last = last;
+        cache_->protocol = protocol;
         if (protocol == Protocol::v1) {
-            kept_->one = Arena::CreateMessage<v1::WriteRequest>(&kept_->arena);
-            put_series(*kept_->one, *layout, first, last);
+            cache_->one = Arena::CreateMessage<v1::WriteRequest>(&cache_->arena);
+            put_series(*cache_->one, *layout, first, last);
         } else {
-            kept_->two = Arena::CreateMessage<v2::Request>(&kept_->arena);
-            put_series(*kept_->two, *layout, first, last);
+            cache_->two = Arena::CreateMessage<v2::Request>(&cache_->arena);
+            put_series(*cache_->two, *layout, first, last);
         }
     }
-    if (kept_->one) {
-        put_samples(*kept_->one, frames, first);
-        kept_->one->SerializeToString(&kept_->plain);
+    if (cache_->one) {
+        put_samples(*cache_->one, frames, first);
+        cache_->one->SerializeToString(&cache_->uncompressed);
     } else {
-        put_samples(*kept_->two, frames, first);
-        kept_->two->SerializeToString(&kept_->plain);
+        put_samples(*cache_->two, frames, first);
+        cache_->two->SerializeToString(&cache_->uncompressed);
     }
-    std::string packed;
-    snappy::Compress(kept_->plain.data(), kept_->plain.size(), &packed);
-    return packed;
+    std::string compressed;
+    snappy::Compress(cache_->uncompressed.data(), cache_->uncompressed.size(), &compressed);
+    return compressed;
 }
 
 std::string encode(std::span<const Frame* const> frames, std::size_t first, std::size_t last,
--- a/src/remotewrite/sender.cpp
+++ b/src/remotewrite/sender.cpp
@@ -6,33 +6,39 @@
 
 namespace slatejunction::remotewrite {
 namespace {
-constexpr double kJitter = 0.3;   // of a wait, to either side: ingresses must not come back in step
+constexpr double kJitter =
+    0.3;   // fraction of a wait, to either side: desynchronises the retries of ingresses
+constexpr int kMaxDoublings = 16;   // of the backoff
 constexpr double kNever = std::numeric_limits<double>::infinity();
 }   // namespace
 
 Sender::Sender(const Settings& settings, std::uint64_t seed)
-    : wanted_(settings.as()), protocol_(settings.as()), random_(seed) {
+    : configured_protocol_(settings.as()), protocol_(settings.as()), random_(seed) {
     configure(settings);
 }
 
 void Sender::configure(const Settings& settings) {
     limit_ = static_cast<std::size_t>(settings.backlog_mb) * 1024 * 1024;
     batch_samples_ = static_cast<std::size_t>(settings.batch_samples);
-    pace_ = static_cast<double>(settings.catch_up_samples_per_s);
-    if (settings.as() != wanted_) wanted_ = protocol_ = settings.as();
-    fit();
+    catch_up_samples_per_s_ = static_cast<double>(settings.catch_up_samples_per_s);
+    if (settings.as() != configured_protocol_) {
+        configured_protocol_ = settings.as();
+        protocol_ = configured_protocol_;
+    }
+    enforce_limit();
 }
 
-// splitmix64, as in the module: the same on every platform.
-double Sender::unit() {
-    std::uint64_t z = (random_ += 0x9e3779b97f4a7c15ULL);
+// splitmix64 in [0, 1): the same on every platform.
+double Sender::uniform() {
+    random_ += 0x9e3779b97f4a7c15ULL;
+    std::uint64_t z = random_;
     z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9ULL;
     z = (z ^ (z >> 27)) * 0x94d049bb133111ebULL;
     return static_cast<double>((z ^ (z >> 31)) >> 11) * 0x1.0p-53;
 }
 
-void Sender::take(Frame frame) {
-    // The last frame of a layout ends its series: nothing later could stand for it.
+void Sender::insert(Frame frame) {
+    // The last frame of a layout ends its series: it must not be thinned.
     if (!frames_.empty() && frames_.rbegin()->second.layout != frame.layout) {
         Frame& last = frames_.rbegin()->second;
         last.keep = true;
@@ -43,63 +49,67 @@
     if (!frame.keep) levels_[static_cast<std::size_t>(frame.level)].insert(frame.number);
     const std::uint64_t number = frame.number;
     frames_.insert_or_assign(frames_.end(), number, std::move(frame));
-    fit();
+    enforce_limit();
 }
 
 void Sender::restore(Frame frame) {
     next_number_ = std::max(next_number_, frame.number + 1);
-    take(std::move(frame));
+    insert(std::move(frame));
 }
 
 void Sender::add(Frame frame) {
     frame.number = next_number_++;
-    take(std::move(frame));
-    if (wake_at_ == kNever) wake_at_ = 0;
+    insert(std::move(frame));
+    if (next_deadline_ == kNever) next_deadline_ = 0;
 }
 
-void Sender::drop(std::map<std::uint64_t, Frame>::iterator at) {
+void Sender::erase_frame(std::map<std::uint64_t, Frame>::iterator at) {
     const Frame& frame = at->second;
     bytes_ -= frame.bytes();
     levels_[static_cast<std::size_t>(frame.level)].erase(frame.number);
     frames_.erase(at);
 }
 
-// Guards the memory of an ingress whose receiver is gone. What was given to a batch is not touched: the
-// same bytes have to be sent again. Each step takes one frame, so that a full backlog costs each new frame
-// no more than a few of them.
-void Sender::fit() {
-    while (bytes_ > limit_ && thin()) {
+// Keeps waiting frames within the limit while the receiver is away. Frames of the batch are not touched.
+// Each step removes one frame, so that a full backlog costs each new frame only a few steps.
+void Sender::enforce_limit() {
+    while (bytes_ > limit_ && thin_one()) {
     }
     while (bytes_ > limit_) {
         const auto oldest = frames_.lower_bound(batch_end_);
         if (oldest == frames_.end() || std::next(oldest) == frames_.end()) return;
-        const bool begun = oldest == frames_.begin() && offset_ > 0;
-        tally_.backlog_full += oldest->second.values.size() - (begun ? offset_ : 0);
-        if (begun) offset_ = 0;
-        drop(oldest);
+        const bool partly_sent = oldest == frames_.begin() && first_unsent_series_ > 0;
+        tally_.backlog_full += oldest->second.values.size() - (partly_sent ? first_unsent_series_ : 0);
+        if (partly_sent) first_unsent_series_ = 0;
+        erase_frame(oldest);
     }
 }
 
-// Of the level that most frames have, the oldest frame goes and the one after it stands for both. The
-// levels so come to hold equally many: the older, the coarser, with all of the time still covered. The
-// newest frame, ends of series and what a batch has begun with stay.
-bool Sender::thin() {
-    std::size_t best = kThinMost, most = 1;
-    const std::uint64_t from = std::max(batch_end_, offset_ > 0 ? frames_.begin()->first + 1 : 0);
+// Removes the oldest frame of the largest level; the frame after it then covers both intervals and rises a
+// level. The levels converge to equal sizes: the older, the coarser, with all of the time covered. The
+// newest frame, ends of series and frames of the batch stay. Returns whether a frame was removed.
+bool Sender::thin_one() {
+    std::size_t best = kThinMost;
+    std::size_t most = 1;
+    const std::uint64_t from =
+        std::max(batch_end_, first_unsent_series_ > 0 ? frames_.begin()->first + 1 : 0);
     for (std::size_t level = 0; level < kThinMost; ++level)
-        if (levels_[level].size() > most) best = level, most = levels_[level].size();
+        if (levels_[level].size() > most) {
+            best = level;
+            most = levels_[level].size();
+        }
     if (best == kThinMost) return false;
     auto& numbers = levels_[best];
     const auto first = numbers.lower_bound(from);
     if (first == numbers.end() || std::next(first) == numbers.end()) return false;
-    const std::uint64_t stands = *std::next(first);
-    if (stands == frames_.rbegin()->first) return false;
-    const auto gone = frames_.find(*first);
-    tally_.thinned += gone->second.values.size();
-    drop(gone);
-    numbers.erase(stands);
-    ++frames_.at(stands).level;
-    levels_[best + 1].insert(stands);
+    const std::uint64_t successor = *std::next(first);
+    if (successor == frames_.rbegin()->first) return false;
+    const auto removed = frames_.find(*first);
+    tally_.thinned += removed->second.values.size();
+    erase_frame(removed);
+    numbers.erase(successor);
+    ++frames_.at(successor).level;
+    levels_[best + 1].insert(successor);
     return true;
 }
 
@@ -107,8 +117,8 @@
     const Frame& first = frames_.begin()->second;
     const std::size_t width = first.values.size();
     std::vector<const Frame*> rows{&first};
-    batch_last_ = std::min(width, offset_ + batch_samples_);
-    if (offset_ == 0 && batch_last_ == width)
+    batch_last_ = std::min(width, first_unsent_series_ + batch_samples_);
+    if (first_unsent_series_ == 0 && batch_last_ == width)
         for (auto at = std::next(frames_.begin());
              at != frames_.end() && at->second.layout == first.layout &&
              (rows.size() + 1) * width <= batch_samples_;
@@ -117,31 +127,32 @@
     batch_end_ = rows.back()->number + 1;
     batch_.emplace();
     batch_->protocol = protocol_;
-    batch_->samples = rows.size() * (batch_last_ - offset_);
-    batch_->body = encoder_.encode(rows, offset_, batch_last_, protocol_);
+    batch_->samples = rows.size() * (batch_last_ - first_unsent_series_);
+    batch_->body = encoder_.encode(rows, first_unsent_series_, batch_last_, protocol_);
 }
 
 const Batch* Sender::next(double now) {
-    if (out_ || now < wake_at_) return nullptr;
+    if (in_flight_ || now < next_deadline_) return nullptr;
     if (!batch_) {
         if (frames_.empty()) {
-            wake_at_ = kNever;
+            next_deadline_ = kNever;
             return nullptr;
         }
         make_batch();
     }
-    out_ = true;
-    if (++batch_->tries > 1) tally_.retried += batch_->samples;
-    wake_at_ = kNever;
+    in_flight_ = true;
+    ++batch_->tries;
+    if (batch_->tries > 1) tally_.retried += batch_->samples;
+    next_deadline_ = kNever;
     return &*batch_;
 }
 
 void Sender::finish_batch() {
     if (batch_last_ < frames_.begin()->second.values.size()) {
-        offset_ = batch_last_;
+        first_unsent_series_ = batch_last_;
     } else {
-        offset_ = 0;
-        while (!frames_.empty() && frames_.begin()->first < batch_end_) drop(frames_.begin());
+        first_unsent_series_ = 0;
+        while (!frames_.empty() && frames_.begin()->first < batch_end_) erase_frame(frames_.begin());
     }
     drop_batch();
 }
@@ -151,13 +162,13 @@
     batch_end_ = 0;
 }
 
-void Sender::ended(double now, const Answer& answer) {
-    if (!out_ || !batch_) return;
-    out_ = false;
+void Sender::on_answer(double now, const Answer& answer) {
+    if (!in_flight_ || !batch_) return;
+    in_flight_ = false;
     const std::size_t samples = batch_->samples;
     const bool answered = answer.how == Answer::How::answered;
     if (answered && answer.status / 100 == 2) {
-        // A receiver may write a part and say so; the rest was turned down and won't be taken later either.
+        // A 2.0 receiver may write a part; the rest was rejected and would be again.
         const std::uint64_t written =
             answer.written < 0
                 ? samples
@@ -167,14 +178,15 @@
         ++tally_.taken;
         failures_ = 0;
         finish_batch();
-        wake_at_ = frames_.empty() ? kNever : now + static_cast<double>(samples) / pace_;
+        next_deadline_ =
+            frames_.empty() ? kNever : now + static_cast<double>(samples) / catch_up_samples_per_s_;
         return;
     }
     if (answered && answer.status == 415 && batch_->protocol == Protocol::v2) {
         ++tally_.fallen_back;
         protocol_ = Protocol::v1;
         drop_batch();
-        wake_at_ = now;
+        next_deadline_ = now;
         return;
     }
     if (answered && answer.status != 429 && answer.status / 100 == 4) {
@@ -182,33 +194,37 @@
         tally_.rejected += samples;
         failures_ = 0;
         finish_batch();
-        wake_at_ = frames_.empty() ? kNever : now + static_cast<double>(samples) / pace_;
+        next_deadline_ =
+            frames_.empty() ? kNever : now + static_cast<double>(samples) / catch_up_samples_per_s_;
         return;
     }
     ++(answered ? tally_.put_off : answer.how == Answer::How::broke ? tally_.broken : tally_.timed_out);
-    const double backoff = std::min(kBackoffMost, kBackoffFirst * std::exp2(std::min(failures_++, 16)));
-    const double jittered = backoff * (1 - kJitter + 2 * kJitter * unit());
-    wake_at_ = now + std::max(jittered, std::min(answer.retry_after_s, kRetryAfterMost));
-    fit();
+    const double backoff =
+        std::min(kBackoffMost, kBackoffFirst * std::exp2(std::min(failures_, kMaxDoublings)));
+    ++failures_;
+    const double jittered = backoff * (1 - kJitter + 2 * kJitter * uniform());
+    next_deadline_ = now + std::max(jittered, std::min(answer.retry_after_s, kRetryAfterMost));
+    enforce_limit();
 }
 
-void Sender::moved(double now) {
-    out_ = false;
+void Sender::on_receiver_changed(double now) {
+    in_flight_ = false;
     failures_ = 0;
-    protocol_ = wanted_;
+    protocol_ = configured_protocol_;
     if (batch_ && batch_->protocol != protocol_) drop_batch();
-    wake_at_ = frames_.empty() ? kNever : now;
+    next_deadline_ = frames_.empty() ? kNever : now;
 }
 
 void Sender::give_up() {
     for (const auto& [number, frame] : frames_) tally_.stopped += frame.values.size();
-    tally_.stopped -= offset_;
+    tally_.stopped -= first_unsent_series_;
     frames_.clear();
     for (auto& level : levels_) level.clear();
-    bytes_ = offset_ = 0;
-    out_ = false;
+    bytes_ = 0;
+    first_unsent_series_ = 0;
+    in_flight_ = false;
     drop_batch();
-    wake_at_ = kNever;
+    next_deadline_ = kNever;
 }
 
 }   // namespace slatejunction::remotewrite
--- a/src/remotewrite/settings.hpp
+++ b/src/remotewrite/settings.hpp
@@ -1,4 +1,4 @@
-// The operator's [remote_write] section.
+// The operator's [remote_write] section. Times in s.
 #pragma once
 
 #include <string>
@@ -25,15 +25,16 @@
     ini::Section section();
 };
 
-// A receiver's address: http://HOST:PORT/PATH, HOST a number of IPv4 or [IPv6] (no names are looked up).
+/// The address of a receiver: http://HOST:PORT/PATH, HOST an IPv4 or [IPv6] address (names are not
+/// resolved).
 struct Url {
     std::string host_port, path;
 };
-// Why it is none, or empty.
+/// Returns the fault; empty: none.
 std::string read_url(const std::string& text, Url& url);
 
-// The value of the Authorization field, from the files that the settings name. Empty when they name none.
-// `why` says what is wrong with a file.
+/// The value of the Authorization field, from the files of the settings; empty without one. `why` receives
+/// the fault of a file.
 std::string authorization(const Settings& settings, std::string& why);
 
 }   // namespace slatejunction::remotewrite
--- a/tests/remotewrite/backlog_test.cpp
+++ b/tests/remotewrite/backlog_test.cpp
@@ -68,7 +68,7 @@
                 }
                 now += 1;
                 if (random() % 4 == 0 && sender.next(now))
-                    sender.ended(now, {Answer::How::answered, random() % 3 ? 204 : 500, -1, -1});
+                    sender.on_answer(now, {Answer::How::answered, random() % 3 ? 204 : 500, -1, -1});
                 while (!backlog.follow()) REQUIRE_FALSE(backlog.failing());
             }
             waiting = times_of(sender);   // the process ends here, without a word
@@ -118,7 +118,7 @@
     double now = 0;
     while (!sender.empty()) {
         REQUIRE(sender.next(now));
-        sender.ended(now, {Answer::How::answered, 204, -1, -1});
+        sender.on_answer(now, {Answer::How::answered, 204, -1, -1});
         now += 10;
         while (!backlog.follow()) REQUIRE_FALSE(backlog.failing());
     }
--- a/tests/remotewrite/sender_test.cpp
+++ b/tests/remotewrite/sender_test.cpp
@@ -128,18 +128,18 @@
     for (int i = 0; i < 12; ++i) {
         sender.add(frame_of(layout, 2 + i, 1));
         CHECK(sender.next(now) == nullptr);   // one at a time
-        sender.ended(now, {i % 2 ? Answer::How::broke : Answer::How::timed_out, 0, -1, -1});
-        const double wait = sender.wake_at() - now;
+        sender.on_answer(now, {i % 2 ? Answer::How::broke : Answer::How::timed_out, 0, -1, -1});
+        const double wait = sender.next_deadline() - now;
         CHECK(wait >= 0.7 * std::min(30.0, 0.5 * std::exp2(i)) - 1e-9);
         CHECK(wait <= 1.3 * std::min(30.0, 0.5 * std::exp2(i)) + 1e-9);
         CHECK(sender.next(now + 0.99 * wait) == nullptr);
         before = now;
-        now = sender.wake_at();
+        now = sender.next_deadline();
         REQUIRE(sender.next(now));
         CHECK(sender.next(now) == nullptr);
         CHECK(before < now);
     }
-    sender.ended(now, status(204));
+    sender.on_answer(now, status(204));
     CHECK(sender.tally().retried == 12 * 4);
     CHECK(sender.tally().sent == 4);
     CHECK(body == [&] {
@@ -154,22 +154,22 @@
     const auto layout = layout_of(4);
     for (int i = 1; i <= 8; ++i) sender.add(frame_of(layout, i, 1));
     REQUIRE(sender.next(0)->samples == 8);   // two rows of four fit ten
-    sender.ended(0, status(429, 7));
-    CHECK(sender.wake_at() == 7);
+    sender.on_answer(0, status(429, 7));
+    CHECK(sender.next_deadline() == 7);
     REQUIRE(sender.next(7));
-    sender.ended(7, status(503, 1e9));
-    CHECK(sender.wake_at() == 7 + Sender::kRetryAfterMost);
-    double now = sender.wake_at();
+    sender.on_answer(7, status(503, 1e9));
+    CHECK(sender.next_deadline() == 7 + Sender::kRetryAfterMost);
+    double now = sender.next_deadline();
     REQUIRE(sender.next(now)->protocol == Protocol::v2);
-    sender.ended(now, status(415));
+    sender.on_answer(now, status(415));
     const Batch* batch = sender.next(now);
     REQUIRE(batch);
     CHECK(batch->protocol == Protocol::v1);
-    sender.ended(now, status(400));
+    sender.on_answer(now, status(400));
     CHECK(sender.tally().rejected == 8);
-    now = sender.wake_at();
+    now = sender.next_deadline();
     REQUIRE(sender.next(now));
-    sender.ended(now, {Answer::How::answered, 200, -1, 5});
+    sender.on_answer(now, {Answer::How::answered, 200, -1, 5});
     CHECK(sender.tally().rejected == 11);
     CHECK(sender.tally().sent == 5);
     CHECK(sender.frames() == 4);
@@ -186,8 +186,8 @@
     double now = 0;
     while (!sender.empty()) {
         REQUIRE(sender.next(now));
-        sender.ended(now, status(204));
-        if (!sender.empty()) now = sender.wake_at();
+        sender.on_answer(now, status(204));
+        if (!sender.empty()) now = sender.next_deadline();
     }
     CHECK(now == Approx(500 / 100.0).margin(0.11));
 }
@@ -207,8 +207,8 @@
         REQUIRE(batch);
         sizes.push_back(batch->samples);
         receiver.take(request_of(*batch));
-        sender.ended(now, status(204));
-        now = std::min(sender.wake_at(), 1e6);
+        sender.on_answer(now, status(204));
+        now = std::min(sender.next_deadline(), 1e6);
     }
     CHECK(sizes == std::vector<std::size_t>{3, 3, 2, 3, 3, 2});
     CHECK(receiver.breaches() == std::vector<std::string>{});
@@ -284,28 +284,28 @@
                 sender.add(frame_of(layout, at += 1 + random() % 500, value += random() % 9));
                 offered += layout->series.size();
             }
-            if (!healed && random() % 200 == 0) sender.moved(now);
+            if (!healed && random() % 200 == 0) sender.on_receiver_changed(now);
             const Batch* batch = sender.next(now);
             if (!batch) continue;
             switch (healed ? 0 : random() % 8) {
                 case 1:
-                    sender.ended(now, {Answer::How::broke, 0, -1, -1});
+                    sender.on_answer(now, {Answer::How::broke, 0, -1, -1});
                     break;
                 case 2:
                     receiver.take(request_of(*batch));   // taken, and its answer lost
-                    sender.ended(now, {Answer::How::timed_out, 0, -1, -1});
+                    sender.on_answer(now, {Answer::How::timed_out, 0, -1, -1});
                     break;
                 case 3:
-                    sender.ended(now, status(500));
+                    sender.on_answer(now, status(500));
                     break;
                 case 4:
-                    sender.ended(now, status(429, random() % 3));
+                    sender.on_answer(now, status(429, random() % 3));
                     break;
                 default: {
                     const auto verdict = receiver.take(request_of(*batch));
-                    sender.ended(now,
-                                 {Answer::How::answered, verdict.status, -1,
-                                  verdict.status == 204 ? static_cast<std::int64_t>(verdict.samples) : -1});
+                    sender.on_answer(
+                        now, {Answer::How::answered, verdict.status, -1,
+                              verdict.status == 204 ? static_cast<std::int64_t>(verdict.samples) : -1});
                 }
             }
         }
@@ -314,7 +314,7 @@
             const Batch* batch = sender.next(now);
             if (!batch) continue;
             const auto verdict = receiver.take(request_of(*batch));
-            sender.ended(now, status(verdict.status));
+            sender.on_answer(now, status(verdict.status));
         }
         REQUIRE(sender.empty());
         REQUIRE(receiver.breaches() == std::vector<std::string>{});
@@ -335,8 +335,8 @@
         Sender sender(small(), seed);
         sender.add(frame_of(layout_of(1), 1, 1));
         sender.next(0);
-        sender.ended(0, status(500));
-        return sender.wake_at();
+        sender.on_answer(0, status(500));
+        return sender.next_deadline();
     };
     CHECK(wait(1) == wait(1));
     CHECK(wait(1) != wait(2));
--- a/tests/state/generate_state.cpp
+++ b/tests/state/generate_state.cpp
@@ -212,7 +212,7 @@
         };
         frame(1'700'000'001'000, first, {1, 2}, 0, false);
         REQUIRE(sender.next(0));   // answered: of this one only its number is left
-        sender.ended(0, {remotewrite::Answer::How::answered, 204, -1, -1});
+        sender.on_answer(0, {remotewrite::Answer::How::answered, 204, -1, -1});
         frame(1'700'000'002'000, first, {3, -0.0}, 0, true);
         frame(1'700'000'003'000, first, {0.1, std::numeric_limits<double>::infinity()}, 3, false);
         frame(1'700'000'004'000, first, {remotewrite::stale_marker(), 5e-324}, 0, false);
--- a/tests/state/state.hpp
+++ b/tests/state/state.hpp
@@ -81,7 +81,7 @@
         REQUIRE(batch);
         all.emplace_back();
         REQUIRE(snappy::Uncompress(batch->body.data(), batch->body.size(), &all.back()));
-        sender.ended(now, {remotewrite::Answer::How::answered, 204, -1, -1});
+        sender.on_answer(now, {remotewrite::Answer::How::answered, 204, -1, -1});
     }
     return all;
 }
