--- a/src/app/fleet_component_admin.cpp
+++ b/src/app/fleet_component_admin.cpp
@@ -11,7 +11,7 @@
 namespace slatejunction::app {
 namespace {
 
-using lease::boot_s;
+using lease::boot_clock_s;
 using Json = rapidjson::Writer<rapidjson::StringBuffer>;
 
 void text(Json& json, const char* key, const std::string& value) {
@@ -54,15 +54,15 @@
             reply({404, "no leases here"});
         } else {
             const bool good = leases_->has_quorum(
-                boot_s(), kQuorumGrantLifetimes * options_.lease.times.grant_duration_s);
+                boot_clock_s(), kQuorumGrantLifetimes * options_.lease.times.grant_duration_s);
             reply({good ? 200 : 503, good ? "quorum" : "no quorum"});
         }
         return true;
     }
-    if (!leases_ || options_.lease.drains == 0 || departed_) return false;
+    if (!leases_ || options_.lease.max_draining == 0 || departed_) return false;
     if (call.kind == What::drain) {
         draining_ = true;
-        leases_->campaign(boot_s(), drain_lease_name(), static_cast<unsigned>(options_.lease.drains));
+        leases_->campaign(boot_clock_s(), drain_lease_name(), static_cast<unsigned>(options_.lease.max_draining));
         pump();
         if (drained_) return false;   // the ingress answers
         reply({202, "waits for a slot"});
@@ -71,20 +71,20 @@
     if (call.kind == What::activate && draining_) {
         draining_ = false;
         drained_ = false;
-        leases_->release(boot_s(), drain_lease_name());
+        leases_->release(boot_clock_s(), drain_lease_name());
         pump();
     }
     return false;
 }
 
 void FleetComponent::describe_leases(rapidjson::Writer<rapidjson::StringBuffer>& json) const {
-    const double boot = boot_s();
+    const double boot = boot_clock_s();
     json.Key("step");
     json.Uint(leases_->settings().acceptors.epoch);
     json.Key("quorum");
     json.Bool(leases_->has_quorum(boot, kQuorumGrantLifetimes * options_.lease.times.grant_duration_s));
     const lease::Acceptor* const acceptor = leases_->acceptor();
-    text(json, "voting", !acceptor ? "no" : acceptor->may_vote(boot) ? "yes" : "waits");
+    text(json, "voting", !acceptor ? "no" : acceptor->is_voting(boot) ? "yes" : "waits");
     json.Key("leases");
     json.StartArray();
     for (const lease::LeaseStatus& one : leases_->statuses()) {
@@ -99,7 +99,7 @@
         json.Key("number");
         json.Uint64(one.fencing_token);
         json.Key("left_s");
-        json.Double(held ? one.until - boot : 0);
+        json.Double(held ? one.valid_until - boot : 0);
         json.EndObject();
     }
     json.EndArray();
@@ -115,9 +115,9 @@
     json.Key("stale_s");
     json.Double(members.staleness_s());
     json.Key("waits_for_name");
-    json.Bool(members.waits_for_name());
+    json.Bool(members.awaiting_name());
     json.Key("health");
-    json.Int(members.health());
+    json.Int(members.local_health_score());
     json.Key("members");
     json.StartArray();
     for (const membership::Member& one : members.list()) {
@@ -126,22 +126,22 @@
         text(json, "site", one.site);
         text(json, "address", one.address);
         text(json, "version", one.version);
-        text(json, "state", membership::kStates[static_cast<int>(one.state)]);
+        text(json, "state", membership::kMemberStateNames[static_cast<int>(one.state)]);
         json.Key("incarnation");
         json.Uint(one.incarnation);
         json.Key("since_s");
-        json.Double(now - one.since);
+        json.Double(now - one.state_since);
         json.Key("disputed");
-        json.Bool(one.disputed);
+        json.Bool(one.name_conflict);
         json.EndObject();
     }
     json.EndArray();
     // Datagrams dropped before they were read, by reason.
     json.Key("dropped");
     json.StartObject();
-    for (std::size_t i = 2; i < membership::kOpened.size(); ++i) {
-        json.Key(membership::kOpened[i].data());
-        json.Uint64(peers_.seal().counts()[i]);
+    for (std::size_t i = 2; i < membership::kOpenResultNames.size(); ++i) {
+        json.Key(membership::kOpenResultNames[i].data());
+        json.Uint64(peers_.auth().counts()[i]);
     }
     json.EndObject();
     if (leases_) describe_leases(json);
--- a/src/app/fleet_component_measures.cpp
+++ b/src/app/fleet_component_measures.cpp
@@ -7,7 +7,7 @@
 
 namespace slatejunction::app {
 
-using lease::boot_s;
+using lease::boot_clock_s;
 
 // Adds what a counter grew by since the last call.
 void FleetComponent::add_increase(metrics::Measures& m, metrics::Id id, std::uint64_t now,
@@ -25,24 +25,24 @@
     double disputed = 0;
     for (const membership::Member& one : peers_.members().list()) {
         ++states[static_cast<std::size_t>(one.state)];
-        disputed += one.disputed;
+        disputed += one.name_conflict;
     }
     for (std::size_t i = 0; i < states.size(); ++i) set(Id::peers_members, states[i], i);
     set(Id::peers_disputed, disputed);
-    const membership::TrafficCounts& tally = peers_.members().tally();
+    const membership::TrafficCounts& tally = peers_.members().traffic();
     add_increase(m, Id::peers_sent, tally.sent);
     add_increase(m, Id::peers_sent_bytes, tally.sent_bytes);
     constexpr std::size_t kRead = 2;   // kinds of opened datagrams that are read
-    for (std::size_t i = kRead; i < membership::kOpened.size(); ++i)
-        add_increase(m, Id::peers_dropped, peers_.seal().counts()[i], i - kRead);
-    add_increase(m, Id::peers_dropped, tally.held_back, metrics::kNotRead.size() - 1);
+    for (std::size_t i = kRead; i < membership::kOpenResultNames.size(); ++i)
+        add_increase(m, Id::peers_dropped, peers_.auth().counts()[i], i - kRead);
+    add_increase(m, Id::peers_dropped, tally.rate_limited, metrics::kNotRead.size() - 1);
     if (leases_) count_leases(m);
 }
 
 void FleetComponent::count_leases(metrics::Measures& m) {
     using metrics::Id;
     const auto set = [&](Id id, double value, std::size_t label = 0) { m.set(id, value, label); };
-    const double now = boot_s();
+    const double now = boot_clock_s();
     double held = 0;
     for (const lease::LeaseStatus& one : leases_->statuses())
         held += one.state == lease::Candidate::State::held;
@@ -58,10 +58,10 @@
         add_increase(m, Id::lease_acts, holder_webhook_->failed(), 2);
     }
     if (!fleet_counters_) return;
-    add_increase(m, Id::sums_rows, fleet_counters_->rows());
-    add_increase(m, Id::sums_skipped, fleet_counters_->aggregator().skipped());
+    add_increase(m, Id::sums_rows, fleet_counters_->delivered_rows());
+    add_increase(m, Id::sums_skipped, fleet_counters_->aggregator().skipped_periods());
     add_increase(m, Id::sums_left_out, fleet_counters_->reporter().dropped_requests());
-    set(Id::sums_behind, static_cast<double>(fleet_counters_->behind()));
+    set(Id::sums_behind, static_cast<double>(fleet_counters_->periods_behind()));
 }
 
 }   // namespace slatejunction::app
--- a/src/app/rules_component.cpp
+++ b/src/app/rules_component.cpp
@@ -181,13 +181,13 @@
         if (at == shape_.limits.size()) continue;
         const rules::Limiter& limiter = rules_->limiter(i);
         m.set(Id::limit_keys, static_cast<double>(limiter.keys()), at);
-        add_increase(Id::limit_forgotten, at, limiter.forgotten());
-        add_increase(Id::limit_passed, at, limiter.untracked());
+        add_increase(Id::limit_forgotten, at, limiter.lossy_evictions());
+        add_increase(Id::limit_passed, at, limiter.untracked_requests());
     }
     for (std::size_t i = 0; i < settings.subsets.size(); ++i)
         if (const std::size_t at = place(shape_.subsets, settings.subsets[i].name);
             at < shape_.subsets.size())
-            m.set(Id::subset_providers, static_cast<double>(endpoint_subsets_.ready(i)), at);
+            m.set(Id::subset_providers, static_cast<double>(endpoint_subsets_.serving_count(i)), at);
 }
 
 }   // namespace slatejunction::app
