--- a/src/app/fleet_component.cpp
+++ b/src/app/fleet_component.cpp
@@ -262,7 +262,8 @@
         holds.push_back({one.lease(), one.holder(), one.round(), one.number(), one.until(), one.since()});
         if (one.lease().starts_with(drain_lease_name()) && !leases_->campaigning(drain_lease_name())) {
             draining_ = drained_ = true;
-            leases_->campaign(boot_clock_s(), drain_lease_name(), static_cast<unsigned>(options_.lease.max_draining));
+            leases_->campaign(boot_clock_s(), drain_lease_name(),
+                              static_cast<unsigned>(options_.lease.max_draining));
         }
     }
     if (all.has_voter()) leases_->restore_acceptor(boot_clock_s(), lease::decode(all.voter()));
--- a/src/app/fleet_component_admin.cpp
+++ b/src/app/fleet_component_admin.cpp
@@ -62,7 +62,8 @@
     if (!leases_ || options_.lease.max_draining == 0 || departed_) return false;
     if (call.kind == What::drain) {
         draining_ = true;
-        leases_->campaign(boot_clock_s(), drain_lease_name(), static_cast<unsigned>(options_.lease.max_draining));
+        leases_->campaign(boot_clock_s(), drain_lease_name(),
+                          static_cast<unsigned>(options_.lease.max_draining));
         pump();
         if (drained_) return false;   // the ingress answers
         reply({202, "waits for a slot"});
--- a/src/app/fleet_rate_limit_component.cpp
+++ b/src/app/fleet_rate_limit_component.cpp
@@ -27,8 +27,8 @@
             "healthy, %.1f more while answers are late or lost, %.1f one ingress cut off, %.1f a key's "
             "owner "
             "lost, and %.1f for each restart",
-            one.name.c_str(), all, one.rate, one.burst, b.healthy, b.late_replies, b.partition, b.owner_lost,
-            b.per_restart);
+            one.name.c_str(), all, one.rate, one.burst, b.healthy, b.late_replies, b.partition,
+            b.owner_lost, b.per_restart);
         lines.emplace_back(text);
     }
     return lines;
--- a/src/net/datagrams.hpp
+++ b/src/net/datagrams.hpp
@@ -1,8 +1,8 @@
 // A UDP socket on the loop.
 //
 // Input: an address, datagrams to send. Output: a callback for each datagram, kMaxReadsPerWakeup at most in
-// one round of the loop, so that a flood does not starve other sources. Owned by the transports of membership
-// and rollout. Longer datagrams than the buffer are cut.
+// one round of the loop, so that a flood does not starve other sources. Owned by the transports of
+// membership and rollout. Longer datagrams than the buffer are cut.
 #pragma once
 
 #include <sys/socket.h>
--- a/tests/lifecycle/graceful_shutdown_test.cpp
+++ b/tests/lifecycle/graceful_shutdown_test.cpp
@@ -283,7 +283,8 @@
         REQUIRE(all.back().act == Act::end);
         REQUIRE(all.size() <= 4);
         if (all.size() == 4) REQUIRE(all[2].act == Act::answer_open_requests);
-        // The components have kComponentStopS then; less only where deadlines are shorter than the handshakes' time.
+        // The components have kComponentStopS then; less only where deadlines are shorter than the
+        // handshakes' time.
         const double least = op::close_after_s(deadline) + op::kHandshakeDrainS + op::kForcedAnswersS;
         const double bound = std::max(op::stop_bound_s(deadline) - op::kComponentStopS, least);
         REQUIRE(bound <= op::stop_bound_s(deadline) + 1e-9);
