--- a/src/gateway/admission_controller.hpp
+++ b/src/gateway/admission_controller.hpp
@@ -1,6 +1,6 @@
 // Rule: the fraction of requests admitted to a subset follows a PI loop that holds the mean latency of
-// finished attempts at a reference (design page; Amani et al., Load-Adaptive Controller, section V.B,
-// equation 10).
+// finished attempts at a reference (Amani et al., "Application of Control Theory to a Commercial Mobile
+// Service Support System", Load-Adaptive Controller, section V.B, equation 10).
 // Inputs: latency ratios (latency over the class's latency objective, so that one loop serves all classes);
 // times in seconds; each request's priority over the mean one's.
 // Output: the admitted fraction, 0.05 to 1, and whether one request is admitted under it.
--- a/src/gateway/concurrency_limit.hpp
+++ b/src/gateway/concurrency_limit.hpp
@@ -1,5 +1,5 @@
 // Rule: a request is rejected while the attempts in flight to its subset, over the rate of answers, promise
-// a latency above kMaxExpectedLatencyRatio (Little's law; the paper's equation 7).
+// a latency above kMaxExpectedLatencyRatio (Little's law).
 // Inputs: attempts in flight and their classes' latency objectives (s); times of answers (s); backends per
 // ingress; the request's priority over the mean one's, which lengthens or shortens the wait that is
 // allowed.
--- a/src/gateway/outlier_detection.hpp
+++ b/src/gateway/outlier_detection.hpp
@@ -3,7 +3,7 @@
 // Inputs: results of attempts; silence of a backend (seconds, against mean latency and latency objective);
 // times in seconds. A kind of request is a number for its class and plan.
 // Output: estimates of failure and rejection (0 to 1), whether a backend is an outlier, whether failures
-// are fleet-wide: then they are load or an outage, and nothing is cancelled or avoided for them.
+// are fleet-wide: then they are load or an outage, and nothing is cancelled or hedged for them.
 // It never takes a backend out for good: estimates decay toward the fleet's and an ejected backend serves
 // again.
 // Seen in: log line "refused: ...; suspect servers N".
--- a/src/gateway/quota_estimator.hpp
+++ b/src/gateway/quota_estimator.hpp
@@ -1,5 +1,5 @@
 // Rule: a request of a customer over its quota is admitted with the probability that brings the customer's
-// use at all ingresses down to the plan's rate (design page, pass shares).
+// use at all ingresses down to the plan's rate.
 // Inputs: Plan::rate (units/s) and burst (units); a request's units; meter readings (1 + percent of the
 // rate used in the last metered period, over all ingresses); the customer's ingress count; priority
 // weights.
@@ -8,11 +8,11 @@
 // their use.
 // Seen in: RejectReason::quota (measure slatejunction_refusals_total), log line "refused: share N ...".
 //
-// The design page multiplies the probability by 100 / used, once a period. With few requests of a customer
-// here a reading is rare, so readings are weighed as counts: a Gamma-Poisson estimate with a weak prior.
-// They fill and drain an estimate of the customer's one fleet-wide bucket. Requests forwarded here stand in
-// only for the time that is not metered yet. What was metered decays, as meters may repeat themselves or
-// fall silent.
+// The textbook form multiplies the probability by 100 / used once a metered period. With few requests of a
+// customer here a reading is rare, so readings are weighed as counts: a Gamma-Poisson estimate with a weak
+// prior. They fill and drain an estimate of the customer's one fleet-wide bucket. Requests forwarded here
+// stand in only for the time that is not metered yet. What was metered decays, as meters may repeat
+// themselves or fall silent.
 #pragma once
 
 #include <cstdint>
--- a/src/gateway/retry_policy.hpp
+++ b/src/gateway/retry_policy.hpp
@@ -1,13 +1,12 @@
 // Rule: a request that may have run is attempted again only if its class is idempotent, or has an
 // idempotency key and the attempt can begin within its window; each retry or hedged request takes one of
-// the retry budget.
-// Inputs: a request's class and attempts; Settings::max_attempts, hedging_allowed, cancellation_allowed,
-// max_retry_after_s; results of attempts; times in seconds.
-// Output: whether a further attempt may start, and until when; what to do about an overdue attempt; whether
-// a request without an answer is rejected or failed; the retry-after of rejections.
-// It never lets a request that may have run, and may not be repeated, run again, nor calls it free of
-// effects.
-// Seen in: RejectReason::attempts_exhausted (measure slatejunction_refusals_total), FailRequest;
+// the retry budget. Never after a time-out, once answered or streaming; beside an attempt in flight only as
+// a hedged request. Inputs: a request's class and attempts; Settings::max_attempts, hedging_allowed,
+// cancellation_allowed, max_retry_after_s; results of attempts; times in seconds. Output: whether a further
+// attempt may start, and until when; what to do about an overdue attempt; whether a request without an
+// answer is rejected or failed; the retry-after of rejections. It never lets a request that may have run,
+// and may not be repeated, run again, nor calls it free of effects. Seen in:
+// RejectReason::attempts_exhausted (measure slatejunction_refusals_total), FailRequest;
 // slatejunction_attempts_total counts attempts by result.
 #pragma once
 
--- a/src/gateway/slow_start.hpp
+++ b/src/gateway/slow_start.hpp
@@ -1,12 +1,10 @@
-// Rule: while a backend warms up, it gets of its even part of the traffic, over all ingresses together, no
-// more than its capacity by then allows (rule 4 of the operators: overload_multiple, overload_window_s).
-// Inputs: when it started (s, clock of the events; 0: long ago), Settings::slow_start_min_capacity (part of
-// full capacity), slow_start_window_s, overload_multiple, overload_window_s; attempts and answers of the
-// fleet.
-// Output: its capacity (0.01 to 1) and the probability with which it may be chosen.
-// It never depends on messages or on a count of ingresses: each ingress limits its own part by chance, so
-// that the sum holds for any number of them.
-// Seen in: nothing of its own; the backends' own counts of requests show the ramp.
+// Rule: while a backend warms up, all ingresses together send it no more of its even part of the traffic
+// than its present capacity allows (settings overload_multiple, overload_window_s). Inputs: when it started
+// (s, clock of the events; 0: long ago), Settings::slow_start_min_capacity (part of full capacity),
+// slow_start_window_s, overload_multiple, overload_window_s; attempts and answers of the fleet. Output: its
+// capacity (0.01 to 1) and the probability with which it may be chosen. It never depends on messages or on
+// a count of ingresses: each ingress limits its own part by chance, so that the sum holds for any number of
+// them. Seen in: nothing of its own; the backends' own counts of requests show the ramp.
 #pragma once
 
 #include <algorithm>
--- a/src/ingress/ingress.hpp
+++ b/src/ingress/ingress.hpp
@@ -1,7 +1,7 @@
-// One ingress process: puts its parts together, starts, reloads and stops them.
+// One ingress process: puts its subsystems together, starts, reloads and stops them.
 //
 // Input: the configuration, operators' calls, the other process of a hot restart, signals (by stop() and
-// reload()). Its parts: RequestDispatcher (requests, gateway, backends), EndpointUpdates (discovery),
+// reload()). Its subsystems: RequestDispatcher (requests, gateway, backends), EndpointUpdates (discovery),
 // client::Server, admin::Server, RestartChannel, GracefulShutdown. It takes no decision about a request or
 // a backend.
 //
--- a/src/lease/candidate.hpp
+++ b/src/lease/candidate.hpp
@@ -27,7 +27,7 @@
 
 namespace slatejunction::lease {
 
-/// Who votes. While the set changes a majority of both sets is required (lease.md, "Change of voters").
+/// The acceptors. During a reconfiguration a majority of both sets is required (docs/design/fleet.md).
 struct AcceptorSet {
     std::vector<std::string> current;
     std::vector<std::string> previous;   ///< of the epoch before, while the set changes; else empty
--- a/src/lifecycle/graceful_shutdown.hpp
+++ b/src/lifecycle/graceful_shutdown.hpp
@@ -7,11 +7,11 @@
 //
 // After SIGTERM it serves as long as requests arrive, and ends within stop_bound_s():
 //   at once                       serves all that comes, each answer closes its connection
-//   GracefulShutdown::kIdleGraceS closes idle connections; goes on as soon as only health checks come
-//   close_after_s()               lets no new handshake begin; kHandshakeDrainS later listens no more
-//   force_after_s()               answers all that is open; kForcedAnswersS later closes every connection
-//   stop_bound_s()                the other components have ended, for which they had kComponentStopS; exit
-//   kKillMarginS later            the earliest SIGKILL
+//   GracefulShutdown::kIdleGraceS closes idle connections; takes the next step early if nothing but health
+//   checks arrives close_after_s()               lets no new handshake begin; kHandshakeDrainS later
+//   listens no more force_after_s()               answers all that is open; kForcedAnswersS later closes
+//   every connection stop_bound_s()                the other components have ended, for which they had
+//   kComponentStopS; exit kKillMarginS later            the earliest SIGKILL
 #pragma once
 
 #include <cstddef>
@@ -21,14 +21,14 @@
 
 namespace slatejunction::lifecycle {
 
-/// What the platform does (PROTOCOL, "Figures"): SIGKILL comes no earlier after SIGTERM than the longest
+/// What the platform promises: SIGKILL comes no earlier after SIGTERM than the longest
 /// deadline plus kKillDelayS, where a deadline that is longer or not known counts as kMaxCountedDeadlineS.
 /// New connections come for up to kLateConnectionsS after SIGTERM.
 inline constexpr double kMaxCountedDeadlineS = 3.0;
 inline constexpr double kKillDelayS = 0.7;
 inline constexpr double kLateConnectionsS = 0.4;
 /// The longest time for which the process may be kept from running between reading its clock and acting
-/// (STANDING, "Beyond this bench").
+/// on the platform.
 inline constexpr double kMaxSchedulingDelayS = 0.15;
 /// Between the end of the process and the earliest SIGKILL.
 inline constexpr double kKillMarginS = 0.2;
--- a/src/membership/gossip_transport.hpp
+++ b/src/membership/gossip_transport.hpp
@@ -27,8 +27,8 @@
 enum class Channel : std::uint32_t {
     lease = 1,
     rate_limits = 2,
-    verdicts = 3,
-    sites = 4,
+    verdicts = 3,   // reserved
+    sites = 4,      // reserved
     registers = 5,
     fleet_counters = 6,
     counter_incarnation = 7,
--- a/src/quota/counter_incarnation.hpp
+++ b/src/quota/counter_incarnation.hpp
@@ -1,4 +1,5 @@
-// Agreement of the fleet on how often each part of the shared counter has lost its state (its epoch).
+// Agreement of the fleet on how often each part of the shared counter has lost its state (its incarnation,
+// called epoch here and in its messages).
 //
 // Rule: an ingress that finds the fleet's own name on a part lower than before, or its own check gone,
 // reports a suspected loss to the leader (src/lease); the leader reads the name itself and, if it was
@@ -9,7 +10,8 @@
 // Reason: one ingress's finding counts at all of them at once, and an ingress with a wrong check empties
 // nobody's buckets but its own. Epochs come by messages alone, so a call that is carried out twice does
 // no harm.
-// Where to see it: the event sentinel_seen and the log line of a lost state (driver.cpp).
+// Where to see it: the event sentinel_seen ("sentinel" is the earlier word for this module) and the log
+// line of a lost state (driver.cpp).
 //
 // A state machine without I/O or clock, owned and called by Driver. An ingress that receives no messages
 // relies on its own check.
--- a/src/quota/counter_protocol.hpp
+++ b/src/quota/counter_protocol.hpp
@@ -3,7 +3,7 @@
 // Output: bytes to send, and replies in the order of the calls, which are pipelined. Driver owns one for
 // each connection.
 //
-// HTTP (PROTOCOL, section "The counter"): POST /counters/NAME?by=AMOUNT&expire_ms=LIFE; 200 with the
+// HTTP, as the platform's counter speaks it: POST /counters/NAME?by=AMOUNT&expire_ms=LIFE; 200 with the
 // total, 503, 400 and 404 add nothing. RESP, version 2 of the protocol that Redis-compatible servers
 // speak (its public definition): MULTI, SET NAME 0 PX LIFE NX, INCRBYFLOAT NAME AMOUNT, EXEC. The
 // transaction is carried out whole or not at all; an error in place of its replies means that nothing was
--- a/src/quota/driver.hpp
+++ b/src/quota/driver.hpp
@@ -1,6 +1,6 @@
 // Carries SharedQuota's and CounterIncarnation's calls to the counter and the replies back: one connection
 // for each part, one timer. Logs when a part becomes unreachable, answers again, or has lost its state.
-// Decides nothing; owned by app::QuotaPart.
+// Decides nothing; owned by app::QuotaComponent.
 #pragma once
 
 #include <functional>
--- a/src/rules/bucket_storage.hpp
+++ b/src/rules/bucket_storage.hpp
@@ -5,7 +5,8 @@
 // Output: the segmented log "limits".
 // Error bound: after a crash a bucket is at most kSnapshotPeriodS old (older where a limit has over a
 // million keys), so a key may be granted again at most its rate times that and what the bucket held then.
-// Where to see it: the log lines "limits: ...". Owned by app::RulesPart; owns one timer and the log file.
+// Where to see it: the log lines "limits: ...". Owned by app::RulesComponent; owns one timer and the log
+// file.
 #pragma once
 
 #include <functional>
--- a/src/rules/endpoint_subsets.hpp
+++ b/src/rules/endpoint_subsets.hpp
@@ -5,7 +5,7 @@
 // serving endpoints match; else the subset has none.
 // Inputs: endpoint updates, the rules in force, the time (s; for provider.age_s).
 // Output: the update, with endpoints added whose subsets have changed with it.
-// Where to see it: the measure of serving endpoints by subset. Owned by app::RulesPart.
+// Where to see it: the measure of serving endpoints by subset. Owned by app::RulesComponent.
 #pragma once
 
 #include <cstdint>
--- a/src/rules/rules.hpp
+++ b/src/rules/rules.hpp
@@ -9,7 +9,7 @@
 // Output: RequestVerdict, subsets as bits.
 // Where to see it: counts() (measures by rule), the tags in the request log.
 //
-// No I/O, no clock. Owned by app::RulesPart, which is its only caller; verdicts may outlive it.
+// No I/O, no clock. Owned by app::RulesComponent, which is its only caller; verdicts may outlive it.
 #pragma once
 
 #include <functional>
@@ -32,8 +32,8 @@
 
 namespace slatejunction::rules {
 
-/// Limits that hold over the whole fleet; app::LimitsPart keeps them by src/fleet_rate_limit. A limit is
-/// identified by Rules::fleet_limit_id().
+/// Limits that hold over the whole fleet; app::FleetRateLimitComponent keeps them by src/fleet_rate_limit.
+/// A limit is identified by Rules::fleet_limit_id().
 class FleetRateLimits {
   public:
     virtual ~FleetRateLimits() = default;
