--- a/tests/installed_package/consumer.cpp
+++ b/tests/installed_package/consumer.cpp
@@ -7,8 +7,8 @@
 
 int main() {
     sj::Settings settings;
-    settings.balancers = 1;
-    settings.attempts_cap = 1;
+    settings.ingress_count = 1;
+    settings.max_attempts = 1;
     settings.classes.push_back({"read", 1.0, 2.0});
     sj::Gateway gateway(settings, 7);
     std::vector<sj::Action> actions;
@@ -16,21 +16,23 @@
     gateway.handle(0.0, sj::Start{}, actions);
     const auto* timer = actions.empty() ? nullptr : std::get_if<sj::SetTimer>(&actions[0]);
     if (!timer) return std::puts("no timer was set"), 1;
-    gateway.handle(0.0, sj::ListUpdate{sj::ListKind::total, {{sj::ServerState::in, "a:1", "", "", 1}}},
+    gateway.handle(0.0,
+                   sj::EndpointUpdate{sj::EndpointUpdateKind::snapshot,
+                                      {{sj::EndpointState::serving, "a:1", "", "", 1}}},
                    actions);
 
     actions.clear();
     gateway.handle(0.01, sj::Request{"r1", "read", "", 1, 5, 2.0, 1}, actions);
-    const auto* send = actions.empty() ? nullptr : std::get_if<sj::Send>(&actions[0]);
-    if (!send || send->server != "a:1") return std::puts("the request was not sent"), 1;
+    const auto* send = actions.empty() ? nullptr : std::get_if<sj::StartAttempt>(&actions[0]);
+    if (!send || send->backend != "a:1") return std::puts("the request was not sent"), 1;
 
-    gateway.handle(timer->due_s, sj::TimerDue{timer->tag}, actions);
-    sj::AttemptEnd end;
+    gateway.handle(timer->fire_at_s, sj::TimerFired{timer->tag}, actions);
+    sj::AttemptEnded end;
     end.id = "r1";
-    end.took_s = 0.1;
-    end.ended = true;
+    end.duration_s = 0.1;
+    end.request_ended = true;
     gateway.handle(0.11, end, actions);
-    if (gateway.open() != 0) return std::puts("the request is still open"), 1;
+    if (gateway.open_requests() != 0) return std::puts("the request is still open"), 1;
     std::puts("1 passed, 0 failed");
     return 0;
 }
