--- a/bench/rollout-model.cpp
+++ b/bench/rollout-model.cpp
@@ -16,14 +16,15 @@
         const auto result = rollout_world::World(plan, seed).run();
         all.messages += result.messages, all.committed += result.committed;
         all.versions += result.versions, all.reverts += result.reverts;
-        all.holders += result.holders, all.snapshots += result.snapshots;
-        all.kills += result.kills, all.lost_disks += result.lost_disks, all.admitted += result.admitted;
-        all.worst = std::max(all.worst, result.worst);
+        all.leader_changes += result.leader_changes, all.snapshots += result.snapshots;
+        all.kills += result.kills, all.lost_disks += result.lost_disks,
+            all.admitted_learners += result.admitted_learners;
+        all.worst_bound_fraction = std::max(all.worst_bound_fraction, result.worst_bound_fraction);
         bounded += plan.bound_s > 0;
-        if (result.breach.empty()) continue;
+        if (result.violation.empty()) continue;
         ++breaches;
         std::printf("breach: seed %llu, %s\n", static_cast<unsigned long long>(seed),
-                    result.breach.c_str());
+                    result.violation.c_str());
         std::fflush(stdout);
     }
     const auto count = [](std::uint64_t value) { return static_cast<unsigned long long>(value); };
@@ -32,7 +33,7 @@
         "holders, %llu kills, %llu disks lost, %llu replicas admitted again, %llu snapshots; the worst of "
         "%llu runs with a bound took %.2f of it; %llu breaches\n",
         count(runs), count(all.messages), count(all.committed), count(all.versions), count(all.reverts),
-        count(all.holders), count(all.kills), count(all.lost_disks), count(all.admitted),
-        count(all.snapshots), count(bounded), all.worst, count(breaches));
+        count(all.leader_changes), count(all.kills), count(all.lost_disks), count(all.admitted_learners),
+        count(all.snapshots), count(bounded), all.worst_bound_fraction, count(breaches));
     return breaches > 0;
 }
--- a/src/app/rollout_component.cpp
+++ b/src/app/rollout_component.cpp
@@ -173,7 +173,7 @@
 
 void RolloutComponent::on_reloaded() {
     overlay_fault_.clear();
-    driver_.recheck();
+    driver_.revalidate();
 }
 
 bool RolloutComponent::on_call(const admin::AdminCall& call,
--- a/src/rollout/driver.cpp
+++ b/src/rollout/driver.cpp
@@ -144,9 +144,9 @@
     pump();
 }
 
-void Driver::recheck() {
+void Driver::revalidate() {
     if (!follower_ || stopped_) return;
-    follower_->recheck(net::now());
+    follower_->revalidate(net::now());
     pump();
 }
 
--- a/src/rollout/driver.hpp
+++ b/src/rollout/driver.hpp
@@ -85,7 +85,7 @@
     void on_replica_message(const std::string& from, std::string_view body);
     void on_leadership_change(bool on);
     /// What the validator depends on has changed.
-    void recheck();
+    void revalidate();
     /// `answer` is called once, after at most kProposeTimeoutS.
     void propose(const std::string& key, const std::optional<std::string>& value,
                  std::function<void(const ProposeResult&)> answer);
@@ -101,7 +101,7 @@
     /// s from the proposal of the latest change known to be active everywhere until that was known; 0:
     /// none.
     double last_propagation_s() const { return last_propagation_s_; }
-    const std::string& disk_fault() const;
+    const std::string& disk_error() const;
     std::uint64_t event_count(LeaderEvent::Kind what) const {
         return event_counts_[static_cast<std::size_t>(what)];
     }
--- a/src/rollout/driver_reporting.cpp
+++ b/src/rollout/driver_reporting.cpp
@@ -143,7 +143,7 @@
     log_.event(event, fields);
 }
 
-const std::string& Driver::disk_fault() const {
+const std::string& Driver::disk_error() const {
     return storage_->follower_ ? storage_->follower_->file().last_error()
                                : storage_->replica_->last_error();
 }
@@ -155,7 +155,7 @@
     if (failed)
         log_.write(Logger::Level::error, net::now(),
                    "rollout: the state directory can't be written, this process stays at what it has: %s",
-                   disk_fault().c_str());
+                   disk_error().c_str());
     else
         log_.write(Logger::Level::info, net::now(), "rollout: the state directory is written again");
     log_.event(failed ? "disk_failed" : "disk_written", {});
--- a/src/rollout/file_storage.cpp
+++ b/src/rollout/file_storage.cpp
@@ -26,7 +26,7 @@
 }
 
 Record read(const kept::Record& from) {
-    return {from.number(), from.term(),  static_cast<Kind>(from.kind()),
+    return {from.number(), from.term(),  static_cast<RecordKind>(from.kind()),
             from.key(),    from.value(), from.reverts()};
 }
 
--- a/src/rollout/follower.cpp
+++ b/src/rollout/follower.cpp
@@ -204,7 +204,7 @@
         if (next && (pending_full() || one.term < log_.last_term())) return pending_full();
         if (next && !log_.push(one)) return false;
         counts_.records += next;
-        version = after(version, one);
+        version = next_version(version, one);
         if (conflicts()) return false;
     }
     return true;
--- a/src/rollout/follower.hpp
+++ b/src/rollout/follower.hpp
@@ -97,7 +97,7 @@
     std::vector<OutgoingMessage> take_outgoing() { return std::exchange(outgoing_, {}); }
     std::vector<Activation> take_activations() { return std::exchange(activations_, {}); }
     /// What the validator depends on has changed: retries what was refused.
-    void recheck(double now);
+    void revalidate(double now);
     /// Of a relay: the report of its children, sent with each pull.
     void set_subtree(const Report& report) { subtree_report_ = report; }
     /// Pulls at once, so that the parent learns of a change in the subtree.
--- a/src/rollout/follower_activation.cpp
+++ b/src/rollout/follower_activation.cpp
@@ -60,7 +60,7 @@
         const std::size_t middle = (good + bad) / 2;
         Changes changes = changes_up_to(stops[middle]);
         const std::string fault = apply_and_validate(changes);
-        exchange(state_, changes);
+        apply_with_undo(state_, changes);
         if (fault.empty()) {
             best = stops[middle];
             good = middle + 1;
@@ -101,7 +101,8 @@
     for (std::uint64_t at = active_version_.number + 1; at < number; ++at) {
         const Record& one = log_.record(at);
         const std::uint64_t by = log_.reverted_by(at);
-        const bool in_effect = one.kind != Kind::none && one.reverts == 0 && (by == 0 || by > number);
+        const bool in_effect =
+            one.kind != RecordKind::no_op && one.reverts == 0 && (by == 0 || by > number);
         if (in_effect) latest[one.key] = at;
     }
     std::set<std::uint64_t> suspects;
@@ -109,10 +110,10 @@
     Changes candidate;
     for (const std::uint64_t at : suspects) {
         const Record& one = log_.record(at);
-        candidate[one.key] = one.kind == Kind::put ? std::optional(one.value) : std::nullopt;
+        candidate[one.key] = one.kind == RecordKind::put ? std::optional(one.value) : std::nullopt;
         Changes changes = candidate;
         const std::string fault = apply_and_validate(changes);
-        exchange(state_, changes);
+        apply_with_undo(state_, changes);
         if (fault.empty()) continue;
         why = fault;
         return at;
@@ -124,8 +125,8 @@
     Changes changes;
     for (std::uint64_t at = active_version_.number + 1; at <= number; ++at) {
         const Record& one = log_.record(at);
-        if (one.kind == Kind::put) changes[one.key] = one.value;
-        if (one.kind == Kind::erase) changes[one.key].reset();
+        if (one.kind == RecordKind::put) changes[one.key] = one.value;
+        if (one.kind == RecordKind::erase) changes[one.key].reset();
     }
     std::erase_if(changes, [&](const auto& change) {
         const auto old = state_.find(change.first);
@@ -138,7 +139,7 @@
 std::string Follower::apply_and_validate(Changes& changes) {
     ++counts_.validations;
     const Changes made = changes;
-    exchange(state_, changes);
+    apply_with_undo(state_, changes);
     return made.empty() ? std::string() : validator_(state_, made);
 }
 
@@ -147,7 +148,7 @@
     Changes undo = changes;
     why = apply_and_validate(undo);
     if (!why.empty()) {
-        exchange(state_, undo);
+        apply_with_undo(state_, undo);
         return ActivationResult::refused;
     }
     std::vector<Record> records;
@@ -156,7 +157,7 @@
     disk_failed_ = !storage_.append(records);
     if (disk_failed_) {
         ++counts_.disk_failures;
-        exchange(state_, undo);
+        apply_with_undo(state_, undo);
         schedule_pull(now);
         return ActivationResult::disk_failed;
     }
@@ -203,7 +204,7 @@
     const std::string why = apply_and_validate(undo);
     Log log(snapshot->version, snapshot->term, std::move(snapshot->state));
     if (!why.empty()) {
-        exchange(state_, undo);
+        apply_with_undo(state_, undo);
         snapshot_refused_ = true;
         refusal_reason_ = why;
         ++counts_.snapshots_refused;
@@ -214,7 +215,7 @@
     disk_failed_ = !storage_.replace(log);
     if (disk_failed_) {
         ++counts_.disk_failures;
-        exchange(state_, undo);
+        apply_with_undo(state_, undo);
         snapshot_not_before_ = now + settings_.disk_retry_s;
         schedule_pull(now);
         return;
@@ -228,7 +229,7 @@
     schedule_pull(now);
 }
 
-void Follower::recheck(double now) {
+void Follower::revalidate(double now) {
     refused_at_log_end_ = 0;
     snapshot_not_before_ = -kNever;
     try_activate(now);
--- a/src/rollout/leader.cpp
+++ b/src/rollout/leader.cpp
@@ -52,7 +52,7 @@
         return {0, ProposeError::too_large};
     if (log_.last().number - commit_index_ >= settings_.max_uncommitted)
         return {0, ProposeError::backlog_full};
-    const Kind kind = value ? Kind::put : Kind::erase;
+    const RecordKind kind = value ? RecordKind::put : RecordKind::erase;
     append_record(now, {0, 0, kind, key, value.value_or(std::string()), 0});
     return {log_.last().number, ProposeError::none};
 }
--- a/src/rollout/leader_recovery.cpp
+++ b/src/rollout/leader_recovery.cpp
@@ -47,7 +47,7 @@
 // this lease) makes it begin a round above it. Returns whether either happened.
 bool Leader::superseded_by(double now, std::uint64_t promised) {
     if (promised <= term_) return false;
-    if (fencing_of(promised) > fencing_token_) {
+    if (fencing_token_of(promised) > fencing_token_) {
         fence();
         return true;
     }
@@ -164,7 +164,7 @@
     }
     Version version = message.previous;
     for (const Record& record : message.records) {
-        version = after(version, record);
+        version = next_version(version, record);
         if (log_.contains(version)) continue;
         log_.truncate(record.number - 1);
         log_.push(record);
@@ -206,7 +206,7 @@
     events_.push_back({LeaderEvent::Kind::ready, commit_index_, {}, {}});
     // Adopted records of older terms are committed by a record of this term (Raft, 5.4.2).
     if (log_.last().number > commit_index_)
-        append_record(now, {0, 0, Kind::none, {}, {}, 0});
+        append_record(now, {0, 0, RecordKind::no_op, {}, {}, 0});
     else
         replicate_all(now);
     advance_staging(now);
--- a/src/rollout/log.cpp
+++ b/src/rollout/log.cpp
@@ -11,7 +11,7 @@
 bool Log::push(const Record& record) {
     const Version previous = last();
     if (record.number != previous.number + 1 || !valid(record) || record.term < last_term()) return false;
-    entries_.push_back({std::make_shared<const Record>(record), after(previous, record)});
+    entries_.push_back({std::make_shared<const Record>(record), next_version(previous, record)});
     if (record.reverts != 0) reverts_.emplace(record.reverts, record.number);
     bytes_ += size_of(record);
     return true;
@@ -57,19 +57,19 @@
 std::optional<Record> Log::revert_of(std::uint64_t number) const {
     if (number <= base_.number || number > last().number || reverted_by(number) != 0) return {};
     const Record& refused = record(number);
-    if (refused.kind == Kind::none || refused.reverts != 0) return {};
+    if (refused.kind == RecordKind::no_op || refused.reverts != 0) return {};
     Record made;
     made.key = refused.key;
     made.reverts = number;
     const auto with = [&](const std::string* value) {
-        made.kind = value ? Kind::put : Kind::erase;
+        made.kind = value ? RecordKind::put : RecordKind::erase;
         made.value = value ? *value : std::string();
         return made;
     };
     for (auto at = entries_.rbegin(); at != entries_.rend(); ++at) {
         const Record& one = *at->record;
-        if (one.key != refused.key || one.number == number || one.kind == Kind::none) continue;
-        const std::string* value = one.kind == Kind::put ? &one.value : nullptr;
+        if (one.key != refused.key || one.number == number || one.kind == RecordKind::no_op) continue;
+        const std::string* value = one.kind == RecordKind::put ? &one.value : nullptr;
         if (one.reverts == 0 && reverted_by(one.number) == 0) return with(value);
         // This one reverts a record in the base, whose state still contains it: the value before that is
         // known from this revert only, and only if the refused record came after it.
--- a/src/rollout/message.cpp
+++ b/src/rollout/message.cpp
@@ -155,7 +155,7 @@
 bool read(const wire::Record& in, Record& out) {
     out.number = in.number();
     out.term = in.term();
-    out.kind = static_cast<Kind>(in.kind());
+    out.kind = static_cast<RecordKind>(in.kind());
     out.key = in.key();
     out.value = in.value();
     out.reverts = in.reverts();
--- a/src/rollout/record.cpp
+++ b/src/rollout/record.cpp
@@ -16,7 +16,7 @@
 }   // namespace
 
 // The bytes under a chain, independent of any message format. They never change.
-Version after(const Version& previous, const Record& record) {
+Version next_version(const Version& previous, const Record& record) {
     std::string bytes;
     bytes.reserve(6 * sizeof(std::uint64_t) + record.key.size() + record.value.size());
     append_number(bytes, record.number);
@@ -32,22 +32,22 @@
     if (record.number == 0 || record.reverts >= record.number) return false;
     if (record.key.size() > kMaxKeyBytes || record.value.size() > kMaxValueBytes) return false;
     switch (record.kind) {
-        case Kind::put:
+        case RecordKind::put:
             return !record.key.empty();
-        case Kind::erase:
+        case RecordKind::erase:
             return !record.key.empty() && record.value.empty();
-        case Kind::none:
+        case RecordKind::no_op:
             return record.key.empty() && record.value.empty() && record.reverts == 0;
     }
     return false;
 }
 
 void apply(State& state, const Record& record) {
-    if (record.kind == Kind::put) state[record.key] = record.value;
-    if (record.kind == Kind::erase) state.erase(record.key);
+    if (record.kind == RecordKind::put) state[record.key] = record.value;
+    if (record.kind == RecordKind::erase) state.erase(record.key);
 }
 
-void exchange(State& state, Changes& changes) {
+void apply_with_undo(State& state, Changes& changes) {
     for (auto& [key, value] : changes) {
         const auto at = state.find(key);
         std::optional<std::string> old;
--- a/src/rollout/record.hpp
+++ b/src/rollout/record.hpp
@@ -25,12 +25,12 @@
 inline std::uint64_t term_of(std::uint64_t fencing, std::uint64_t round) {
     return (fencing << kRoundBits) | round;
 }
-inline std::uint64_t fencing_of(std::uint64_t term) { return term >> kRoundBits; }
+inline std::uint64_t fencing_token_of(std::uint64_t term) { return term >> kRoundBits; }
 
-enum class Kind : std::uint32_t {
+enum class RecordKind : std::uint32_t {
     put = 1,     // the key has this value
     erase = 2,   // the key has no value
-    none = 3     // changes nothing: the first record of a leader's term, which commits those before it
+    no_op = 3    // changes nothing: the first record of a leader's term, which commits those before it
 };
 
 /// One change. `reverts`: 0, or the number of an earlier change that this one reverts: the record then puts
@@ -38,7 +38,7 @@
 struct Record {
     std::uint64_t number = 0;   // 1, 2, 3, ... without gaps
     std::uint64_t term = 0;     // of the leader that wrote it; never falls along the log
-    Kind kind = Kind::put;
+    RecordKind kind = RecordKind::put;
     std::string key;
     std::string value;
     std::uint64_t reverts = 0;
@@ -52,7 +52,7 @@
     std::uint64_t chain = 0;
     bool operator==(const Version&) const = default;
 };
-Version after(const Version& previous, const Record& record);
+Version next_version(const Version& previous, const Record& record);
 
 /// Whether sizes and fields are within the limits.
 bool valid(const Record& record);
@@ -63,7 +63,7 @@
 
 void apply(State& state, const Record& record);
 /// Applies the changes and leaves in `changes` what undoes them.
-void exchange(State& state, Changes& changes);
+void apply_with_undo(State& state, Changes& changes);
 
 /// Approximate bytes of a record in memory and in a message.
 std::size_t size_of(const Record& record);
--- a/src/rollout/replica.cpp
+++ b/src/rollout/replica.cpp
@@ -127,7 +127,7 @@
     std::size_t known = 0;
     Version version = message.previous;
     for (const Record& one : message.records) {
-        const Version next = after(version, one);
+        const Version next = next_version(version, one);
         if (!log_.contains(next)) break;
         version = next;
         ++known;
--- a/src/rollout/settings.cpp
+++ b/src/rollout/settings.cpp
@@ -149,13 +149,13 @@
         text, sizeof text,
         "rollout: a change is in force at every ingress that can use it within %.1f s while links "
         "lose at most %d datagrams in a row; no version without all before it",
-        active_within_s(bound), bound.losses);
+        active_within_s(bound), bound.max_losses);
     all.emplace_back(text);
     if (!options.is_control_machine()) return all;
     std::snprintf(text, sizeof text,
                   "rollout: within %.1f s where the source dies in between (a majority of the %zu control "
                   "machines up); at most %.0f changes a second at [peers] interval_s = %g",
-                  active_after_leader_death_s(
+                  active_after_leader_failure_s(
                       bound, lease::max_vacancy_s(times, kRoundTripS, static_cast<int>(replicas))),
                   replicas, changes_per_s(replicas, interval_s), interval_s);
     all.emplace_back(text);
--- a/tests/rollout/cases_test.cpp
+++ b/tests/rollout/cases_test.cpp
@@ -66,7 +66,7 @@
     fleet.run_for(3);
     CHECK(active_everywhere(fleet.fleet("c0")) == number);
     CHECK(fleet.fleet("c0").counted == 4);
-    CHECK(fleet.breach() == "");
+    CHECK(fleet.violation() == "");
 }
 
 TEST_CASE("the source dies before a majority has a change: it never was", "[rollout]") {
@@ -91,7 +91,7 @@
     CHECK(fleet.having("a", "before") == 4);
     CHECK(fleet.having("b", "next") == 4);
     CHECK(fleet.replica("c0").log().last() == fleet.replica("c1").log().last());
-    CHECK(fleet.breach() == "");
+    CHECK(fleet.violation() == "");
 }
 
 TEST_CASE("the source dies after a majority has a change, which nobody was told: it is rolled out",
@@ -110,7 +110,7 @@
     fleet.run_for(kBound);
     CHECK(fleet.having("a", "1") == 4);
     CHECK(fleet.source("c2").commit_index() > number);   // with a record of its own term behind it
-    CHECK(fleet.breach() == "");
+    CHECK(fleet.violation() == "");
 }
 
 TEST_CASE("the source dies while a change is with the canaries: the next one clears it", "[rollout]") {
@@ -122,7 +122,7 @@
     fleet.gain("c1");
     fleet.run_for(kBound);
     CHECK(fleet.having("a", "1") == 4);
-    CHECK(fleet.breach() == "");
+    CHECK(fleet.violation() == "");
 }
 
 TEST_CASE("a change that the half can't use is reverted, also where the canaries can", "[rollout]") {
@@ -147,7 +147,7 @@
     CHECK(event->reason == "odd ones can't use a");
     CHECK((event->name.back() - '0') % 2 == 1);
     CHECK(fleet.source("c0").log().reverted_by(bad) > after);
-    CHECK(fleet.breach() == "");
+    CHECK(fleet.violation() == "");
 }
 
 TEST_CASE("changes in a row that the half can't use are all reverted, of one key or of several",
@@ -168,7 +168,7 @@
         CHECK_FALSE(fleet.said(LeaderEvent::Kind::irrevertible, second));
         CHECK(fleet.having("a", "good") == 9);
         CHECK(fleet.having("b", "after") == 9);
-        CHECK(fleet.breach() == "");
+        CHECK(fleet.violation() == "");
     }
 }
 
@@ -191,7 +191,7 @@
     // Who refused it never had anything but whole versions of before and after.
     for (const Fact& one : fleet.history())
         if (one.what == Fact::What::in_force && one.node == canary) CHECK_FALSE(one.state.contains("b"));
-    CHECK(fleet.breach() == "");
+    CHECK(fleet.violation() == "");
 }
 
 TEST_CASE("a refused change is not cleared while its revert can't be committed", "[rollout]") {
@@ -222,7 +222,7 @@
         if (one.what == Fact::What::in_force && one.state.contains("b")) took.insert(one.node);
     CHECK(took.size() <= 1);   // the other canary
     CHECK(fleet.source("c0").staging().cleared == bad + 1);
-    CHECK(fleet.breach() == "");
+    CHECK(fleet.violation() == "");
 }
 
 TEST_CASE("no canary reports: what is committed is cleared after canary_wait_s", "[rollout]") {
@@ -236,7 +236,7 @@
     fleet.run_for(1.5);
     CHECK(fleet.said(LeaderEvent::Kind::cleared, number));
     CHECK(fleet.having("a", "1") == 2);
-    CHECK(fleet.breach() == "");
+    CHECK(fleet.violation() == "");
 }
 
 TEST_CASE("a canary that stands still delays the others by no more than the bound", "[rollout]") {
@@ -247,7 +247,7 @@
     fleet.put("a", "1");
     fleet.run_for(kBound);
     CHECK(fleet.having("a", "1") == 5);
-    CHECK(fleet.breach() == "");
+    CHECK(fleet.violation() == "");
 }
 
 TEST_CASE("two hold themselves for the source: the older one commits nothing", "[rollout]") {
@@ -270,7 +270,7 @@
     CHECK(fleet.said(LeaderEvent::Kind::fenced, 0));
     CHECK(fleet.having("x", "older") == 0);
     CHECK(fleet.replica("c0").log().last() == fleet.replica("c1").log().last());
-    CHECK(fleet.breach() == "");
+    CHECK(fleet.violation() == "");
 }
 
 TEST_CASE("an append of an older term that comes late changes nothing", "[rollout]") {
@@ -300,7 +300,7 @@
     fleet.run_for(kBound);
     CHECK(fleet.having("y", "newer") == 4);
     CHECK(fleet.having("x", "none") == 4);
-    CHECK(fleet.breach() == "");
+    CHECK(fleet.violation() == "");
 }
 
 TEST_CASE("a record of an older term counts only with one of the source's own behind it", "[rollout]") {
@@ -356,7 +356,7 @@
     fleet.start("c0");
     fleet.run_for(5);
     CHECK(fleet.replica("c0").log().last() == fleet.replica("c4").log().last());
-    CHECK(fleet.breach() == "");
+    CHECK(fleet.violation() == "");
 }
 
 TEST_CASE("a relay stands still: its children go elsewhere, it wakes and goes on", "[rollout]") {
@@ -379,7 +379,7 @@
     CHECK(fleet.follower_of("f3").parent() == "f0");   // home again
     CHECK(fleet.fleet("c0").counted == 6);
     CHECK(fleet.fleet("c0").silent == 0);
-    CHECK(fleet.breach() == "");
+    CHECK(fleet.violation() == "");
 }
 
 TEST_CASE("an ingress away for long asks only for what came since", "[rollout]") {
@@ -403,7 +403,7 @@
     CHECK(fleet.follower_of("f1").counts().records == fleet.source("c0").log().last().number - had);
     CHECK(fleet.follower_of("f1").counts().snapshots == 0);
     CHECK(fleet.follower_of("f1").counts().versions < 20);   // not one by one
-    CHECK(fleet.breach() == "");
+    CHECK(fleet.violation() == "");
 }
 
 TEST_CASE("an ingress away for longer than records are kept takes a snapshot", "[rollout]") {
@@ -456,7 +456,7 @@
     CHECK(fleet.follower_of("f1").counts().snapshots == 1);
     CHECK(fleet.follower_of("f1").active_version() == fleet.follower_of("f0").active_version());
     CHECK(fleet.having("a", "0") == 4);
-    CHECK(fleet.breach() == "");
+    CHECK(fleet.violation() == "");
 }
 
 TEST_CASE("a broken snapshot is never in force", "[rollout]") {
@@ -482,7 +482,7 @@
     fleet.set_filter({});
     fleet.run_for(5);
     CHECK(fleet.follower_of("f1").active_version() == fleet.follower_of("f0").active_version());
-    CHECK(fleet.breach() == "");
+    CHECK(fleet.violation() == "");
 }
 
 TEST_CASE("a zone is cut off and comes back", "[rollout]") {
@@ -501,7 +501,7 @@
     fleet.run_for(30);
     CHECK(fleet.fleet("c0").counted == 6);
     CHECK(fleet.fleet("c0").silent == 0);
-    CHECK(fleet.breach() == "");
+    CHECK(fleet.violation() == "");
 }
 
 TEST_CASE("changes come out of order, twice, and some not at all", "[rollout]") {
@@ -516,7 +516,7 @@
     }
     fleet.run_for(30);
     CHECK(fleet.having("k2", "100") == 4);
-    CHECK(fleet.breach() == "");
+    CHECK(fleet.violation() == "");
 }
 
 TEST_CASE("a release restarts everyone while changes go on", "[rollout]") {
@@ -539,7 +539,7 @@
     fleet.put("last", "1", "c1");
     fleet.run_for(kBound);
     CHECK(fleet.having("last", "1") == 8);
-    CHECK(fleet.breach() == "");
+    CHECK(fleet.violation() == "");
 }
 
 TEST_CASE("a follower's disk is full: it stays at what it has, and says so", "[rollout]") {
@@ -559,7 +559,7 @@
     fleet.run_for(4);
     CHECK(fleet.having("a", "2") == 4);
     CHECK(fleet.fleet("c0").behind == 0);
-    CHECK(fleet.breach() == "");
+    CHECK(fleet.violation() == "");
 }
 
 TEST_CASE("a replica's disk is full: the others commit, two full: nobody does", "[rollout]") {
@@ -580,7 +580,7 @@
     fleet.run_for(kBound);
     CHECK(fleet.source("c0").commit_index() == second);
     CHECK(fleet.having("a", "2") == 4);
-    CHECK(fleet.breach() == "");
+    CHECK(fleet.violation() == "");
 }
 
 TEST_CASE("a replica that lost its disk counts in no majority until it is admitted", "[rollout]") {
@@ -603,7 +603,7 @@
     const std::uint64_t next = fleet.put("a", "3");
     fleet.run_for(1);
     CHECK(fleet.source("c0").commit_index() == next);
-    CHECK(fleet.breach() == "");
+    CHECK(fleet.violation() == "");
 }
 
 TEST_CASE("a promise that was forgotten with its disk is not counted on", "[rollout]") {
@@ -636,7 +636,7 @@
     fleet.run_for(20);
     CHECK(fleet.replica("c1").storage_intact());
     CHECK(fleet.source("c2").phase() == Leader::Phase::ready);
-    CHECK(fleet.breach() == "");
+    CHECK(fleet.violation() == "");
 }
 
 TEST_CASE("who promised must be who tells what it holds", "[rollout]") {
@@ -695,7 +695,7 @@
     fleet.run_for(20);
     CHECK(fleet.source("c3").phase() == Leader::Phase::ready);
     CHECK(fleet.having("b", "1") == 2);
-    CHECK(fleet.breach() == "");
+    CHECK(fleet.violation() == "");
 }
 
 TEST_CASE("a fleet that is started for the first time wants all replicas once", "[rollout]") {
--- a/tests/rollout/decision_digest_test.cpp
+++ b/tests/rollout/decision_digest_test.cpp
@@ -28,7 +28,7 @@
     for (std::uint64_t seed = 1; seed <= kDigests.size(); ++seed) {
         INFO("seed " << seed);
         rollout_world::World world(rollout_world::random_plan(seed), seed);
-        CHECK(world.run().breach == "");
+        CHECK(world.run().violation == "");
         CHECK(world.digest() == kDigests[seed - 1]);
     }
 }
--- a/tests/rollout/file_storage_test.cpp
+++ b/tests/rollout/file_storage_test.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 Record put(std::uint64_t number, const std::string& value, std::uint64_t term = 1) {
-    return {number, term, Kind::put, "limit a", value, 0};
+    return {number, term, RecordKind::put, "limit a", value, 0};
 }
 
 Log log_of(std::uint64_t records) {
--- a/tests/rollout/history.hpp
+++ b/tests/rollout/history.hpp
@@ -72,8 +72,8 @@
         State state;
         for (const auto& [at, record] : committed_) {
             if (at > number || record.reverts != 0 || gone.contains(at)) continue;
-            if (record.kind == Kind::put) state[record.key] = record.value;
-            if (record.kind == Kind::erase) state.erase(record.key);
+            if (record.kind == RecordKind::put) state[record.key] = record.value;
+            if (record.kind == RecordKind::erase) state.erase(record.key);
         }
         return state;
     }
--- a/tests/rollout/rollout_test.cpp
+++ b/tests/rollout/rollout_test.cpp
@@ -9,7 +9,7 @@
 
 Record put_of(std::uint64_t number, const std::string& key, const std::string& value,
               std::uint64_t term = 1) {
-    return {number, term, Kind::put, key, value, 0};
+    return {number, term, RecordKind::put, key, value, 0};
 }
 std::string nothing_wrong(const State&, const Changes&) { return {}; }
 
@@ -61,27 +61,27 @@
         const Plan plan = random_plan(seed);
         const auto result = World(plan, seed).run();
         INFO("seed " << seed << "; again: slatejunction-rollout-model 1 " << seed);
-        REQUIRE(result.breach == "");
+        REQUIRE(result.violation == "");
         all.committed += result.committed;
         all.versions += result.versions;
         all.reverts += result.reverts;
-        all.holders += result.holders;
+        all.leader_changes += result.leader_changes;
         all.snapshots += result.snapshots;
         all.kills += result.kills;
-        all.admitted += result.admitted;
-        all.worst = std::max(all.worst, result.worst);
+        all.admitted_learners += result.admitted_learners;
+        all.worst_bound_fraction = std::max(all.worst_bound_fraction, result.worst_bound_fraction);
         bounded += plan.bound_s > 0;
     }
     // The schedules did what they are for.
     CHECK(all.committed > 10'000);
     CHECK(all.versions > 20'000);
     CHECK(all.reverts > 100);
-    CHECK(all.holders > 1'000);
+    CHECK(all.leader_changes > 1'000);
     CHECK(all.kills > 500);
     CHECK(all.snapshots > 100);
-    CHECK(all.admitted > 900);   // three or five at each first start
+    CHECK(all.admitted_learners > 900);   // three or five at each first start
     CHECK(bounded > 50);
-    CHECK(all.worst > 0.5);
+    CHECK(all.worst_bound_fraction > 0.5);
 }
 
 TEST_CASE("the bound for its defaults is below 11 s, and adds up", "[rollout]") {
@@ -92,26 +92,26 @@
     two.hops = 2;
     CHECK(active_within_s(two) == Approx(active_within_s(times) + hop_s(times)));
     CHECK(active_within_s(two) < kMaxActiveWithinS);
-    CHECK(active_after_leader_death_s(times, 4.7) > active_within_s(times) + 4.7);
+    CHECK(active_after_leader_failure_s(times, 4.7) > active_within_s(times) + 4.7);
     // What the bound is made of is what the parts do.
     CHECK(times.canary_s == LeaderSettings{}.canary_s);
-    CHECK(times.canary_wait_s == LeaderSettings{}.canary_timeout_s);
-    CHECK(times.append_retry_s == LeaderSettings{}.retry_interval_s);
-    CHECK(times.batch_s == PublisherSettings{}.batch_s);
-    CHECK(times.pull_s == FollowerSettings{}.pull_interval_s);
-    CHECK(times.pull_retry_s == FollowerSettings{}.retry_interval_s);
-    CHECK(times.jitter == FollowerSettings{}.jitter_fraction);
-    CHECK(times.prepare_s == FollowerSettings{}.activation_interval_s);
+    CHECK(times.canary_timeout_s == LeaderSettings{}.canary_timeout_s);
+    CHECK(times.append_retry_interval_s == LeaderSettings{}.retry_interval_s);
+    CHECK(times.batch_delay_s == PublisherSettings{}.batch_s);
+    CHECK(times.pull_interval_s == FollowerSettings{}.pull_interval_s);
+    CHECK(times.pull_retry_interval_s == FollowerSettings{}.retry_interval_s);
+    CHECK(times.jitter_fraction == FollowerSettings{}.jitter_fraction);
+    CHECK(times.activation_interval_s == FollowerSettings{}.activation_interval_s);
 }
 
 TEST_CASE("the chain tells logs apart, and never changes its form", "[rollout]") {
     const Record one = put_of(1, "a", "1");
-    CHECK(after({}, one) == after({}, one));
+    CHECK(next_version({}, one) == next_version({}, one));
     for (const Record& other : {put_of(1, "a", "2"), put_of(1, "b", "1"), put_of(1, "a", "1", 2),
-                                Record{1, 1, Kind::erase, "a", "", 0}, put_of(1, "a1", "")})
-        CHECK(after({}, other).chain != after({}, one).chain);
-    CHECK(after({0, 1}, one).chain != after({0, 0}, one).chain);
-    CHECK(after({}, one).chain == 0xa9239d58fa3abde0ULL);
+                                Record{1, 1, RecordKind::erase, "a", "", 0}, put_of(1, "a1", "")})
+        CHECK(next_version({}, other).chain != next_version({}, one).chain);
+    CHECK(next_version({0, 1}, one).chain != next_version({0, 0}, one).chain);
+    CHECK(next_version({}, one).chain == 0xa9239d58fa3abde0ULL);
 }
 
 TEST_CASE("a log takes only what follows", "[rollout]") {
@@ -121,7 +121,7 @@
     CHECK_FALSE(log.push(put_of(4, "a", "1", 4)));   // an older term after a newer one
     CHECK_FALSE(log.push(put_of(4, "", "1", 5)));
     CHECK_FALSE(log.push(put_of(4, "a", std::string(kMaxValueBytes + 1, 'x'), 5)));
-    CHECK_FALSE(log.push({4, 5, Kind::put, "a", "1", 4}));   // reverts itself
+    CHECK_FALSE(log.push({4, 5, RecordKind::put, "a", "1", 4}));   // reverts itself
     CHECK(log.push(put_of(4, "a", "1", 6)));
     const Version last = log.last();
     log.truncate(2);
@@ -177,7 +177,7 @@
     const Version version{1ull << 60, ~0ull};
     const Record large{version.number + 1,
                        1ull << 60,
-                       Kind::put,
+                       RecordKind::put,
                        std::string(kMaxKeyBytes, 'k'),
                        std::string(kMaxValueBytes, 'v'),
                        version.number};
@@ -444,7 +444,7 @@
     const auto checks = follower.counts().validations;
     for (double now = 2; now < 60; now += 0.1) follower.on_timer(now);
     CHECK(follower.counts().validations == checks);   // not again while nothing has changed
-    follower.recheck(60);
+    follower.revalidate(60);
     CHECK(follower.counts().validations == checks + 1);
 }
 
--- a/tests/rollout/world.hpp
+++ b/tests/rollout/world.hpp
@@ -62,10 +62,10 @@
     if (one_of(3)) plan.records_kept = 5 + random() % 30;
     if (one_of(4)) {   // what the bound is stated for
         BoundTimes times;
-        times.losses = one_of(3) ? 0 : 2;
+        times.max_losses = one_of(3) ? 0 : 2;
         times.hops = plan.relays > 0 ? 2 : 1;
-        plan.losses_most = times.losses;
-        plan.loss = times.losses > 0 ? draw(0.05, 0.6) : 0;
+        plan.losses_most = times.max_losses;
+        plan.loss = times.max_losses > 0 ? draw(0.05, 0.6) : 0;
         plan.delay_most = draw(0.01, times.one_way_s);
         plan.records_kept = kMaxLogRecords;
         plan.burst_every = 1e9;
@@ -75,7 +75,7 @@
             plan.gap_most = 4.7;
             plan.change_every = 40;
             plan.length = 45;
-            plan.bound_s = active_after_leader_death_s(times, plan.gap_most);
+            plan.bound_s = active_after_leader_failure_s(times, plan.gap_most);
         }
         return plan;
     }
@@ -95,10 +95,10 @@
 }
 
 struct Result {
-    std::string breach;
-    std::uint64_t messages = 0, committed = 0, versions = 0, reverts = 0, holders = 0, snapshots = 0,
-                  kills = 0, lost_disks = 0, admitted = 0;
-    double worst = 0;   // part of the bound, where one is promised
+    std::string violation;
+    std::uint64_t messages = 0, committed = 0, versions = 0, reverts = 0, leader_changes = 0, snapshots = 0,
+                  kills = 0, lost_disks = 0, admitted_learners = 0;
+    double worst_bound_fraction = 0;   // part of the bound, where one is promised
 };
 
 class World {
@@ -144,7 +144,7 @@
     void gain(const std::string& name) {
         Node& node = nodes_.at(name);
         holder_ = name;
-        ++result_.holders;
+        ++result_.leader_changes;
         node.held = ++fencing_;
         if (!node.up) return;
         node.source->begin_term(now(), node.held, node.replica->log());
@@ -231,8 +231,8 @@
     const std::vector<Fact>& history() const { return history_; }
     const std::vector<LeaderEvent>& events() const { return source_events_; }
     Report fleet(const std::string& name) const { return source(name).fleet_report(now()); }
-    std::string breach() {
-        if (!result_.breach.empty()) return result_.breach;
+    std::string violation() {
+        if (!result_.violation.empty()) return result_.violation;
         return Checker(plan_.controls).judge(history_);
     }
     std::size_t messages() const { return result_.messages; }
@@ -359,7 +359,7 @@
         history_.push_back(std::move(fact));
     }
     void fail(const std::string& why) {
-        if (result_.breach.empty()) result_.breach = why;
+        if (result_.violation.empty()) result_.violation = why;
     }
     void every(double s, std::function<void()> call) {
         if (s > 1e8) return;
@@ -489,7 +489,7 @@
             if (event.kind == LeaderEvent::Kind::cleared)
                 note({Fact::What::cleared, now(), name, event.number, {}, {}, true});
             if (event.kind == LeaderEvent::Kind::reverted) ++result_.reverts;
-            if (event.kind == LeaderEvent::Kind::learner_admitted) ++result_.admitted;
+            if (event.kind == LeaderEvent::Kind::learner_admitted) ++result_.admitted_learners;
             if (event.kind == LeaderEvent::Kind::fenced) node.source->end_term();
             if (event.kind == LeaderEvent::Kind::diverged) fail(event.name + " has diverged");
         }
@@ -750,22 +750,23 @@
     }
     void judge() {
         for (const auto& [name, node] : nodes_) count(node);
-        if (!result_.breach.empty()) return;
+        if (!result_.violation.empty()) return;
         Checker checker(plan_.controls);
-        result_.breach = checker.judge(history_);
+        result_.violation = checker.judge(history_);
         result_.committed = checker.last();
-        if (!result_.breach.empty()) return;
+        if (!result_.violation.empty()) return;
         for (const auto& [name, number] : checker.in_force())
             if (number != checker.last())
-                result_.breach = name + " has " + std::to_string(number) + " in force at the end, not " +
-                                 std::to_string(checker.last());
+                result_.violation = name + " has " + std::to_string(number) + " in force at the end, not " +
+                                    std::to_string(checker.last());
         for (const std::string& name : control_names_)
-            if (!nodes_.at(name).replica->storage_intact() && result_.breach.empty())
-                result_.breach = name + " never counted again";
-        if (plan_.bound_s <= 0 || !result_.breach.empty()) return;
+            if (!nodes_.at(name).replica->storage_intact() && result_.violation.empty())
+                result_.violation = name + " never counted again";
+        if (plan_.bound_s <= 0 || !result_.violation.empty()) return;
         std::string which;
-        result_.worst = checker.worst(history_, plan_.followers, plan_.bound_s, plan_.length, which);
-        if (result_.worst > 1) result_.breach = "later than the bound: " + which;
+        result_.worst_bound_fraction =
+            checker.worst(history_, plan_.followers, plan_.bound_s, plan_.length, which);
+        if (result_.worst_bound_fraction > 1) result_.violation = "later than the bound: " + which;
     }
 
     Plan plan_;
--- a/tests/scale/scale_test.cpp
+++ b/tests/scale/scale_test.cpp
@@ -202,7 +202,7 @@
         CHECK(one_of(table, "not_everywhere") == 0);
         CHECK(one_of(table, "all_worst_s") >= 1);   // the canaries' time
         rollout::BoundTimes times;
-        times.losses = 0;
+        times.max_losses = 0;
         CHECK(one_of(table, "all_worst_s") <= rollout::active_within_s(times));
     }
     const Table memory = tables.table("rollout_memory");
--- a/tests/state/generate_state.cpp
+++ b/tests/state/generate_state.cpp
@@ -159,13 +159,13 @@
 namespace {
 
 rollout::Log log_with_base() {
-    using rollout::Kind;
+    using rollout::RecordKind;
     rollout::Log log;
-    REQUIRE(log.push({1, rollout::term_of(1, 0), Kind::none, "", "", 0}));
-    REQUIRE(log.push({2, rollout::term_of(1, 0), Kind::put, "limit a", "rate = 1", 0}));
-    REQUIRE(log.push({3, rollout::term_of(1, 0), Kind::put, "route b", std::string("\0\xff", 2), 0}));
-    REQUIRE(log.push({4, rollout::term_of(2, 5), Kind::none, "", "", 0}));
-    REQUIRE(log.push({5, rollout::term_of(2, 5), Kind::put, "limit a", "rate = 2", 0}));
+    REQUIRE(log.push({1, rollout::term_of(1, 0), RecordKind::no_op, "", "", 0}));
+    REQUIRE(log.push({2, rollout::term_of(1, 0), RecordKind::put, "limit a", "rate = 1", 0}));
+    REQUIRE(log.push({3, rollout::term_of(1, 0), RecordKind::put, "route b", std::string("\0\xff", 2), 0}));
+    REQUIRE(log.push({4, rollout::term_of(2, 5), RecordKind::no_op, "", "", 0}));
+    REQUIRE(log.push({5, rollout::term_of(2, 5), RecordKind::put, "limit a", "rate = 2", 0}));
     log.trim(2, 100'000, 3);
     REQUIRE(log.base().number == 3);
     return log;
@@ -174,21 +174,22 @@
 }   // namespace
 
 TEST_CASE("generate a rollout's log and snapshot", "[.generate]") {
-    using rollout::Kind;
+    using rollout::RecordKind;
     const std::uint64_t term = rollout::term_of(2, 5), later = rollout::term_of(70000, 1);
     {
         rollout::FollowerFileStorage files(make("follower"));
         REQUIRE(files.replace(log_with_base()));
-        REQUIRE(files.append({{6, term, Kind::put, "limit a", "rate = 1", 5}}));
-        REQUIRE(
-            files.append({{7, later, Kind::none, "", "", 0}, {8, later, Kind::erase, "route b", "", 0}}));
+        REQUIRE(files.append({{6, term, RecordKind::put, "limit a", "rate = 1", 5}}));
+        REQUIRE(files.append(
+            {{7, later, RecordKind::no_op, "", "", 0}, {8, later, RecordKind::erase, "route b", "", 0}}));
     }
     rollout::ReplicaFileStorage files(make("replica"));
     REQUIRE(files.replace(log_with_base(), 4));
     REQUIRE(files.save_promise(term, true));
-    REQUIRE(files.append({{6, term, Kind::put, "limit x", "lost", 0}, {7, term, Kind::none, "", "", 0}}));
+    REQUIRE(files.append(
+        {{6, term, RecordKind::put, "limit x", "lost", 0}, {7, term, RecordKind::no_op, "", "", 0}}));
     REQUIRE(files.truncate(5));
-    REQUIRE(files.append({{6, later, Kind::put, "limit a", std::string(700, 'v'), 0}}));
+    REQUIRE(files.append({{6, later, RecordKind::put, "limit a", std::string(700, 'v'), 0}}));
     REQUIRE(files.save_promise(rollout::term_of(70001, 2), true));
 }
 
--- a/tests/state/old_state_test.cpp
+++ b/tests/state/old_state_test.cpp
@@ -438,14 +438,14 @@
 constexpr std::uint64_t kTerm1 = 0x10000, kTerm2 = 0x20005, kTerm3 = 0x1117'0'0001ULL;
 
 void check_base(const rollout::Log& log) {
-    using rollout::Kind;
+    using rollout::RecordKind;
     CHECK(log.base() == rollout::Version{3, 0x7403d8f4c289ff36ULL});
     CHECK(log.base_term() == kTerm1);
     CHECK(log.base_state() ==
           rollout::State{{"limit a", "rate = 1"}, {"route b", std::string("\0\xff", 2)}});
     REQUIRE(log.last().number >= 5);
-    CHECK(log.record(4) == rollout::Record{4, kTerm2, Kind::none, "", "", 0});
-    CHECK(log.record(5) == rollout::Record{5, kTerm2, Kind::put, "limit a", "rate = 2", 0});
+    CHECK(log.record(4) == rollout::Record{4, kTerm2, RecordKind::no_op, "", "", 0});
+    CHECK(log.record(5) == rollout::Record{5, kTerm2, RecordKind::put, "limit a", "rate = 2", 0});
     CHECK(log.version(4).chain == 0x9e5ea05120c346c6ULL);
     CHECK(log.version(5).chain == 0xb2aef98b928c49d0ULL);
 }
@@ -453,7 +453,7 @@
 }   // namespace
 
 TEST_CASE("old state: a follower finds its snapshot and every record after it", "[old]") {
-    using rollout::Kind;
+    using rollout::RecordKind;
     const Copy folder("follower");
     rollout::FollowerFileStorage files(folder.path());
     CHECK(files.file().has_snapshot());
@@ -463,9 +463,9 @@
     const rollout::Log log = files.take_stored().log;
     check_base(log);
     REQUIRE(log.last().number == 8);
-    CHECK(log.record(6) == rollout::Record{6, kTerm2, Kind::put, "limit a", "rate = 1", 5});
-    CHECK(log.record(7) == rollout::Record{7, kTerm3, Kind::none, "", "", 0});
-    CHECK(log.record(8) == rollout::Record{8, kTerm3, Kind::erase, "route b", "", 0});
+    CHECK(log.record(6) == rollout::Record{6, kTerm2, RecordKind::put, "limit a", "rate = 1", 5});
+    CHECK(log.record(7) == rollout::Record{7, kTerm3, RecordKind::no_op, "", "", 0});
+    CHECK(log.record(8) == rollout::Record{8, kTerm3, RecordKind::erase, "route b", "", 0});
     CHECK(log.version(6).chain == 0x2672ac91112f8a77ULL);
     CHECK(log.version(7).chain == 0x9eca843a953fc88eULL);
     CHECK(log.last().chain == 0xba7e2b6c25a2f5c0ULL);
@@ -475,7 +475,7 @@
 }
 
 TEST_CASE("old state: a replica remembers its promise, its log and what it dropped", "[old]") {
-    using rollout::Kind;
+    using rollout::RecordKind;
     const Copy folder("replica");
     rollout::ReplicaFileStorage files(folder.path());
     CHECK(files.file().has_snapshot());
@@ -488,11 +488,11 @@
     check_base(stored.log);
     REQUIRE(stored.log.last().number == 6);
     CHECK(stored.log.record(6) ==
-          rollout::Record{6, kTerm3, Kind::put, "limit a", std::string(700, 'v'), 0});
+          rollout::Record{6, kTerm3, RecordKind::put, "limit a", std::string(700, 'v'), 0});
     CHECK(stored.log.last().chain == 0x412f0a0dd07a9006ULL);
     CHECK_FALSE(folder.broken());
     // It goes on in the same files.
-    REQUIRE(files.append({{7, kTerm3, Kind::none, "", "", 0}}));
+    REQUIRE(files.append({{7, kTerm3, RecordKind::no_op, "", "", 0}}));
     rollout::ReplicaFileStorage later(folder.path());
     CHECK(later.take_stored().log.last().number == 7);
 }
