--- a/src/rollout/batch.hpp
+++ b/src/rollout/batch.hpp
@@ -1,4 +1,4 @@
-// The records of a log that fit into one message.
+// Batches of log records that fit into one message.
 #pragma once
 
 #include <cstdint>
@@ -9,8 +9,9 @@
 
 namespace slatejunction::rollout {
 
-/// Records after number `after` up to `last`, in order, as many as kRecordsBudgetBytes holds; at least one
-/// if there is one. Requires log.contains_number() of both.
+/// Returns the records after number `after` up to `last`, in order, as many as fit into
+/// kRecordsBudgetBytes. Every valid record fits, so the batch is empty only if there is no such record.
+/// Requires log.contains_number() for both numbers.
 inline std::vector<Record> next_batch(const Log& log, std::uint64_t after, std::uint64_t last) {
     std::vector<Record> records;
     std::size_t budget = kRecordsBudgetBytes;
--- a/src/rollout/driver.cpp
+++ b/src/rollout/driver.cpp
@@ -11,21 +11,21 @@
 namespace {
 
 constexpr double kDisconnectedAfterS = 8;             // without a message of a leader or a parent
-constexpr double kReportIntervalS = 1;                // between reports to the leader
-constexpr std::size_t kMaxPendingProposals = 1'000;   // proposals awaiting their commit
-constexpr std::size_t kMaxPropagating = 10'000;       // whose propagation time is measured
+constexpr double kReportIntervalS = 1;                // between reports upstream
+constexpr std::size_t kMaxPendingProposals = 1'000;   // proposals that are not answered yet
+constexpr std::size_t kMaxPropagating = 10'000;       // changes whose propagation time is measured
 
-std::string folder_of(const std::string& directory) {
+std::string create_rollout_directory(const std::string& directory) {
     std::string path = directory + "/rollout";
     if (::mkdir(path.c_str(), 0700) != 0 && errno != EEXIST)
-        throw storage::Error(path + " can't be made: " + std::strerror(errno));
+        throw storage::Error("cannot create the directory " + path + ": " + std::strerror(errno));
     return path;
 }
 
 }   // namespace
 
 RolloutStorage::RolloutStorage(const std::string& directory, const Options& options)
-    : path_(folder_of(directory)), lock_(path_) {
+    : path_(create_rollout_directory(directory)), lock_(path_) {
     if (!options.follows()) {
         replica_ = std::make_unique<ReplicaFileStorage>(path_);
         return;
@@ -52,18 +52,18 @@
       transport_(
           [&] {
               Transport::Settings settings{name, options.listen, {}};
-              for (const ParentAddress& one : parents_of(options))
-                  settings.parents[one.parent.name] = one.address;
+              for (const ParentAddress& entry : parents_of(options))
+                  settings.parents[entry.parent.name] = entry.address;
               return settings;
           }(),
           process, keys,
-          [this](const std::string& from, std::uint64_t its, std::string_view body) {
-              on_transport_message(from, its, body);
+          [this](const std::string& from, std::uint64_t sender_process, std::string_view body) {
+              on_transport_message(from, sender_process, body);
           },
           timers, log),
       timer_(timers, [this] { on_timer(); }) {
     for (const std::string& path : storage_->set_aside())
-        log_.write(Logger::Level::error, net::now(), "rollout: a broken file was put aside as %s",
+        log_.write(Logger::Level::error, net::now(), "rollout: a damaged file was set aside as %s",
                    path.c_str());
     if (options.follows()) {
         record_active_state("begins_with", storage_->version(), storage_->state());
@@ -95,8 +95,8 @@
 void Driver::stop() {
     if (std::exchange(stopped_, true)) return;
     timer_.disarm();
-    for (const PendingProposal& one : std::exchange(pending_proposals_, {}))
-        one.answer({one.number, {}, true});
+    for (const PendingProposal& proposal : std::exchange(pending_proposals_, {}))
+        proposal.answer({proposal.number, {}, true});
     transport_.stop();
 }
 
@@ -107,10 +107,11 @@
     pump();
 }
 
-// Of a control machine. Each core ignores messages that are not for it.
+// Passes a message to the cores of a control machine, which ignore messages that are not for them.
 void Driver::deliver(const std::string& from, const Message& message) {
     const double now = net::now();
-    // Snapshot parts go to a leader that fetches a log, else to a replica that is far behind.
+    // Snapshot parts are for the leader while it fetches a log, else for the replica, which may be far
+    // behind.
     const bool fetching = leader_->phase() == Leader::Phase::fetching_log;
     const bool part = std::holds_alternative<SnapshotPart>(message);
     if (!part || !fetching) replica_->receive(now, from, message);
@@ -129,18 +130,18 @@
     pump();
 }
 
-// A node that is disconnected, or whose disk failed, stays silent, so that its children use another parent.
-// kDisconnectedAfterS exceeds the vacancy after a leader died.
+// A node that is disconnected, or a replica whose disk failed, does not answer its children, so that they
+// use another parent. kDisconnectedAfterS is longer than the vacancy after a leader failed.
 bool Driver::may_publish(double now) const {
     if (follower_) return now - std::max(follower_->last_contact_at(), started_at_) < kDisconnectedAfterS;
     return !replica_->disk_failed() &&
            now - std::max(replica_->last_append_at(), started_at_) < kDisconnectedAfterS;
 }
 
-void Driver::on_leadership_change(bool on) {
+void Driver::on_leadership_change(bool is_leader) {
     if (!leader_ || stopped_) return;
-    leads_ = on;
-    if (!on && std::exchange(term_token_, 0) != 0) leader_->end_term();
+    holds_lease_ = is_leader;
+    if (!is_leader && std::exchange(term_token_, 0) != 0) leader_->end_term();
     pump();
 }
 
@@ -155,10 +156,10 @@
     if (!leader_ || stopped_) return answer({0, ProposeError::not_leader});
     if (pending_proposals_.size() >= kMaxPendingProposals) return answer({0, ProposeError::backlog_full});
     const double now = net::now();
-    const ProposeOutcome made = leader_->propose(now, key, value);
-    if (made.number == 0) return answer({0, made.error});
-    if (propagating_.size() < kMaxPropagating) propagating_.emplace_back(now, made.number);
-    pending_proposals_.push_back({made.number, now + kProposeTimeoutS, std::move(answer)});
+    const ProposeOutcome outcome = leader_->propose(now, key, value);
+    if (outcome.number == 0) return answer({0, outcome.error});
+    if (propagating_.size() < kMaxPropagating) propagating_.emplace_back(now, outcome.number);
+    pending_proposals_.push_back({outcome.number, now + kProposeTimeoutS, std::move(answer)});
     pump();
 }
 
@@ -182,13 +183,14 @@
     return next;
 }
 
-// The fencing token changes during a lease when a higher one was seen: the leader begins a new term.
+// Begins a new term when the fencing token has changed. It also changes during a lease, after a higher one
+// was seen.
 void Driver::update_term() {
-    if (!leads_) return;
-    const std::uint64_t number = callbacks_.fencing_token();
-    if (number == 0 || number == term_token_) return;
-    term_token_ = number;
-    leader_->begin_term(net::now(), number, replica_->log());
+    if (!holds_lease_) return;
+    const std::uint64_t token = callbacks_.fencing_token();
+    if (token == 0 || token == term_token_) return;
+    term_token_ = token;
+    leader_->begin_term(net::now(), token, replica_->log());
 }
 
 void Driver::route(const OutgoingMessage& message) {
@@ -216,7 +218,7 @@
         timer_.disarm();
 }
 
-// Returns whether messages may be left.
+// Returns whether a message was delivered to this process, after which the cores may have further output.
 bool Driver::pump_control_machine() {
     update_term();
     bool more = false;
@@ -237,10 +239,10 @@
 bool Driver::pump_follower() {
     for (const OutgoingMessage& message : follower_->take_outgoing())
         transport_.send(message.to, message.body);
-    for (const Activation& one : follower_->take_activations()) {
-        callbacks_.activated(follower_->state(), one.changes);
-        log_active_version(one.version);
-        record_active_state("in_force", one.version, follower_->state());
+    for (const Activation& activation : follower_->take_activations()) {
+        callbacks_.activated(follower_->state(), activation.changes);
+        log_active_version(activation.version);
+        record_active_state("in_force", activation.version, follower_->state());
     }
     log_follower_faults();
     return false;
@@ -264,7 +266,7 @@
     if (follower_) follower_->report_now(now);
 }
 
-// Reports the children: to the leader, or with the next pull of a relay.
+// Reports the children to the leader; on a relay, the report is sent with the next pull.
 void Driver::report_upstream(double now) {
     report_at_ = now + kReportIntervalS;
     if (follower_) return follower_->set_subtree(publisher_->report(now));
@@ -293,11 +295,11 @@
 void Driver::answer_proposals(double now) {
     const bool leadership_lost = !is_leader();
     while (!pending_proposals_.empty()) {
-        PendingProposal& one = pending_proposals_.front();
-        const bool committed = leader_->commit_index() >= one.number && !leadership_lost;
-        if (!committed && !leadership_lost && now < one.deadline) break;
-        const auto answer = std::move(one.answer);
-        const ProposeResult result{one.number, ProposeError::none, !committed};
+        PendingProposal& proposal = pending_proposals_.front();
+        const bool committed = leader_->commit_index() >= proposal.number && !leadership_lost;
+        if (!committed && !leadership_lost && now < proposal.deadline) break;
+        const auto answer = std::move(proposal.answer);
+        const ProposeResult result{proposal.number, ProposeError::none, !committed};
         pending_proposals_.pop_front();
         answer(result);
     }
--- a/src/rollout/driver_reporting.cpp
+++ b/src/rollout/driver_reporting.cpp
@@ -1,5 +1,5 @@
-// Driver, reporting: log lines and records of the event log. Names in records are those that readers match
-// on.
+// Driver: writes log lines and records of the event log. Readers of the event log match the names in its
+// records.
 #include <algorithm>
 #include <cstdio>
 #include <utility>
@@ -9,8 +9,8 @@
 namespace slatejunction::rollout {
 namespace {
 
-constexpr double kVersionLogIntervalS = 60;          // between log lines of active versions
-constexpr std::uint64_t kMaxCommittedLogged = 256;   // committed records logged at once
+constexpr double kVersionLogIntervalS = 60;          // minimum time between log lines about active versions
+constexpr std::uint64_t kMaxCommittedLogged = 256;   // committed records written to the event log at once
 constexpr const char* kLeaderEventNames[] = {"ready",    "committed",    "cleared", "refused",
                                              "reverted", "irrevertible", "fenced",  "majority_lost",
                                              "admitted", "diverged"};
@@ -30,8 +30,8 @@
 void Driver::log_replica_start() {
     if (!replica_->storage_intact())
         log_.write(Logger::Level::warning, net::now(),
-                   "rollout: nothing whole is kept here; this control machine counts in no majority until "
-                   "it has caught up");
+                   "rollout: the stored log is missing or incomplete; this control machine counts in no "
+                   "majority until it has caught up");
     last_committed_logged_ = replica_->commit_index();
     const std::pair<std::string_view, std::string> fields[] = {
         {"number", std::to_string(last_committed_logged_)},
@@ -40,21 +40,22 @@
     log_.event("replica_begins", fields);
 }
 
-// Rate limited: there are tens of thousands of versions a day.
+// Limits the rate of log lines, as there can be tens of thousands of versions a day.
 void Driver::log_active_version(const Version& version) {
     ++versions_since_logged_;
     const double now = net::now();
     if (now - version_logged_at_ < kVersionLogIntervalS) return;
     version_logged_at_ = now;
-    log_.write(Logger::Level::info, now, "rollout: version %llu is in force, %llu since the last such line",
+    log_.write(Logger::Level::info, now,
+               "rollout: version %llu is active; %llu versions since the last such line",
                as_ull(version.number), as_ull(std::exchange(versions_since_logged_, 0)));
 }
 
-// Logs a refused change once, and a divergence when it begins.
+// Logs a refused change once, and a divergence when it is first seen.
 void Driver::log_follower_faults() {
     const std::uint64_t refused = follower_->refused();
-    if (refused != std::exchange(refusal_logged_, refused) && refused != 0) {
-        log_.write(Logger::Level::warning, net::now(), "rollout: version %llu can't be used here: %s",
+    if (refused != std::exchange(logged_refusal_, refused) && refused != 0) {
+        log_.write(Logger::Level::warning, net::now(), "rollout: change %llu is refused here: %s",
                    as_ull(refused), follower_->reason().c_str());
         const std::pair<std::string_view, std::string> fields[] = {{"number", std::to_string(refused)},
                                                                    {"reason", follower_->reason()}};
@@ -63,7 +64,7 @@
     const bool diverged = follower_->fault() == FollowerFault::diverged;
     if (diverged && !std::exchange(divergence_logged_, true))
         log_.write(Logger::Level::error, net::now(),
-                   "rollout: what is in force here (version %llu) is of another sequence than what %s has",
+                   "rollout: the active version %llu has diverged from the log of parent %s",
                    as_ull(follower_->active_version().number), follower_->parent().c_str());
     divergence_logged_ = diverged;
 }
@@ -71,48 +72,50 @@
 void Driver::on_leader_event(const LeaderEvent& event) {
     using Kind = LeaderEvent::Kind;
     ++event_counts_[static_cast<std::size_t>(event.kind)];
-    const char* const what = kLeaderEventNames[static_cast<std::size_t>(event.kind)];
+    const char* const event_name = kLeaderEventNames[static_cast<std::size_t>(event.kind)];
     const std::pair<std::string_view, std::string> fields[] = {{"number", std::to_string(event.number)},
                                                                {"term", std::to_string(leader_->term())},
                                                                {"name", event.name},
                                                                {"reason", event.reason}};
-    log_.event(std::string("source_") + what, fields);
+    log_.event(std::string("source_") + event_name, fields);
     const double now = net::now();
     const auto number = as_ull(event.number);
     switch (event.kind) {
         case Kind::ready:
-            log_.write(Logger::Level::info, now, "rollout: this is the source from number %llu on", number);
+            log_.write(Logger::Level::info, now,
+                       "rollout: this process is the leader, changes up to %llu are committed", number);
             break;
         case Kind::refused:
-            log_.write(Logger::Level::warning, now, "rollout: %s can't use change %llu: %s",
+            log_.write(Logger::Level::warning, now, "rollout: %s refuses change %llu: %s",
                        event.name.c_str(), number, event.reason.c_str());
             break;
         case Kind::reverted:
-            log_.write(Logger::Level::warning, now, "rollout: change %llu is taken back", number);
+            log_.write(Logger::Level::warning, now, "rollout: change %llu is reverted", number);
             break;
         case Kind::irrevertible:
-            log_.write(Logger::Level::error, now,
-                       "rollout: change %llu is refused and can't be taken back; propose one that mends it",
-                       number);
+            log_.write(
+                Logger::Level::error, now,
+                "rollout: change %llu is refused and cannot be reverted; propose a change that corrects it",
+                number);
             break;
         case Kind::fenced:
-            log_.write(Logger::Level::warning, now,
-                       "rollout: another source goes on; this one has stopped");
+            log_.write(Logger::Level::warning, now, "rollout: this leader is fenced and has stopped");
             break;
         case Kind::majority_lost:
-            log_.write(Logger::Level::error, now,
-                       "rollout: fewer than a majority of the control machines remembered; changes may be "
-                       "missing (nothing, on the first start)");
+            log_.write(
+                Logger::Level::error, now,
+                "rollout: fewer than a majority of the control machines had intact storage; committed "
+                "changes may be missing (none are on the first start)");
             break;
         case Kind::learner_admitted:
-            log_.write(Logger::Level::info, now, "rollout: %s has caught up and counts again",
+            log_.write(Logger::Level::info, now, "rollout: %s has caught up and counts in majorities again",
                        event.name.c_str());
             break;
         case Kind::committed:
         case Kind::cleared:
             break;
         default:
-            log_.write(Logger::Level::error, now, "rollout: %s: %s", what, event.name.c_str());
+            log_.write(Logger::Level::error, now, "rollout: %s: %s", event_name, event.name.c_str());
     }
 }
 
@@ -122,15 +125,15 @@
     std::uint64_t from = std::max(last_committed_logged_, log.base().number);
     if (committed - from > kMaxCommittedLogged) from = committed - kMaxCommittedLogged;
     while (from < committed) {
-        const Record& one = log.record(++from);
+        const Record& record = log.record(++from);
         const std::pair<std::string_view, std::string> fields[] = {
-            {"number", std::to_string(one.number)},
-            {"term", std::to_string(one.term)},
-            {"chain", hexadecimal(log.version(one.number).chain)},
-            {"kind", std::to_string(static_cast<unsigned>(one.kind))},
-            {"key", one.key},
-            {"value", one.value},
-            {"reverts", std::to_string(one.reverts)}};
+            {"number", std::to_string(record.number)},
+            {"term", std::to_string(record.term)},
+            {"chain", hexadecimal(log.version(record.number).chain)},
+            {"kind", std::to_string(static_cast<unsigned>(record.kind))},
+            {"key", record.key},
+            {"value", record.value},
+            {"reverts", std::to_string(record.reverts)}};
         log_.event("committed", fields);
     }
     last_committed_logged_ = std::max(last_committed_logged_, committed);
@@ -148,16 +151,16 @@
                                : storage_->replica_->last_error();
 }
 
-// Logged when the disk begins to fail, and when it works again.
+// Logs when writes to the state directory begin to fail, and when they succeed again.
 void Driver::log_disk_fault() {
     const bool failed = follower_ ? follower_->fault() == FollowerFault::disk : replica_->disk_failed();
     if (failed == std::exchange(disk_fault_logged_, failed)) return;
     if (failed)
         log_.write(Logger::Level::error, net::now(),
-                   "rollout: the state directory can't be written, this process stays at what it has: %s",
+                   "rollout: cannot write to the state directory, this process accepts no changes: %s",
                    disk_error().c_str());
     else
-        log_.write(Logger::Level::info, net::now(), "rollout: the state directory is written again");
+        log_.write(Logger::Level::info, net::now(), "rollout: the state directory can be written again");
     log_.event(failed ? "disk_failed" : "disk_written", {});
 }
 
--- a/src/rollout/file_storage.cpp
+++ b/src/rollout/file_storage.cpp
@@ -11,10 +11,12 @@
 namespace slatejunction::rollout {
 namespace {
 
-constexpr char kLogMagic[] = "sjrolog1", kPromiseMagic[] = "sjropro1";   // and version
+// The last character is the format version.
+constexpr char kLogMagic[] = "sjrolog1", kPromiseMagic[] = "sjropro1";
 constexpr char kPromiseFile[] = "replica.promise";
-constexpr std::size_t kSegmentBytes = 1 << 30;   // a segment ends with a snapshot, not by its size
-enum Type : std::uint32_t { records = 1, truncated = 2 };
+// Not enforced here: a segment ends when replace() writes a snapshot, not because of its size.
+constexpr std::size_t kMaxSegmentBytes = 1 << 30;
+enum EntryType : std::uint32_t { records = 1, truncated = 2 };
 
 void write(const Record& from, kept::Record& to) {
     to.set_number(from.number);
@@ -30,25 +32,27 @@
             from.key(),    from.value(), from.reverts()};
 }
 
-// False: a record does not follow the one before it; the log is as it was.
-bool push_all(Log& log, const google::protobuf::RepeatedPtrField<kept::Record>& all) {
+// Appends all records to the log. Returns false and leaves the log unchanged if a record does not follow
+// the one before it.
+bool push_all(Log& log, const google::protobuf::RepeatedPtrField<kept::Record>& stored) {
     const std::uint64_t before = log.last().number;
-    for (const kept::Record& one : all)
-        if (!log.push(read(one))) {
+    for (const kept::Record& record : stored)
+        if (!log.push(read(record))) {
             log.truncate(before);
             return false;
         }
     return true;
 }
 
-// The bytes have reached the disk when this returns.
+// Writes to a file and syncs it to the disk.
 std::int64_t write_through(int fd, const void* data, std::size_t size) {
-    const ssize_t done = ::write(fd, data, size);
-    if (done < 0) return done;
-    // An interrupted sync is repeated: reported as a failed write, the same bytes would be written twice.
+    const ssize_t written = ::write(fd, data, size);
+    if (written < 0) return written;
+    // Repeats an interrupted sync: if it were reported as a failed write, the caller would write the same
+    // bytes twice.
     while (::fdatasync(fd) != 0)
         if (errno != EINTR) return -1;
-    return done;
+    return written;
 }
 
 }   // namespace
@@ -58,15 +62,15 @@
     load();
     storage::SegmentedLog::Found found;
     segments_ = std::make_unique<storage::SegmentedLog>(
-        directory_, name_, kSegmentBytes,
+        directory_, name_, kMaxSegmentBytes,
         [this](std::uint64_t segment, std::uint32_t type, std::string_view payload) {
             if (segment < first_segment_ || reading_stopped_) return;
             if (!read_entry(type, payload)) reading_stopped_ = true;   // later entries depend on this one
         },
         found, std::move(writer));
     set_aside_.insert(set_aside_.end(), found.broken.begin(), found.broken.end());
-    // A snapshot begins a segment of its own: segments without it, or it without its segment, are
-    // incomplete.
+    // Each snapshot begins a segment. Segments without a snapshot, or a snapshot without its segment, mean
+    // that files are missing.
     const bool incomplete =
         has_snapshot_ ? !segments_->segments().contains(first_segment_) : found.records > 0;
     damaged_ = reading_stopped_ || incomplete || found.cut_bytes > 0 || !set_aside_.empty();
@@ -83,7 +87,7 @@
     Log log;
     if (snapshot.ParseFromString(*body)) {
         State state;
-        for (const kept::Entry& one : snapshot.entry()) state[one.key()] = one.value();
+        for (const kept::Entry& entry : snapshot.entry()) state[entry.key()] = entry.value();
         log = Log({snapshot.number(), snapshot.chain()}, snapshot.term(), std::move(state));
         if (push_all(log, snapshot.record())) {
             log_ = std::move(log);
@@ -97,11 +101,11 @@
 }
 
 bool LogFile::read_entry(std::uint32_t type, std::string_view payload) {
-    kept::Records all;
-    if (!all.ParseFromArray(payload.data(), static_cast<int>(payload.size()))) return false;
-    if (type == records) return push_all(log_, all.record());
-    if (type != truncated || all.record_size() != 1) return false;
-    const std::uint64_t number = all.record(0).number();
+    kept::Records entry;
+    if (!entry.ParseFromArray(payload.data(), static_cast<int>(payload.size()))) return false;
+    if (type == records) return push_all(log_, entry.record());
+    if (type != truncated || entry.record_size() != 1) return false;
+    const std::uint64_t number = entry.record(0).number();
     if (!log_.contains_number(number)) return false;
     log_.truncate(number);
     return true;
@@ -109,8 +113,8 @@
 
 bool LogFile::ensure_segment() {
     if (segments_->open()) return true;
-    const storage::File folder(::open(directory_.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
-    if (segments_->begin() && folder && ::fsync(folder.get()) == 0) return true;
+    const storage::File directory(::open(directory_.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
+    if (segments_->begin() && directory && ::fsync(directory.get()) == 0) return true;
     last_error_ = segments_->last_error();
     return false;
 }
@@ -122,21 +126,21 @@
     return false;
 }
 
-bool LogFile::append(const std::vector<Record>& fresh) {
-    if (fresh.empty()) return true;
-    kept::Records all;
-    for (const Record& one : fresh) write(one, *all.add_record());
-    return append_entry(records, all.SerializeAsString());
+bool LogFile::append(const std::vector<Record>& appended) {
+    if (appended.empty()) return true;
+    kept::Records entry;
+    for (const Record& record : appended) write(record, *entry.add_record());
+    return append_entry(records, entry.SerializeAsString());
 }
 
 bool LogFile::truncate(std::uint64_t number) {
-    kept::Records all;
-    all.add_record()->set_number(number);
-    return append_entry(truncated, all.SerializeAsString());
+    kept::Records entry;
+    entry.add_record()->set_number(number);
+    return append_entry(truncated, entry.SerializeAsString());
 }
 
-// Begins the new segment first: after a crash in between, the old snapshot with all segments yields the
-// same log as the new snapshot with the segments from its own on.
+// Begins the new segment before it writes the snapshot. After a crash in between, the old snapshot with all
+// segments yields the same log as the new snapshot with the segments from its own on.
 bool LogFile::replace(const Log& log, std::uint64_t committed) {
     if (!segments_->begin()) {
         last_error_ = segments_->last_error();
@@ -147,9 +151,9 @@
     snapshot.set_chain(log.base().chain);
     snapshot.set_term(log.base_term());
     for (const auto& [key, value] : log.base_state()) {
-        kept::Entry& one = *snapshot.add_entry();
-        one.set_key(key);
-        one.set_value(value);
+        kept::Entry& entry = *snapshot.add_entry();
+        entry.set_key(key);
+        entry.set_value(value);
     }
     for (std::uint64_t number = log.base().number + 1; number <= log.last().number; ++number)
         write(log.record(number), *snapshot.add_record());
@@ -164,11 +168,9 @@
     return true;
 }
 
-// Homes. ----------------------------------------------------------------------------------------------
-
 FollowerFileStorage::FollowerFileStorage(const std::string& directory, storage::SegmentedLog::Writer writer)
     : file_(directory, "follower", std::move(writer)) {
-    file_.rewrite_if_damaged();   // if this fails, so does the next write
+    file_.rewrite_if_damaged();   // a failure shows again at the next write
 }
 
 bool FollowerFileStorage::append(const std::vector<Record>& records) { return file_.append(records); }
@@ -184,7 +186,8 @@
         promised_ = promise.term();
         storage_intact_ = promise.remembers() && file_.has_snapshot() && !file_.damaged();
     }
-    // Evaluated before the files are rewritten, so that a later start does not take a part for intact.
+    // The loss is stored before the files are rewritten; otherwise a later start would take the incomplete
+    // log for intact.
     if (promise.remembers() && !storage_intact_ && !save_promise(promised_, false)) return;
     file_.rewrite_if_damaged();
 }
@@ -193,11 +196,11 @@
     return {storage_intact_, promised_, file_.commit_index(), file_.take_log()};
 }
 
-bool ReplicaFileStorage::save_promise(std::uint64_t term, bool remembers) {
-    if (remembers && !file_.has_snapshot()) return false;
+bool ReplicaFileStorage::save_promise(std::uint64_t term, bool storage_intact) {
+    if (storage_intact && !file_.has_snapshot()) return false;
     kept::Promise promise;
     promise.set_term(term);
-    promise.set_remembers(remembers);
+    promise.set_remembers(storage_intact);
     return storage::write_checked_file(directory_, kPromiseFile, kPromiseMagic, promise.SerializeAsString(),
                                        last_error_);
 }
--- a/src/rollout/file_storage.hpp
+++ b/src/rollout/file_storage.hpp
@@ -1,8 +1,8 @@
-// ReplicaStorage and FollowerStorage in files of the state directory: the log as a snapshot
-// (storage::write_checked_file) with segments of records after it (storage::SegmentedLog). Damaged files
-// are set aside, and the log ends at the last record before the damage.
+// Implements ReplicaStorage and FollowerStorage in files of the state directory. A log is stored as a
+// snapshot (storage::write_checked_file) and segments of the records after it (storage::SegmentedLog).
+// Damaged files are set aside, and the restored log ends at the last record before the damage.
 //
-// Durability: a killed process finds everything that was reported as durable. On power loss a follower may
+// Everything that was reported as durable survives the process being killed. On power loss, a follower may
 // lose its newest versions and pulls them again; a replica loses nothing, as each append is synced to the
 // disk.
 #pragma once
@@ -18,26 +18,29 @@
 
 namespace slatejunction::rollout {
 
-/// A log under `name` in a directory: NAME.log, and the segments NAME-NUMBER.
+/// A stored log: the snapshot file NAME.log and the segment files NAME-NUMBER of a directory.
 class LogFile {
   public:
-    /// Throws storage::Error for a directory or file that can't be read, or of another version. `writer`:
-    /// as that of storage::SegmentedLog.
+    /// Reads the stored log. Throws storage::Error if the directory or a file cannot be read or a file has
+    /// another format version. `writer` is passed on to storage::SegmentedLog.
     LogFile(std::string directory, std::string name, storage::SegmentedLog::Writer writer = {});
 
-    Log take_log() { return std::move(log_); }   // as found at the start, once
+    /// Returns the log as found at the start. To be called once.
+    Log take_log() { return std::move(log_); }
     std::uint64_t commit_index() const { return commit_index_; }
-    /// Something was cut off, set aside or is missing: the log may lack what was stored.
+    /// Whether stored data was cut off, set aside or is missing, so that the log may be incomplete.
     bool damaged() const { return damaged_; }
-    /// There is a snapshot, so that missing files are noticed at the next start.
+    /// Whether there is a snapshot, which allows missing segments to be detected at the next start.
     bool has_snapshot() const { return has_snapshot_; }
-    /// Once after the start, before any other write: rewrites a damaged log, so that later records do not
-    /// follow the damage that ends the reading.
+    /// Rewrites the log unless it is intact and has a snapshot. To be called once after the start, before
+    /// any other write: records appended after damaged data would not be read at the next start.
     bool rewrite_if_damaged();
-    const std::vector<std::string>& set_aside() const { return set_aside_; }   // paths
+    /// The paths of damaged files that were set aside.
+    const std::vector<std::string>& set_aside() const { return set_aside_; }
 
-    /// False: no part of it is found again, see last_error().
-    bool append(const std::vector<Record>& records);   // all or none
+    /// These methods return false if the write failed; no part of it is then found after a restart, and
+    /// last_error() tells why. append() stores all or none of the records.
+    bool append(const std::vector<Record>& records);
     bool truncate(std::uint64_t number);
     bool replace(const Log& log, std::uint64_t committed);
     const std::string& last_error() const { return last_error_; }
@@ -45,7 +48,7 @@
   private:
     void load();
     bool read_entry(std::uint32_t type, std::string_view payload);
-    bool ensure_segment();   // opens a segment to append to
+    bool ensure_segment();   // opens a segment to append to unless one is open
     bool append_entry(std::uint32_t type, const std::string& payload);
 
     const std::string directory_, name_;
@@ -57,7 +60,7 @@
     std::string last_error_;
 };
 
-/// The active version of a follower.
+/// Stores the active version of a follower.
 class FollowerFileStorage final : public FollowerStorage {
   public:
     explicit FollowerFileStorage(const std::string& directory, storage::SegmentedLog::Writer writer = {});
@@ -70,12 +73,12 @@
     LogFile file_;
 };
 
-/// The promise and the log of a replica.
+/// Stores the promise and the log of a replica.
 class ReplicaFileStorage final : public ReplicaStorage {
   public:
     explicit ReplicaFileStorage(const std::string& directory, storage::SegmentedLog::Writer writer = {});
     ReplicaStored take_stored();
-    bool save_promise(std::uint64_t term, bool remembers) override;
+    bool save_promise(std::uint64_t term, bool storage_intact) override;
     bool append(const std::vector<Record>& records) override { return file_.append(records); }
     bool truncate(std::uint64_t number) override { return file_.truncate(number); }
     bool replace(const Log& log, std::uint64_t committed) override { return file_.replace(log, committed); }
--- a/src/rollout/follower.cpp
+++ b/src/rollout/follower.cpp
@@ -6,14 +6,15 @@
 namespace slatejunction::rollout {
 namespace {
 
-constexpr std::size_t kMaxEarlyOffers = 64;           // offers buffered out of order
+constexpr std::size_t kMaxEarlyOffers = 64;           // buffered offers that arrived out of order
 constexpr double kLeaveNoticeIntervalS = 10;          // between leave notices to one former parent
-constexpr unsigned kMaxLeaveNotices = 360;            // unacknowledged, to one former parent
-constexpr double kGapPullIntervalS = 0.2;             // between pulls because of a gap
+constexpr unsigned kMaxLeaveNotices = 360;            // to one former parent that does not acknowledge them
+constexpr double kGapPullIntervalS = 0.2;             // minimum time between pulls because of a gap
 constexpr std::size_t kMaxSubtreeReportBytes = 600;   // of a report in a pull
-constexpr double kParentSwitchSpreadS = 0.2;          // the first pull to the next parent is spread over it
+constexpr double kParentSwitchSpreadS =
+    0.2;   // the first pull to a new parent is sent at a random time in it
 constexpr unsigned kMaxBackoffDoublings = 6;
-constexpr double kRetryGrowth = 1.5;   // factor from one unanswered pull to the next
+constexpr double kRetryGrowthFactor = 1.5;   // of the wait, per unanswered pull
 
 }   // namespace
 
@@ -22,17 +23,18 @@
         bool other_region;
         std::uint64_t hash;
         std::string name;
-        bool operator<(const Ranked& than) const {
-            return std::tie(other_region, hash, name) < std::tie(than.other_region, than.hash, than.name);
+        bool operator<(const Ranked& other) const {
+            return std::tie(other_region, hash, name) <
+                   std::tie(other.other_region, other.hash, other.name);
         }
     };
     std::vector<Ranked> ranked;
-    for (const Parent& one : settings.parents)
+    for (const Parent& parent : settings.parents)
         ranked.push_back(
-            {one.region != settings.region, hash_of(settings.name + "\n" + one.name), one.name});
+            {parent.region != settings.region, hash_of(settings.name + "\n" + parent.name), parent.name});
     std::sort(ranked.begin(), ranked.end());
     std::vector<std::string> names;
-    for (const Ranked& one : ranked) names.push_back(one.name);
+    for (const Ranked& parent : ranked) names.push_back(parent.name);
     return names;
 }
 
@@ -87,12 +89,12 @@
     if (unanswered_pulls_ == 0) parent_timeout_at_ = now + settings_.parent_timeout_s;
     ++unanswered_pulls_;
     next_pull_at_ =
-        now + jittered(settings_.retry_interval_s * std::pow(kRetryGrowth, unanswered_pulls_ - 1));
+        now + jittered(settings_.retry_interval_s * std::pow(kRetryGrowthFactor, unanswered_pulls_ - 1));
 }
 
 void Follower::report_now(double now) { schedule_pull(now); }
 
-// A parent answered: its timeout ends, and a preferred parent that answers is used again.
+// Ends the timeout of the current parent. Returns to the preferred parent if that is the one that answered.
 void Follower::on_parent_contact(double now, const std::string& from) {
     last_contact_at_ = now;
     if (parent_index_ != 0 && from == parents_.front()) switch_parent(now, 0);
@@ -114,7 +116,8 @@
     preferred_retry_at_ = parent_index_ == 0 ? kNever : now + jittered(settings_.preferred_retry_s);
 }
 
-// The parent timed out: switches to the next one. While all time out, an exponential backoff with jitter.
+// Switches to the next parent after the current one timed out. Applies an exponential backoff with jitter
+// once all parents have timed out in a row.
 void Follower::switch_to_next_parent(double now) {
     ++counts_.parent_switches;
     ++silent_parents_;
@@ -128,9 +131,9 @@
         next_pull_at_ = now + uniform(0, kParentSwitchSpreadS);
         return;
     }
-    const double longest =
+    const double max_wait =
         std::pow(2.0, std::min<std::size_t>(rounds, kMaxBackoffDoublings)) * settings_.pull_interval_s;
-    next_pull_at_ = now + uniform(0, std::min(settings_.max_backoff_s, longest));
+    next_pull_at_ = now + uniform(0, std::min(settings_.max_backoff_s, max_wait));
 }
 
 void Follower::send_leave_notices(double now) {
@@ -156,7 +159,7 @@
 
 void Follower::receive(double now, const std::string& from, const Message& message) {
     if (std::find(parents_.begin(), parents_.end(), from) == parents_.end()) return;
-    std::visit([&](const auto& one) { handle(now, from, one); }, message);
+    std::visit([&](const auto& typed) { handle(now, from, typed); }, message);
 }
 
 void Follower::handle(double now, const std::string& from, const Offer& offer) {
@@ -193,18 +196,18 @@
     return log_.last().number - active_version_.number >= settings_.max_pending_records;
 }
 
-// Appends the records that follow the last one (log matching). False: they belong to another sequence.
+// Appends the records that follow the last one (log matching). Returns false if they conflict with the log.
 bool Follower::accept_records(const Offer& offer) {
     if (offer.records.empty()) return true;
     Version version = offer.previous;
     const auto conflicts = [&] { return log_.contains_number(version.number) && !log_.contains(version); };
     if (conflicts()) return false;
-    for (const Record& one : offer.records) {
+    for (const Record& record : offer.records) {
         const bool next = log_.last() == version;
-        if (next && (pending_full() || one.term < log_.last_term())) return pending_full();
-        if (next && !log_.push(one)) return false;
+        if (next && (pending_full() || record.term < log_.last_term())) return pending_full();
+        if (next && !log_.push(record)) return false;
         counts_.records += next;
-        version = next_version(version, one);
+        version = next_version(version, record);
         if (conflicts()) return false;
     }
     return true;
--- a/src/rollout/leader.cpp
+++ b/src/rollout/leader.cpp
@@ -6,11 +6,11 @@
 
 Leader::Leader(const LeaderSettings& settings, std::uint64_t seed) : settings_(settings), random_(seed) {}
 
-void Leader::begin_term(double now, std::uint64_t fencing, const Log& own) {
+void Leader::begin_term(double now, std::uint64_t fencing_token, const Log& own_log) {
     end_term();
-    fencing_token_ = fencing;
+    fencing_token_ = fencing_token;
     nonce_ = random_();
-    log_ = own;
+    log_ = own_log;
     for (const std::string& name : settings_.replicas) replicas_[name] = {};
     begin_round(now);
 }
@@ -61,7 +61,7 @@
     if (phase_ == Phase::inactive || phase_ == Phase::fenced) return;
     const bool is_report = std::holds_alternative<FollowerReport>(message);
     if (!is_report && !replicas_.contains(from)) return;
-    std::visit([&](const auto& one) { handle(now, from, one); }, message);
+    std::visit([&](const auto& typed) { handle(now, from, typed); }, message);
 }
 
 void Leader::on_timer(double now) {
--- a/src/rollout/leader_recovery.cpp
+++ b/src/rollout/leader_recovery.cpp
@@ -1,4 +1,4 @@
-// Leader, recovery of a term: promises, log status and the adopted log (Paxos, phase 1).
+// Leader: recovers a term by collecting promises and log status and adopting a log (Paxos, phase 1).
 #include <algorithm>
 
 #include "rollout/leader.hpp"
@@ -6,7 +6,8 @@
 namespace slatejunction::rollout {
 namespace {
 
-constexpr unsigned kMaxRoundAttempts = 3;   // attempts of one step, until a new round begins
+// Attempts of one recovery step before a new round begins; each round allows one more than the one before.
+constexpr unsigned kMaxRoundAttempts = 3;
 constexpr std::uint64_t kMaxRounds = (1u << kRoundBits) - 1;
 
 // Whether a log is more up to date than another: by its last term, then by its last number.
@@ -43,15 +44,15 @@
     events_.push_back({LeaderEvent::Kind::fenced, 0, {}, {}});
 }
 
-// A higher term of a higher fencing token fences this leader; one of the same token (another process of
-// this lease) makes it begin a round above it. Returns whether either happened.
+// Handles a promised term above that of this leader: a higher fencing token fences the leader; with the
+// same token, promised to another process under this lease, the leader begins a round above it. Returns
+// whether either happened.
 bool Leader::superseded_by(double now, std::uint64_t promised) {
     if (promised <= term_) return false;
     if (fencing_token_of(promised) > fencing_token_) {
         fence();
         return true;
     }
-    // Promised to an earlier process under the same lease.
     round_ = promised & kMaxRounds;
     begin_round(now);
     return true;
@@ -72,8 +73,8 @@
     request_log_status(now);
 }
 
-// A quorum is a majority of replicas with intact storage, or every replica: in both cases no committed
-// record can be missing from it.
+// A quorum is a majority of the replicas, all with intact storage, or every replica. Neither can miss a
+// committed record.
 template <class Has>
 bool Leader::has_quorum(Has has) const {
     std::size_t all = 0;
@@ -87,7 +88,7 @@
 
 void Leader::request_log_status(double now) {
     round_retry_at_ = now + settings_.retry_interval_s;
-    // Each round allows one attempt more, so that slow links can finish.
+    // The number of attempts grows with the rounds, so that recovery also completes on slow links.
     ++attempts_;
     if (attempts_ > kMaxRoundAttempts + round_) return begin_round(now);
     for (auto& [name, replica] : replicas_)
@@ -98,7 +99,7 @@
     if (phase_ != Phase::collecting_status || message.term != term_) return;
     ReplicaProgress& replica = replicas_[from];
     if (!replica.promised) return;
-    // The process that promised has restarted since: its promise may be lost.
+    // The process that promised has restarted since, and its promise may be lost.
     if (replica.process != message.process) return begin_round(now);
     replica.log_status = message;
     replica.storage_intact = message.storage_intact;
@@ -106,16 +107,17 @@
         adopt_best_log(now);
 }
 
-// Adopts the most up-to-date log of the quorum (Raft, election restriction: last term, then length).
+// Adopts the most up-to-date log of the quorum (Raft, election restriction: last term, then last number).
 void Leader::adopt_best_log(double now) {
     std::size_t intact = 0;
-    bool any = false;
+    bool any_data = false;
     for (const auto& [name, replica] : replicas_) {
         if (!replica.log_status) continue;
         intact += replica.storage_intact;
-        any = any || replica.storage_intact || replica.log_status->last.number > 0;
+        any_data = any_data || replica.storage_intact || replica.log_status->last.number > 0;
     }
-    if (intact < quorum_size() && any) events_.push_back({LeaderEvent::Kind::majority_lost, 0, {}, {}});
+    if (intact < quorum_size() && any_data)
+        events_.push_back({LeaderEvent::Kind::majority_lost, 0, {}, {}});
     best_replica_.clear();
     std::uint64_t term = log_.last_term();
     std::uint64_t number = log_.last().number;
@@ -150,7 +152,7 @@
     attempts_ = 0;
     const Version wanted = replicas_[best_replica_].log_status->last;
     if (!log_.contains(message.previous)) {
-        // A reply to an earlier request.
+        // Ignores a reply to an earlier request.
         if (message.previous.number != fetch_after_) return;
         if (fetch_after_ <= log_.base().number) {
             log_ = {};
@@ -220,7 +222,7 @@
             if (!replica.promised) send(name, Prepare{term_, nonce_});
     if (phase_ == Phase::collecting_status) request_log_status(now);
     if (phase_ != Phase::fetching_log) return;
-    // The chosen replica may be down; a quorum without it still has every committed record.
+    // The chosen replica may be down; a later quorum without it still has every committed record.
     ++attempts_;
     if (attempts_ > kMaxRoundAttempts + round_) return begin_round(now);
     if (!snapshot_receiver_.active()) fetch_records(now);
--- a/src/rollout/leader_release.cpp
+++ b/src/rollout/leader_release.cpp
@@ -1,4 +1,4 @@
-// Leader, staged release: reports of followers, canaries, clearance and reverts of refused changes.
+// Leader: handles reports of followers, selects canaries, clears numbers and reverts refused changes.
 #include <algorithm>
 #include <limits>
 
@@ -7,7 +7,7 @@
 namespace slatejunction::rollout {
 namespace {
 
-constexpr double kContactChecksPerRetry = 4;   // checks of the majority's contact in one retry interval
+constexpr double kContactChecksPerRetry = 4;   // checks of the contact to a majority per retry interval
 
 }   // namespace
 
@@ -17,23 +17,24 @@
 }
 
 Report Leader::fleet_report(double now) const {
-    Report all;
+    Report total;
     for (const auto& [name, timed] : reports_)
-        if (now - timed.received_at <= settings_.report_timeout_s) add(all, timed.report);
-    return all;
+        if (now - timed.received_at <= settings_.report_timeout_s) add(total, timed.report);
+    return total;
 }
 
 void Leader::revert_refused(double now, const Refusal& refusal) {
     if (refusal.number > commit_index_ || !refused_numbers_.insert(refusal.number).second) return;
     events_.push_back({LeaderEvent::Kind::refused, refusal.number, refusal.name, refusal.reason});
-    if (log_.reverted_by(refusal.number) != 0) return;   // by an earlier leader
+    if (log_.reverted_by(refusal.number) != 0) return;   // reverted by an earlier leader
     const auto revert = log_.revert_of(refusal.number);
     const bool made = revert && append_record(now, *revert);
     events_.push_back(
         {made ? LeaderEvent::Kind::reverted : LeaderEvent::Kind::irrevertible, refusal.number, {}, {}});
 }
 
-// The reporting followers of the lowest name hashes are the canaries; records when each activated what.
+// Makes the reporting followers with the lowest name hashes the canaries, and records when each of them
+// activated which number.
 void Leader::update_canaries(double now, const Report& fleet) {
     const std::size_t count = std::min(settings_.canary_count, fleet.canaries.size());
     std::map<std::string, Canary> current;
@@ -55,18 +56,19 @@
     staging_.canary_below = below;
 }
 
-// When this number, committed at `at` (s), may be cleared according to the canaries.
-double Leader::clearance_time(double at, std::uint64_t number) const {
-    const double waited = at + settings_.canary_timeout_s;
-    if (canaries_.empty()) return waited;
-    double when = at;
+// Returns the time, in s, at which a number may be cleared according to the canaries.
+double Leader::clearance_time(double committed_at, std::uint64_t number) const {
+    const double timeout_at = committed_at + settings_.canary_timeout_s;
+    if (canaries_.empty()) return timeout_at;
+    double clear_at = committed_at;
     for (const auto& [name, canary] : canaries_) {
-        const auto has = std::find_if(canary.activations.begin(), canary.activations.end(),
-                                      [&](const auto& one) { return one.second >= number; });
-        const double ok = has == canary.activations.end() ? waited : has->first + settings_.canary_s;
-        when = std::max(when, ok);
+        const auto activation = std::find_if(canary.activations.begin(), canary.activations.end(),
+                                             [&](const auto& entry) { return entry.second >= number; });
+        const double canary_clear_at =
+            activation == canary.activations.end() ? timeout_at : activation->first + settings_.canary_s;
+        clear_at = std::max(clear_at, canary_clear_at);
     }
-    return std::min(when, waited + settings_.canary_s);
+    return std::min(clear_at, timeout_at + settings_.canary_s);
 }
 
 void Leader::advance_staging(double now) {
@@ -77,14 +79,14 @@
     for (const Refusal& refusal : fleet.refusals) revert_refused(now, refusal);
     staging_deadline_ = kNever;
     std::uint64_t cleared = staging_.cleared;
-    for (const auto& [at, number] : uncleared_commits_) {
-        // A leader without contact to a majority since the commit clears nothing.
-        const bool in_contact = majority_contact_time() >= at;
-        const double when =
-            std::max(clearance_time(at, number),
-                     in_contact ? at : now + settings_.retry_interval_s / kContactChecksPerRetry);
-        if (when > now) {
-            staging_deadline_ = std::min(staging_deadline_, when);
+    for (const auto& [committed_at, number] : uncleared_commits_) {
+        // Clears nothing unless a majority has acknowledged an append since the commit.
+        const bool in_contact = majority_contact_time() >= committed_at;
+        const double clear_at =
+            std::max(clearance_time(committed_at, number),
+                     in_contact ? committed_at : now + settings_.retry_interval_s / kContactChecksPerRetry);
+        if (clear_at > now) {
+            staging_deadline_ = std::min(staging_deadline_, clear_at);
             continue;
         }
         cleared = std::max(cleared, log_.highest_consistent(number, log_.last().number));
@@ -98,7 +100,7 @@
     if (staging_ != before) replicate_all(now);
 }
 
-// The latest time by which a majority had acknowledged an append, s.
+// Returns the latest time, in s, since which a majority of replicas has acknowledged an append.
 double Leader::majority_contact_time() const {
     std::vector<double> times;
     for (const auto& [name, replica] : replicas_) times.push_back(replica.last_ack_at);
--- a/src/rollout/leader_replication.cpp
+++ b/src/rollout/leader_replication.cpp
@@ -1,4 +1,4 @@
-// Leader, replication: appends, log matching, snapshot transfer, the commit index and learners.
+// Leader: replicates records by appends and snapshots, advances the commit index and admits learners.
 #include <algorithm>
 
 #include "rollout/batch.hpp"
@@ -7,8 +7,8 @@
 namespace slatejunction::rollout {
 namespace {
 
-constexpr std::size_t kMaxInFlightRecords = 2'000;   // sent to one replica and not acknowledged
-constexpr double kReadmitIntervalS = 5;              // between rounds begun to admit learners
+constexpr std::size_t kMaxInFlightRecords = 2'000;   // unacknowledged records per replica
+constexpr double kReadmitIntervalS = 5;              // minimum time between rounds begun to admit learners
 
 }   // namespace
 
@@ -21,11 +21,12 @@
         replica.next_send_at = replica.backoff_until;
         return;
     }
-    // New records do not postpone the retry of unacknowledged ones.
+    // New records must not postpone the retry of unacknowledged ones.
     const bool incomplete = replica.match_index < log_.last().number;
-    const double again = now + (incomplete ? settings_.retry_interval_s : settings_.heartbeat_interval_s);
+    const double retry_at =
+        now + (incomplete ? settings_.retry_interval_s : settings_.heartbeat_interval_s);
     replica.next_send_at =
-        incomplete && replica.next_send_at > now ? std::min(replica.next_send_at, again) : again;
+        incomplete && replica.next_send_at > now ? std::min(replica.next_send_at, retry_at) : retry_at;
     if (replica.diverged) return;
     const std::uint64_t last = log_.last().number;
     if (replica.probing && replica.probe_index < log_.base().number) return send_snapshot(name);
@@ -49,7 +50,7 @@
         outgoing_snapshot_.emplace(log_.version(commit_index_), log_.term(commit_index_),
                                    log_.state_at(commit_index_));
     send(name, outgoing_snapshot_->part(0, staging_));
-    // Acknowledged as matching once the snapshot is installed.
+    // The replica acknowledges this append as matching once it has installed the snapshot.
     send(name, Append{term_, outgoing_snapshot_->version(), {}, commit_index_, staging_, false});
 }
 
@@ -66,7 +67,7 @@
     if (superseded_by(now, message.promised) || phase_ != Phase::ready || message.term != term_) return;
     ReplicaProgress& replica = replicas_[from];
     if (replica.process != message.process) {
-        // The replica restarted, perhaps with less: its progress is unknown again.
+        // The replica restarted, possibly with a shorter log: its progress is unknown again.
         replica.process = message.process;
         replica.match_index = 0;
         replica.last_sent = 0;
@@ -90,7 +91,7 @@
         replica.next_send_at = now + settings_.retry_interval_s;
     }
     replica.last_sent = std::max(replica.last_sent, replica.match_index);
-    // Its loss was reported before this round began: it may be admitted in this term.
+    // A learner whose loss was reported before this round began may be admitted in this term.
     replica.admitting_learner =
         !replica.storage_intact && !message.disk_failed && replica.learner_process == message.process;
     advance_commit_index(now);
@@ -100,7 +101,7 @@
     readmit_learners(now);
 }
 
-// Log matching failed at the previous version: probes further back.
+// Handles an append that failed log matching: probes further back.
 void Leader::handle_log_mismatch(double now, const std::string& from, ReplicaProgress& replica,
                                  const AppendReply& message) {
     if (message.disk_failed) {
@@ -109,7 +110,7 @@
         return;
     }
     const std::uint64_t next = std::min(message.last.number, log_.last().number);
-    // Committed on both sides and different: the logs have diverged.
+    // Both sides have committed different records under one number: the logs have diverged.
     if (next <= message.committed && next <= commit_index_ && log_.contains_number(next) &&
         message.last.number == next && !log_.contains(message.last)) {
         if (!replica.diverged) events_.push_back({LeaderEvent::Kind::diverged, 0, from, {}});
@@ -139,17 +140,18 @@
     advance_staging(now);
 }
 
-// For a replica that has everything and still does not count a reading is begun that began after its loss.
+// Begins another round if a replica that lost its storage has the complete log again but reported the loss
+// only after the current round began.
 void Leader::readmit_learners(double now) {
     if (phase_ != Phase::ready || now < readmit_at_) return;
-    const bool wanted = std::any_of(replicas_.begin(), replicas_.end(), [&](const auto& one) {
+    const bool found_learner = std::any_of(replicas_.begin(), replicas_.end(), [&](const auto& one) {
         const ReplicaProgress& replica = one.second;
         return !replica.storage_intact && replica.storage_lost_process != 0 &&
                replica.storage_lost_process == replica.process &&
                replica.learner_process != replica.process && replica.match_index == log_.last().number &&
                !replica.probing;
     });
-    if (!wanted) return;
+    if (!found_learner) return;
     readmit_at_ = now + kReadmitIntervalS;
     begin_round(now);
 }
--- a/src/rollout/log.cpp
+++ b/src/rollout/log.cpp
@@ -27,8 +27,9 @@
     }
 }
 
-void Log::trim(std::size_t records, std::size_t bytes, std::uint64_t number) {
-    while (!entries_.empty() && base_.number < number && (entries_.size() > records || bytes_ > bytes)) {
+void Log::trim(std::size_t max_records, std::size_t max_bytes, std::uint64_t number) {
+    while (!entries_.empty() && base_.number < number &&
+           (entries_.size() > max_records || bytes_ > max_bytes)) {
         const Entry& oldest = entries_.front();
         apply(state_, *oldest.record);
         base_ = oldest.version;
@@ -42,9 +43,9 @@
 
 State Log::state_at(std::uint64_t number) const {
     State state = state_;
-    for (const Entry& one : entries_) {
-        if (one.version.number > number) break;
-        apply(state, *one.record);
+    for (const Entry& appended : entries_) {
+        if (appended.version.number > number) break;
+        apply(state, *appended.record);
     }
     return state;
 }
@@ -58,36 +59,37 @@
     if (number <= base_.number || number > last().number || reverted_by(number) != 0) return {};
     const Record& refused = record(number);
     if (refused.kind == RecordKind::no_op || refused.reverts != 0) return {};
-    Record made;
-    made.key = refused.key;
-    made.reverts = number;
-    const auto with = [&](const std::string* value) {
-        made.kind = value ? RecordKind::put : RecordKind::erase;
-        made.value = value ? *value : std::string();
-        return made;
+    Record revert;
+    revert.key = refused.key;
+    revert.reverts = number;
+    const auto revert_to = [&](const std::string* value) {
+        revert.kind = value ? RecordKind::put : RecordKind::erase;
+        revert.value = value ? *value : std::string();
+        return revert;
     };
     for (auto at = entries_.rbegin(); at != entries_.rend(); ++at) {
-        const Record& one = *at->record;
-        if (one.key != refused.key || one.number == number || one.kind == RecordKind::no_op) continue;
-        const std::string* value = one.kind == RecordKind::put ? &one.value : nullptr;
-        if (one.reverts == 0 && reverted_by(one.number) == 0) return with(value);
-        // This one reverts a record in the base, whose state still contains it: the value before that is
-        // known from this revert only, and only if the refused record came after it.
-        if (one.reverts != 0 && one.reverts <= base_.number) {
-            if (number < one.number) return {};
-            return with(value);
+        const Record& other = *at->record;
+        if (other.key != refused.key || other.number == number || other.kind == RecordKind::no_op) continue;
+        const std::string* value = other.kind == RecordKind::put ? &other.value : nullptr;
+        if (other.reverts == 0 && reverted_by(other.number) == 0) return revert_to(value);
+        // `other` reverts a record that is part of the base, whose state still contains the reverted value.
+        // The value before that is known from `other` alone, and applies only if the refused record came
+        // after it.
+        if (other.reverts != 0 && other.reverts <= base_.number) {
+            if (number < other.number) return {};
+            return revert_to(value);
         }
     }
     const auto at = state_.find(refused.key);
-    return with(at == state_.end() ? nullptr : &at->second);
+    return revert_to(at == state_.end() ? nullptr : &at->second);
 }
 
-std::uint64_t Log::highest_consistent(std::uint64_t number, std::uint64_t seen) const {
-    // Stretches may overlap: the number before one may lie in another.
+std::uint64_t Log::highest_consistent(std::uint64_t number, std::uint64_t log_end) const {
+    // Reverted ranges may overlap: the number before one range may lie in another.
     for (bool again = true; again;) {
         again = false;
         for (auto at = reverts_.begin(); at != reverts_.end() && at->first <= number; ++at) {
-            if (at->second <= number || at->second > seen) continue;
+            if (at->second <= number || at->second > log_end) continue;
             number = at->first - 1;
             again = true;
             break;
--- a/src/rollout/log.hpp
+++ b/src/rollout/log.hpp
@@ -1,5 +1,5 @@
-// The part of the log that a node has: a state at some version (the base) and every record after it. Pure.
-// Invariants: numbers are consecutive, terms never fall, and every record is valid().
+// The part of the log that a node holds: the state at one version, the base, and every record after it. No
+// I/O and no clock. Invariants: numbers are consecutive, terms never fall, and every record is valid().
 #pragma once
 
 #include <deque>
@@ -11,8 +11,8 @@
 
 class Log {
   public:
-    Log() = default;   // version 0, empty
-    /// `term`: of the record of version `base`.
+    Log() = default;   // an empty log at version 0
+    /// `term`: the term of the record at version `base`. `state`: the state at that version.
     Log(const Version& base, std::uint64_t term, State state)
         : base_(base), base_term_(term), state_(std::move(state)) {}
 
@@ -24,37 +24,43 @@
     std::size_t size() const { return entries_.size(); }
     std::size_t bytes() const { return bytes_; }
 
-    /// Whether the number lies in base().number to last().number.
+    /// Whether base().number <= number <= last().number.
     bool contains_number(std::uint64_t number) const {
         return number >= base_.number && number <= last().number;
     }
-    Version version(std::uint64_t number) const;   // requires contains_number(number)
-    const Record& record(
-        std::uint64_t number) const;   // requires number > base().number, contains_number(number)
-    std::uint64_t term(std::uint64_t number) const {   // of that record; requires contains_number(number)
+    /// Requires contains_number(number).
+    Version version(std::uint64_t number) const;
+    /// Requires contains_number(number) and number > base().number.
+    const Record& record(std::uint64_t number) const;
+    /// The term of the record with this number. Requires contains_number(number).
+    std::uint64_t term(std::uint64_t number) const {
         return number > base_.number ? record(number).term : base_term_;
     }
-    bool contains(const Version& version) const {   // this very version, number and chain
+    /// Whether the log contains this version, with the same number and chain.
+    bool contains(const Version& version) const {
         return contains_number(version.number) && this->version(version.number) == version;
     }
 
-    /// Appends the record if it is the next one, valid, and its term does not fall. False: nothing is
-    /// changed.
+    /// Appends the record if it has the next number, is valid, and its term is not below the last one.
+    /// Returns false and changes nothing otherwise.
     bool push(const Record& record);
-    void truncate(
-        std::uint64_t number);   // drops all records after this number; requires contains_number(number)
-    /// Moves the base up until at most `records` and `bytes` are left, but not beyond `number`.
-    void trim(std::size_t records, std::size_t bytes, std::uint64_t number);
+    /// Drops all records after this number. Requires contains_number(number).
+    void truncate(std::uint64_t number);
+    /// Advances the base until at most `max_records` and `max_bytes` are left, but not beyond `number`.
+    void trim(std::size_t max_records, std::size_t max_bytes, std::uint64_t number);
 
-    State state_at(std::uint64_t number) const;   // requires contains_number(number); linear in the records
-    /// The number of the record that reverts this one; 0: none in the log.
+    /// Requires contains_number(number). Takes time linear in the size of the state and the records.
+    State state_at(std::uint64_t number) const;
+    /// The number of the record in this log that reverts `number`, or 0 if there is none.
     std::uint64_t reverted_by(std::uint64_t number) const;
-    /// The record that reverts `number`, without number and term. Nullopt: it is not in the log, is itself
-    /// a revert, changes nothing, or is reverted already.
+    /// Returns the record that reverts `number`, without its own number and term. Returns nullopt if
+    /// `number` is not in the log, is itself a revert or a no-op, or is already reverted, or if the value
+    /// before it is no longer known.
     std::optional<Record> revert_of(std::uint64_t number) const;
-    /// The highest consistent number up to `number`: in no reverted stretch, which begins with a record and
-    /// ends before the record (up to number `seen`) that reverts it.
-    std::uint64_t highest_consistent(std::uint64_t number, std::uint64_t seen) const;
+    /// Returns the highest consistent number up to `number`. A number is consistent if it lies in no
+    /// reverted range. A reverted range begins with a record that is reverted and ends before the record
+    /// that reverts it; reverts after `log_end` are ignored.
+    std::uint64_t highest_consistent(std::uint64_t number, std::uint64_t log_end) const;
 
   private:
     struct Entry {
@@ -65,9 +71,9 @@
 
     Version base_;
     std::uint64_t base_term_ = 0;
-    State state_;   // at the base
+    State state_;   // at base_
     std::deque<Entry> entries_;
-    std::map<std::uint64_t, std::uint64_t> reverts_;   // by the number reverted: the reverting one
+    std::map<std::uint64_t, std::uint64_t> reverts_;   // number of a reverted record -> of its revert
     std::size_t bytes_ = 0;
 };
 
--- a/src/rollout/message.cpp
+++ b/src/rollout/message.cpp
@@ -35,14 +35,14 @@
     to.set_behind(from.behind);
     to.set_silent(from.silent);
     to.set_refused(from.refused);
-    for (const FollowerStatus& one : from.behind_names) write(one, *to.add_behind_name());
-    for (const FollowerStatus& one : from.silent_names) write(one, *to.add_silent_name());
-    for (const FollowerStatus& one : from.canaries) write(one, *to.add_canary());
-    for (const Refusal& one : from.refusals) {
-        wire::Refusal& refusal = *to.add_refusal();
-        refusal.set_number(one.number);
-        refusal.set_name(one.name);
-        refusal.set_reason(one.reason);
+    for (const FollowerStatus& status : from.behind_names) write(status, *to.add_behind_name());
+    for (const FollowerStatus& status : from.silent_names) write(status, *to.add_silent_name());
+    for (const FollowerStatus& status : from.canaries) write(status, *to.add_canary());
+    for (const Refusal& refusal : from.refusals) {
+        wire::Refusal& encoded = *to.add_refusal();
+        encoded.set_number(refusal.number);
+        encoded.set_name(refusal.name);
+        encoded.set_reason(refusal.reason);
     }
 }
 template <class Wire>
@@ -138,12 +138,12 @@
     to.set_disk_failed(from.disk_failed);
 }
 
-// Readers return false if a field is outside its limits.
+// The read() functions that return bool return false if a field is outside its limits.
 bool is_name(std::string_view name) {
     return !name.empty() && name.size() <= kMaxNameBytes &&
            std::all_of(name.begin(), name.end(), [](char c) { return c > ' ' && c < 127; });
 }
-// A reason is shown to people: unprintable characters are replaced.
+// Truncates a reason to kMaxReasonBytes and replaces control characters, as it is shown to operators.
 std::string printable(std::string text) {
     if (text.size() > kMaxReasonBytes) text.resize(kMaxReasonBytes);
     for (char& c : text)
@@ -178,8 +178,8 @@
     return true;
 }
 template <class Repeated>
-bool read(const Repeated& in, std::size_t most, std::vector<FollowerStatus>& out) {
-    if (static_cast<std::size_t>(in.size()) > most) return false;
+bool read(const Repeated& in, std::size_t max_size, std::vector<FollowerStatus>& out) {
+    if (static_cast<std::size_t>(in.size()) > max_size) return false;
     for (const wire::Standing& one : in) {
         out.emplace_back();
         if (!read(one, out.back())) return false;
@@ -284,7 +284,7 @@
 }
 
 template <class Typed, class Wire>
-std::optional<Message> typed(const Wire& in) {
+std::optional<Message> decode_as(const Wire& in) {
     Typed out;
     if (!read(in, out)) return {};
     return Message(std::move(out));
@@ -292,23 +292,25 @@
 
 struct Writer {
     wire::Message& out;
-    void operator()(const Pull& one) { write(one, *out.mutable_pull()); }
-    void operator()(const Offer& one) { write(one, *out.mutable_offer()); }
-    void operator()(const SnapshotPartRequest& one) { write(one, *out.mutable_part_pull()); }
-    void operator()(const SnapshotPart& one) { write(one, *out.mutable_snapshot_part()); }
-    void operator()(const Prepare& one) { write(one, *out.mutable_prepare()); }
-    void operator()(const Promise& one) { write(one, *out.mutable_promise()); }
-    void operator()(const LogStatusRequest& one) { write(one, *out.mutable_inspect()); }
-    void operator()(const LogStatus& one) { write(one, *out.mutable_holding()); }
-    void operator()(const FetchRequest& one) { write(one, *out.mutable_fetch()); }
-    void operator()(const FetchReply& one) { write(one, *out.mutable_fetched()); }
-    void operator()(const Append& one) { write(one, *out.mutable_append()); }
-    void operator()(const AppendReply& one) { write(one, *out.mutable_appended()); }
-    void operator()(const FollowerReport& one) { write(one.report, *out.mutable_told()->mutable_report()); }
+    void operator()(const Pull& message) { write(message, *out.mutable_pull()); }
+    void operator()(const Offer& message) { write(message, *out.mutable_offer()); }
+    void operator()(const SnapshotPartRequest& message) { write(message, *out.mutable_part_pull()); }
+    void operator()(const SnapshotPart& message) { write(message, *out.mutable_snapshot_part()); }
+    void operator()(const Prepare& message) { write(message, *out.mutable_prepare()); }
+    void operator()(const Promise& message) { write(message, *out.mutable_promise()); }
+    void operator()(const LogStatusRequest& message) { write(message, *out.mutable_inspect()); }
+    void operator()(const LogStatus& message) { write(message, *out.mutable_holding()); }
+    void operator()(const FetchRequest& message) { write(message, *out.mutable_fetch()); }
+    void operator()(const FetchReply& message) { write(message, *out.mutable_fetched()); }
+    void operator()(const Append& message) { write(message, *out.mutable_append()); }
+    void operator()(const AppendReply& message) { write(message, *out.mutable_appended()); }
+    void operator()(const FollowerReport& message) {
+        write(message.report, *out.mutable_told()->mutable_report());
+    }
 };
 
-// Tag and length of a field of up to 16,383 bytes.
-constexpr std::size_t kFieldBytes = 3;
+// Bytes of the tag and length of a field of up to 16,383 bytes.
+constexpr std::size_t kFieldOverheadBytes = 3;
 
 }   // namespace
 
@@ -331,29 +333,29 @@
         return {};
     switch (in.kind_case()) {
         case wire::Message::kPull:
-            return typed<Pull>(in.pull());
+            return decode_as<Pull>(in.pull());
         case wire::Message::kOffer:
-            return typed<Offer>(in.offer());
+            return decode_as<Offer>(in.offer());
         case wire::Message::kPartPull:
-            return typed<SnapshotPartRequest>(in.part_pull());
+            return decode_as<SnapshotPartRequest>(in.part_pull());
         case wire::Message::kSnapshotPart:
-            return typed<SnapshotPart>(in.snapshot_part());
+            return decode_as<SnapshotPart>(in.snapshot_part());
         case wire::Message::kPrepare:
-            return typed<Prepare>(in.prepare());
+            return decode_as<Prepare>(in.prepare());
         case wire::Message::kPromise:
-            return typed<Promise>(in.promise());
+            return decode_as<Promise>(in.promise());
         case wire::Message::kInspect:
-            return typed<LogStatusRequest>(in.inspect());
+            return decode_as<LogStatusRequest>(in.inspect());
         case wire::Message::kHolding:
-            return typed<LogStatus>(in.holding());
+            return decode_as<LogStatus>(in.holding());
         case wire::Message::kFetch:
-            return typed<FetchRequest>(in.fetch());
+            return decode_as<FetchRequest>(in.fetch());
         case wire::Message::kFetched:
-            return typed<FetchReply>(in.fetched());
+            return decode_as<FetchReply>(in.fetched());
         case wire::Message::kAppend:
-            return typed<Append>(in.append());
+            return decode_as<Append>(in.append());
         case wire::Message::kAppended:
-            return typed<AppendReply>(in.appended());
+            return decode_as<AppendReply>(in.appended());
         case wire::Message::kTold: {
             FollowerReport report;
             if (!read(in.told().report(), report.report)) return {};
@@ -368,15 +370,15 @@
 std::size_t encoded_size(const Record& record) {
     wire::Record out;
     write(record, out);
-    return out.ByteSizeLong() + kFieldBytes;
+    return out.ByteSizeLong() + kFieldOverheadBytes;
 }
 std::size_t encoded_size(const std::string& key, const std::string& value) {
-    return key.size() + value.size() + 3 * kFieldBytes;
+    return key.size() + value.size() + 3 * kFieldOverheadBytes;
 }
 std::size_t encoded_size(const Report& report) {
     wire::Report out;
     write(report, out);
-    return out.ByteSizeLong() + kFieldBytes;
+    return out.ByteSizeLong() + kFieldOverheadBytes;
 }
 
 }   // namespace slatejunction::rollout
--- a/src/rollout/publisher.cpp
+++ b/src/rollout/publisher.cpp
@@ -8,10 +8,10 @@
 namespace slatejunction::rollout {
 namespace {
 
-constexpr double kCleanupIntervalS = 60;   // s
+constexpr double kCleanupIntervalS = 60;
 constexpr std::size_t kMaxSnapshots = 3;
-constexpr std::size_t kTypicalBodyBytes = 1000;   // bytes of a full message, for the budget
-constexpr double kTokenBucketDepthS = 1;          // s of bytes_per_s that may be spent at once
+constexpr std::size_t kTypicalBodyBytes = 1000;   // of a full message, to estimate sizes
+constexpr double kTokenBucketDepthS = 1;          // tokens of this many seconds may be spent at once
 
 std::size_t size_of(const std::vector<Body>& bodies) {
     std::size_t bytes = 0;
@@ -37,7 +37,8 @@
         push_at_ = std::min(push_at_, now + settings_.batch_s);
 }
 
-// The highest version that the child may activate: canaries up to the commit index, others what is cleared.
+// The highest number that the child may activate: for canaries the highest consistent number up to the
+// commit index, for other children the cleared number.
 std::uint64_t Publisher::activation_limit(const Child& child) const {
     if (child.hash >= staging_.canary_below) return staging_.cleared;
     return std::max(staging_.cleared, log_.highest_consistent(commit_index_, commit_index_));
@@ -45,7 +46,7 @@
 
 void Publisher::receive(double now, const std::string& from, std::uint64_t process,
                         const Message& message) {
-    std::visit([&](const auto& one) { handle(now, from, process, one); }, message);
+    std::visit([&](const auto& typed) { handle(now, from, process, typed); }, message);
 }
 
 void Publisher::handle(double now, const std::string& from, std::uint64_t process, const Pull& pull) {
@@ -88,7 +89,7 @@
     child.following = false;
     child.last_sent = pull.have.number;
     if (pull.have.number < log_.base().number) return offer_snapshot(now, from);
-    // Above the commit index a record may still be replaced: divergence cannot be concluded.
+    // A record above the commit index may still be replaced, so that a mismatch there is no divergence.
     if (pull.have.number <= commit_index_ && log_.contains_number(pull.have.number) &&
         !log_.contains(pull.have)) {
         ++counts_.diverged;
@@ -96,36 +97,37 @@
         offer.diverged = true;
         return send(from, body_of(offer));
     }
-    const std::uint64_t most = activation_limit(child);
-    const std::uint64_t end = std::min(most, commit_index_);
+    const std::uint64_t limit = activation_limit(child);
+    const std::uint64_t end = std::min(limit, commit_index_);
     child.following = true;
-    if (pull.have.number >= end) return send(from, body_of(empty_offer(most)));
+    if (pull.have.number >= end) return send(from, body_of(empty_offer(limit)));
     std::uint64_t reached = 0;
-    const std::vector<Body> bodies = encode_batches(child.last_sent, end, most, reached);
+    const std::vector<Body> bodies = encode_batches(child.last_sent, end, limit, reached);
     if (!consume_tokens(now, size_of(bodies))) {
         child.following = false;
-        return send(from, body_of(empty_offer(most)));
+        return send(from, body_of(empty_offer(limit)));
     }
     for (const Body& body : bodies) send(from, body);
     child.last_sent = reached;
     child.following = reached == end;
 }
 
-Offer Publisher::empty_offer(std::uint64_t most) const {
+Offer Publisher::empty_offer(std::uint64_t limit) const {
     Offer offer;
     offer.staging = staging_;
-    offer.activation_limit = most;
+    offer.activation_limit = limit;
     return offer;
 }
 
-// Records after `from` up to `end`, within window_bytes. `reached`: the number of the last one.
-std::vector<Body> Publisher::encode_batches(std::uint64_t from, std::uint64_t end, std::uint64_t most,
+// Encodes offers with the records after `from` up to `end`, within window_bytes, and the activation limit
+// `limit`. Sets `reached` to the number of the last record.
+std::vector<Body> Publisher::encode_batches(std::uint64_t from, std::uint64_t end, std::uint64_t limit,
                                             std::uint64_t& reached) const {
     std::vector<Body> bodies;
     std::size_t bytes = 0;
     std::uint64_t at = from;
     while (at < end && bytes < settings_.window_bytes) {
-        Offer offer = empty_offer(most);
+        Offer offer = empty_offer(limit);
         offer.previous = log_.version(at);
         offer.records = next_batch(log_, at, end);
         at += offer.records.size();
@@ -143,16 +145,17 @@
         std::vector<Body> bodies;
         std::uint64_t reached = 0;
     };
-    std::map<std::tuple<std::uint64_t, std::uint64_t>, Batch> made;   // by last_sent and activation limit
+    std::map<std::tuple<std::uint64_t, std::uint64_t>, Batch>
+        batches;   // by last_sent and activation limit
     for (auto& [name, child] : children_) {
         if (!child.following || now - child.last_contact_at > settings_.child_timeout_s) continue;
-        const std::uint64_t most = activation_limit(child);
-        const std::uint64_t end = std::min(most, commit_index_);
+        const std::uint64_t limit = activation_limit(child);
+        const std::uint64_t end = std::min(limit, commit_index_);
         if (child.last_sent >= end || child.last_sent < log_.base().number) continue;
-        const auto [at, first] = made.try_emplace({child.last_sent, most});
-        Batch& batch = at->second;
+        const auto [found, first] = batches.try_emplace({child.last_sent, limit});
+        Batch& batch = found->second;
         if (first) {
-            batch.bodies = encode_batches(child.last_sent, end, most, batch.reached);
+            batch.bodies = encode_batches(child.last_sent, end, limit, batch.reached);
             counts_.batches_encoded += batch.bodies.size();
         }
         if (!consume_tokens(now, size_of(batch.bodies))) {
@@ -167,13 +170,14 @@
 }
 
 std::shared_ptr<const Snapshot> Publisher::newest_snapshot(double now) {
-    const bool old = snapshots_.empty() || now - snapshots_.back().first >= settings_.snapshot_interval_s;
+    const bool expired =
+        snapshots_.empty() || now - snapshots_.back().first >= settings_.snapshot_interval_s;
     const std::uint64_t number = staging_.cleared;
     const bool known = number <= commit_index_ && log_.contains_number(number) && number > 0;
     const bool usable =
         !snapshots_.empty() && log_.contains_number(snapshots_.back().second->version().number);
     const bool same = usable && snapshots_.back().second->version().number == number;
-    if ((usable && !old) || same || !known) return usable ? snapshots_.back().second : nullptr;
+    if ((usable && !expired) || same || !known) return usable ? snapshots_.back().second : nullptr;
     const std::uint64_t term = number > log_.base().number ? log_.record(number).term : log_.base_term();
     snapshots_.emplace_back(
         now, std::make_shared<const Snapshot>(log_.version(number), term, log_.state_at(number)));
@@ -189,24 +193,24 @@
 }
 
 void Publisher::handle(double now, const std::string& from, std::uint64_t process,
-                       const SnapshotPartRequest& pull) {
+                       const SnapshotPartRequest& request) {
     const auto at = children_.find(from);
     if (at == children_.end() || at->second.process != process) return;
     at->second.last_contact_at = now;
-    const auto wanted = std::find_if(snapshots_.begin(), snapshots_.end(), [&](const auto& one) {
-        return one.second->version() == pull.version;
+    const auto found = std::find_if(snapshots_.begin(), snapshots_.end(), [&](const auto& created) {
+        return created.second->version() == request.version;
     });
-    if (wanted == snapshots_.end()) return offer_snapshot(now, from);
-    const Snapshot& snapshot = *wanted->second;
-    for (std::uint32_t i = 0; i < std::min(pull.count, SnapshotReceiver::kWindowParts); ++i) {
-        if (pull.from + i >= snapshot.parts() || !consume_tokens(now, kTypicalBodyBytes)) return;
-        send(from, body_of(snapshot.part(pull.from + i, staging_)));
+    if (found == snapshots_.end()) return offer_snapshot(now, from);
+    const Snapshot& snapshot = *found->second;
+    for (std::uint32_t i = 0; i < std::min(request.count, SnapshotReceiver::kWindowParts); ++i) {
+        if (request.from + i >= snapshot.parts() || !consume_tokens(now, kTypicalBodyBytes)) return;
+        send(from, body_of(snapshot.part(request.from + i, staging_)));
     }
 }
 
 bool Publisher::consume_tokens(double now, std::size_t bytes) {
-    const double most = settings_.bytes_per_s * kTokenBucketDepthS;
-    tokens_ = std::min(most, tokens_ + (now - tokens_refilled_at_) * settings_.bytes_per_s);
+    const double capacity = settings_.bytes_per_s * kTokenBucketDepthS;
+    tokens_ = std::min(capacity, tokens_ + (now - tokens_refilled_at_) * settings_.bytes_per_s);
     tokens_refilled_at_ = now;
     if (tokens_ < static_cast<double>(bytes)) {
         ++counts_.throttled;
@@ -217,27 +221,28 @@
 }
 
 bool Publisher::behind(double now, const Child& child) const {
-    const auto lacks = [&](const auto& one) {
-        return one.first + settings_.behind_s <= now && child.status.active < one.second;
+    const auto lacks = [&](const auto& clearance) {
+        return clearance.first + settings_.behind_s <= now && child.status.active < clearance.second;
     };
     return std::any_of(clearances_.begin(), clearances_.end(), lacks);
 }
 
 Report Publisher::report(double now) const {
-    Report all;
+    Report total;
     for (const auto& [name, child] : children_) {
         if (now - child.last_contact_at > settings_.child_timeout_s) {
-            if (now - child.last_contact_at <= settings_.child_retention_s) add_silent(all, child.status);
+            if (now - child.last_contact_at <= settings_.child_retention_s) add_silent(total, child.status);
             continue;
         }
-        add(all, child.status, behind(now, child), child.refusal ? &*child.refusal : nullptr);
-        if (child.subtree) add(all, *child.subtree);
+        add(total, child.status, behind(now, child), child.refusal ? &*child.refusal : nullptr);
+        if (child.subtree) add(total, *child.subtree);
     }
-    return all;
+    return total;
 }
 
 void Publisher::remove_silent(double now, double silent_s) {
-    std::erase_if(children_, [&](const auto& one) { return now - one.second.last_contact_at > silent_s; });
+    std::erase_if(children_,
+                  [&](const auto& child) { return now - child.second.last_contact_at > silent_s; });
 }
 
 void Publisher::on_timer(double now) {
--- a/src/rollout/record.cpp
+++ b/src/rollout/record.cpp
@@ -15,7 +15,7 @@
 
 }   // namespace
 
-// The bytes under a chain, independent of any message format. They never change.
+// Hashes a fixed encoding of the record that is independent of the message format and must never change.
 Version next_version(const Version& previous, const Record& record) {
     std::string bytes;
     bytes.reserve(6 * sizeof(std::uint64_t) + record.key.size() + record.value.size());
@@ -49,15 +49,15 @@
 
 void apply_with_undo(State& state, Changes& changes) {
     for (auto& [key, value] : changes) {
-        const auto at = state.find(key);
+        const auto found = state.find(key);
         std::optional<std::string> old;
-        if (at != state.end()) old = std::move(at->second);
-        if (value && at != state.end())
-            at->second = std::move(*value);
+        if (found != state.end()) old = std::move(found->second);
+        if (value && found != state.end())
+            found->second = std::move(*value);
         else if (value)
             state.emplace(key, std::move(*value));
-        else if (at != state.end())
-            state.erase(at);
+        else if (found != state.end())
+            state.erase(found);
         value = std::move(old);
     }
 }
--- a/src/rollout/replica.cpp
+++ b/src/rollout/replica.cpp
@@ -7,7 +7,7 @@
 namespace slatejunction::rollout {
 namespace {
 
-constexpr std::size_t kMaxFetchReplies = 32;   // messages in answer to one Fetch
+constexpr std::size_t kMaxFetchReplies = 32;   // to one FetchRequest
 
 }   // namespace
 
@@ -22,7 +22,7 @@
       log_(std::move(stored.log)) {}
 
 void Replica::receive(double now, const std::string& from, const Message& message) {
-    std::visit([&](const auto& one) { handle(now, from, one); }, message);
+    std::visit([&](const auto& typed) { handle(now, from, typed); }, message);
 }
 
 void Replica::on_timer(double now) {
@@ -42,8 +42,8 @@
     const bool newer = message.term > promised_;
     if (newer && !promise(message.term)) return;
     if (newer) promised_nonce_ = message.nonce;
-    // The same term of another process, or from before this one started: that leader needs a round of its
-    // own.
+    // Not granted if the term was promised to another process, or before this process started: the leader
+    // must then begin another round.
     const bool granted = message.term == promised_ && promised_nonce_ == message.nonce;
     send(from, Promise{message.term, promised_, process_, storage_intact_, granted});
 }
@@ -65,13 +65,13 @@
         return send(from, outgoing_snapshot_->part(0, staging_));
     }
     std::uint64_t at = std::min(message.after, log_.last().number);
-    for (std::size_t sent = 0; sent < kMaxFetchReplies; ++sent) {
-        FetchReply fetched{message.term, log_.version(at), {}, false};
-        fetched.records = next_batch(log_, at, log_.last().number);
-        at += fetched.records.size();
-        fetched.end = at == log_.last().number || sent + 1 == kMaxFetchReplies;
-        send(from, fetched);
-        if (fetched.end) return;
+    for (std::size_t replies = 0; replies < kMaxFetchReplies; ++replies) {
+        FetchReply reply{message.term, log_.version(at), {}, false};
+        reply.records = next_batch(log_, at, log_.last().number);
+        at += reply.records.size();
+        reply.end = at == log_.last().number || replies + 1 == kMaxFetchReplies;
+        send(from, reply);
+        if (reply.end) return;
     }
 }
 
@@ -114,20 +114,21 @@
 bool Replica::log_matches(const Append& message, AppendReply& reply) {
     if (log_.contains(message.previous)) return true;
     const std::uint64_t number = message.previous.number;
-    if (!log_.contains_number(number)) return false;   // the reply has the last version
-    // A conflict above the commit index: all leaders agree up to there.
+    if (!log_.contains_number(number)) return false;   // the reply contains the last version
+    // A conflict up to the commit index means that the logs have diverged. The leader probes next at the
+    // commit index, up to which the logs of all leaders agree.
     if (number <= commit_index_) diverged_ = true;
     reply.last = log_.version(std::min(commit_index_, log_.last().number));
     return false;
 }
 
-// Appends the records that are missing, in place of a conflicting suffix. False: the log is unchanged or
-// shorter, and nothing was appended.
+// Appends the missing records and drops a conflicting suffix before that. Returns false if nothing was
+// appended; the conflicting suffix may have been dropped.
 bool Replica::append_missing(const Append& message) {
     std::size_t known = 0;
     Version version = message.previous;
-    for (const Record& one : message.records) {
-        const Version next = next_version(version, one);
+    for (const Record& record : message.records) {
+        const Version next = next_version(version, record);
         if (!log_.contains(next)) break;
         version = next;
         ++known;
@@ -145,8 +146,8 @@
     }
     const std::vector<Record> fresh(message.records.begin() + static_cast<std::ptrdiff_t>(known),
                                     message.records.end());
-    for (const Record& one : fresh)
-        if (!log_.push(one)) {
+    for (const Record& record : fresh)
+        if (!log_.push(record)) {
             log_.truncate(start);
             return false;
         }
@@ -170,7 +171,7 @@
 }
 
 void Replica::compact() {
-    // A failure leaves the stored log as it is; the next compaction tries again.
+    // A failure leaves the stored log unchanged; the next compaction tries again.
     records_since_compaction_ = 0;
     storage_.replace(log_, commit_index_);
 }
@@ -183,7 +184,7 @@
 }
 
 void Replica::handle(double now, const std::string& from, const SnapshotPart& message) {
-    // A leader sends committed versions only; the append that follows decides whether this one matches.
+    // A leader sends snapshots of committed versions only; the append that follows verifies the log.
     if (message.version.number <= commit_index_ || log_.contains(message.version)) return;
     snapshot_sender_ = from;
     snapshot_receiver_.receive(now, message);
--- a/src/rollout/replica.hpp
+++ b/src/rollout/replica.hpp
@@ -1,19 +1,20 @@
 // The replica of the configuration log on a control machine (an acceptor in Paxos, a follower in Raft).
 //
-// Rule: it promises terms, appends what the leader of the highest promised term sends, and reports its log.
-// Inputs: messages of leaders, `now` in s. Output: replies (take_outgoing), the log and its commit index.
+// It promises terms, appends the records that the leader of the highest promised term sends, and reports
+// its log to leaders. The committed part of its log is published to followers.
 //
-// Invariants, on which safety rests:
-//  1. It accepts nothing of a term below the highest that it promised, and promises durably.
-//  2. An append is accepted only if its previous version, number and chain, is in the log (log matching). A
-//     conflicting suffix is dropped; a committed record never is.
-//  3. Whatever it reports to have is durable.
-//  4. After a loss of storage every reply says so, until a leader admits it: one whose recovery of a
-//  majority
-//     of the others began after the loss was reported (leader.hpp, invariant 2).
+// Safety depends on these invariants:
+// - It accepts no message of a term below the highest that it promised, and its promises are durable.
+// - It accepts an append only if the previous version, with number and chain, is in its log (log
+//   matching). It drops a conflicting suffix, but never a committed record.
+// - Everything that it reports to have is durable.
+// - After it lost its storage, every reply says so until a leader admits it. Only a leader whose recovery
+//   from a majority of the other replicas began after the loss was reported does that (leader.hpp,
+//   learners).
 //
-// It does no I/O besides ReplicaStorage and reads no clock. Called by Driver, which owns it and its
-// storage. Seen in: the records replica_begins and committed of the event log, GET /v1/rollout.
+// It does no I/O besides ReplicaStorage and reads no clock: callers pass `now` in s. Called by Driver,
+// which owns it and its storage. Its state is shown by the events replica_begins and committed of the
+// event log and by GET /v1/rollout.
 #pragma once
 
 #include <string>
@@ -32,18 +33,18 @@
 struct ReplicaSettings {
     std::string name;
     std::size_t max_log_records = kMaxLogRecords, max_log_bytes = kMaxLogBytes;
-    std::size_t compact_after_records = 10'000;   // appended to the storage since the last compaction
+    std::size_t compact_after_records = 10'000;   // appended to the storage, until it is compacted
 };
 
 /// One instance per control machine.
 class Replica {
   public:
-    /// `process`: random id of this incarnation, never 0. `storage` must outlive this.
+    /// `process`: the random id of this incarnation, never 0. `storage` must outlive this.
     Replica(const ReplicaSettings& settings, std::uint64_t process, ReplicaStored stored,
             ReplicaStorage& storage);
 
-    /// Prepare, LogStatusRequest, FetchRequest, Append, SnapshotPart, SnapshotPartRequest of a leader;
-    /// other messages are ignored.
+    /// Handles a Prepare, LogStatusRequest, FetchRequest, Append, SnapshotPart or SnapshotPartRequest of a
+    /// leader and ignores other messages.
     void receive(double now, const std::string& from, const Message& message);
     void on_timer(double now);
     double next_deadline() const { return snapshot_receiver_.next_deadline(); }   // s
@@ -54,12 +55,12 @@
     const Staging& staging() const { return staging_; }
     std::uint64_t promised() const { return promised_; }
     bool storage_intact() const { return storage_intact_; }
-    const std::string& leader() const { return leader_; }       // of the last append; empty: none yet
-    double last_append_at() const { return last_append_at_; }   // s; of that append
-    bool disk_failed() const { return disk_failed_; }           // the last write failed
-    /// Committed records here differ from those of a leader, whose appends are rejected.
+    const std::string& leader() const { return leader_; }   // sender of the last append; empty: none yet
+    double last_append_at() const { return last_append_at_; }   // time of that append, s
+    bool disk_failed() const { return disk_failed_; }           // whether the last write failed
+    /// Whether committed records here differ from those of a leader, whose appends are rejected.
     bool diverged() const { return diverged_; }
-    /// Incremented when commit_index() or staging() changes, for the publisher.
+    /// Incremented when commit_index() or staging() changes, so that the publisher can be updated.
     std::uint64_t changes() const { return changes_; }
 
   private:
@@ -72,7 +73,7 @@
     template <class Other>
     void handle(double, const std::string&, const Other&) {}
     bool promise(std::uint64_t term);
-    bool log_matches(const Append& message, AppendReply& answer);
+    bool log_matches(const Append& message, AppendReply& reply);
     bool append_missing(const Append& message);
     void install_snapshot();
     AppendReply make_reply(std::uint64_t term) const;
@@ -87,7 +88,7 @@
     ReplicaStorage& storage_;
     bool storage_intact_;
     std::uint64_t promised_, commit_index_;
-    std::uint64_t promised_nonce_ = 0;   // nonce of the promised Prepare, since the start
+    std::uint64_t promised_nonce_ = 0;   // of the Prepare that was promised by this process; 0: none
     Log log_;
     Staging staging_;
     std::string leader_;
@@ -97,7 +98,7 @@
     std::size_t records_since_compaction_ = 0;
     SnapshotReceiver snapshot_receiver_;
     std::string snapshot_sender_;
-    std::optional<Snapshot> outgoing_snapshot_;   // to a leader that is far behind
+    std::optional<Snapshot> outgoing_snapshot_;   // for a leader whose log is far behind
     std::vector<OutgoingMessage> outgoing_;
 };
 
--- a/src/rollout/report.cpp
+++ b/src/rollout/report.cpp
@@ -7,57 +7,60 @@
 namespace slatejunction::rollout {
 namespace {
 
-void insert_lowest(std::vector<FollowerStatus>& names, const FollowerStatus& one, std::size_t most) {
+void insert_lowest(std::vector<FollowerStatus>& statuses, const FollowerStatus& status,
+                   std::size_t max_size) {
     const auto before = [](const FollowerStatus& a, const FollowerStatus& b) {
         return a.active < b.active;
     };
-    names.insert(std::upper_bound(names.begin(), names.end(), one, before), one);
-    if (names.size() > most) names.pop_back();
+    statuses.insert(std::upper_bound(statuses.begin(), statuses.end(), status, before), status);
+    if (statuses.size() > max_size) statuses.pop_back();
 }
 
-// A follower that switched parents may be reported by both for a while: the higher number is newer.
-void insert_canary(std::vector<FollowerStatus>& canaries, const FollowerStatus& one) {
-    const auto same = std::find_if(canaries.begin(), canaries.end(),
-                                   [&](const FollowerStatus& known) { return known.name == one.name; });
-    if (same != canaries.end()) {
-        if (one.active > same->active) *same = one;
+// A follower that switched parents may be reported by both for a while; the higher number is the newer
+// status.
+void insert_canary(std::vector<FollowerStatus>& canaries, const FollowerStatus& status) {
+    const auto existing = std::find_if(canaries.begin(), canaries.end(), [&](const FollowerStatus& known) {
+        return known.name == status.name;
+    });
+    if (existing != canaries.end()) {
+        if (status.active > existing->active) *existing = status;
         return;
     }
     const auto before = [](const FollowerStatus& a, const FollowerStatus& b) {
         return hash_of(a.name) < hash_of(b.name);
     };
-    if (canaries.size() >= kMaxCanaries && !before(one, canaries.back())) return;
-    canaries.insert(std::upper_bound(canaries.begin(), canaries.end(), one, before), one);
+    if (canaries.size() >= kMaxCanaries && !before(status, canaries.back())) return;
+    canaries.insert(std::upper_bound(canaries.begin(), canaries.end(), status, before), status);
     if (canaries.size() > kMaxCanaries) canaries.pop_back();
 }
 
-void insert_refusal(std::vector<Refusal>& refusals, const Refusal& one) {
-    const auto at =
-        std::lower_bound(refusals.begin(), refusals.end(), one,
+void insert_refusal(std::vector<Refusal>& refusals, const Refusal& refusal) {
+    const auto position =
+        std::lower_bound(refusals.begin(), refusals.end(), refusal,
                          [](const Refusal& a, const Refusal& b) { return a.number < b.number; });
-    if (at != refusals.end() && at->number == one.number) return;
-    refusals.insert(at, one);
+    if (position != refusals.end() && position->number == refusal.number) return;
+    refusals.insert(position, refusal);
     if (refusals.size() > kMaxReportedRefusals) refusals.pop_back();
 }
 
 }   // namespace
 
-void add(Report& to, const FollowerStatus& standing, bool behind, const Refusal* refusal) {
-    to.lowest = to.counted == 0 ? standing.active : std::min(to.lowest, standing.active);
+void add(Report& to, const FollowerStatus& status, bool behind, const Refusal* refusal) {
+    to.lowest = to.counted == 0 ? status.active : std::min(to.lowest, status.active);
     ++to.counted;
-    insert_canary(to.canaries, standing);
+    insert_canary(to.canaries, status);
     if (behind) {
         ++to.behind;
-        insert_lowest(to.behind_names, standing, kMaxReportedNames);
+        insert_lowest(to.behind_names, status, kMaxReportedNames);
     }
     if (!refusal) return;
     ++to.refused;
     insert_refusal(to.refusals, *refusal);
 }
 
-void add_silent(Report& to, const FollowerStatus& standing) {
+void add_silent(Report& to, const FollowerStatus& status) {
     ++to.silent;
-    insert_lowest(to.silent_names, standing, kMaxReportedNames);
+    insert_lowest(to.silent_names, status, kMaxReportedNames);
 }
 
 void add(Report& to, const Report& from) {
@@ -66,12 +69,12 @@
     to.behind += from.behind;
     to.silent += from.silent;
     to.refused += from.refused;
-    for (const FollowerStatus& one : from.behind_names)
-        insert_lowest(to.behind_names, one, kMaxReportedNames);
-    for (const FollowerStatus& one : from.silent_names)
-        insert_lowest(to.silent_names, one, kMaxReportedNames);
-    for (const FollowerStatus& one : from.canaries) insert_canary(to.canaries, one);
-    for (const Refusal& one : from.refusals) insert_refusal(to.refusals, one);
+    for (const FollowerStatus& status : from.behind_names)
+        insert_lowest(to.behind_names, status, kMaxReportedNames);
+    for (const FollowerStatus& status : from.silent_names)
+        insert_lowest(to.silent_names, status, kMaxReportedNames);
+    for (const FollowerStatus& status : from.canaries) insert_canary(to.canaries, status);
+    for (const Refusal& refusal : from.refusals) insert_refusal(to.refusals, refusal);
 }
 
 void shrink_to(Report& report, std::size_t bytes) {
--- a/src/rollout/settings.cpp
+++ b/src/rollout/settings.cpp
@@ -16,7 +16,7 @@
 constexpr std::size_t kMaxRegionBytes = 64;
 constexpr std::size_t kMaxParents = 64;
 constexpr double kMaxCanaryS = 4;      // keeps active_within_s() below kMaxActiveWithinS
-constexpr double kRoundTripS = 0.02;   // between control machines, as in other stated bounds
+constexpr double kRoundTripS = 0.02;   // between control machines, as assumed by the bounds of [lease]
 
 constexpr bool canaries_fit() {
     BoundTimes times;
@@ -25,14 +25,14 @@
 }
 static_assert(canaries_fit());
 
-// Names and regions are printed and written to JSON.
-bool is_plain(const std::string& text, std::size_t most) {
-    return !text.empty() && text.size() <= most && std::all_of(text.begin(), text.end(), [](char c) {
+// Whether the text can be printed and written to JSON without escapes, as names and regions are.
+bool is_plain(const std::string& text, std::size_t max_bytes) {
+    return !text.empty() && text.size() <= max_bytes && std::all_of(text.begin(), text.end(), [](char c) {
         return c > ' ' && c < 127 && c != '"' && c != '\\' && c != '=';
     });
 }
 
-// Reads NAME=ADDRESS:PORT [REGION] a line; returns what is wrong with it.
+// Reads lines of the form NAME=ADDRESS:PORT [REGION]. Returns an error, or an empty text.
 std::string read_parents(const std::string& text, std::vector<ParentAddress>& parents) {
     std::set<std::string> names;
     std::istringstream lines(text);
@@ -41,14 +41,16 @@
         std::string pair, region, rest;
         if (!(words >> pair)) continue;
         words >> region;
-        const std::size_t mark = pair.find('=');
-        const std::string name = pair.substr(0, mark);
-        const std::string address = mark == std::string::npos ? "" : pair.substr(mark + 1);
+        const std::size_t separator = pair.find('=');
+        const std::string name = pair.substr(0, separator);
+        const std::string address = separator == std::string::npos ? "" : pair.substr(separator + 1);
         if (words >> rest || !is_plain(name, kMaxNameBytes) || !net::parse_address(address))
             return "'" + line + "' is not NAME=ADDRESS:PORT or NAME=ADDRESS:PORT REGION";
         if (!region.empty() && !is_plain(region, kMaxRegionBytes))
-            return "'" + region + "' is no region: up to 64 plain characters";
-        if (!names.insert(name).second) return "'" + name + "' stands twice";
+            return "'" + region +
+                   "' is not a region: expected 1 to 64 printable characters without spaces, '\"', '\\' or "
+                   "'='";
+        if (!names.insert(name).second) return "'" + name + "' is listed twice";
         parents.push_back({{name, region}, address});
     }
     if (parents.size() > kMaxParents) return "more than 64 parents";
@@ -72,7 +74,9 @@
                  [](const std::string& text) -> std::string {
                      return text.empty() || is_plain(text, kMaxRegionBytes)
                                 ? ""
-                                : "'" + text + "' is no region: up to 64 plain characters";
+                                : "'" + text +
+                                      "' is not a region: expected 1 to 64 printable characters without "
+                                      "spaces, '\"', '\\' or '='";
                  });
     section.text("key_file", key_file,
                  "a file with one key, or two while one is replaced, as [peers] has it; empty: that one");
@@ -83,8 +87,8 @@
                  "of changes and snapshots that this process sends to all its children on their asking");
     section.whole([this]() -> std::string {
         std::vector<ParentAddress> parents;
-        if (const std::string why = read_parents(from, parents); !why.empty()) return "from: " + why;
-        if (follows() && parents.empty()) return "from: names no parent";
+        if (const std::string error = read_parents(from, parents); !error.empty()) return "from: " + error;
+        if (follows() && parents.empty()) return "from: lists no parent";
         return {};
     });
     return section;
@@ -97,29 +101,30 @@
 }
 
 FollowerSettings follower_settings(const Options& options, const std::string& name) {
-    FollowerSettings made;
-    made.name = name;
-    made.region = options.region;
-    for (const ParentAddress& one : parents_of(options)) made.parents.push_back(one.parent);
+    FollowerSettings settings;
+    settings.name = name;
+    settings.region = options.region;
+    for (const ParentAddress& address : parents_of(options)) settings.parents.push_back(address.parent);
     if (options.publishes()) {
-        made.max_log_records = kMaxLogRecords;   // for its children, as on a control machine
-        made.max_log_bytes = kMaxLogBytes;
+        settings.max_log_records =
+            kMaxLogRecords;   // a relay keeps as many as a control machine, for its children
+        settings.max_log_bytes = kMaxLogBytes;
     }
-    return made;
+    return settings;
 }
 
 PublisherSettings publisher_settings(const Options& options) {
-    PublisherSettings made;
-    made.bytes_per_s = options.bytes_per_s;
-    return made;
+    PublisherSettings settings;
+    settings.bytes_per_s = options.bytes_per_s;
+    return settings;
 }
 
 LeaderSettings leader_settings(const Options& options, const std::vector<std::string>& replicas) {
-    LeaderSettings made;
-    made.replicas = replicas;
-    made.canary_count = static_cast<std::size_t>(options.canaries);
-    made.canary_s = options.canary_s;
-    return made;
+    LeaderSettings settings;
+    settings.replicas = replicas;
+    settings.canary_count = static_cast<std::size_t>(options.canaries);
+    settings.canary_s = options.canary_s;
+    return settings;
 }
 
 BoundTimes bound_times(const Options& options) {
@@ -128,10 +133,10 @@
     return times;
 }
 
-std::string load_keys(const Options& options, const std::string& otherwise,
+std::string load_keys(const Options& options, const std::string& default_key_file,
                       std::vector<membership::AuthKey>& keys) {
     membership::Options file;
-    file.key_file = options.key_file.empty() ? otherwise : options.key_file;
+    file.key_file = options.key_file.empty() ? default_key_file : options.key_file;
     return membership::load_keys(file, keys);
 }
 
@@ -143,23 +148,24 @@
 std::vector<std::string> stated_bounds(const Options& options, const lease::LeaseTimes& times,
                                        std::size_t replicas, double interval_s) {
     const BoundTimes bound = bound_times(options);
-    std::vector<std::string> all;
+    std::vector<std::string> lines;
     char text[400];
     std::snprintf(
         text, sizeof text,
-        "rollout: a change is in force at every ingress that can use it within %.1f s while links "
-        "lose at most %d datagrams in a row; no version without all before it",
+        "rollout: a change is active at every ingress that accepts it within %.1f s while links lose at "
+        "most %d datagrams in a row; each version includes all changes before it",
         active_within_s(bound), bound.max_losses);
-    all.emplace_back(text);
-    if (!options.is_control_machine()) return all;
-    std::snprintf(text, sizeof text,
-                  "rollout: within %.1f s where the source dies in between (a majority of the %zu control "
-                  "machines up); at most %.0f changes a second at [peers] interval_s = %g",
-                  active_after_leader_failure_s(
-                      bound, lease::max_vacancy_s(times, kRoundTripS, static_cast<int>(replicas))),
-                  replicas, changes_per_s(replicas, interval_s), interval_s);
-    all.emplace_back(text);
-    return all;
+    lines.emplace_back(text);
+    if (!options.is_control_machine()) return lines;
+    std::snprintf(
+        text, sizeof text,
+        "rollout: within %.1f s if the leader fails in between (with a majority of the %zu control "
+        "machines up); at most %.0f changes a second at [peers] interval_s = %g",
+        active_after_leader_failure_s(bound,
+                                      lease::max_vacancy_s(times, kRoundTripS, static_cast<int>(replicas))),
+        replicas, changes_per_s(replicas, interval_s), interval_s);
+    lines.emplace_back(text);
+    return lines;
 }
 
 }   // namespace slatejunction::rollout
--- a/src/rollout/snapshot.cpp
+++ b/src/rollout/snapshot.cpp
@@ -7,7 +7,7 @@
 namespace slatejunction::rollout {
 namespace {
 
-constexpr double kStaleRetries = 4;   // retry intervals without a part, until a transfer is stale
+constexpr double kStaleRetryIntervals = 4;   // without a part, until a transfer is stale
 
 void add_to_checksum(std::uint64_t& checksum, std::string_view bytes) {
     const std::uint64_t size = bytes.size();
@@ -50,7 +50,7 @@
     const bool same = active_ && part.version == version_;
     if (same && (part.checksum != checksum_ || part.parts != parts_.size() || part.term != term_)) return;
     if (!same) {
-        const bool stale = now - last_part_at_ > kStaleRetries * kRetryIntervalS;
+        const bool stale = now - last_part_at_ > kStaleRetryIntervals * kRetryIntervalS;
         if (active_ && part.version.number <= version_.number && !stale) return;
         reset();
         active_ = true;
--- a/src/rollout/snapshot.hpp
+++ b/src/rollout/snapshot.hpp
@@ -1,9 +1,8 @@
-// Snapshot transfer: the state at one version in parts that fit into messages.
+// Snapshot transfer: sends the state at one version in parts that fit into messages.
 //
-// Rule: the receiver requests a window of missing parts and repeats the request after a timeout; the
-// complete state is accepted only if it has the announced checksum. Input: parts, `now` in s; output:
-// requests and the received state. Both sides are without I/O or clock. Used by Leader, Replica, Publisher
-// and Follower.
+// The receiver requests a window of missing parts and repeats the request after a timeout. It accepts the
+// complete state only if that has the announced checksum. Neither side does I/O or reads a clock: callers
+// pass `now` in s. Used by Leader, Replica, Publisher and Follower.
 #pragma once
 
 #include <cstdint>
@@ -15,10 +14,11 @@
 
 namespace slatejunction::rollout {
 
-/// XXH64 over the version, its term and every key and value with its length, in the order of the keys.
+/// XXH64 hash of the version, its term, the number of keys, and every key and value with its length, in the
+/// order of the keys.
 std::uint64_t snapshot_checksum(const Version& version, std::uint64_t term, const State& state);
 
-/// The sending side.
+/// The sending side of a transfer.
 class Snapshot {
   public:
     Snapshot(const Version& version, std::uint64_t term, const State& state);
@@ -32,12 +32,12 @@
     std::vector<std::vector<std::pair<std::string, std::string>>> parts_;
 };
 
-/// The receiving side, of one snapshot at a time.
+/// The receiving side, for one snapshot at a time.
 class SnapshotReceiver {
   public:
-    static constexpr std::uint32_t kWindowParts = 8;   // requested at once
+    static constexpr std::uint32_t kWindowParts = 8;   // parts requested at once
     static constexpr std::uint32_t kMaxParts = 1u << 16;
-    static constexpr double kRetryIntervalS = 0.5;   // without a part, until the request is repeated
+    static constexpr double kRetryIntervalS = 0.5;   // until an unfinished request is repeated
 
     struct Received {
         Version version;
@@ -45,17 +45,18 @@
         State state;
     };
 
-    /// Adds a part. One of another version restarts the transfer if it is higher, or if the current
-    /// transfer is stale (no part for 4 kRetryIntervalS).
+    /// Adds a part. A part of another version restarts the transfer with that version if it is higher, or
+    /// if the current transfer is stale, that is, has received no part for 4 * kRetryIntervalS.
     void receive(double now, const SnapshotPart& part);
     bool active() const { return active_; }
     double next_deadline() const { return active_ ? next_request_at_ : kNever; }
     /// The request to send now, if one is due.
     std::optional<SnapshotPartRequest> next_request(double now);
-    /// The complete state, once; its checksum is right.
+    /// Returns the complete state once its checksum is verified; nullopt before that and at further calls.
     std::optional<Received> take_snapshot() { return std::exchange(received_, std::nullopt); }
     void reset();
-    std::uint64_t checksum_failures() const { return checksum_failures_; }   // complete, but wrong
+    /// The number of complete transfers whose state did not have the announced checksum.
+    std::uint64_t checksum_failures() const { return checksum_failures_; }
 
   private:
     void finish();
--- a/src/rollout/storage.hpp
+++ b/src/rollout/storage.hpp
@@ -1,8 +1,9 @@
-// Durable storage of replicas and followers, as the cores see it. The cores call it before they report,
-// count or apply what it stores. Implemented by files (file_storage.hpp), and by maps in tests.
+// Interfaces of the durable storage of replicas and followers. The cores store data before they report,
+// count or apply it. Implemented by files (file_storage.hpp), and in memory by tests.
 //
-// Every method returns whether its effect is durable: a killed process finds it again. False: no part of it
-// may be found again, and the core continues as if it had not called.
+// Every method that returns bool returns whether its effect is durable, so that it survives the process
+// being killed. If it returns false, no part of its effect may be found after a restart, and the core
+// continues as if it had not called the method.
 #pragma once
 
 #include <string>
@@ -12,12 +13,13 @@
 
 namespace slatejunction::rollout {
 
-/// What a replica finds at its start. `storage_intact`: everything that it ever promised and appended is in
-/// it. False: the disk is new, was lost or was set aside as broken, and the replica counts in no majority
-/// until a leader admits it. Never true for a part.
+/// The data that a replica finds at its start.
 struct ReplicaStored {
+    // Whether everything that the replica ever promised and appended is stored. False if the disk is new,
+    // if its data was lost, or if damaged data was set aside, even in part. The replica then counts in no
+    // majority until a leader admits it.
     bool storage_intact = false;
-    std::uint64_t promised = 0;       // the highest term
+    std::uint64_t promised = 0;       // the highest promised term
     std::uint64_t commit_index = 0;   // a lower bound
     Log log;
 };
@@ -25,31 +27,32 @@
 class ReplicaStorage {
   public:
     virtual ~ReplicaStorage() = default;
-    /// Before a promise is sent, and before an admitted replica reports intact storage.
-    virtual bool save_promise(std::uint64_t term, bool remembers) = 0;
-    /// Before an append is acknowledged. The records follow the last one stored.
+    /// Called before a promise is sent, and before an admitted replica reports intact storage.
+    virtual bool save_promise(std::uint64_t term, bool storage_intact) = 0;
+    /// Called before an append is acknowledged. The records follow the last stored one.
     virtual bool append(const std::vector<Record>& records) = 0;
-    /// Before a conflicting suffix is replaced: no record after `number` is found again.
+    /// Called before a conflicting suffix is replaced. Removes all records after `number`.
     virtual bool truncate(std::uint64_t number) = 0;
-    /// Replaces the stored log: after a snapshot, and for compaction. Promise and storage_intact are
-    /// unchanged.
+    /// Replaces the stored log, to install a snapshot and for compaction. Does not change the promise and
+    /// storage_intact.
     virtual bool replace(const Log& log, std::uint64_t committed) = 0;
-    /// A hint for the next start; need not be durable.
+    /// Stores a hint for the next start; need not be durable.
     virtual void save_commit_index(std::uint64_t number) = 0;
 };
 
-/// What a follower finds at its start: the last active version. Nothing: version 0.
+/// The data that a follower finds at its start. Without stored data, the log is empty at version 0.
 struct FollowerStored {
-    Log log;   // last() was active; a relay has records before it
+    Log log;   // log.last() is the last active version; a relay keeps records before it
 };
 
 class FollowerStorage {
   public:
     virtual ~FollowerStorage() = default;
-    /// Before a version is active: the records from the active version to the next one. All or none of them
-    /// may be found again, as a restart begins with consistent versions only.
+    /// Called before a version is activated, with the records after the active version up to that one.
+    /// Stores all or none of them, because a process must restart with a consistent version.
     virtual bool append(const std::vector<Record>& records) = 0;
-    /// Before a version from a snapshot is active, and for compaction: log.last() is the active version.
+    /// Replaces the stored log, to activate a version from a snapshot and for compaction.
+    /// log.last() is the active version.
     virtual bool replace(const Log& log) = 0;
 };
 
--- a/src/rollout/transport.cpp
+++ b/src/rollout/transport.cpp
@@ -8,9 +8,15 @@
 namespace slatejunction::rollout {
 namespace {
 
-constexpr double kBindRetryS = 0.1;    // s
+constexpr double kBindRetryIntervalS = 0.1;
 constexpr double kMaxResendAgeS = 2;   // an older message is not sent again once the process is known
-enum Kind : std::uint32_t { hello = 1, here_is = 2, carried = 3 };
+
+// The values are part of the wire format.
+enum DatagramKind : std::uint32_t {
+    hello = 1,      // asks for the identity of the receiver
+    identity = 2,   // answers with the name and process of the sender
+    data = 3        // carries a message of rollout.proto
+};
 
 net::Address any_port(GSocketFamily family) {
     const net::Ref<GInetAddress> any(g_inet_address_new_any(family));
@@ -42,23 +48,22 @@
 void Transport::start() { bind(); }
 
 void Transport::bind() {
-    // Without children: any port, of the address family of the parents.
+    // Without children, any port of the address family of the parents.
     GSocketFamily family = G_SOCKET_FAMILY_IPV4;
     for (const auto& [name, parent] : parents_) family = g_socket_address_get_family(parent.address.get());
     const net::Address address =
         settings_.listen.empty() ? any_port(family) : net::parse_address(settings_.listen);
-    std::string why;
-    if (socket_.start(address.get(), why)) {
+    std::string error;
+    if (socket_.start(address.get(), error)) {
         if (!settings_.listen.empty())
-            log_.write(Logger::Level::info, net::now(), "rollout: feeds children at %s",
+            log_.write(Logger::Level::info, net::now(), "rollout: listening for children on %s",
                        settings_.listen.c_str());
         return;
     }
     if (!std::exchange(bind_failure_logged_, true))
-        log_.write(Logger::Level::warning, net::now(),
-                   "rollout: %s can't be listened at, it is tried again: %s", settings_.listen.c_str(),
-                   why.c_str());
-    bind_timer_.arm(net::now() + kBindRetryS);
+        log_.write(Logger::Level::warning, net::now(), "rollout: cannot listen on %s, retrying: %s",
+                   settings_.listen.c_str(), error.c_str());
+    bind_timer_.arm(net::now() + kBindRetryIntervalS);
 }
 
 void Transport::stop() {
@@ -94,13 +99,13 @@
         parent.last_body = body;
         parent.last_sent_at = net::now();
         if (parent.process != 0)
-            return send_to_parent(parent, parent.process, encode_datagram(carried, *body));
+            return send_to_parent(parent, parent.process, encode_datagram(data, *body));
         ++counts_.hellos;
         return send_to_parent(parent, 0, encode_datagram(hello, {}));
     }
     const auto at = children_.find(to);
     if (at == children_.end()) return count(false, 0);
-    const std::string bytes = auth_.seal(at->second.process, encode_datagram(carried, *body));
+    const std::string bytes = auth_.seal(at->second.process, encode_datagram(data, *body));
     count(socket_.send(at->second.address, bytes), bytes.size());
 }
 
@@ -109,38 +114,40 @@
     std::string_view payload;
     const membership::OpenResult opened = auth_.open(bytes, process, payload);
     if (opened == membership::OpenResult::unknown_sender) {
-        // For nobody, or for an earlier process and perhaps replayed: only the identity is answered.
-        const std::string answer = auth_.seal(process, encode_datagram(here_is, {}));
+        // Addressed to no process, or to an earlier one and possibly replayed: answered with the identity
+        // only.
+        const std::string answer = auth_.seal(process, encode_datagram(identity, {}));
         return count(socket_.send(from, answer), answer.size());
     }
     if (opened != membership::OpenResult::fresh) return;
     kept::Datagram received;
     if (!received.ParseFromArray(payload.data(), static_cast<int>(payload.size())) ||
         !is_plain_name(received.name())) {
-        ++counts_.unreadable;
+        ++counts_.malformed;
         return;
     }
-    if (received.kind() == here_is) return on_parent_process(process, received.name());
-    if (received.kind() != carried) return;
+    if (received.kind() == identity) return on_parent_process(process, received.name());
+    if (received.kind() != data) return;
     if (!is_parent(received.name())) update_child(received.name(), process, from);
     on_message_(received.name(), process, received.body());
 }
 
-// A parent's process is known: the last message is sent again if it is recent.
+// Stores the process of a parent and sends the last message again if it is recent.
 void Transport::on_parent_process(std::uint64_t process, const std::string& name) {
     const auto at = parents_.find(name);
     if (at == parents_.end()) {
         if (!parents_.empty() && !std::exchange(parents_.begin()->second.name_mismatch_logged, true))
-            log_.write(Logger::Level::warning, net::now(),
-                       "rollout: an address of [rollout] from is answered by %s, which is no name there",
-                       name.c_str());
+            log_.write(
+                Logger::Level::warning, net::now(),
+                "rollout: a parent address in [rollout] from answered as %s, which is not listed there",
+                name.c_str());
         return;
     }
     Parent& parent = at->second;
     if (parent.process == process) return;
     parent.process = process;
     if (parent.last_body && net::now() - parent.last_sent_at <= kMaxResendAgeS)
-        send_to_parent(parent, process, encode_datagram(carried, *parent.last_body));
+        send_to_parent(parent, process, encode_datagram(data, *parent.last_body));
 }
 
 void Transport::update_child(const std::string& name, std::uint64_t process, const net::Sender& from) {
--- a/src/rollout/transport.hpp
+++ b/src/rollout/transport.hpp
@@ -1,9 +1,9 @@
-// Carries messages between this process and named others over one UDP socket, authenticated: parents at the
-// addresses of the operator's file, children at the address of their last datagram. Decides nothing.
+// Sends and receives authenticated messages over one UDP socket: to and from parents at the addresses of
+// the operator's file, and children at the address of their last datagram.
 //
 // Every datagram is authenticated for one process (membership::DatagramAuth). A sender that does not know
-// the process at the other end sends a greeting addressed to nobody; such a datagram, or one for an earlier
-// process, is only answered with the identity of this process. Owned by Driver.
+// the process id of the receiver sends a hello that is addressed to no process. A hello, or a datagram for
+// an earlier process, is answered with the identity of this process and otherwise ignored. Owned by Driver.
 #pragma once
 
 #include <array>
@@ -23,28 +23,31 @@
 
 namespace slatejunction::rollout {
 
-using Logger = slatejunction::Log;   // rollout::Log is the replicated log
+/// The program's logger; rollout::Log is the replicated log.
+using Logger = slatejunction::Log;
 
 class Transport {
   public:
-    static constexpr std::size_t kMaxChildren = 8'192;   // with known addresses
+    static constexpr std::size_t kMaxChildren = 8'192;   // whose addresses are kept
 
     struct Settings {
         std::string name;
         std::string listen;                           // ADDRESS:PORT; empty: any port, no children
-        std::map<std::string, std::string> parents;   // addresses by name
+        std::map<std::string, std::string> parents;   // ADDRESS:PORT by name
     };
     struct Counts {
-        std::uint64_t sent = 0, sent_bytes = 0;   // datagrams; bytes with authentication
-        std::uint64_t unsent = 0;                 // refused by the system, or without a known address
-        std::uint64_t hellos = 0, unreadable = 0;
+        std::uint64_t sent = 0, sent_bytes = 0;   // datagrams; bytes including authentication
+        std::uint64_t unsent = 0;      // rejected by the operating system, or without a known address
+        std::uint64_t hellos = 0;      // sent
+        std::uint64_t malformed = 0;   // authenticated datagrams that could not be decoded
     };
-    /// Sender, its process, the bytes of the message.
+    /// Called with the name of the sender, the id of its process, and the encoded message.
     using MessageHandler = std::function<void(const std::string&, std::uint64_t, std::string_view)>;
 
     Transport(const Settings& settings, std::uint64_t process, const std::vector<membership::AuthKey>& keys,
               MessageHandler on_message, net::Timers& timers, Logger& log);
-    /// Binds the socket; retries every kBindRetryS while another process has the address.
+    /// Binds the socket, and retries every kBindRetryIntervalS if that fails, for example while another
+    /// process still uses the address.
     void start();
     void stop();
     void send(const std::string& to, const Body& body);
--- a/tests/fleet/rollout_test.cpp
+++ b/tests/fleet/rollout_test.cpp
@@ -163,7 +163,7 @@
     }
     const auto all = records_of(fleet);
     CHECK(event(all, "", "refuses", bad));
-    CHECK(fleet.log(source).find("can't use change " + std::to_string(bad)) != std::string::npos);
+    CHECK(fleet.log(source).find("refuses change " + std::to_string(bad)) != std::string::npos);
     // Those that can't use it never had it in force.
     const auto verdict = judge(fleet);
     for (const char* who : {"n3", "n5", "n7"})
@@ -251,7 +251,7 @@
         return json && (*json)["trouble"] == "disk";
     }));
     CHECK(fleet.rollout(4, "in_force") == first);
-    CHECK(fleet.log(4).find("the state directory can't be written") != std::string::npos);
+    CHECK(fleet.log(4).find("cannot write to the state directory") != std::string::npos);
     for (const std::size_t i : {2U, 4U}) std::filesystem::remove(full(i));
     REQUIRE(wait_for([&] { return all_have(fleet, next); }));
     REQUIRE(wait_for([&] { return fleet.rollout(2, "committed") >= next; }));
--- a/tests/rollout/settings_test.cpp
+++ b/tests/rollout/settings_test.cpp
@@ -56,14 +56,15 @@
     CHECK(faults_of("[rollout]\nfrom = c0\n", options) ==
           Faults{"[rollout] from: 'c0' is not NAME=ADDRESS:PORT or NAME=ADDRESS:PORT REGION"});
     CHECK(faults_of("[rollout]\nfrom = c0=1.2.3.4:5\n  c0=1.2.3.4:6\n", options) ==
-          Faults{"[rollout] from: 'c0' stands twice"});
+          Faults{"[rollout] from: 'c0' is listed twice"});
     CHECK(faults_of("[rollout]\ncanaries = 9\n", options) ==
           Faults{"[rollout] canaries: not from 1 to 8: 9"});
     CHECK(faults_of("[rollout]\ncanary_s = 5\n", options) ==
           Faults{"[rollout] canary_s: not from 0 to 4: 5"});
     CHECK(faults_of("[rollout]\nbytes = 5\n", options) == Faults{"[rollout] bytes: unknown key"});
     CHECK(faults_of("[rollout]\nregion = a b\n", options) ==
-          Faults{"[rollout] region: 'a b' is no region: up to 64 plain characters"});
+          Faults{"[rollout] region: 'a b' is not a region: expected 1 to 64 printable characters "
+                 "without spaces, '\"', '\\' or '='"});
 }
 
 TEST_CASE("what is promised follows the section's times", "[rollout]") {
