--- a/tests/rollout/decision_digest_test.cpp
+++ b/tests/rollout/decision_digest_test.cpp
@@ -1,6 +1,6 @@
-// That the decisions of the rollout are what they were: digests of seeded schedules, taken before the code
-// was changed. One that differs means that a message, a proposal, a commit, a write or a version in force
-// differs. A change that is meant to do so takes new digests; each failed check prints its own.
+// Guards against unintended changes of the rollout's decisions, by digests of seeded schedules. A digest
+// that differs means that a message, a proposal, a commit, a write or an active version differs. A change
+// that is meant to alter decisions replaces the recorded digests; each failed check prints the new one.
 #include <array>
 #include <catch2/catch.hpp>
 
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Of seeds 1, 2, ...
+// The digests of seeds 1, 2, ...
 constexpr std::array<std::uint64_t, 40> kDigests{
     0x84966749e155b2b4ULL, 0x4f4774465effce95ULL, 0xe49eac563c9b3327ULL, 0xaee5299077e2b7ebULL,
     0x749f33f061166379ULL, 0x1f52e9830b420ae4ULL, 0xc421b9960bfa20dbULL, 0x5a9986ae32756c31ULL,
@@ -24,7 +24,7 @@
 
 }   // namespace
 
-TEST_CASE("digests of the rollout's decisions", "[rollout]") {
+TEST_CASE("the rollout's decisions match the recorded digests", "[rollout]") {
     for (std::uint64_t seed = 1; seed <= kDigests.size(); ++seed) {
         INFO("seed " << seed);
         rollout_world::World world(rollout_world::random_plan(seed), seed);
@@ -33,7 +33,7 @@
     }
 }
 
-TEST_CASE("one digest of the rollout's decisions over more seeds", "[rollout]") {
+TEST_CASE("the rollout's decisions over further seeds match one recorded digest", "[rollout]") {
     Digest all;
     for (std::uint64_t seed = kDigests.size() + 1; seed <= 120; ++seed) {
         rollout_world::World world(rollout_world::random_plan(seed), seed);
--- a/tests/rollout/file_storage_test.cpp
+++ b/tests/rollout/file_storage_test.cpp
@@ -1,4 +1,5 @@
-// The homes' files: whole after a kill, cut at every length, flipped at every byte, a disk that is full.
+// Tests of the stored files of followers and replicas: after a kill, truncated at every length, corrupted
+// at every byte, and on a full disk.
 #include "rollout/file_storage.hpp"
 
 #include <catch2/catch.hpp>
@@ -23,20 +24,20 @@
     return log;
 }
 
-// A disk that takes so many bytes and no more.
+// A disk with limited space, in bytes.
 struct Disk {
-    std::int64_t room = 1 << 20;
+    std::int64_t space = 1 << 20;
     slatejunction::storage::SegmentedLog::Writer writer() {
         return [this](int fd, const void* data, std::size_t size) -> std::int64_t {
-            if (room == 0) return errno = ENOSPC, -1;
-            const auto some = std::min<std::size_t>(size, static_cast<std::size_t>(room));
-            room -= static_cast<std::int64_t>(some);
-            return ::write(fd, data, some);
+            if (space == 0) return errno = ENOSPC, -1;
+            const auto written = std::min<std::size_t>(size, static_cast<std::size_t>(space));
+            space -= static_cast<std::int64_t>(written);
+            return ::write(fd, data, written);
         };
     }
 };
 
-// Each file of a folder but its lock, in the order of names.
+// Returns the names of all files of a directory in order.
 std::vector<std::string> files_of(const Folder& folder) {
     std::vector<std::string> all;
     for (const auto& one : std::filesystem::directory_iterator(folder.path()))
@@ -45,7 +46,7 @@
     return all;
 }
 
-// A follower's folder with a snapshot up to 3, then versions 4, 5 to 6 (one batch) and 7.
+// Stores a follower's snapshot at version 3, then records 4, 5 and 6 (in one append), and 7.
 void write_follower(const Folder& folder) {
     FollowerFileStorage files(folder.path());
     REQUIRE(files.replace(log_of(3)));
@@ -56,7 +57,7 @@
 
 }   // namespace
 
-TEST_CASE("a follower finds the last version that it kept, and goes on from there", "[rollout]") {
+TEST_CASE("a follower restores its last stored version and appends to it", "[rollout]") {
     const Folder folder;
     write_follower(folder);
     {
@@ -70,34 +71,34 @@
     CHECK(FollowerFileStorage(folder.path()).take_stored().log.last() == log_of(8).last());
 }
 
-TEST_CASE("a follower's files cut at any length or flipped at any byte give whole versions only",
+TEST_CASE("a follower's files, truncated or corrupted at any byte, yield complete versions only",
           "[rollout]") {
-    const std::set<std::uint64_t> whole{0, 3, 4, 6, 7};
+    const std::set<std::uint64_t> complete{0, 3, 4, 6, 7};
     const Folder first;
     write_follower(first);
     for (const std::string& name : files_of(first)) {
         const std::string bytes = first.read(name);
         for (std::size_t at = 0; at <= bytes.size(); ++at) {
-            for (const bool cut : {true, false}) {
-                std::string spoilt = cut ? bytes.substr(0, at) : bytes;
-                if (!cut && at == bytes.size()) continue;
-                if (!cut) spoilt[at] = static_cast<char>(spoilt[at] ^ 0x04);
+            for (const bool truncated : {true, false}) {
+                std::string damaged = truncated ? bytes.substr(0, at) : bytes;
+                if (!truncated && at == bytes.size()) continue;
+                if (!truncated) damaged[at] = static_cast<char>(damaged[at] ^ 0x04);
                 const Folder folder;
                 for (const std::string& other : files_of(first)) folder.write(other, first.read(other));
-                folder.write(name, spoilt);
+                folder.write(name, damaged);
                 Version found;
                 {
                     FollowerFileStorage files(folder.path());
                     const FollowerStored stored = files.take_stored();
                     found = stored.log.last();
-                    INFO(name << " at " << at << (cut ? " cut" : " flipped"));
-                    REQUIRE(whole.contains(found.number));
+                    INFO(name << " at " << at << (truncated ? " truncated" : " corrupted"));
+                    REQUIRE(complete.contains(found.number));
                     REQUIRE(found == log_of(found.number).last());
                     REQUIRE(stored.log.state_at(found.number) ==
                             log_of(found.number).state_at(found.number));
                     REQUIRE(files.append({put(found.number + 1, "v" + std::to_string(found.number + 1))}));
                 }
-                // What was kept after that is found, whatever lay there.
+                // A record appended afterwards is found at the next start.
                 REQUIRE(FollowerFileStorage(folder.path()).take_stored().log.last() ==
                         log_of(found.number + 1).last());
             }
@@ -105,19 +106,21 @@
     }
 }
 
-TEST_CASE("a follower's full disk keeps what was kept, and goes on once there is room", "[rollout]") {
+TEST_CASE(
+    "a follower keeps its stored versions while the disk is full, and stores more once there is space",
+    "[rollout]") {
     const Folder folder;
     Disk disk;
     {
         FollowerFileStorage files(folder.path(), disk.writer());
         REQUIRE(files.append({put(1, "v1")}));
-        disk.room = 10;
+        disk.space = 10;
         CHECK_FALSE(files.append({put(2, "v2")}));
         CHECK(files.file().last_error() == "No space left on device");
         CHECK_FALSE(files.replace(log_of(2)));
     }
     CHECK(FollowerFileStorage(folder.path()).take_stored().log.last() == log_of(1).last());
-    disk.room = 1 << 20;
+    disk.space = 1 << 20;
     {
         FollowerFileStorage files(folder.path(), disk.writer());
         REQUIRE(files.append({put(2, "v2")}));
@@ -125,7 +128,7 @@
     CHECK(FollowerFileStorage(folder.path()).take_stored().log.last() == log_of(2).last());
 }
 
-TEST_CASE("a replica remembers what it promised and took, and what it dropped stays dropped", "[rollout]") {
+TEST_CASE("a replica restores its promise and log, and truncated records stay removed", "[rollout]") {
     const Folder folder;
     {
         ReplicaFileStorage files(folder.path());
@@ -147,7 +150,8 @@
     CHECK(later.take_stored().commit_index == 4);
 }
 
-TEST_CASE("a replica whose files are cut, flipped or gone never says that it remembers", "[rollout]") {
+TEST_CASE("a replica with truncated, corrupted or missing files never reports intact storage",
+          "[rollout]") {
     const Folder first;
     {
         ReplicaFileStorage files(first.path());
@@ -157,29 +161,32 @@
     }
     for (const std::string& name : files_of(first)) {
         const std::string bytes = first.read(name);
-        // The last step: the file is gone.
+        // In the last step the file is missing.
         for (std::size_t at = 0; at <= bytes.size(); ++at) {
-            const bool gone = at == bytes.size();
-            for (const bool cut : {true, false}) {
-                std::string spoilt = cut ? bytes.substr(0, at) : bytes;
-                if (!cut && gone) continue;
-                if (!cut) spoilt[at] = static_cast<char>(spoilt[at] ^ 0x04);
+            const bool missing = at == bytes.size();
+            for (const bool truncated : {true, false}) {
+                std::string damaged = truncated ? bytes.substr(0, at) : bytes;
+                if (!truncated && missing) continue;
+                if (!truncated) damaged[at] = static_cast<char>(damaged[at] ^ 0x04);
                 const Folder folder;
                 for (const std::string& other : files_of(first)) folder.write(other, first.read(other));
-                folder.write(name, spoilt);
-                if (gone) std::filesystem::remove(folder.file(name));
-                // A record cut off right behind another one can't be told from one that never was.
+                folder.write(name, damaged);
+                if (missing) std::filesystem::remove(folder.file(name));
+                // A segment that ends cleanly after a record cannot be told from one that was never longer.
                 ReplicaStored stored;
                 {
                     ReplicaFileStorage files(folder.path());
                     stored = files.take_stored();
                 }
-                INFO(name << " at " << at << (gone ? " gone" : cut ? " cut" : " flipped"));
-                const bool clean_end = cut && !gone && stored.log.last().number < 3 &&
+                INFO(name << " at " << at
+                          << (missing     ? " missing"
+                              : truncated ? " truncated"
+                                          : " corrupted"));
+                const bool clean_end = truncated && !missing && stored.log.last().number < 3 &&
                                        name.starts_with("replica-") && stored.storage_intact;
                 if (!clean_end) REQUIRE_FALSE(stored.storage_intact);
                 REQUIRE(stored.log.last() == log_of(stored.log.last().number).last());
-                // Nor at any later start, though the files have been mended.
+                // The same holds at the next start, although the files have been rewritten.
                 if (!clean_end)
                     REQUIRE_FALSE(ReplicaFileStorage(folder.path()).take_stored().storage_intact);
             }
@@ -187,18 +194,18 @@
     }
 }
 
-TEST_CASE("a replica's full disk: nothing is promised or taken that is not found again", "[rollout]") {
+TEST_CASE("a replica's failed writes to a full disk leave its stored log unchanged", "[rollout]") {
     const Folder folder;
     Disk disk;
     ReplicaFileStorage files(folder.path(), disk.writer());
     REQUIRE(files.append({put(1, "v1")}));
     REQUIRE(files.save_promise(3, true));
-    disk.room = 5;
+    disk.space = 5;
     CHECK_FALSE(files.append({put(2, "v2")}));
     CHECK_FALSE(files.truncate(0));
     CHECK_FALSE(files.replace(log_of(2), 2));
     CHECK(files.last_error() == "No space left on device");
-    disk.room = 1 << 20;
+    disk.space = 1 << 20;
     REQUIRE(files.append({put(2, "v2")}));
     ReplicaFileStorage later(folder.path());
     const ReplicaStored stored = later.take_stored();
--- a/tests/rollout/history.hpp
+++ b/tests/rollout/history.hpp
@@ -1,5 +1,6 @@
-// What happened in a run of a rollout, and its checker, which reads that alone. It computes each version's
-// state on its own, by what a revert means and not by what it carries.
+// The history of a simulated rollout, and a checker that verifies the safety properties of the rollout from
+// the history alone. The checker computes the state of each version independently of the cores: it leaves
+// out reverted records instead of applying the values that reverts carry.
 #pragma once
 
 #include <algorithm>
@@ -16,44 +17,47 @@
 
 using namespace slatejunction::rollout;
 
-struct Fact {
-    enum class What {
-        // of a control machine's disk
-        disk_new,     // nothing is on it any more
-        kept,         // `record` is durable, after all before it
-        kept_whole,   // what is durable is the state at `number` and what is kept after it
-        // of sources and replicas
-        proposed,    // `record` was taken, by its number
-        committed,   // `record`, as a source said
-        known,       // `record` is committed, as a replica said
-        cleared,     // `number`
-        // of followers
-        begun,      // a process, with `number` and `state` in force
-        home_new,   // its disk was lost
-        durable,    // `number` is at home
-        in_force    // `number` with `state`
+/// One event of a simulated run. The comments of Type name the fields that are set besides `time` and
+/// `node`.
+struct HistoryEvent {
+    enum class Type {
+        // On the disk of a control machine.
+        replica_disk_lost,
+        record_stored,   // `record` is durable, after all records before it
+        log_replaced,    // the state at `number` is durable, with the records stored after it
+        // Reported by leaders and replicas.
+        proposed,         // a leader accepted `record`
+        committed,        // a leader committed `record`
+        commit_learned,   // a replica learned that `record` is committed
+        cleared,          // a leader cleared `number`
+        // On followers.
+        follower_started,   // a process started with `number` and `state` active
+        follower_disk_lost,
+        version_stored,   // `number` is durable
+        activated         // `number` became active with `state`
     };
-    What what = What::begun;
-    double time = 0;
+    Type type = Type::follower_started;
+    double time = 0;   // s
     std::string node;
     std::uint64_t number = 0;
     Record record;
     State state;
-    bool usable = true;   // by the node, as it judges states
+    bool valid = true;   // whether the node's validator accepts `state`
 };
 
+/// Checks the history of one run.
 class Checker {
   public:
     explicit Checker(std::size_t replicas) : majority_(replicas / 2 + 1) {}
 
-    // The first breach; empty: none.
-    std::string judge(const std::vector<Fact>& history) {
-        for (const Fact& fact : history) {
-            std::string breach = take(fact);
-            if (!breach.empty()) {
-                char at[32];
-                std::snprintf(at, sizeof at, "%.3f s: ", fact.time);
-                return at + fact.node + ": " + breach;
+    /// Returns a description of the first violation, or an empty text.
+    std::string check(const std::vector<HistoryEvent>& history) {
+        for (const HistoryEvent& event : history) {
+            std::string violation = check_event(event);
+            if (!violation.empty()) {
+                char time[32];
+                std::snprintf(time, sizeof time, "%.3f s: ", event.time);
+                return time + event.node + ": " + violation;
             }
         }
         return {};
@@ -61,48 +65,52 @@
 
     const std::map<std::uint64_t, Record>& committed() const { return committed_; }
     std::uint64_t last() const { return committed_.empty() ? 0 : committed_.rbegin()->first; }
-    // By follower: what is in force at the end.
-    const std::map<std::string, std::uint64_t>& in_force() const { return in_force_; }
+    /// The active number of each follower at the end.
+    const std::map<std::string, std::uint64_t>& active_numbers() const { return active_numbers_; }
 
-    // As if those that are reverted up to there had never been.
+    /// The state at a number, as if the records that are reverted up to there had never been committed.
     State state_at(std::uint64_t number) const {
-        std::set<std::uint64_t> gone;
+        std::set<std::uint64_t> reverted;
         for (const auto& [at, record] : committed_)
-            if (at <= number && record.reverts != 0) gone.insert(record.reverts);
+            if (at <= number && record.reverts != 0) reverted.insert(record.reverts);
         State state;
         for (const auto& [at, record] : committed_) {
-            if (at > number || record.reverts != 0 || gone.contains(at)) continue;
+            if (at > number || record.reverts != 0 || reverted.contains(at)) continue;
             if (record.kind == RecordKind::put) state[record.key] = record.value;
             if (record.kind == RecordKind::erase) state.erase(record.key);
         }
         return state;
     }
 
-    // The worst part of `bound_s` that any committed change took from its proposal to any of `followers`.
-    // Those proposed after `last_s` are left out. Above 1: late, or never.
-    double worst(const std::vector<Fact>& history, std::size_t followers, double bound_s, double last_s,
-                 std::string& which) const {
+    /// Returns the longest time from the proposal of a committed change until it was active at one of
+    /// `followers` followers, as a fraction of `bound_s`: above 1 if the bound was exceeded, and very large
+    /// if the change never became active somewhere. Ignores changes proposed after `last_s`. Sets `change`
+    /// to a description of that change.
+    double worst_bound_fraction(const std::vector<HistoryEvent>& history, std::size_t followers,
+                                double bound_s, double last_s, std::string& change) const {
         double worst = 0;
-        std::map<std::string, std::vector<std::pair<std::uint64_t, double>>> when;
-        for (const Fact& fact : history)
-            if (fact.what == Fact::What::in_force) when[fact.node].emplace_back(fact.number, fact.time);
-        for (const Fact& fact : history) {
-            if (fact.what != Fact::What::proposed || fact.time > last_s) continue;
-            const auto at = committed_.find(fact.record.number);
-            if (at == committed_.end() || at->second != fact.record) continue;
+        std::map<std::string, std::vector<std::pair<std::uint64_t, double>>> activations;
+        for (const HistoryEvent& event : history)
+            if (event.type == HistoryEvent::Type::activated)
+                activations[event.node].emplace_back(event.number, event.time);
+        for (const HistoryEvent& event : history) {
+            if (event.type != HistoryEvent::Type::proposed || event.time > last_s) continue;
+            const auto committed = committed_.find(event.record.number);
+            if (committed == committed_.end() || committed->second != event.record) continue;
             std::size_t reached = 0;
-            for (const auto& [node, all] : when) {
-                const auto first = std::find_if(all.begin(), all.end(), [&](const auto& one) {
-                    return one.first >= fact.record.number;
-                });
-                if (first == all.end()) continue;
+            for (const auto& [node, numbers] : activations) {
+                const auto activation =
+                    std::find_if(numbers.begin(), numbers.end(),
+                                 [&](const auto& entry) { return entry.first >= event.record.number; });
+                if (activation == numbers.end()) continue;
                 ++reached;
-                if ((first->second - fact.time) / bound_s <= worst) continue;
-                worst = (first->second - fact.time) / bound_s;
-                which = "number " + std::to_string(fact.record.number) + " at " + node;
+                if ((activation->second - event.time) / bound_s <= worst) continue;
+                worst = (activation->second - event.time) / bound_s;
+                change = "number " + std::to_string(event.record.number) + " at " + node;
             }
             if (reached < followers) {
-                which = "number " + std::to_string(fact.record.number) + " never came everywhere";
+                change =
+                    "number " + std::to_string(event.record.number) + " never became active everywhere";
                 return 1e9;
             }
         }
@@ -110,88 +118,97 @@
     }
 
   private:
-    using What = Fact::What;
+    using Type = HistoryEvent::Type;
 
-    std::string take(const Fact& fact) {
-        switch (fact.what) {
-            case What::disk_new:
+    std::string check_event(const HistoryEvent& event) {
+        switch (event.type) {
+            case Type::replica_disk_lost:
                 return {};
-            case What::kept:
-                return holders_[fact.record.number].push_back({fact.record, fact.node}), "";
-            case What::kept_whole:
-                return wholes_[fact.node] = std::max(wholes_[fact.node], fact.number), "";
-            case What::proposed:
+            case Type::record_stored:
+                return stored_by_[event.record.number].push_back({event.record, event.node}), "";
+            case Type::log_replaced:
+                return snapshot_numbers_[event.node] =
+                           std::max(snapshot_numbers_[event.node], event.number),
+                       "";
+            case Type::proposed:
                 return {};
-            case What::committed:
-                return commit(fact);
-            case What::known:
-                return agree(fact.record);
-            case What::cleared:
-                return fact.number <= last() ? "" : "cleared what is not committed: " + name(fact.number);
-            case What::begun:
-                return begin(fact);
-            case What::home_new:
-                return durable_[fact.node] = in_force_[fact.node] = 0, "";
-            case What::durable:
-                return durable_[fact.node] = fact.number, "";
-            case What::in_force:
-                return enter(fact);
+            case Type::committed:
+                return check_commit(event);
+            case Type::commit_learned:
+                return check_learned_commit(event.record);
+            case Type::cleared:
+                return event.number <= last() ? "" : name(event.number) + " is cleared but not committed";
+            case Type::follower_started:
+                return check_start(event);
+            case Type::follower_disk_lost:
+                return stored_numbers_[event.node] = active_numbers_[event.node] = 0, "";
+            case Type::version_stored:
+                return stored_numbers_[event.node] = event.number, "";
+            case Type::activated:
+                return check_activation(event);
         }
         return {};
     }
 
     static std::string name(std::uint64_t number) { return "number " + std::to_string(number); }
 
-    std::string agree(const Record& record) {
+    std::string check_learned_commit(const Record& record) {
         const auto at = committed_.find(record.number);
-        if (at == committed_.end()) return name(record.number) + " is said to be committed, and is not";
-        return at->second == record ? "" : name(record.number) + " is committed in two forms";
+        if (at == committed_.end())
+            return name(record.number) + " is committed on a replica, but no leader committed it";
+        return at->second == record ? "" : name(record.number) + " is committed with two different records";
     }
 
-    std::string commit(const Fact& fact) {
-        const std::uint64_t number = fact.record.number;
-        const auto [at, made] = committed_.emplace(number, fact.record);
-        if (at->second != fact.record) return name(number) + " is committed in two forms";
-        if (!made) return {};
-        if (number > 1 && !committed_.contains(number - 1)) return name(number) + " leaves a hole";
-        std::set<std::string> who;
-        for (const auto& [record, node] : holders_[number])
-            if (record == fact.record) who.insert(node);
-        for (const auto& [node, whole] : wholes_)
-            if (whole >= number) who.insert(node);
-        if (who.size() < majority_) return name(number) + " is committed without a majority";
-        if (fact.record.reverts == 0) return {};
-        const auto reverted = committed_.find(fact.record.reverts);
+    std::string check_commit(const HistoryEvent& event) {
+        const std::uint64_t number = event.record.number;
+        const auto [at, added] = committed_.emplace(number, event.record);
+        if (at->second != event.record) return name(number) + " is committed with two different records";
+        if (!added) return {};
+        if (number > 1 && !committed_.contains(number - 1))
+            return name(number) + " is committed before its predecessor";
+        std::set<std::string> replicas;
+        for (const auto& [record, node] : stored_by_[number])
+            if (record == event.record) replicas.insert(node);
+        for (const auto& [node, snapshot_number] : snapshot_numbers_)
+            if (snapshot_number >= number) replicas.insert(node);
+        if (replicas.size() < majority_) return name(number) + " is committed without a majority";
+        if (event.record.reverts == 0) return {};
+        const auto reverted = committed_.find(event.record.reverts);
         if (reverted == committed_.end() || reverted->second.reverts != 0)
-            return name(number) + " reverts what can't be";
-        return reverts_.insert(fact.record.reverts).second
+            return name(number) + " reverts a record that cannot be reverted";
+        return reverted_numbers_.insert(event.record.reverts).second
                    ? ""
-                   : name(fact.record.reverts) + " is reverted twice";
+                   : name(event.record.reverts) + " is reverted twice";
     }
 
-    std::string begin(const Fact& fact) {
-        if (fact.number != in_force_[fact.node])
-            return "began with " + name(fact.number) + " after " + name(in_force_[fact.node]);
-        return fact.state == state_at(fact.number) ? "" : "began with another state";
+    std::string check_start(const HistoryEvent& event) {
+        if (event.number != active_numbers_[event.node])
+            return "started with " + name(event.number) + " active after " +
+                   name(active_numbers_[event.node]) + " was active";
+        return event.state == state_at(event.number) ? "" : "started with a wrong state";
     }
 
-    std::string enter(const Fact& fact) {
-        std::uint64_t& now = in_force_[fact.node];
-        if (fact.number <= now) return "went from " + name(now) + " to " + name(fact.number);
-        if (!committed_.contains(fact.number)) return name(fact.number) + " in force, not committed";
-        if (durable_[fact.node] < fact.number) return name(fact.number) + " in force, not durable";
-        if (fact.state != state_at(fact.number)) return name(fact.number) + " in force with another state";
-        if (!fact.usable) return name(fact.number) + " in force, can't be used";
-        now = fact.number;
+    std::string check_activation(const HistoryEvent& event) {
+        std::uint64_t& active = active_numbers_[event.node];
+        if (event.number <= active)
+            return "the active version went from " + name(active) + " to " + name(event.number);
+        if (!committed_.contains(event.number)) return name(event.number) + " is active but not committed";
+        if (stored_numbers_[event.node] < event.number)
+            return name(event.number) + " is active but not durable";
+        if (event.state != state_at(event.number))
+            return name(event.number) + " is active with a wrong state";
+        if (!event.valid) return name(event.number) + " is active but invalid";
+        active = event.number;
         return {};
     }
 
     const std::size_t majority_;
-    std::map<std::uint64_t, std::vector<std::pair<Record, std::string>>> holders_;
-    std::map<std::string, std::uint64_t> wholes_;
+    // By number: the stored records and the replicas that stored them.
+    std::map<std::uint64_t, std::vector<std::pair<Record, std::string>>> stored_by_;
+    std::map<std::string, std::uint64_t> snapshot_numbers_;   // by replica: the highest stored snapshot
     std::map<std::uint64_t, Record> committed_;
-    std::set<std::uint64_t> reverts_;
-    std::map<std::string, std::uint64_t> in_force_, durable_;
+    std::set<std::uint64_t> reverted_numbers_;
+    std::map<std::string, std::uint64_t> active_numbers_, stored_numbers_;   // by follower
 };
 
 }   // namespace rollout_world
--- a/tests/rollout/settings_test.cpp
+++ b/tests/rollout/settings_test.cpp
@@ -1,4 +1,5 @@
-// The operator's [rollout] section, and sections laid over the operator's file.
+// Tests of the operator's [rollout] section, and of the overlay of rolled-out sections on the operator's
+// file.
 #include "rollout/settings.hpp"
 
 #include <catch2/catch.hpp>
@@ -16,24 +17,24 @@
 
 namespace {
 
-using Faults = std::vector<std::string>;
+using Errors = std::vector<std::string>;
 
-Faults faults_of(const std::string& text, Options& options) {
-    Faults faults = operator_config::load_text("FILE", text, options);
-    for (std::string& fault : faults)
-        if (fault.starts_with("FILE: ")) fault.erase(0, 6);
-    return faults;
+Errors errors_of(const std::string& text, Options& options) {
+    Errors errors = operator_config::load_text("FILE", text, options);
+    for (std::string& error : errors)
+        if (error.starts_with("FILE: ")) error.erase(0, 6);
+    return errors;
 }
 
 const std::string kState = "[state]\ndirectory = /nowhere\n";
 
 }   // namespace
 
-TEST_CASE("[rollout] is off unless it names from or listen, and each fault is one line", "[rollout]") {
+TEST_CASE("the rollout section is off without from and listen, and each error is one line", "[rollout]") {
     Options options;
-    CHECK(faults_of("[rollout]\nregion = r1\ncanaries = 3\n", options).empty());
+    CHECK(errors_of("[rollout]\nregion = r1\ncanaries = 3\n", options).empty());
     CHECK_FALSE(options.rollout.on());
-    CHECK(faults_of(
+    CHECK(errors_of(
               kState + "[rollout]\nkey_file = k\nregion = r1\nfrom = c0=10.0.0.1:1 r1\n  c1=10.0.0.2:1\n",
               options)
               .empty());
@@ -44,30 +45,30 @@
     CHECK(parents[0].parent == rollout::Parent{"c0", "r1"});
     CHECK(parents[0].address == "10.0.0.1:1");
     CHECK(parents[1].parent == rollout::Parent{"c1", ""});
-    CHECK(faults_of("[rollout]\nkey_file = k\nfrom = c0=10.0.0.1:1\n", options) ==
-          Faults{"[rollout] from: wants [state] directory, where what is in force outlives the process"});
-    CHECK(faults_of(kState + "[rollout]\nfrom = c0=10.0.0.1:1\n", options) ==
-          Faults{"[rollout] key_file: is wanted, here or in [peers]: what nodes say is authenticated"});
-    CHECK(faults_of(kState + "[rollout]\nkey_file = k\nlisten = 10.0.0.1:1\n", options) ==
-          Faults{"[rollout] listen: wants [lease] voters, which are the control machines; or `from`, for a "
+    CHECK(errors_of("[rollout]\nkey_file = k\nfrom = c0=10.0.0.1:1\n", options) ==
+          Errors{"[rollout] from: wants [state] directory, where what is in force outlives the process"});
+    CHECK(errors_of(kState + "[rollout]\nfrom = c0=10.0.0.1:1\n", options) ==
+          Errors{"[rollout] key_file: is wanted, here or in [peers]: what nodes say is authenticated"});
+    CHECK(errors_of(kState + "[rollout]\nkey_file = k\nlisten = 10.0.0.1:1\n", options) ==
+          Errors{"[rollout] listen: wants [lease] voters, which are the control machines; or `from`, for a "
                  "relay"});
-    CHECK(faults_of("[rollout]\nlisten = here\n", options) ==
-          Faults{"[rollout] listen: 'here' is not ADDRESS:PORT"});
-    CHECK(faults_of("[rollout]\nfrom = c0\n", options) ==
-          Faults{"[rollout] from: 'c0' is not NAME=ADDRESS:PORT or NAME=ADDRESS:PORT REGION"});
-    CHECK(faults_of("[rollout]\nfrom = c0=1.2.3.4:5\n  c0=1.2.3.4:6\n", options) ==
-          Faults{"[rollout] from: 'c0' is listed twice"});
-    CHECK(faults_of("[rollout]\ncanaries = 9\n", options) ==
-          Faults{"[rollout] canaries: not from 1 to 8: 9"});
-    CHECK(faults_of("[rollout]\ncanary_s = 5\n", options) ==
-          Faults{"[rollout] canary_s: not from 0 to 4: 5"});
-    CHECK(faults_of("[rollout]\nbytes = 5\n", options) == Faults{"[rollout] bytes: unknown key"});
-    CHECK(faults_of("[rollout]\nregion = a b\n", options) ==
-          Faults{"[rollout] region: 'a b' is not a region: expected 1 to 64 printable characters "
+    CHECK(errors_of("[rollout]\nlisten = here\n", options) ==
+          Errors{"[rollout] listen: 'here' is not ADDRESS:PORT"});
+    CHECK(errors_of("[rollout]\nfrom = c0\n", options) ==
+          Errors{"[rollout] from: 'c0' is not NAME=ADDRESS:PORT or NAME=ADDRESS:PORT REGION"});
+    CHECK(errors_of("[rollout]\nfrom = c0=1.2.3.4:5\n  c0=1.2.3.4:6\n", options) ==
+          Errors{"[rollout] from: 'c0' is listed twice"});
+    CHECK(errors_of("[rollout]\ncanaries = 9\n", options) ==
+          Errors{"[rollout] canaries: not from 1 to 8: 9"});
+    CHECK(errors_of("[rollout]\ncanary_s = 5\n", options) ==
+          Errors{"[rollout] canary_s: not from 0 to 4: 5"});
+    CHECK(errors_of("[rollout]\nbytes = 5\n", options) == Errors{"[rollout] bytes: unknown key"});
+    CHECK(errors_of("[rollout]\nregion = a b\n", options) ==
+          Errors{"[rollout] region: 'a b' is not a region: expected 1 to 64 printable characters "
                  "without spaces, '\"', '\\' or '='"});
 }
 
-TEST_CASE("what is promised follows the section's times", "[rollout]") {
+TEST_CASE("the stated bounds follow the times of the section", "[rollout]") {
     rollout::Options options;
     options.listen = "10.0.0.1:1";
     const auto lines = rollout::stated_bounds(options, {}, 5, 0.1);
@@ -78,7 +79,7 @@
     CHECK(rollout::stated_bounds(options, {}, 5, 0.1)[0].find("within 10.2 s") != std::string::npos);
 }
 
-TEST_CASE("a section that is rolled out is judged by itself", "[rollout]") {
+TEST_CASE("a rolled-out section is validated by itself", "[rollout]") {
     using operator_config::fault_of_section;
     CHECK(fault_of_section("limit a", "key = request.customer\nrate = 5\n") == "");
     CHECK(fault_of_section("route a", "when = request.method == \"GET\"\n  && true\nsubset = s") == "");
@@ -87,7 +88,7 @@
     CHECK(fault_of_section("limit a", "") == "[limit a]: names no key");
     CHECK(fault_of_section("limit a b", "rate = 1\nkey = true\n") ==
           "[limit a b]: a name is of 1 to 40 letters, digits, '_' and '-'");
-    // Nothing else of the file comes this way, in whatever disguise.
+    // Sections of other kinds are rejected, also when they are hidden in a header or in lines.
     CHECK(fault_of_section("peers", "listen = 1.2.3.4:5\n") ==
           "[peers]: only subset, route, limit and tag sections are rolled out");
     CHECK(fault_of_section("limit a]\n[peers", "x = 1") != "");
@@ -99,40 +100,41 @@
     CHECK(fault_of_section("limit a", "rate = 1\n [peers]\nlisten = 1.2.3.4:5\n") != "");
 }
 
-TEST_CASE("sections laid over a file take the place of its own, and go away again", "[rollout]") {
+TEST_CASE("sections of an overlay replace those of the file, and an empty overlay changes nothing",
+          "[rollout]") {
     const std::string own =
         "[log]\nformat = json\n[limit a]\nkey = request.customer\nrate = 1\n# of a\n[tag t]\nvalue = "
         "\"x\"\n";
     CHECK(operator_config::apply_overlay(own, {}) == own);
-    const std::string laid = operator_config::apply_overlay(
+    const std::string overlaid = operator_config::apply_overlay(
         own, {{"limit a", "key = request.customer\nrate = 7"}, {"limit b", "key = true\nrate = 2\n"}});
-    CHECK(laid ==
+    CHECK(overlaid ==
           "[log]\nformat = json\n[tag t]\nvalue = \"x\"\n[limit a]\nkey = request.customer\nrate = "
           "7\n[limit b]\nkey = true\nrate = 2\n");
     Options options;
-    REQUIRE(faults_of(laid, options).empty());
+    REQUIRE(errors_of(overlaid, options).empty());
     REQUIRE(options.rules.limits.size() == 2);
     CHECK(options.rules.limits[0].rate == 7);
-    // A file without an end of its last line.
+    // The last line of a file may lack its line end.
     CHECK(operator_config::apply_overlay("[log]\nformat = json", {{"limit b", "rate = 2"}}) ==
           "[log]\nformat = json\n[limit b]\nrate = 2\n");
-    // The whole has to fit: a route to a subset that nobody has.
+    // The resulting file is validated as a whole: here a route names a subset that does not exist.
     REQUIRE(
-        faults_of(operator_config::apply_overlay(own, {{"route r", "when = true\nsubset = s"}}), options)
+        errors_of(operator_config::apply_overlay(own, {{"route r", "when = true\nsubset = s"}}), options)
             .size() == 1);
 }
 
-TEST_CASE("operators' calls of a rollout are read", "[rollout]") {
+TEST_CASE("admin calls of the rollout are parsed", "[rollout]") {
     using slatejunction::admin::read_call;
-    using What = slatejunction::admin::AdminCall::Kind;
-    CHECK(read_call("GET", "/v1/rollout").kind == What::rollout);
+    using Kind = slatejunction::admin::AdminCall::Kind;
+    CHECK(read_call("GET", "/v1/rollout").kind == Kind::rollout);
     CHECK(read_call("HEAD", "/v1/rollout").omit_body);
     CHECK(read_call("POST", "/v1/rollout").error_status == 405);
     const auto proposed = read_call("POST", "/v1/rollout/limit%20a?x=1");
-    CHECK(proposed.kind == What::propose);
+    CHECK(proposed.kind == Kind::propose);
     CHECK(proposed.error_status == 0);
     CHECK(proposed.id == "limit a");
-    CHECK(read_call("DELETE", "/v1/rollout/limit%20a").kind == What::erase);
+    CHECK(read_call("DELETE", "/v1/rollout/limit%20a").kind == Kind::erase);
     CHECK(read_call("GET", "/v1/rollout/limit%20a").error_status == 405);
     CHECK(read_call("GET", "/v1/rollout/limit%20a").allow == "POST, DELETE");
     CHECK(read_call("POST", "/v1/rollout/").error_status == 404);
