--- a/bench/scale/sample.cpp
+++ b/bench/scale/sample.cpp
@@ -73,9 +73,9 @@
     settings.meter_period_s = 1;
     settings.max_attempts = 3;
     settings.cancellation_allowed = true;
-    settings.retry_after = true;
+    settings.retry_after_allowed = true;
     settings.max_retry_after_s = 1;
-    settings.tick_interval_s = 0.002;
+    settings.timer_resolution_s = 0.002;
     return settings;
 }
 
--- a/include/slatejunction/gateway.hpp
+++ b/include/slatejunction/gateway.hpp
@@ -95,9 +95,9 @@
     bool cancellation_allowed = false;
     bool health_checks_allowed = false;
     bool reports_on_health_check_only = false;   ///< load reports come with health checks, not with answers
-    bool retry_after = false;                    ///< clients are sent the retry-after of a rejection
+    bool retry_after_allowed = false;            ///< clients are sent the retry-after of a rejection
     double max_retry_after_s = 0;                ///< seconds that clients honour at most; 0: any
-    double tick_interval_s = 0;                  ///< seconds; resolution of the caller's timers
+    double timer_resolution_s = 0;               ///< seconds; resolution of the caller's timers
     double watch_retry_within_s = 0;      ///< seconds in which a lost watch has to be requested again
     double slow_start_min_capacity = 0;   ///< part of its full capacity that a backend starts with
     double slow_start_window_s = 0;       ///< seconds to full capacity; 0: no slow start
@@ -265,13 +265,13 @@
 };
 
 /// The admitted fraction has changed. 1 before the first of these; each subset has its own. Nothing to do.
-struct AdmittedFraction {
+struct ReportAdmittedFraction {
     double fraction = 1;        ///< 0.05 to 1
     std::uint64_t subset = 0;   ///< a bit as in Request; 0: the whole fleet
 };
 
 using Action = std::variant<StartAttempt, CancelAttempt, RejectRequest, FailRequest, SetTimer,
-                            StartHealthCheck, WatchEndpoints, LogMessage, AdmittedFraction>;
+                            StartHealthCheck, WatchEndpoints, LogMessage, ReportAdmittedFraction>;
 
 /// The decisions of one ingress process.
 class Gateway {
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -179,7 +179,7 @@
                                              slatejunction::DiscoveryMode::automatic);
     s.ingress_index = discovery::to_integer(node.real("MyNumber"));
     s.ingress_count = node.needed_real("Balancers");
-    s.tick_interval_s = node.real("QuantumS");
+    s.timer_resolution_s = node.real("QuantumS");
     if (const auto info = node.node("FamilyInfo")) {
         s.meter_period_s = info->real("MeterPeriodS");
         s.max_request_units = info->real("UnitsTop");
@@ -189,7 +189,7 @@
     s.hedging_allowed = limits.flag("ParallelTries");
     s.cancellation_allowed = limits.flag("Cancel");
     s.health_checks_allowed = limits.flag("Probes");
-    s.retry_after = limits.flag("RetryAfter");
+    s.retry_after_allowed = limits.flag("RetryAfter");
     s.max_retry_after_s = limits.real("MaxRetryAfterS");
     config.max_open_requests = static_cast<std::size_t>(std::max(0.0, limits.real("MaxOpen")));
     config.dial_timeout_s = limits.positive("DialTimeoutS", config.dial_timeout_s);
--- a/src/gateway/admission_controller.hpp
+++ b/src/gateway/admission_controller.hpp
@@ -5,7 +5,7 @@
 // times in seconds; each request's priority over the mean one's.
 // Output: the admitted fraction, 0.05 to 1, and whether one request is admitted under it.
 // It never looks at customers, quotas or single backends, and stays as it is while nothing finishes.
-// Seen in: action AdmittedFraction (measure slatejunction_admitted_fraction),
+// Seen in: action ReportAdmittedFraction (measure slatejunction_admitted_fraction),
 // RejectReason::admitted_fraction (slatejunction_refusals_total), log line "refused: ... fraction N ...;
 // admitted fraction N%".
 #pragma once
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -251,7 +251,7 @@
     quotas_.on_forwarded(usage, units);
     if (open.plan->hard_limit_rate > 0) usage.hard_limit.consume(units);
     retries_.budget().on_request_forwarded(now_);
-    const double give_up_at_s = request.deadline_at_s - positive_or_zero(settings_.tick_interval_s);
+    const double give_up_at_s = request.deadline_at_s - positive_or_zero(settings_.timer_resolution_s);
     act(SetTimer{std::max(now_, give_up_at_s), TimerTag::request_deadline(open)});
     requests_.insert(std::move(open));
 }
@@ -451,7 +451,7 @@
         load.admission.close_period(now_);
         if (load.admission.fraction() == load.reported_fraction) continue;
         load.reported_fraction = load.admission.fraction();
-        act(AdmittedFraction{load.reported_fraction, subset_bit(subset)});
+        act(ReportAdmittedFraction{load.reported_fraction, subset_bit(subset)});
     }
 }
 
--- a/src/ingress/request_actions.cpp
+++ b/src/ingress/request_actions.cpp
@@ -113,7 +113,7 @@
     log_.write(Log::Level::info, net::now(), "module: %s", message.text.c_str());
 }
 
-void RequestDispatcher::execute(const slatejunction::AdmittedFraction& admitted) {
+void RequestDispatcher::execute(const slatejunction::ReportAdmittedFraction& admitted) {
     if (observer_ && admitted.subset == 0) observer_->on_admitted_fraction(admitted.fraction);
 }
 
--- a/src/ingress/request_dispatcher.hpp
+++ b/src/ingress/request_dispatcher.hpp
@@ -104,7 +104,7 @@
     void execute(const slatejunction::StartHealthCheck& check);
     void execute(const slatejunction::WatchEndpoints& watch);
     void execute(const slatejunction::LogMessage& message);
-    void execute(const slatejunction::AdmittedFraction& admitted);
+    void execute(const slatejunction::ReportAdmittedFraction& admitted);
 
     OpenRequest* find(const std::string& id);   // null: not open
     OpenRequest* find(std::uint64_t number);    // null: not open
--- a/src/simulator_adapter/action_lines.hpp
+++ b/src/simulator_adapter/action_lines.hpp
@@ -70,7 +70,7 @@
         begin("DEBUG", instance, a.text);
         end();
     }
-    void write(InstanceId, const AdmittedFraction&) {}   // the wire has no line for it
+    void write(InstanceId, const ReportAdmittedFraction&) {}   // the wire has no line for it
 
     void begin(const char* name, InstanceId instance, std::string_view first_column) {
         reply_.append(name);
--- a/src/simulator_adapter/event_lines.cpp
+++ b/src/simulator_adapter/event_lines.cpp
@@ -209,9 +209,9 @@
     s.hedging_allowed = config.flag("Limits.ParallelTries");
     s.cancellation_allowed = config.flag("Limits.Cancel");
     s.health_checks_allowed = config.flag("Limits.Probes");
-    s.retry_after = config.flag("Limits.RetryAfter");
+    s.retry_after_allowed = config.flag("Limits.RetryAfter");
     s.max_retry_after_s = config.number("Limits.MaxRetryAfterS");
-    s.tick_interval_s = config.number("QuantumS");
+    s.timer_resolution_s = config.number("QuantumS");
     s.watch_retry_within_s = config.number("Rules.AskWithinS");
     s.slow_start_min_capacity = config.number("Rules.ColdFrom");
     s.slow_start_window_s = config.number("Rules.WarmWithinS");
--- a/tests/gateway/decision_digest_test.cpp
+++ b/tests/gateway/decision_digest_test.cpp
@@ -8,7 +8,7 @@
 #include <iterator>
 #include <sstream>
 
-#include "decision_world.hpp"
+#include "decision_simulation.hpp"
 
 namespace {
 
--- a/tests/gateway/decision_draw.hpp
+++ b/tests/gateway/decision_generator.hpp
@@ -114,7 +114,7 @@
     d.add(a.text);
     return Kind::note;
 }
-inline Kind digest(Digest& d, const sj::AdmittedFraction& a) {
+inline Kind digest(Digest& d, const sj::ReportAdmittedFraction& a) {
     d.add(std::uint64_t{9});
     d.add(a.fraction);
     d.add(a.subset);
@@ -175,9 +175,9 @@
     s.max_attempts = static_cast<double>(1 + d.below(5));
     s.health_checks_allowed = d.chance(0.5);
     s.reports_on_health_check_only = d.chance(0.5);
-    s.retry_after = d.chance(0.5);
+    s.retry_after_allowed = d.chance(0.5);
     s.max_retry_after_s = d.chance(0.3) ? 0 : d.between(0.02, 0.3);
-    s.tick_interval_s = d.between(0, 0.01);
+    s.timer_resolution_s = d.between(0, 0.01);
     s.watch_retry_within_s = d.between(0.2, 8);
     s.slow_start_min_capacity = d.between(0.05, 0.6);
     s.slow_start_window_s = seed % 7 == 0 ? 0 : d.between(2, 20);
--- a/tests/gateway/decision_world.hpp
+++ b/tests/gateway/decision_simulation.hpp
@@ -11,7 +11,7 @@
 #include <variant>
 #include <vector>
 
-#include "decision_draw.hpp"
+#include "decision_generator.hpp"
 
 namespace decision {
 
@@ -181,7 +181,7 @@
     void carry_out(const sj::WatchEndpoints&) { after(draw_.between(0, 0.4), Task::listed); }
     void carry_out(const sj::StartHealthCheck&) {}
     void carry_out(const sj::LogMessage&) {}
-    void carry_out(const sj::AdmittedFraction&) {}
+    void carry_out(const sj::ReportAdmittedFraction&) {}
 
     Backend& backend(const std::string& id) { return backends_[std::stoul(id.substr(1))]; }
 
--- a/tests/gateway/gateway_harness.hpp
+++ b/tests/gateway/gateway_harness.hpp
@@ -39,18 +39,18 @@
             } else if (const auto* r = std::get_if<sj::RejectRequest>(&a)) {
                 rejected.push_back(r->id);
                 reject_reasons.push_back(r->reason);
-                retry_after = r->retry_after_s;
+                last_retry_after_s = r->retry_after_s;
                 ended_at[r->id] = now;
             } else if (const auto* b = std::get_if<sj::FailRequest>(&a)) {
                 failed.push_back(b->id);
                 ended_at[b->id] = now;
             } else if (const auto* c = std::get_if<sj::CancelAttempt>(&a)) {
                 cancelled.emplace_back(c->id, c->attempt);
-            } else if (const auto* f = std::get_if<sj::AdmittedFraction>(&a)) {
-                fraction = f->fraction;
+            } else if (const auto* f = std::get_if<sj::ReportAdmittedFraction>(&a)) {
+                admitted_fraction = f->fraction;
             }
         }
-        log.insert(log.end(), actions.begin(), actions.end());
+        action_log.insert(action_log.end(), actions.begin(), actions.end());
     }
 
     void run_to(double time) {
@@ -109,11 +109,11 @@
     std::vector<PendingAttempt> started, pending;
     std::vector<std::string> rejected, failed;
     std::vector<sj::RejectReason> reject_reasons;   // beside `rejected`
-    double fraction = 1;                            // as last reported
+    double admitted_fraction = 1;                   // as last reported
     std::vector<std::pair<std::string, std::int64_t>> cancelled;
     std::map<std::string, double> ended_at;
-    std::vector<sj::Action> log;
-    double retry_after = 0;
+    std::vector<sj::Action> action_log;
+    double last_retry_after_s = 0;
 };
 
 inline sj::Settings plain_settings() {
@@ -126,9 +126,9 @@
     s.ingress_count = 1;
     s.max_attempts = 3;
     s.cancellation_allowed = true;
-    s.retry_after = true;
+    s.retry_after_allowed = true;
     s.max_retry_after_s = 1;
-    s.tick_interval_s = 0.002;
+    s.timer_resolution_s = 0.002;
     s.slow_start_min_capacity = 0.2;
     s.slow_start_window_s = 10;
     s.overload_multiple = 3;
--- a/tests/gateway/rules_test.cpp
+++ b/tests/gateway/invariants_test.cpp
@@ -53,7 +53,7 @@
             EXPECT_EQ(d.ended_at["r"], d.now) << "delayed after its last attempt";
             EXPECT_LT(d.now, 100.5);
             if (!d.rejected.empty()) {
-                EXPECT_GT(d.retry_after, 0) << cls;
+                EXPECT_GT(d.last_retry_after_s, 0) << cls;
             }
         }
     }
@@ -68,7 +68,7 @@
     d.update_endpoints({});
     d.end_attempt(0, sj::AttemptResult::cancelled);
     ASSERT_EQ(d.rejected.size(), 1u) << "cancelled, yet no answer";
-    EXPECT_GT(d.retry_after, 0);
+    EXPECT_GT(d.last_retry_after_s, 0);
 }
 
 TEST(FinalAnswer, AnAttemptThatCannotBeRetriedIsNotCancelled) {
@@ -88,7 +88,7 @@
     d.request("r", "read", 2.0);
     d.run_to(102.0);
     ASSERT_EQ(d.rejected.size(), 1u);
-    EXPECT_GT(d.retry_after, 0);
+    EXPECT_GT(d.last_retry_after_s, 0);
 }
 
 TEST(FinalAnswer, ADisconnectedClientLeavesNoOpenRequest) {
@@ -139,7 +139,7 @@
     EXPECT_TRUE(d.rejected.empty());
 
     double begin_by = -1;   // of the retry: by the first attempt's time, its window of 3 s and a margin
-    for (const sj::Action& a : d.log)
+    for (const sj::Action& a : d.action_log)
         if (const auto* send = std::get_if<sj::StartAttempt>(&a)) begin_by = send->start_by_s;
     ASSERT_EQ(d.started.size(), 2u);
     EXPECT_GT(begin_by, d.started[0].started_at_s + 2.9);
--- a/tests/gateway/load_test.cpp
+++ b/tests/gateway/overload_test.cpp
@@ -96,11 +96,11 @@
 
 TEST_F(Load, TheFractionIsReportedAsItChangesAndItsRejectionsNameIt) {
     admitted(d, 10, [](double) { return 0.1; });
-    EXPECT_EQ(d.fraction, 1);
+    EXPECT_EQ(d.admitted_fraction, 1);
     EXPECT_TRUE(d.reject_reasons.empty());
     admitted(d, 60, [](double) { return 1.5; });
-    EXPECT_GE(d.fraction, 0.05);
-    EXPECT_LT(d.fraction, 0.15);
+    EXPECT_GE(d.admitted_fraction, 0.05);
+    EXPECT_LT(d.admitted_fraction, 0.15);
     ASSERT_EQ(d.reject_reasons.size(), d.rejected.size());
     const auto of = [&](sj::RejectReason reason) {
         return std::count(d.reject_reasons.begin(), d.reject_reasons.end(), reason);
@@ -112,7 +112,7 @@
                   of(sj::RejectReason::attempts_exhausted),
               static_cast<std::ptrdiff_t>(d.reject_reasons.size()));
     admitted(d, 60, [](double) { return 0.1; });
-    EXPECT_EQ(d.fraction, 1);
+    EXPECT_EQ(d.admitted_fraction, 1);
 }
 
 TEST_F(Load, ARejectionWithoutBackendClassOrAttemptsNamesTheReason) {
@@ -150,7 +150,7 @@
 TEST_F(Load, RejectionsCarryARetryAfter) {
     admitted(d, 30, [](double) { return 1.5; });
     ASSERT_FALSE(d.rejected.empty());
-    EXPECT_GT(d.retry_after, 0);
+    EXPECT_GT(d.last_retry_after_s, 0);
 }
 
 TEST_F(Load, OverdueAttemptsCountThoughNothingHasAnswered) {
--- a/tests/gateway/quota_test.cpp
+++ b/tests/gateway/quota_test.cpp
@@ -65,7 +65,7 @@
     const std::size_t sent = metered(d, 40, 40, 0, 20);   // all of it comes through this gateway
     EXPECT_LE(sent, 20 * 10 * 1.3);
     EXPECT_GE(sent, 20 * 10 * 0.7);
-    EXPECT_GT(d.retry_after, 0);
+    EXPECT_GT(d.last_retry_after_s, 0);
 }
 
 TEST(Quota, UseAtOtherIngressesCounts) {
--- a/tests/ingress/extensions_test.cpp
+++ b/tests/ingress/extensions_test.cpp
@@ -21,13 +21,13 @@
 
 TEST_CASE("a refusal names a time whatever the site says of its clients") {
     sj::Settings settings = plain_settings();
-    settings.retry_after = false;
+    settings.retry_after_allowed = false;
     GatewayDriver d(settings);   // no server is known: nothing can be sent
     d.request("one");
     REQUIRE(d.rejected.size() == 1);
     CHECK(d.ended_at.at("one") == d.now);   // at once
-    CHECK(d.retry_after > 0);
-    CHECK(d.retry_after <= settings.max_retry_after_s);
+    CHECK(d.last_retry_after_s > 0);
+    CHECK(d.last_retry_after_s <= settings.max_retry_after_s);
 }
 
 TEST_CASE("bad configuration names its field") {
