--- a/bench/limit-model.cpp
+++ b/bench/limit-model.cpp
@@ -1,11 +1,11 @@
-// Limits over the fleet compared with exact buckets: slatejunction-limit-model [SCHEDULES] [FIRST_SEED]; by mode
-// the worst seen of what is stated, and refused with room. Prints each breach with its seed; exit status 1
-// on one.
+// Limits over the fleet compared with exact buckets: slatejunction-limit-model [SCHEDULES] [FIRST_SEED]; by
+// mode the worst seen of what is stated, and refused with room. Prints each breach with its seed; exit
+// status 1 on one.
 #include <array>
 #include <cstdio>
 #include <cstdlib>
 
-#include "fleet_rate_limit/world.hpp"
+#include "fleet_rate_limit/simulation.hpp"
 
 int main(int argc, char** argv) {
     const std::uint64_t runs = argc > 1 ? std::strtoull(argv[1], nullptr, 10) : 10'000;
@@ -18,18 +18,19 @@
     };
     std::array<Row, kModes.size()> rows;
     for (std::uint64_t seed = first; seed < first + runs; ++seed) {
-        const auto plan = limit_world::random_plan(seed);
-        const auto result = limit_world::World(plan, seed).run();
-        Row& row = rows[static_cast<std::size_t>(plan.fault)];
+        const auto scenario = rate_limit_simulation::random_scenario(seed);
+        const auto result = rate_limit_simulation::Simulation(scenario, seed).run();
+        Row& row = rows[static_cast<std::size_t>(scenario.fault)];
         ++row.runs;
-        row.asked += result.asked, row.passed += result.passed, row.with_room += result.with_room;
+        row.asked += result.requests, row.passed += result.admitted,
+            row.with_room += result.rejected_with_units;
         row.datagrams += result.datagrams;
-        row.worst = std::max(row.worst, result.worst / result.stated);
-        if (result.breach.empty()) continue;
+        row.worst = std::max(row.worst, result.worst_excess / result.bound);
+        if (result.violation.empty()) continue;
         if (++row.breaches <= 5)
-            std::printf("breach: seed %llu (%s), %.2f of %.2f units\n",
-                        static_cast<unsigned long long>(seed), kModes[static_cast<std::size_t>(plan.fault)],
-                        result.worst, result.stated);
+            std::printf(
+                "breach: seed %llu (%s), %.2f of %.2f units\n", static_cast<unsigned long long>(seed),
+                kModes[static_cast<std::size_t>(scenario.fault)], result.worst_excess, result.bound);
     }
     std::printf(
         "| mode | schedules | breaches | worst of what is stated | refused with room, of asked | datagrams "
--- a/src/app/quota_component.cpp
+++ b/src/app/quota_component.cpp
@@ -31,7 +31,7 @@
         });
     if (!fleet) return;
     quota::Driver::FleetCallbacks callbacks;
-    callbacks.permit = [fleet] {
+    callbacks.leader_may_act = [fleet] {
         lease::Permit permit;
         return fleet->leader_may_act(permit);
     };
--- a/src/quota/driver.cpp
+++ b/src/quota/driver.cpp
@@ -180,7 +180,7 @@
     for (const unsigned part : incarnation_->take_confirmed_losses())
         shared_quota_.on_counter_lost(now(), part);
     for (const auto& add : incarnation_->take_adds())
-        if (add.amount == 0 || fleet_.permit())
+        if (add.amount == 0 || fleet_.leader_may_act())
             shared_quota_.add_incarnation(now(), add.part, add.generation, add.amount);
     for (const auto& outgoing : incarnation_->take_outgoing())
         fleet_.send(outgoing.broadcast, serialize(outgoing.message));
--- a/src/quota/driver.hpp
+++ b/src/quota/driver.hpp
@@ -31,7 +31,7 @@
     void start();
     /// What CounterIncarnation needs of the fleet.
     struct FleetCallbacks {
-        std::function<bool()> permit;   ///< whether this ingress may act as the leader now
+        std::function<bool()> leader_may_act;   ///< whether this ingress may act as the leader now
         /// Sends `body` to all ingresses if `broadcast`, else to the leader.
         std::function<void(bool broadcast, const std::string& body)> send;
     };
--- a/tests/fleet_rate_limit/decision_digest_test.cpp
+++ b/tests/fleet_rate_limit/decision_digest_test.cpp
@@ -5,7 +5,7 @@
 #include <catch2/catch.hpp>
 
 #include "digest.hpp"
-#include "fleet_rate_limit/world.hpp"
+#include "fleet_rate_limit/simulation.hpp"
 
 namespace {
 
@@ -27,18 +27,18 @@
 TEST_CASE("digests of fleet rate limits' decisions", "[fleetlimit]") {
     for (std::uint64_t seed = 1; seed <= kDigests.size(); ++seed) {
         INFO("seed " << seed);
-        limit_world::World world(limit_world::random_plan(seed), seed);
-        CHECK(world.run().breach == "");
-        CHECK(world.digest() == kDigests[seed - 1]);
+        rate_limit_simulation::Simulation simulation(rate_limit_simulation::random_scenario(seed), seed);
+        CHECK(simulation.run().violation == "");
+        CHECK(simulation.digest() == kDigests[seed - 1]);
     }
 }
 
 TEST_CASE("one digest of fleet rate limits' decisions over more seeds", "[fleetlimit]") {
     Digest all;
     for (std::uint64_t seed = kDigests.size() + 1; seed <= 160; ++seed) {
-        limit_world::World world(limit_world::random_plan(seed), seed);
-        world.run();
-        all.add(world.digest());
+        rate_limit_simulation::Simulation simulation(rate_limit_simulation::random_scenario(seed), seed);
+        simulation.run();
+        all.add(simulation.digest());
     }
     CHECK(all.value() == 0xc2aa4b4c9e84f3f0ULL);
 }
--- a/tests/fleet_rate_limit/rate_limit_node_test.cpp
+++ b/tests/fleet_rate_limit/rate_limit_node_test.cpp
@@ -1,35 +1,35 @@
 // Rate limits over the fleet: seeded schedules of faults compared with exact buckets, and single cases.
 #include <catch2/catch.hpp>
 
-#include "fleet_rate_limit/world.hpp"
+#include "fleet_rate_limit/simulation.hpp"
 
-using namespace limit_world;
+using namespace rate_limit_simulation;
 
 TEST_CASE("random schedules of faults keep the error bound of a fleet's limit", "[fleetlimit]") {
     double closest = 0;
     for (std::uint64_t seed = 1; seed <= 100; ++seed) {
-        const auto result = World(random_plan(seed), seed).run();
+        const auto result = Simulation(random_scenario(seed), seed).run();
         INFO("seed " << seed << "; again: slatejunction-limit-model 1 " << seed << "; worst "
-                     << result.worst << " of " << result.stated);
-        REQUIRE(result.breach == "");
-        closest = std::max(closest, result.worst / result.stated);
+                     << result.worst_excess << " of " << result.bound);
+        REQUIRE(result.violation == "");
+        closest = std::max(closest, result.worst_excess / result.bound);
     }
     CHECK(closest > 0.3);   // else the bound says nothing
 }
 
 TEST_CASE("the first request of a key is admitted at any ingress, and usage at one is known to the others",
           "[fleetlimit]") {
-    Plan plan;
-    plan.load = 0.5;
-    const auto result = World(plan, 1).run();
-    CHECK(result.with_room == 0);
-    CHECK(result.passed == result.asked);
-    plan.load = 3;
-    const auto pressed = World(plan, 2).run();
-    CHECK(pressed.worst <= pressed.stated);
+    Scenario scenario;
+    scenario.load = 0.5;
+    const auto result = Simulation(scenario, 1).run();
+    CHECK(result.rejected_with_units == 0);
+    CHECK(result.admitted == result.requests);
+    scenario.load = 3;
+    const auto pressed = Simulation(scenario, 2).run();
+    CHECK(pressed.worst_excess <= pressed.bound);
     // All that the rate gives is given.
-    CHECK(static_cast<double>(pressed.passed) >
-          0.95 * plan.spec.rate * plan.length * static_cast<double>(plan.keys));
+    CHECK(static_cast<double>(pressed.admitted) >
+          0.95 * scenario.spec.rate * scenario.length_s * static_cast<double>(scenario.keys));
 }
 
 TEST_CASE("floods of new keys take no lasting memory and evict no key in use", "[fleetlimit]") {
--- a/tests/fleet_rate_limit/world.hpp
+++ b/tests/fleet_rate_limit/simulation.hpp
@@ -14,50 +14,53 @@
 #include "events.hpp"
 #include "fleet_rate_limit/rate_limit_node.hpp"
 
-namespace limit_world {
+namespace rate_limit_simulation {
 
 using namespace slatejunction::fleet_rate_limit;
 
-struct Plan {
+struct Scenario {
     std::size_t ingresses = 3, keys = 4;
     LimitSpec spec{4, 12, 1};
-    double max_unreported = 2, load = 1.3;   // of the rate, asked of each key
-    double loss = 0, twice = 0, delay_most = 0.003, known_s = 2, length = 60;
-    enum class Fault { none, cut, split, kill, stop, restart } fault = Fault::none;
+    double max_unreported_units = 2, load = 1.3;   // of the rate, asked of each key
+    double loss_fraction = 0, duplicate_fraction = 0, max_delay_s = 0.003, detection_s = 2, length_s = 60;
+    enum class Fault { none, one_cut_off, partition, crash, pause, restart } fault = Fault::none;
     double skew = 1;   // how unevenly ingresses are asked: the first gets most
 };
 
 struct Result {
-    double worst = 0, stated = 0;   // units beyond burst + rate t, in any window, of any key
-    std::uint64_t asked = 0, passed = 0, with_room = 0;   // refused although the exact bucket had room
+    double worst_excess = 0, bound = 0;   // units beyond burst + rate t, in any window, of any key
+    std::uint64_t requests = 0, admitted = 0,
+                  rejected_with_units = 0;   // refused although the exact bucket had room
     std::uint64_t datagrams = 0;
-    std::string breach;
+    std::string violation;
 };
 
-class World {
+class Simulation {
   public:
-    World(const Plan& plan, std::uint64_t seed) : plan_(plan), random_(seed), nodes_(plan.ingresses) {
+    Simulation(const Scenario& scenario, std::uint64_t seed)
+        : scenario_(scenario), random_(seed), nodes_(scenario.ingresses) {
         for (std::size_t i = 0; i < nodes_.size(); ++i) names_.push_back(name(i));
         std::sort(names_.begin(), names_.end());
         for (std::size_t i = 0; i < nodes_.size(); ++i) begin(i);
-        buckets_.resize(plan.keys);
-        over_.resize(plan.keys);
+        buckets_.resize(scenario.keys);
+        over_.resize(scenario.keys);
     }
     Result run() {
-        const ErrorBound stated =
-            error_bound(plan_.spec, plan_.max_unreported, plan_.ingresses, apart(), plan_.known_s);
-        result_.stated = stated.healthy;
-        if (plan_.fault != Plan::Fault::none) schedule_faults();
-        using Fault = Plan::Fault;
-        if (plan_.fault == Fault::cut || plan_.fault == Fault::split) result_.stated = stated.partition;
-        if (plan_.fault == Fault::kill || plan_.fault == Fault::restart)
-            result_.stated = stated.owner_lost + stated.per_restart;
-        if (plan_.fault == Fault::stop) result_.stated = stated.process_pause;
-        if (plan_.loss > 0 || 2 * plan_.delay_most >= kUnresponsiveAfterS)
-            result_.stated += stated.late_replies;
-        for (std::size_t key = 0; key < plan_.keys; ++key) schedule_request(key);
-        events_.run_until(plan_.length);
-        if (result_.worst > result_.stated + 1e-6) result_.breach = "over the bound";
+        const ErrorBound stated = error_bound(scenario_.spec, scenario_.max_unreported_units,
+                                              scenario_.ingresses, apart(), scenario_.detection_s);
+        result_.bound = stated.healthy;
+        if (scenario_.fault != Scenario::Fault::none) schedule_faults();
+        using Fault = Scenario::Fault;
+        if (scenario_.fault == Fault::one_cut_off || scenario_.fault == Fault::partition)
+            result_.bound = stated.partition;
+        if (scenario_.fault == Fault::crash || scenario_.fault == Fault::restart)
+            result_.bound = stated.owner_lost + stated.per_restart;
+        if (scenario_.fault == Fault::pause) result_.bound = stated.process_pause;
+        if (scenario_.loss_fraction > 0 || 2 * scenario_.max_delay_s >= kUnresponsiveAfterS)
+            result_.bound += stated.late_replies;
+        for (std::size_t key = 0; key < scenario_.keys; ++key) schedule_request(key);
+        events_.run_until(scenario_.length_s);
+        if (result_.worst_excess > result_.bound + 1e-6) result_.violation = "over the bound";
         return result_;
     }
     // Of all that the nodes have put out so far: how long each request is to wait, and their datagrams.
@@ -73,18 +76,20 @@
     double draw(double from, double to) {
         return std::uniform_real_distribution<double>(from, to)(random_);
     }
-    std::size_t apart() const { return plan_.fault == Plan::Fault::split ? plan_.ingresses / 2 : 1; }
+    std::size_t apart() const {
+        return scenario_.fault == Scenario::Fault::partition ? scenario_.ingresses / 2 : 1;
+    }
 
     void begin(std::size_t i) {
         Node& node = nodes_[i];
         node.process = ++processes_;
         node.armed = 1e18;
-        node.limits = std::make_unique<RateLimitNode>(Settings{name(i), names_, plan_.max_unreported, 1000},
-                                                      random_());
-        node.limits->define(1, plan_.spec);
+        node.limits = std::make_unique<RateLimitNode>(
+            Settings{name(i), names_, scenario_.max_unreported_units, 1000}, random_());
+        node.limits->define(1, scenario_.spec);
         update_alive_members(i);
     }
-    // The members that ingress i sees: late by up to known_s, drawn anew with each change.
+    // The members that ingress i sees: late by up to detection_s, drawn anew with each change.
     void update_alive_members(std::size_t i) {
         std::vector<std::string> alive;
         for (std::size_t j = 0; j < nodes_.size(); ++j)
@@ -96,61 +101,62 @@
     int side(std::size_t i) const { return away_.contains(i) ? 1 : 0; }
     void changed() {
         for (std::size_t i = 0; i < nodes_.size(); ++i)
-            events_.at(events_.now() + draw(0.2, 1) * plan_.known_s, [this, i] {
+            events_.at(events_.now() + draw(0.2, 1) * scenario_.detection_s, [this, i] {
                 if (nodes_[i].limits) update_alive_members(i);
             });
     }
     void schedule_faults() {
         const double from = draw(10, 20), until = from + draw(3, 15);
         const std::size_t who = random_() % nodes_.size();
-        using Fault = Plan::Fault;
+        using Fault = Scenario::Fault;
         events_.at(from, [this, who] {
-            if (plan_.fault == Fault::cut) away_ = {who};
-            if (plan_.fault == Fault::split)
+            if (scenario_.fault == Fault::one_cut_off) away_ = {who};
+            if (scenario_.fault == Fault::partition)
                 for (std::size_t i = 0; i < apart(); ++i) away_.insert(i);
-            if (plan_.fault == Fault::kill || plan_.fault == Fault::restart)
+            if (scenario_.fault == Fault::crash || scenario_.fault == Fault::restart)
                 nodes_[who].limits.reset(), down_.insert(who);
-            if (plan_.fault == Fault::stop)
+            if (scenario_.fault == Fault::pause)
                 nodes_[who].stopped_until = events_.now() + 4, down_.insert(who);
-            if (plan_.fault == Fault::restart)
+            if (scenario_.fault == Fault::restart)
                 down_.clear(), begin(who);
             else
                 changed();
         });
-        if (plan_.fault == Fault::cut || plan_.fault == Fault::split)
+        if (scenario_.fault == Fault::one_cut_off || scenario_.fault == Fault::partition)
             events_.at(until, [this] { away_.clear(), changed(); });
-        if (plan_.fault == Fault::stop) events_.at(from + 4, [this] { down_.clear(), changed(); });
+        if (scenario_.fault == Fault::pause) events_.at(from + 4, [this] { down_.clear(), changed(); });
     }
     void schedule_request(std::size_t key) {
-        events_.at(
-            events_.now() + std::exponential_distribution<double>(plan_.spec.rate * plan_.load)(random_),
-            [this, key] {
-                request(key);
-                schedule_request(key);
-            });
+        events_.at(events_.now() +
+                       std::exponential_distribution<double>(scenario_.spec.rate * scenario_.load)(random_),
+                   [this, key] {
+                       request(key);
+                       schedule_request(key);
+                   });
     }
     void request(std::size_t key) {
-        std::size_t i = draw(0, 1) < plan_.skew * 0.6 ? key % nodes_.size() : random_() % nodes_.size();
+        std::size_t i = draw(0, 1) < scenario_.skew * 0.6 ? key % nodes_.size() : random_() % nodes_.size();
         Node& node = nodes_[i];
         if (!node.limits || events_.now() < node.stopped_until) return;
-        ++result_.asked;
+        ++result_.requests;
         double& full_at = buckets_[key];
-        const double room = plan_.spec.burst - std::max(0.0, full_at - events_.now()) * plan_.spec.rate;
+        const double room =
+            scenario_.spec.burst - std::max(0.0, full_at - events_.now()) * scenario_.spec.rate;
         const double wait_s = node.limits->retry_after_s(events_.now(), 1, key, 1);
         digest_.add(events_.now(), i, key, wait_s);
         if (wait_s > 0) {
-            result_.with_room += room >= 1;
+            result_.rejected_with_units += room >= 1;
             return;
         }
-        ++result_.passed;
+        ++result_.admitted;
         node.limits->consume(events_.now(), 1, key, 1);
         pump(i);
-        full_at = std::max(full_at, events_.now()) + 1 / plan_.spec.rate;
+        full_at = std::max(full_at, events_.now()) + 1 / scenario_.spec.rate;
         // The most that was sent beyond rate * t in any window that ends now.
         auto& [sum, last] = over_[key];
-        sum = std::max(0.0, sum - plan_.spec.rate * (events_.now() - last)) + 1;
+        sum = std::max(0.0, sum - scenario_.spec.rate * (events_.now() - last)) + 1;
         last = events_.now();
-        result_.worst = std::max(result_.worst, sum - plan_.spec.burst);
+        result_.worst_excess = std::max(result_.worst_excess, sum - scenario_.spec.burst);
     }
     void pump(std::size_t i) {
         Node& node = nodes_[i];
@@ -179,11 +185,11 @@
     void send(std::size_t from, std::size_t to, const std::string& body) {
         ++result_.datagrams;
         if (side(from) != side(to)) return;
-        const int copies = draw(0, 1) < plan_.twice ? 2 : 1;
+        const int copies = draw(0, 1) < scenario_.duplicate_fraction ? 2 : 1;
         for (int i = 0; i < copies; ++i) {
-            if (draw(0, 1) < plan_.loss) continue;
+            if (draw(0, 1) < scenario_.loss_fraction) continue;
             events_.at(
-                events_.now() + draw(0.0002, plan_.delay_most),
+                events_.now() + draw(0.0002, scenario_.max_delay_s),
                 [this, from, to, body, process = nodes_[from].process, for_process = nodes_[to].process] {
                     arrive(from, to, process, for_process, body);
                 });
@@ -204,7 +210,7 @@
         pump(to);
     }
 
-    Plan plan_;
+    Scenario scenario_;
     std::mt19937_64 random_;
     std::vector<Node> nodes_;
     std::vector<std::string> names_;
@@ -217,22 +223,23 @@
     Digest digest_;
 };
 
-inline Plan random_plan(std::uint64_t seed) {
+inline Scenario random_scenario(std::uint64_t seed) {
     std::mt19937_64 random(seed * 104729 + 7);
     const auto draw = [&](double from, double to) {
         return std::uniform_real_distribution<double>(from, to)(random);
     };
-    Plan plan;
-    plan.ingresses = 2 + random() % 9;
-    plan.spec.rate = draw(0.5, 20);
-    plan.spec.burst = draw(1, 30);
-    plan.max_unreported = draw(1, 4);
-    plan.load = draw(0.3, 4);
-    plan.skew = draw(0, 1);
-    if (random() % 2 == 0) plan.loss = draw(0, 0.3), plan.twice = draw(0, 0.3);
-    if (random() % 3 == 0) plan.delay_most = draw(0.003, 0.3);
-    plan.fault = static_cast<Plan::Fault>(random() % 6);
-    return plan;
+    Scenario scenario;
+    scenario.ingresses = 2 + random() % 9;
+    scenario.spec.rate = draw(0.5, 20);
+    scenario.spec.burst = draw(1, 30);
+    scenario.max_unreported_units = draw(1, 4);
+    scenario.load = draw(0.3, 4);
+    scenario.skew = draw(0, 1);
+    if (random() % 2 == 0)
+        scenario.loss_fraction = draw(0, 0.3), scenario.duplicate_fraction = draw(0, 0.3);
+    if (random() % 3 == 0) scenario.max_delay_s = draw(0.003, 0.3);
+    scenario.fault = static_cast<Scenario::Fault>(random() % 6);
+    return scenario;
 }
 
-}   // namespace limit_world
+}   // namespace rate_limit_simulation
--- a/tests/quota/decision_digest_test.cpp
+++ b/tests/quota/decision_digest_test.cpp
@@ -5,8 +5,8 @@
 #include <catch2/catch.hpp>
 
 #include "digest.hpp"
-#include "quota/model.hpp"
-#include "quota/small.hpp"
+#include "quota/exhaustive_search.hpp"
+#include "quota/simulation.hpp"
 
 namespace {
 
@@ -28,18 +28,18 @@
 TEST_CASE("digests of SharedQuota's decisions", "[quota]") {
     for (std::uint64_t seed = 1; seed <= kDigests.size(); ++seed) {
         INFO("seed " << seed);
-        model::World world(model::random_plan(seed), seed);
-        CHECK_FALSE(world.run().breach());
-        CHECK(world.digest() == kDigests[seed - 1]);
+        quota_simulation::Simulation simulation(quota_simulation::random_scenario(seed), seed);
+        CHECK_FALSE(simulation.run().violated());
+        CHECK(simulation.digest() == kDigests[seed - 1]);
     }
 }
 
 TEST_CASE("one digest of SharedQuota's decisions over more seeds", "[quota]") {
     Digest all;
     for (std::uint64_t seed = kDigests.size() + 1; seed <= 1000; ++seed) {
-        model::World world(model::random_plan(seed), seed);
-        world.run();
-        all.add(world.digest());
+        quota_simulation::Simulation simulation(quota_simulation::random_scenario(seed), seed);
+        simulation.run();
+        all.add(simulation.digest());
     }
     CHECK(all.value() == 0xc4d49e8fc1286924ULL);
 }
@@ -50,7 +50,7 @@
     settings.plans = {{"p", 2, 3, 0}};
     settings.max_unreported_units = 2;
     settings.local_fraction = 0.3;
-    model::Small small(5, settings);
-    CHECK_FALSE(small.find());
-    CHECK(small.digest() == 0xf2a1e9fef7d53705ULL);
+    quota_simulation::ExhaustiveSearch search(5, settings);
+    CHECK_FALSE(search.find_violation());
+    CHECK(search.digest() == 0xf2a1e9fef7d53705ULL);
 }
--- a/tests/quota/small.hpp
+++ b/tests/quota/exhaustive_search.hpp
@@ -15,7 +15,7 @@
 #include "digest.hpp"
 #include "quota/shared_quota.hpp"
 
-namespace model {
+namespace quota_simulation {
 
 using namespace slatejunction;
 
@@ -32,12 +32,13 @@
 inline constexpr std::array<const char*, 8> kSteps{"ask A",  "ask B", "answer", "drop",
                                                    "refuse", "empty", "pause",  "restart A"};
 
-class Small {
+class ExhaustiveSearch {
   public:
-    Small(std::size_t depth, quota::Settings settings) : depth_(depth), settings_(std::move(settings)) {}
+    ExhaustiveSearch(std::size_t depth, quota::Settings settings)
+        : depth_(depth), settings_(std::move(settings)) {}
 
     // The shortest schedule that breaks the stated error; nothing when none does.
-    std::optional<std::string> find() {
+    std::optional<std::string> find_violation() {
         for (std::size_t length = 1; length <= depth_; ++length) {
             std::vector<Step> steps(length, Step::request_a);
             for (;;) {
@@ -165,4 +166,4 @@
     Digest digest_;
 };
 
-}   // namespace model
+}   // namespace quota_simulation
--- a/tests/quota/shared_quota_test.cpp
+++ b/tests/quota/shared_quota_test.cpp
@@ -2,12 +2,12 @@
 // single cases.
 #include <catch2/catch.hpp>
 
-#include "quota/model.hpp"
-#include "quota/small.hpp"
+#include "quota/exhaustive_search.hpp"
+#include "quota/simulation.hpp"
 
 using namespace slatejunction;
 using quota::SharedQuota;
-using Fault = model::Fault;
+using Fault = quota_simulation::Fault;
 
 namespace {
 
@@ -51,11 +51,12 @@
     double closest = 0;
     std::uint64_t passed = 0;
     for (std::uint64_t seed = 1; seed <= 3'000; ++seed) {
-        const auto result = model::World(model::random_plan(seed), seed).run();
-        INFO("seed " << seed << ": " << result.worst << " units over, stated " << result.allowed);
-        REQUIRE_FALSE(result.breach());
-        closest = std::max(closest, result.worst / result.allowed);
-        passed += result.passed;
+        const auto result =
+            quota_simulation::Simulation(quota_simulation::random_scenario(seed), seed).run();
+        INFO("seed " << seed << ": " << result.worst_excess << " units over, stated " << result.bound);
+        REQUIRE_FALSE(result.violated());
+        closest = std::max(closest, result.worst_excess / result.bound);
+        passed += result.admitted;
     }
     CHECK(passed > 50'000);
     CHECK(closest > 0.6);   // the statement is no idle one
@@ -64,9 +65,9 @@
 TEST_CASE("the model reports a breach: an error bound that is too small is exceeded") {
     int breaches = 0;
     for (std::uint64_t seed = 1; seed <= 300; ++seed) {
-        auto result = model::World(model::random_plan(seed), seed).run();
-        result.allowed *= 0.25;
-        breaches += result.breach();
+        auto result = quota_simulation::Simulation(quota_simulation::random_scenario(seed), seed).run();
+        result.bound *= 0.25;
+        breaches += result.violated();
     }
     CHECK(breaches > 20);
 }
@@ -75,19 +76,21 @@
     quota::Settings one = settings(2, {"p", 2, 3, 0});
     one.max_unreported_units = 2;
     one.local_fraction = 0.3;
-    model::Small small(5, one);
-    const auto found = small.find();
+    quota_simulation::ExhaustiveSearch search(5, one);
+    const auto found = search.find_violation();
     INFO(found.value_or(""));
     CHECK_FALSE(found);
-    CHECK(small.schedules == 8 + 64 + 512 + 4096 + 32768);
+    CHECK(search.schedules == 8 + 64 + 512 + 4096 + 32768);
 }
 
 TEST_CASE("equal facts give equal calls") {
-    const auto run = [] { return model::World(model::random_plan(77), 77).run(); };
+    const auto run = [] {
+        return quota_simulation::Simulation(quota_simulation::random_scenario(77), 77).run();
+    };
     const auto a = run(), b = run();
     CHECK(a.calls == b.calls);
-    CHECK(a.passed == b.passed);
-    CHECK(a.worst == b.worst);
+    CHECK(a.admitted == b.admitted);
+    CHECK(a.worst_excess == b.worst_excess);
 }
 
 TEST_CASE("a customer with one ingress has its whole bucket there, without a call") {
@@ -211,12 +214,12 @@
 
 TEST_CASE("the error bound grows with unreported units, ingresses and faults") {
     quota::Settings one = settings(3, {"p", 1.8, 8, 0});
-    const auto small = quota::error_bound(one, one.plans[0], 3, 1);
-    CHECK(small.counter_unreachable > small.healthy);
-    CHECK(small.partition > small.healthy);
-    CHECK(small.counter_state_lost > small.healthy);
-    CHECK(small.counter_state_rolled_back > small.counter_state_lost);
+    const auto bound = quota::error_bound(one, one.plans[0], 3, 1);
+    CHECK(bound.counter_unreachable > bound.healthy);
+    CHECK(bound.partition > bound.healthy);
+    CHECK(bound.counter_state_lost > bound.healthy);
+    CHECK(bound.counter_state_rolled_back > bound.counter_state_lost);
     one.max_unreported_units *= 2;
-    CHECK(quota::error_bound(one, one.plans[0], 3, 1).healthy == Approx(small.healthy + 12));
+    CHECK(quota::error_bound(one, one.plans[0], 3, 1).healthy == Approx(bound.healthy + 12));
     CHECK(quota::error_bound(one, one.plans[0], 1, 0).healthy == 0);
 }
