--- a/bench/lease.pml
+++ b/bench/lease.pml
@@ -3,7 +3,7 @@
  *
  *   bench/lease-spin      the whole, and with each planted fault (MARGIN, MINORITY, ANSWER, AMNESIA), which must be found
  *
- * Not in it: drift of clocks (a holder counts U ticks, a voter T > U), doubled messages and renewals; tests/lease/explore.hpp has them.
+ * Not in it: drift of clocks (a holder counts U ticks, a voter T > U), doubled messages and renewals; tests/lease/model_checker.hpp has them.
  * A message that is lost is one that never comes: nothing has to be done for it. */
 #define V 3
 #define S 2
--- a/src/app/fleet_component.cpp
+++ b/src/app/fleet_component.cpp
@@ -64,7 +64,7 @@
         on_register_message(message.from, message.body);
     });
     if (options.fleet_counters.on()) make_fleet_counters(config, timers);
-    for (const std::string& line : lease::stated(options.lease))
+    for (const std::string& line : lease::describe_bounds(options.lease))
         log_.write(Log::Level::info, net::now(), "%s", line.c_str());
 }
 
@@ -150,7 +150,7 @@
     return leases_ && leases_->permit(boot_clock_s(), kConductor, permit);
 }
 
-void FleetComponent::on_members(std::function<void(const std::vector<std::string>&)> call) {
+void FleetComponent::on_membership_change(std::function<void(const std::vector<std::string>&)> call) {
     const auto notify = [this, call = std::move(call)] {
         std::vector<std::string> alive;
         for (const membership::Member& one : peers_.members().list())
@@ -247,7 +247,7 @@
     const lease::Acceptor* const acceptor = leases_->acceptor();
     if (acceptor && acceptor->is_voting(boot_clock_s())) {
         lease::encode({acceptor->epoch(), acceptor->grants()}, *all.mutable_voter());
-        if (registers_ && registers_->remembers())
+        if (registers_ && registers_->storage_intact())
             lease::encode(registers_->registers(), *all.mutable_notes());
     }
     on_process_leaving();
--- a/src/app/fleet_component.hpp
+++ b/src/app/fleet_component.hpp
@@ -56,7 +56,7 @@
     bool send(const std::string& to, membership::Channel channel, std::string_view body) override {
         return peers_.send(to, channel, body);
     }
-    void on_members(std::function<void(const std::vector<std::string>&)> call) override;
+    void on_membership_change(std::function<void(const std::vector<std::string>&)> call) override;
     void broadcast(membership::Channel channel, std::string_view body) override;
     void listen(membership::Channel channel, membership::GossipTransport::Listener listener) override {
         peers_.listen(channel, std::move(listener));
--- a/src/app/fleet_rate_limit_component.cpp
+++ b/src/app/fleet_rate_limit_component.cpp
@@ -52,7 +52,7 @@
         node_.on_datagram(net::now(), message.from, message.process, message.body);
         pump();
     });
-    fleet_.on_members([this](const std::vector<std::string>& alive) {
+    fleet_.on_membership_change([this](const std::vector<std::string>& alive) {
         node_.set_alive_members(net::now(), alive);
         pump();
     });
--- a/src/app/program.cpp
+++ b/src/app/program.cpp
@@ -80,7 +80,7 @@
                  stated(options, ingresses_of(options, config.name).size(), largest_units(config)))
                 lines.push_back(line);
         if (options.lease.on())
-            for (auto& line : lease::stated(options.lease)) lines.push_back(line);
+            for (auto& line : lease::describe_bounds(options.lease)) lines.push_back(line);
         if (std::string why = fault_of_rollout(options, config.name); !why.empty())
             throw std::runtime_error(files.options + ": [rollout] " + why);
         for (auto& line : stated_of_rollout(options)) lines.push_back(line);
--- a/src/fleet_counters/aggregator.cpp
+++ b/src/fleet_counters/aggregator.cpp
@@ -181,7 +181,7 @@
     std::uint64_t delivered_period = 0;
     bool is_valid = load_totals(delivered_period);
     for (std::size_t i = 0; is_valid && i < kPageCount; ++i) is_valid = load_page(i);
-    if (is_valid && !registers_.lost()) {
+    if (is_valid && !registers_.may_have_lost_values()) {
         delivered_period_ = delivered_period;
         published_period_ = delivered_period;
         const std::uint64_t first_row = retained_rows_.front().period;
--- a/src/lease/fleet_context.hpp
+++ b/src/lease/fleet_context.hpp
@@ -24,7 +24,7 @@
     /// `call(true)`: this process leads from now on; `call(false)`: no longer.
     virtual void on_leadership_change(std::function<void(bool)> call) = 0;
     /// Names of the alive members, sorted, this one among them: at once, and with each change.
-    virtual void on_members(std::function<void(const std::vector<std::string>&)> call) = 0;
+    virtual void on_membership_change(std::function<void(const std::vector<std::string>&)> call) = 0;
     /// Sends one datagram, which may be lost, duplicated or late. False: it was not sent.
     virtual bool send(const std::string& to, membership::Channel channel, std::string_view body) = 0;
     virtual void broadcast(membership::Channel channel, std::string_view body) = 0;
--- a/src/lease/replicated_register.cpp
+++ b/src/lease/replicated_register.cpp
@@ -24,7 +24,7 @@
     out.set_of_number(message.value.fencing_token);
     out.set_sequence(message.value.sequence);
     out.set_text(message.value.text);
-    out.set_knows(message.remembers);
+    out.set_knows(message.value_intact);
     out.set_step(message.epoch);
     return out.SerializeAsString();
 }
@@ -40,7 +40,7 @@
     message.fencing_token = in.number();
     message.request_id = in.ask();
     message.value = {in.of_number(), in.sequence(), in.text()};
-    message.remembers = in.knows();
+    message.value_intact = in.knows();
     message.epoch = in.step();
     return true;
 }
@@ -69,7 +69,7 @@
     if (message.kind == Kind::read) {
         answer.kind = Kind::read_reply;
         answer.value = stored.value;
-        answer.remembers = remembers_ || was_written;
+        answer.value_intact = storage_intact_ || was_written;
         return true;
     }
     answer.kind = Kind::write_ack;
@@ -90,7 +90,7 @@
         current.promised_token = std::max(current.promised_token, restored.promised_token);
         if (current.value.before(restored.value)) current.value = restored.value;
     }
-    remembers_ = true;
+    storage_intact_ = true;
     ++revision_;
 }
 
@@ -105,7 +105,7 @@
 void RegisterClient::begin_term(double now, std::uint64_t fencing_token) {
     fencing_token_ = fencing_token;
     superseded_ = false;
-    lost_ = false;
+    may_have_lost_values_ = false;
     for (auto& [name, reg] : registers_) {
         reg = {};
         reg.state = State::reading;
@@ -197,13 +197,13 @@
 void RegisterClient::on_read_reply(double now, const std::string& acceptor, const RegisterMessage& message,
                                    Register& reg) {
     reg.answered_by.insert(acceptor);
-    if (message.remembers) reg.remembered_by.insert(acceptor);
+    if (message.value_intact) reg.remembered_by.insert(acceptor);
     if (reg.value.before(message.value)) reg.value = message.value;
     if (!acceptors_.has_majority(reg.remembered_by)) {
         const bool all_answered = reg.answered_by.size() == acceptors_.members().size();
         const bool is_late_majority = read_is_late(now, reg) && acceptors_.has_majority(reg.answered_by);
         if (!all_answered && !is_late_majority) return;
-        lost_ = true;   // never written, or forgotten: nobody is left to ask
+        may_have_lost_values_ = true;   // never written, or forgotten: nobody is left to ask
     }
     if (reg.value.fencing_token == fencing_token_) reg.value.sequence += kSequenceStep;
     reg.state = State::known;
--- a/src/lease/replicated_register.hpp
+++ b/src/lease/replicated_register.hpp
@@ -11,7 +11,7 @@
 // From: RAMBO (Gilbert, Lynch, Shvartsman 2010), Disk Paxos (Gafni, Lamport 2003);
 // docs/design/fleet.md. Safety rests on the tokens alone, but for acceptors that lost their state:
 // they don't answer during recovery (Acceptor::is_voting) and mark what they may have forgotten
-// (`remembers`). A register that fewer than a majority remember, though a majority answers, is `lost`
+// (`storage_intact`). A register that fewer than a majority remember, though a majority answers, is `lost`
 // after kLostAfterGrants grant durations: its reader continues from the highest value seen.
 // Never does: I/O, reading a clock. src/app/fleet_component owns the acceptor, the users of registers
 // (fleet_counters, rollout) the clients.
@@ -53,9 +53,9 @@
     std::string name;
     std::uint64_t fencing_token = 0;   ///< of the client
     std::uint64_t request_id = 0;
-    RegisterValue value;       ///< of a write and a read_reply
-    bool remembers = false;    ///< of a read_reply: nothing of this name was forgotten
-    std::uint32_t epoch = 0;   ///< of the acceptor set
+    RegisterValue value;         ///< of a write and a read_reply
+    bool value_intact = false;   ///< of a read_reply: nothing of this name was forgotten
+    std::uint32_t epoch = 0;     ///< of the acceptor set
 };
 std::string encode(const RegisterMessage& message);
 /// False: `bytes` are no valid message.
@@ -71,9 +71,9 @@
     };
     using Registers = std::map<std::string, StoredRegister>;
 
-    /// `remembers`: `stored` is all that was ever stored here.
-    RegisterAcceptor(bool remembers, Registers stored)
-        : remembers_(remembers), registers_(std::move(stored)) {}
+    /// `storage_intact`: `stored` is all that was ever stored here.
+    RegisterAcceptor(bool storage_intact, Registers stored)
+        : storage_intact_(storage_intact), registers_(std::move(stored)) {}
     /// False: there is no answer to send.
     bool receive(const RegisterMessage& message, RegisterMessage& answer);
     const Registers& registers() const { return registers_; }
@@ -81,12 +81,12 @@
     std::uint64_t revision() const { return revision_; }
     /// Continues the registers of the process before this one, which remembered all.
     void restore(const Registers& stored);
-    bool remembers() const { return remembers_; }
+    bool storage_intact() const { return storage_intact_; }
 
   private:
     bool write(const RegisterValue& value, StoredRegister& stored);
 
-    bool remembers_;
+    bool storage_intact_;
     Registers registers_;
     std::uint64_t revision_ = 0;
 };
@@ -111,7 +111,7 @@
     /// Whether every register has been read in this term.
     bool all_known() const;
     /// Fewer than a majority remembered some register; its value is the highest that was seen.
-    bool lost() const { return lost_; }
+    bool may_have_lost_values() const { return may_have_lost_values_; }
     const std::string& text(const std::string& name) const { return registers_.at(name).value.text; }
     /// Requires all_known().
     void write(double now, const std::string& name, std::string text);
@@ -148,7 +148,7 @@
     std::minstd_rand random_;   // retry jitter only
     std::map<std::string, Register> registers_;
     std::uint64_t fencing_token_ = 0, last_request_id_ = 0;
-    bool superseded_ = false, lost_ = false;
+    bool superseded_ = false, may_have_lost_values_ = false;
     std::vector<OutgoingMessage> outgoing_;
 };
 
--- a/src/lease/settings.cpp
+++ b/src/lease/settings.cpp
@@ -110,7 +110,7 @@
     return settings;
 }
 
-std::vector<std::string> stated(const Options& options) {
+std::vector<std::string> describe_bounds(const Options& options) {
     char text[320];
     const LeaseTimes& t = options.times;
     std::snprintf(
--- a/src/lease/settings.hpp
+++ b/src/lease/settings.hpp
@@ -29,6 +29,6 @@
 
 LeaseNodeSettings settings_of(const Options& options, const std::string& name);
 /// The bounds that follow from the options, a line each, for check-config.
-std::vector<std::string> stated(const Options& options);
+std::vector<std::string> describe_bounds(const Options& options);
 
 }   // namespace slatejunction::lease
--- a/tests/fleet_counters/fleet_counters_test.cpp
+++ b/tests/fleet_counters/fleet_counters_test.cpp
@@ -50,7 +50,7 @@
     RegisterMessage answer;
     REQUIRE(acceptor.receive(ask(RegisterKind::read, 5), answer));
     CHECK(answer.kind == RegisterKind::read_reply);
-    CHECK(answer.remembers);
+    CHECK(answer.value_intact);
     REQUIRE(acceptor.receive(ask(RegisterKind::write, 4, 1, "old"), answer));
     CHECK(answer.kind == RegisterKind::superseded);
     REQUIRE(acceptor.receive(ask(RegisterKind::write, 5, 2, "b"), answer));
@@ -63,10 +63,10 @@
     CHECK(answer.value.text == "b");
     RegisterAcceptor forgot(false, {});
     REQUIRE(forgot.receive(ask(RegisterKind::read, 6), answer));
-    CHECK_FALSE(answer.remembers);
+    CHECK_FALSE(answer.value_intact);
     REQUIRE(forgot.receive(ask(RegisterKind::write, 6, 1, "c"), answer));
     REQUIRE(forgot.receive(ask(RegisterKind::read, 6), answer));
-    CHECK(answer.remembers);
+    CHECK(answer.value_intact);
     CHECK(answer.value.text == "c");
 }
 
--- a/tests/lease/decision_digest_test.cpp
+++ b/tests/lease/decision_digest_test.cpp
@@ -5,7 +5,7 @@
 #include <catch2/catch.hpp>
 
 #include "digest.hpp"
-#include "lease/world.hpp"
+#include "lease/simulation.hpp"
 
 namespace {
 
@@ -27,18 +27,18 @@
 TEST_CASE("digests of the lease's decisions", "[lease]") {
     for (std::uint64_t seed = 1; seed <= kDigests.size(); ++seed) {
         INFO("seed " << seed);
-        world::World world(world::random_plan(seed), seed);
-        CHECK(world.run().breach == "");
-        CHECK(world.digest() == kDigests[seed - 1]);
+        lease_simulation::Simulation simulation(lease_simulation::random_scenario(seed), seed);
+        CHECK(simulation.run().violation == "");
+        CHECK(simulation.digest() == kDigests[seed - 1]);
     }
 }
 
 TEST_CASE("one digest of the lease's decisions over more seeds", "[lease]") {
     Digest all;
     for (std::uint64_t seed = kDigests.size() + 1; seed <= 400; ++seed) {
-        world::World world(world::random_plan(seed), seed);
-        world.run();
-        all.add(world.digest());
+        lease_simulation::Simulation simulation(lease_simulation::random_scenario(seed), seed);
+        simulation.run();
+        all.add(simulation.digest());
     }
     CHECK(all.value() == 0xf8d897701a202e63ULL);
 }
--- a/tests/lease/lease_test.cpp
+++ b/tests/lease/lease_test.cpp
@@ -4,9 +4,9 @@
 #include "files.hpp"
 #include "ini/ini.hpp"
 #include "lease/acceptor_storage.hpp"
-#include "lease/explore.hpp"
+#include "lease/model_checker.hpp"
 #include "lease/settings.hpp"
-#include "lease/world.hpp"
+#include "lease/simulation.hpp"
 
 using namespace slatejunction;
 using namespace slatejunction::lease;
@@ -26,41 +26,43 @@
 TEST_CASE("random schedules of faults: two never act at once", "[lease]") {
     std::uint64_t holds = 0, acts = 0;
     for (std::uint64_t seed = 1; seed <= 600; ++seed) {
-        const auto result = world::World(world::random_plan(seed), seed).run();
+        const auto result =
+            lease_simulation::Simulation(lease_simulation::random_scenario(seed), seed).run();
         INFO("seed " << seed << "; again: slatejunction-lease-model 1 " << seed);
-        REQUIRE(result.breach == "");
-        holds += result.holds;
-        acts += result.acts;
+        REQUIRE(result.violation == "");
+        holds += result.acquisitions;
+        acts += result.actions;
     }
     CHECK(holds > 1000);
     CHECK(acts > 20'000);
 }
 
 TEST_CASE("all schedules of a small world to a depth", "[lease]") {
-    explore::Bounds bounds;
+    lease_model::Bounds bounds;
     bounds.depth = 10;
-    bounds.lost = 0;
-    bounds.late = 1;
-    bounds.twice = 0;
-    const auto found = explore::Explorer(bounds).run();
-    CHECK(found.breach == "");
+    bounds.max_lost = 0;
+    bounds.max_late = 1;
+    bounds.max_duplicates = 0;
+    const auto found = lease_model::ModelChecker(bounds).run();
+    CHECK(found.violation == "");
     CHECK(found.states > 50'000);
-    CHECK(found.holds > 1000);
+    CHECK(found.acquisitions > 1000);
 }
 
 TEST_CASE("whoever dies is followed within the stated time", "[lease]") {
     double worst = 0;
     std::size_t gaps = 0;
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
-        world::Plan plan;
-        plan.processes = 5;
-        plan.length = 12;
-        plan.faults = {{world::Fault::Kind::kill, 4, 30, world::kHolder, 0}};
-        const auto result = world::World(plan, seed).run();
-        REQUIRE(result.breach == "");
-        REQUIRE(result.gaps.size() == 1);
-        for (const double gap : result.gaps) worst = std::max(worst, gap);
-        gaps += result.gaps.size();
+        lease_simulation::Scenario scenario;
+        scenario.processes = 5;
+        scenario.duration_s = 12;
+        scenario.faults = {
+            {lease_simulation::Fault::Kind::kill, 4, 30, lease_simulation::kCurrentHolder, 0}};
+        const auto result = lease_simulation::Simulation(scenario, seed).run();
+        REQUIRE(result.violation == "");
+        REQUIRE(result.vacancies_s.size() == 1);
+        for (const double gap : result.vacancies_s) worst = std::max(worst, gap);
+        gaps += result.vacancies_s.size();
     }
     CHECK(worst < max_vacancy_s(kTimes, 0.04, 4));
     CHECK(worst > 0.3 * max_vacancy_s(kTimes, 0.04, 4));
@@ -135,15 +137,15 @@
 }
 
 TEST_CASE("k slots have k holders at most, and the next comes in when one goes", "[lease]") {
-    world::Plan plan;
-    plan.processes = 6;
-    plan.slots = 2;
-    plan.loss = 0.1;
+    lease_simulation::Scenario scenario;
+    scenario.processes = 6;
+    scenario.slots = 2;
+    scenario.loss_probability = 0.1;
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-        const auto result = world::World(plan, seed).run();
+        const auto result = lease_simulation::Simulation(scenario, seed).run();
         INFO("seed " << seed);
-        REQUIRE(result.breach == "");
-        CHECK(result.holds >= 2);
+        REQUIRE(result.violation == "");
+        CHECK(result.acquisitions >= 2);
     }
 }
 
--- a/tests/lease/explore.hpp
+++ b/tests/lease/model_checker.hpp
@@ -23,26 +23,26 @@
 #include "lease/candidate.hpp"
 #include "storage/state_directory.hpp"
 
-namespace explore {
+namespace lease_model {
 
 using namespace slatejunction::lease;
 
 struct Bounds {
     int depth = 12;
-    int lost = 1, late = 2, twice = 1, forget = 1;
-    double quantum = 0.25;   // s; a grant lives 1 s
+    int max_lost = 1, max_late = 2, max_duplicates = 1, max_amnesias = 1;
+    double time_step_s = 0.25;   // s; a grant lives 1 s
 };
 
-struct Found {
-    std::string breach;   // with the steps that lead there; empty: none
-    std::uint64_t states = 0, steps = 0, both_sought = 0, holds = 0;
+struct Report {
+    std::string violation;   // with the steps that lead there; empty: none
+    std::uint64_t states = 0, steps = 0, both_sought = 0, acquisitions = 0;
 };
 
-class Explorer {
+class ModelChecker {
   public:
-    explicit Explorer(const Bounds& bounds) : bounds_(bounds) {}
+    explicit ModelChecker(const Bounds& bounds) : bounds_(bounds) {}
 
-    Found run() {
+    Report run() {
         State start;
         for (int i = 0; i < 3; ++i) start.acceptors.emplace_back(times_, -10.0, 0, true);
         const AcceptorSet set{{"v0", "v1", "v2"}, {}, 1};
@@ -50,12 +50,12 @@
             start.candidates.emplace_back("job", "s", i + 1, times_, set, i + 1);
             start.candidates.back().campaign(0);
         }
-        start.lost = bounds_.lost;
-        start.late_left = bounds_.late;
-        start.twice = bounds_.twice;
-        start.forget = bounds_.forget;
+        start.lost = bounds_.max_lost;
+        start.late_left = bounds_.max_late;
+        start.twice = bounds_.max_duplicates;
+        start.forget = bounds_.max_amnesias;
         go(start, bounds_.depth);
-        return found_;
+        return report_;
     }
 
   private:
@@ -118,7 +118,7 @@
             auto& pending = s.pending[i];
             for (auto& out : one.take_outgoing()) pending.push_back(out);
             if (one.state() == Candidate::State::held && one.fencing_token() != 0 && !s.held[i]) {
-                ++found_.holds;
+                ++report_.acquisitions;
                 if (one.fencing_token() <= s.gained)
                     return breach("number " + std::to_string(one.fencing_token()) + " after " +
                                   std::to_string(s.gained));
@@ -131,15 +131,15 @@
         return true;
     }
     bool breach(const std::string& what) {
-        if (!found_.breach.empty()) return false;
-        found_.breach = what + ":";
-        for (const std::string& one : path_) found_.breach += " " + one;
+        if (!report_.violation.empty()) return false;
+        report_.violation = what + ":";
+        for (const std::string& one : path_) report_.violation += " " + one;
         return false;
     }
 
     void step(State next, int depth, std::string name) {
-        if (!found_.breach.empty()) return;
-        ++found_.steps;
+        if (!report_.violation.empty()) return;
+        ++report_.steps;
         path_.push_back(std::move(name));
         if (check(next)) go(next, depth - 1);
         path_.pop_back();
@@ -151,7 +151,7 @@
         const std::uint64_t hash = slatejunction::storage::checksum(text.data(), text.size());
         int& left = seen_[hash];
         if (left >= depth) return;
-        if (left == 0) ++found_.states;
+        if (left == 0) ++report_.states;
         left = depth;
         // What has to be said goes out before all else: the time in which it would wait counts as late.
         for (int i = 0; i < 2; ++i)
@@ -183,16 +183,16 @@
                 step(std::move(next), depth, "forget" + std::to_string(v));
             }
         State next = s;
-        next.now += bounds_.quantum;
+        next.now += bounds_.time_step_s;
         step(std::move(next), depth, "tick");
     }
     void replace(State& s, std::size_t v) {
         std::vector<Acceptor> all;
         for (std::size_t i = 0; i < 3; ++i)
-            i == v
-                ? all.emplace_back(times_, acceptor_clock(s.now),
-                                   static_cast<std::uint64_t>(1000 * (1 + s.now / bounds_.quantum)), false)
-                : all.emplace_back(s.acceptors[i]);
+            i == v ? all.emplace_back(times_, acceptor_clock(s.now),
+                                      static_cast<std::uint64_t>(1000 * (1 + s.now / bounds_.time_step_s)),
+                                      false)
+                   : all.emplace_back(s.acceptors[i]);
         s.acceptors.swap(all);
     }
     void bring(State& s, const Late& late) {
@@ -252,7 +252,7 @@
     const LeaseTimes times_{1, kDrift, 0.01, 0.05};
     std::unordered_map<std::uint64_t, int> seen_;
     std::vector<std::string> path_;
-    Found found_;
+    Report report_;
 };
 
-}   // namespace explore
+}   // namespace lease_model
--- a/tests/lease/world.hpp
+++ b/tests/lease/simulation.hpp
@@ -19,71 +19,80 @@
 #include "digest.hpp"
 #include "lease/lease_node.hpp"
 
-namespace world {
+namespace lease_simulation {
 
 using namespace slatejunction::lease;
 
-inline constexpr std::size_t kHolder = ~std::size_t{0};
+inline constexpr std::size_t kCurrentHolder = ~std::size_t{0};
 
 struct Fault {
-    enum class Kind { kill, forget, pause, cut, one_way, loss, hot_restart, acceptors };
+    enum class Kind {
+        kill,
+        kill_with_amnesia,
+        pause,
+        isolate,
+        isolate_outgoing,
+        packet_loss,
+        hot_restart,
+        change_acceptors
+    };
     Kind kind = Kind::kill;
-    double at = 0, until = 0;   // s; a killed one is started again at `until`
-    std::size_t who = 0;        // kHolder: whoever holds then
-    double part = 0;            // of loss
+    double begins_at = 0, ends_at = 0;   // s; a killed one is started again at `until`
+    std::size_t process = 0;             // kCurrentHolder: whoever holds then
+    double loss_probability = 0;         // of loss
 };
 
-struct Plan {
+struct Scenario {
     std::size_t processes = 5, acceptors = 3, spare_acceptors = 0;   // spare: may become acceptors
     LeaseTimes times{1, 0.05, 0.02, 0.1};
-    std::vector<double> rates;   // of the clocks; 1 where none is given
-    double loss = 0, twice = 0, delay_least = 0.001, delay_most = 0.02;
+    std::vector<double> clock_rates;   // of the clocks; 1 where none is given
+    double loss_probability = 0, duplication_probability = 0, min_delay_s = 0.001, max_delay_s = 0.02;
     unsigned slots = 1;
-    bool kept = false;   // acceptors' memories outlive them, but for Kind::forget
-    double length = 20;
+    bool persistent_storage = false;   // acceptors' memories outlive them, but for Kind::kill_with_amnesia
+    double duration_s = 20;
     std::vector<Fault> faults;
 };
 
 struct Result {
-    std::string breach;   // the first; empty: none
-    std::uint64_t acts = 0, holds = 0, lost = 0, messages = 0;
-    std::vector<double> gaps;   // s without a holder after one was gained first
-    double held = 0;            // part of the time
+    std::string violation;   // the first; empty: none
+    std::uint64_t actions = 0, acquisitions = 0, expired = 0, messages = 0;
+    std::vector<double> vacancies_s;   // s without a holder after one was gained first
+    double held_s = 0;                 // part of the time
 };
 
-class World {
+class Simulation {
   public:
-    World(Plan plan, std::uint64_t seed) : plan_(std::move(plan)), random_(seed) {
-        plan_.rates.resize(plan_.processes, 1.0);
-        nodes_.reserve(plan_.processes);   // nodes point to their storage
-        for (std::size_t i = 0; i < plan_.acceptors; ++i) acceptors_.push_back(name(i));
-        for (std::size_t i = 0; i < plan_.processes; ++i) {
+    Simulation(Scenario scenario, std::uint64_t seed) : scenario_(std::move(scenario)), random_(seed) {
+        scenario_.clock_rates.resize(scenario_.processes, 1.0);
+        nodes_.reserve(scenario_.processes);   // nodes point to their storage
+        for (std::size_t i = 0; i < scenario_.acceptors; ++i) acceptors_.push_back(name(i));
+        for (std::size_t i = 0; i < scenario_.processes; ++i) {
             nodes_.push_back({});
             nodes_[i].offset = 1000.0 * static_cast<double>(i + 1);
             start(i);
         }
-        for (const Fault& one : plan_.faults) {
-            at(one.at, [this, one] {
+        for (const Fault& one : scenario_.faults) {
+            at(one.begins_at, [this, one] {
                 Fault fault = one;
-                if (fault.who == kHolder) fault.who = holder();
+                if (fault.process == kCurrentHolder) fault.process = holder();
                 begin(fault);
-                at(fault.until, [this, fault] { end(fault); });
+                at(fault.ends_at, [this, fault] { end(fault); });
             });
         }
     }
 
     Result run() {
         // The acceptors have waited for what they could have forgotten: nobody holds before that.
-        while (!events_.empty() && result_.breach.empty()) {
+        while (!events_.empty() && result_.violation.empty()) {
             const auto [time, order, call] = events_.top();
-            if (time > plan_.length) break;
+            if (time > scenario_.duration_s) break;
             events_.pop();
             now_ = time;
             call();
             measure();
         }
         for (const Node& one : nodes_)
-            if (one.lease_node) result_.lost += one.lease_node->lost();
+            if (one.lease_node) result_.expired += one.lease_node->lost();
         return result_;
     }
     // Of all that the nodes have put out so far: messages, changes of leases, permits, what acceptors keep.
@@ -123,7 +132,7 @@
 
     static std::string name(std::size_t i) { return "p" + std::to_string(i); }
     static std::size_t place(const std::string& name) { return std::stoul(name.substr(1)); }
-    double clock(std::size_t i) const { return nodes_[i].offset + plan_.rates[i] * now_; }
+    double clock(std::size_t i) const { return nodes_[i].offset + scenario_.clock_rates[i] * now_; }
     double draw(double from, double to) {
         return std::uniform_real_distribution<double>(from, to)(random_);
     }
@@ -135,14 +144,15 @@
         node.paused = false;
         node.waiting.clear();
         AcceptorSet set{acceptors_, before_, step_};
-        const AcceptorState* memory = plan_.kept && node.storage.memory ? &*node.storage.memory : nullptr;
+        const AcceptorState* memory =
+            scenario_.persistent_storage && node.storage.memory ? &*node.storage.memory : nullptr;
         // A fleet that is started for the first time has granted nothing; a later start can't know that.
         const auto floor = static_cast<std::uint64_t>(1e6 + now_ * 1e3);
         node.holder = ++lives_;
-        node.lease_node = std::make_unique<LeaseNode>(LeaseNodeSettings{name(i), plan_.times, set},
-                                                      node.holder, random_(), clock(i), floor, memory,
-                                                      plan_.kept ? &node.storage : nullptr);
-        node.lease_node->campaign(clock(i), "job", plan_.slots);
+        node.lease_node = std::make_unique<LeaseNode>(
+            LeaseNodeSettings{name(i), scenario_.times, set}, node.holder, random_(), clock(i), floor,
+            memory, scenario_.persistent_storage ? &node.storage : nullptr);
+        node.lease_node->campaign(clock(i), "job", scenario_.slots);
         settle(i);
         act_later(i);
     }
@@ -162,7 +172,7 @@
             digest_.add(now_, i, change.kind, change.lease, change.slot, change.fencing_token,
                         change.valid_until);
             if (change.kind == LeaseEvent::Kind::lost) continue;
-            ++result_.holds;
+            ++result_.acquisitions;
             // The two processes of an upgrade are one holder.
             const std::string place = change.lease + "/" + std::to_string(change.slot) + "=" +
                                       std::to_string(change.fencing_token);
@@ -176,7 +186,7 @@
         act_last(i);
         const double due = node.lease_node->next_deadline();
         if (due > 1e17) return;
-        const double time = std::max(now_, (due - node.offset) / plan_.rates[i]) + 1e-9;
+        const double time = std::max(now_, (due - node.offset) / scenario_.clock_rates[i]) + 1e-9;
         if (time >= node.armed - 1e-9 && node.armed > now_) return;
         node.armed = time;
         at(time, [this, i, life = node.life] { wake(i, life); });
@@ -205,9 +215,9 @@
 
     void send(std::size_t from, std::size_t to, const std::string& body) {
         ++result_.messages;
-        if (cut_.contains({from, to}) || draw(0, 1) < std::max(plan_.loss, loss_)) return;
-        for (int copies = draw(0, 1) < plan_.twice ? 2 : 1; copies > 0; --copies)
-            at(now_ + draw(plan_.delay_least, plan_.delay_most) * (draw(0, 1) < 0.05 ? 10 : 1),
+        if (cut_.contains({from, to}) || draw(0, 1) < std::max(scenario_.loss_probability, loss_)) return;
+        for (int copies = draw(0, 1) < scenario_.duplication_probability ? 2 : 1; copies > 0; --copies)
+            at(now_ + draw(scenario_.min_delay_s, scenario_.max_delay_s) * (draw(0, 1) < 0.05 ? 10 : 1),
                [this, from, to, body] { deliver(from, to, body); });
     }
     void deliver(std::size_t from, std::size_t to, const std::string& body) {
@@ -227,16 +237,17 @@
         });
     }
     std::size_t holder() {
-        for (std::size_t i = 0; i < plan_.processes; ++i)
+        for (std::size_t i = 0; i < scenario_.processes; ++i)
             if (nodes_[i].lease_node && nodes_[i].lease_node->holds(clock(i), "job")) return i;
-        return random_() % plan_.processes;
+        return random_() % scenario_.processes;
     }
     // The latest moment at which an act may begin by this hold, as it stands now.
     void act_last(std::size_t i) {
         Node& node = nodes_[i];
         for (const LeaseStatus& view : node.lease_node->statuses()) {
             const double time =
-                (view.valid_until - plan_.times.max_action_s - node.offset) / plan_.rates[i] - 1e-6;
+                (view.valid_until - scenario_.times.max_action_s - node.offset) / scenario_.clock_rates[i] -
+                1e-6;
             if (view.state != Candidate::State::held || time < now_ || time == node.last_act) continue;
             node.last_act = time;
             at(time, [this, i, life = node.life] {
@@ -252,9 +263,9 @@
         if (!permitted) return;
         std::string slot = "job";
         for (const LeaseStatus& view : node.lease_node->statuses()) slot += "/" + std::to_string(view.slot);
-        ++result_.acts;
-        const double takes =
-            longest || draw(0, 1) < 0.5 ? plan_.times.max_action_s : draw(0, plan_.times.max_action_s);
+        ++result_.actions;
+        const double takes = longest || draw(0, 1) < 0.5 ? scenario_.times.max_action_s
+                                                         : draw(0, scenario_.times.max_action_s);
         Act& last = acts_[slot];
         if (last.until > now_ && (last.who != i || last.life != node.life) &&
             last.number != permit.fencing_token)
@@ -264,69 +275,70 @@
         if (permit.fencing_token < last.number)
             breach(name(i) + " acts with number " + std::to_string(permit.fencing_token) + " after " +
                    std::to_string(last.number));
-        last = {i, node.life, permit.fencing_token, std::max(last.until, now_ + takes / plan_.rates[i])};
+        last = {i, node.life, permit.fencing_token,
+                std::max(last.until, now_ + takes / scenario_.clock_rates[i])};
     }
     void breach(const std::string& what) {
-        if (result_.breach.empty()) result_.breach = std::to_string(now_) + " s: " + what;
+        if (result_.violation.empty()) result_.violation = std::to_string(now_) + " s: " + what;
     }
 
     void begin(const Fault& fault) {
         switch (fault.kind) {
             case Fault::Kind::kill:
-                return kill(fault.who);
-            case Fault::Kind::forget:
-                nodes_[fault.who].storage.memory.reset();
-                return kill(fault.who);
+                return kill(fault.process);
+            case Fault::Kind::kill_with_amnesia:
+                nodes_[fault.process].storage.memory.reset();
+                return kill(fault.process);
             case Fault::Kind::pause:
                 // Not in the middle of an act: that is what the fencing number is for (tests/fleet).
                 for (const auto& [slot, act] : acts_)
-                    if (act.who == fault.who && act.until > now_) return;
-                nodes_[fault.who].paused = nodes_[fault.who].lease_node != nullptr;
+                    if (act.who == fault.process && act.until > now_) return;
+                nodes_[fault.process].paused = nodes_[fault.process].lease_node != nullptr;
                 return;
-            case Fault::Kind::cut:
-            case Fault::Kind::one_way:
-                for (std::size_t i = 0; i < plan_.processes; ++i) {
-                    if (i == fault.who) continue;
-                    cut_.insert({fault.who, i});
-                    if (fault.kind == Fault::Kind::cut) cut_.insert({i, fault.who});
+            case Fault::Kind::isolate:
+            case Fault::Kind::isolate_outgoing:
+                for (std::size_t i = 0; i < scenario_.processes; ++i) {
+                    if (i == fault.process) continue;
+                    cut_.insert({fault.process, i});
+                    if (fault.kind == Fault::Kind::isolate) cut_.insert({i, fault.process});
                 }
                 return;
-            case Fault::Kind::loss:
-                loss_ = fault.part;
+            case Fault::Kind::packet_loss:
+                loss_ = fault.loss_probability;
                 return;
             case Fault::Kind::hot_restart:
-                return hot_restart(fault.who);
-            case Fault::Kind::acceptors:
+                return hot_restart(fault.process);
+            case Fault::Kind::change_acceptors:
                 return change_acceptors();
         }
     }
     void end(const Fault& fault) {
         switch (fault.kind) {
             case Fault::Kind::kill:
-            case Fault::Kind::forget:
-                if (!nodes_[fault.who].lease_node) start(fault.who);
+            case Fault::Kind::kill_with_amnesia:
+                if (!nodes_[fault.process].lease_node) start(fault.process);
                 return;
             case Fault::Kind::pause: {
-                Node& node = nodes_[fault.who];
+                Node& node = nodes_[fault.process];
                 if (!node.lease_node || !node.paused) return;
                 node.paused = false;
                 node.armed = 1e18;
                 // Woken: what waits in its socket comes first, or its timers do.
                 const bool timers_first = draw(0, 1) < 0.5;
-                if (timers_first) wake(fault.who, node.life);
+                if (timers_first) wake(fault.process, node.life);
                 for (const auto& [from, body] : std::exchange(node.waiting, {}))
-                    node.lease_node->receive(clock(fault.who), from, body);
-                settle(fault.who);
-                wake(fault.who, node.life);
+                    node.lease_node->receive(clock(fault.process), from, body);
+                settle(fault.process);
+                wake(fault.process, node.life);
                 return;
             }
-            case Fault::Kind::cut:
-            case Fault::Kind::one_way:
+            case Fault::Kind::isolate:
+            case Fault::Kind::isolate_outgoing:
                 std::erase_if(cut_, [&](const auto& one) {
-                    return one.first == fault.who || one.second == fault.who;
+                    return one.first == fault.process || one.second == fault.process;
                 });
                 return;
-            case Fault::Kind::loss:
+            case Fault::Kind::packet_loss:
                 loss_ = 0;
                 return;
             default:
@@ -343,22 +355,22 @@
                         hold.held_since);
         settle(i);
         AcceptorSet set{acceptors_, before_, step_};
-        node.lease_node = std::make_unique<LeaseNode>(LeaseNodeSettings{name(i), plan_.times, set},
+        node.lease_node = std::make_unique<LeaseNode>(LeaseNodeSettings{name(i), scenario_.times, set},
                                                       ++lives_, random_(), clock(i), 0);
-        node.lease_node->campaign(clock(i), "job", plan_.slots);
+        node.lease_node->campaign(clock(i), "job", scenario_.slots);
         node.lease_node->import_holds(clock(i), holds);
         node.armed = 1e18;
         settle(i);
     }
     // One acceptor is exchanged for a spare one in two steps, told to each process at a time of its own.
     void change_acceptors() {
-        if (plan_.spare_acceptors == 0) return;
+        if (scenario_.spare_acceptors == 0) return;
         before_ = acceptors_;
-        const std::string spare = name(plan_.acceptors);
+        const std::string spare = name(scenario_.acceptors);
         const auto at_spare = std::find(acceptors_.begin(), acceptors_.end(), spare);
         at_spare == acceptors_.end() ? acceptors_.push_back(spare) : void(acceptors_.erase(at_spare));
         ++step_;
-        for (std::size_t i = 0; i < plan_.processes; ++i)
+        for (std::size_t i = 0; i < scenario_.processes; ++i)
             at(now_ + draw(0, 1.5), [this, i, set = AcceptorSet{acceptors_, before_, step_}] {
                 if (!nodes_[i].lease_node || nodes_[i].paused) return;
                 if (set.epoch <= nodes_[i].lease_node->settings().acceptors.epoch) return;
@@ -369,18 +381,18 @@
 
     void measure() {
         bool held = false;
-        for (std::size_t i = 0; i < plan_.processes && !held; ++i)
+        for (std::size_t i = 0; i < scenario_.processes && !held; ++i)
             held =
                 nodes_[i].lease_node && !nodes_[i].paused && nodes_[i].lease_node->holds(clock(i), "job");
-        if (held_) result_.held += now_ - measured_at_;
+        if (held_) result_.held_s += now_ - measured_at_;
         measured_at_ = now_;
-        if (held && !held_ && ever_) result_.gaps.push_back(now_ - gone_at_);
+        if (held && !held_ && ever_) result_.vacancies_s.push_back(now_ - gone_at_);
         if (!held && held_) gone_at_ = now_;
         ever_ = ever_ || held;
         held_ = held;
     }
 
-    Plan plan_;
+    Scenario scenario_;
     std::mt19937_64 random_;
     std::vector<Node> nodes_;
     std::vector<std::string> acceptors_, before_;
@@ -399,73 +411,75 @@
 
 // The edge of what is promised: clocks as far apart as drift says, hardly a margin, answers as late as an
 // ask waits for, and the holder loses the others time and again.
-inline Plan edge_plan(std::uint64_t seed) {
+inline Scenario edge_scenario(std::uint64_t seed) {
     std::mt19937_64 random(seed * 104729 + 7);
     const auto draw = [&](double from, double to) {
         return std::uniform_real_distribution<double>(from, to)(random);
     };
-    Plan plan;
-    plan.processes = 5;
-    plan.times = {1, draw(0, 0.1), 0.005, 0.02};
-    for (std::size_t i = 0; i < plan.processes; ++i)
-        plan.rates.push_back(1 + (i < 3 ? 1 : -1) * plan.times.drift);
-    plan.delay_least = draw(0, 0.06);
-    plan.delay_most = plan.delay_least + draw(0.001, 0.02);
-    plan.length = 10;
-    for (double time = 2; time < plan.length;) {
+    Scenario scenario;
+    scenario.processes = 5;
+    scenario.times = {1, draw(0, 0.1), 0.005, 0.02};
+    for (std::size_t i = 0; i < scenario.processes; ++i)
+        scenario.clock_rates.push_back(1 + (i < 3 ? 1 : -1) * scenario.times.drift);
+    scenario.min_delay_s = draw(0, 0.06);
+    scenario.max_delay_s = scenario.min_delay_s + draw(0.001, 0.02);
+    scenario.duration_s = 10;
+    for (double time = 2; time < scenario.duration_s;) {
         const double until = time + draw(1, 1.6);
-        plan.faults.push_back(
-            {draw(0, 1) < 0.5 ? Fault::Kind::cut : Fault::Kind::one_way, time, until, kHolder, 0});
+        scenario.faults.push_back({draw(0, 1) < 0.5 ? Fault::Kind::isolate : Fault::Kind::isolate_outgoing,
+                                   time, until, kCurrentHolder, 0});
         time = until + draw(0.1, 0.6);
     }
-    return plan;
+    return scenario;
 }
 
-inline Plan random_plan(std::uint64_t seed) {
-    if (seed % 4 == 0) return edge_plan(seed);
+inline Scenario random_scenario(std::uint64_t seed) {
+    if (seed % 4 == 0) return edge_scenario(seed);
     std::mt19937_64 random(seed * 7919 + 13);
     const auto draw = [&](double from, double to) {
         return std::uniform_real_distribution<double>(from, to)(random);
     };
     const auto upto = [&](std::size_t most) { return static_cast<std::size_t>(random() % (most + 1)); };
-    Plan plan;
-    plan.acceptors = upto(1) == 0 ? 3 : 5;
-    plan.processes = plan.acceptors + 1 + upto(2);
-    plan.spare_acceptors = upto(3) == 0 ? 1 : 0;
-    plan.times = {1, draw(0, 0.1), draw(0.005, 0.05), draw(0.02, 0.2)};
-    for (std::size_t i = 0; i < plan.processes; ++i)
-        plan.rates.push_back(1 + draw(-1, 1) * (upto(1) == 0 ? plan.times.drift : 0.01 * plan.times.drift));
+    Scenario scenario;
+    scenario.acceptors = upto(1) == 0 ? 3 : 5;
+    scenario.processes = scenario.acceptors + 1 + upto(2);
+    scenario.spare_acceptors = upto(3) == 0 ? 1 : 0;
+    scenario.times = {1, draw(0, 0.1), draw(0.005, 0.05), draw(0.02, 0.2)};
+    for (std::size_t i = 0; i < scenario.processes; ++i)
+        scenario.clock_rates.push_back(
+            1 + draw(-1, 1) * (upto(1) == 0 ? scenario.times.drift : 0.01 * scenario.times.drift));
     // The worst that is promised against: a slow holder and fast acceptors.
     if (upto(2) == 0)
-        for (std::size_t i = 0; i < plan.processes; ++i)
-            plan.rates[i] = i < plan.acceptors / 2 + 1 ? 1 + plan.times.drift : 1 - plan.times.drift;
-    plan.loss = upto(2) == 0 ? draw(0, 0.5) : 0;
-    plan.twice = upto(1) == 0 ? draw(0, 0.3) : 0;
-    plan.delay_most = upto(2) == 0 ? draw(0.05, 0.6) : 0.02;
-    plan.slots = upto(4) == 0 ? 2 : 1;
-    plan.kept = upto(2) == 0;
-    plan.length = 10;
+        for (std::size_t i = 0; i < scenario.processes; ++i)
+            scenario.clock_rates[i] =
+                i < scenario.acceptors / 2 + 1 ? 1 + scenario.times.drift : 1 - scenario.times.drift;
+    scenario.loss_probability = upto(2) == 0 ? draw(0, 0.5) : 0;
+    scenario.duplication_probability = upto(1) == 0 ? draw(0, 0.3) : 0;
+    scenario.max_delay_s = upto(2) == 0 ? draw(0.05, 0.6) : 0.02;
+    scenario.slots = upto(4) == 0 ? 2 : 1;
+    scenario.persistent_storage = upto(2) == 0;
+    scenario.duration_s = 10;
     for (std::size_t count = 2 + upto(8); count > 0; --count) {
         Fault fault;
         fault.kind = static_cast<Fault::Kind>(upto(7));
-        fault.at = draw(1.5, plan.length);
-        fault.until = fault.at + (upto(1) == 0 ? draw(0.01, 0.4) : draw(0.4, 4));
-        fault.who = upto(1) == 0 ? kHolder : upto(plan.processes - 1);
-        fault.part = draw(0, 0.9);
+        fault.begins_at = draw(1.5, scenario.duration_s);
+        fault.ends_at = fault.begins_at + (upto(1) == 0 ? draw(0.01, 0.4) : draw(0.4, 4));
+        fault.process = upto(1) == 0 ? kCurrentHolder : upto(scenario.processes - 1);
+        fault.loss_probability = draw(0, 0.9);
         // A step follows the one before only once that is everywhere, as docs/fleet.md says.
-        if (fault.kind == Fault::Kind::acceptors)
-            for (const Fault& other : plan.faults)
-                if (other.kind == Fault::Kind::acceptors) fault.kind = Fault::Kind::cut;
-        plan.faults.push_back(fault);
+        if (fault.kind == Fault::Kind::change_acceptors)
+            for (const Fault& other : scenario.faults)
+                if (other.kind == Fault::Kind::change_acceptors) fault.kind = Fault::Kind::isolate;
+        scenario.faults.push_back(fault);
     }
     // Now and then a majority forgets within one grant, or all are killed at once.
     if (upto(4) == 0) {
         const double when = draw(2, 10);
-        for (std::size_t i = 0; i < (upto(1) == 0 ? plan.acceptors : plan.acceptors / 2 + 1); ++i)
-            plan.faults.push_back({upto(1) == 0 ? Fault::Kind::forget : Fault::Kind::kill,
-                                   when + draw(0, 0.3), when + draw(0.31, 0.6), i, 0});
+        for (std::size_t i = 0; i < (upto(1) == 0 ? scenario.acceptors : scenario.acceptors / 2 + 1); ++i)
+            scenario.faults.push_back({upto(1) == 0 ? Fault::Kind::kill_with_amnesia : Fault::Kind::kill,
+                                       when + draw(0, 0.3), when + draw(0.31, 0.6), i, 0});
     }
-    return plan;
+    return scenario;
 }
 
-}   // namespace world
+}   // namespace lease_simulation
--- a/tests/state/old_state_test.cpp
+++ b/tests/state/old_state_test.cpp
@@ -428,7 +428,7 @@
     REQUIRE(acceptor.receive({Kind::read, "sums", 0x123456789abdULL, 10, {}, false, 3}, answer));
     CHECK(answer.kind == Kind::read_reply);
     CHECK(answer.value == lease::RegisterValue{41, 3, std::string("a\0\xff", 3)});
-    CHECK(answer.remembers);
+    CHECK(answer.value_intact);
 }
 
 // Rollouts. -------------------------------------------------------------------------------------------
