--- a/src/app/fleet_component_admin.cpp
+++ b/src/app/fleet_component_admin.cpp
@@ -27,7 +27,7 @@
     log_.event("drained", {});
     admin::AdminCall call;
     call.kind = admin::AdminCall::Kind::drain;
-    ingress_.call(call, [](const admin::AdminReply&) {});
+    ingress_.handle_admin_call(call, [](const admin::AdminReply&) {});
 }
 
 // A drain must end with its lease, as another ingress may be drained from then on.
@@ -40,7 +40,7 @@
             "lease: the drain's slot could not be kept, this ingress serves again and waits for one");
     admin::AdminCall call;
     call.kind = admin::AdminCall::Kind::activate;
-    ingress_.call(call, [](const admin::AdminReply&) {});
+    ingress_.handle_admin_call(call, [](const admin::AdminReply&) {});
 }
 
 bool FleetComponent::on_call(const admin::AdminCall& call, std::function<void(admin::AdminReply)>& reply) {
--- a/src/ingress/ingress.hpp
+++ b/src/ingress/ingress.hpp
@@ -43,7 +43,7 @@
 
     /// For so long (s) an address that can't be listened on is tried again; then the start has failed. Less
     /// than the 30 s within which a process that was killed has to serve again.
-    static constexpr double listens_within() { return 15.0; }
+    static constexpr double listen_retry_bound_s() { return 15.0; }
     /// `pause` waits so many seconds and returns false if the program is to stop. False: the start has
     /// failed, `why` says why; empty where the program is to stop.
     bool start(std::string& why, const std::function<bool(double)>& pause);
@@ -65,7 +65,7 @@
         endpoint_updates_.update_gateway(std::move(list));
     }
     /// Handles an operator's call without asking the extensions. `reply` is called once, now or later.
-    void call(const admin::AdminCall& call, std::function<void(admin::AdminReply)> reply);
+    void handle_admin_call(const admin::AdminCall& call, std::function<void(admin::AdminReply)> reply);
     Gauges gauges() const;
 
   private:
--- a/src/ingress/ingress_admin.cpp
+++ b/src/ingress/ingress_admin.cpp
@@ -46,10 +46,11 @@
 void Ingress::on_call(const admin::AdminCall& call, std::function<void(admin::AdminReply)> reply) {
     for (AdminCallExtension* extension : admin_extensions_)
         if (extension->on_call(call, reply)) return;
-    this->call(call, std::move(reply));
+    handle_admin_call(call, std::move(reply));
 }
 
-void Ingress::call(const admin::AdminCall& call, std::function<void(admin::AdminReply)> reply) {
+void Ingress::handle_admin_call(const admin::AdminCall& call,
+                                std::function<void(admin::AdminReply)> reply) {
     if (call.kind == admin::AdminCall::Kind::readyz) return reply(readiness());
     const std::optional<OperatorOrder::Kind> kind = order_kind(call.kind);
     if (!kind) return reply({404, "no such call"});
--- a/src/ingress/ingress_lifecycle.cpp
+++ b/src/ingress/ingress_lifecycle.cpp
@@ -18,7 +18,7 @@
 static_assert(hot_restart::RestartChannel::takeover_bound_s() + kPrepareWithoutListS <
               kNewProcessReadyS - 0.5);
 constexpr double kRestartAfterKillS = 30.0;   // a process that was killed has to serve again within that
-static_assert(hot_restart::RestartChannel::takeover_bound_s() + Ingress::listens_within() <
+static_assert(hot_restart::RestartChannel::takeover_bound_s() + Ingress::listen_retry_bound_s() <
               kRestartAfterKillS - 5);
 
 }   // namespace
@@ -57,12 +57,12 @@
 // An address may be in use for a moment, as by a connection that was dialled from its port while no process
 // listened there.
 bool Ingress::listen_with_retries(std::string& why, const std::function<bool(double)>& pause) {
-    const double deadline = net::now() + listens_within();
+    const double deadline = net::now() + listen_retry_bound_s();
     for (bool logged = false; !listen(why); logged = true) {
         if (net::now() >= deadline) return false;
         if (!logged)
             log_.write(Log::Level::warning, net::now(), "%s; it is tried again for %.0f s", why.c_str(),
-                       listens_within());
+                       listen_retry_bound_s());
         if (pause(kListenRetryIntervalS)) continue;
         why.clear();
         return false;
--- a/tests/start/address_test.cpp
+++ b/tests/start/address_test.cpp
@@ -32,7 +32,7 @@
     elsewhere.environment["NODE_LISTEN"] = "192.0.2.1:8080";
     taken.run(), elsewhere.run();
     for (Start* one : {&taken, &elsewhere}) {
-        REQUIRE(one->status(Ingress::listens_within() + 10) == 2);
+        REQUIRE(one->status(Ingress::listen_retry_bound_s() + 10) == 2);
         REQUIRE(one->says("error: NODE_LISTEN can't be listened on: "));
     }
 }
