--- a/bench/rollout-model.cpp
+++ b/bench/rollout-model.cpp
@@ -4,23 +4,23 @@
 #include <cstdio>
 #include <cstdlib>
 
-#include "rollout/world.hpp"
+#include "rollout/simulation.hpp"
 
 int main(int argc, char** argv) {
     const std::uint64_t runs = argc > 1 ? std::strtoull(argv[1], nullptr, 10) : 10'000;
     const std::uint64_t first = argc > 2 ? std::strtoull(argv[2], nullptr, 10) : 1;
     std::uint64_t breaches = 0, bounded = 0;
-    rollout_world::Result all;
+    rollout_simulation::Result all;
     for (std::uint64_t seed = first; seed < first + runs && breaches < 20; ++seed) {
-        const auto plan = rollout_world::random_plan(seed);
-        const auto result = rollout_world::World(plan, seed).run();
+        const auto scenario = rollout_simulation::random_scenario(seed);
+        const auto result = rollout_simulation::Simulation(scenario, seed).run();
         all.messages += result.messages, all.committed += result.committed;
         all.versions += result.versions, all.reverts += result.reverts;
         all.leader_changes += result.leader_changes, all.snapshots += result.snapshots;
         all.kills += result.kills, all.lost_disks += result.lost_disks,
             all.admitted_learners += result.admitted_learners;
         all.worst_bound_fraction = std::max(all.worst_bound_fraction, result.worst_bound_fraction);
-        bounded += plan.bound_s > 0;
+        bounded += scenario.bound_s > 0;
         if (result.violation.empty()) continue;
         ++breaches;
         std::printf("breach: seed %llu, %s\n", static_cast<unsigned long long>(seed),
--- a/tests/rollout/cases_test.cpp
+++ b/tests/rollout/cases_test.cpp
@@ -1,24 +1,24 @@
 // Failure cases of a rollout, each forced by the order of events in a simulated fleet.
 #include <catch2/catch.hpp>
 
-#include "rollout/world.hpp"
+#include "rollout/simulation.hpp"
 
-using namespace rollout_world;
+using namespace rollout_simulation;
 
 namespace {
 
 // Three control machines and, by default, four followers on a network without faults.
-Plan stable_plan(std::size_t followers = 4) {
-    Plan plan;
-    plan.followers = followers;
-    plan.min_delay_s = 0.005;
-    return plan;
+Scenario stable_scenario(std::size_t followers = 4) {
+    Scenario scenario;
+    scenario.followers = followers;
+    scenario.min_delay_s = 0.005;
+    return scenario;
 }
 
 // A simulated fleet whose leader is c0, and checks of its followers.
-struct Fleet : World {
-    explicit Fleet(const Plan& plan = stable_plan(), std::uint64_t seed = 1)
-        : World(plan, seed), followers(plan.followers) {
+struct Fleet : Simulation {
+    explicit Fleet(const Scenario& scenario = stable_scenario(), std::uint64_t seed = 1)
+        : Simulation(scenario, seed), followers(scenario.followers) {
         grant_lease("c0");
         for (int i = 0; i < 20 && leader("c0").phase() != Leader::Phase::ready; ++i) run_for(2);
         REQUIRE(leader("c0").phase() == Leader::Phase::ready);
@@ -131,7 +131,7 @@
 
 TEST_CASE("a change that half of the followers refuse is reverted, even where the canaries accept it",
           "[rollout]") {
-    Fleet fleet(stable_plan(9));
+    Fleet fleet(stable_scenario(9));
     fleet.put("a", "good");
     fleet.run_for(6);
     const std::uint64_t bad = fleet.put("a", "bad-odd");
@@ -161,7 +161,7 @@
           "[rollout]") {
     for (const std::string& second_key : {std::string("a"), std::string("c")}) {
         CAPTURE(second_key);
-        Fleet fleet(stable_plan(9));
+        Fleet fleet(stable_scenario(9));
         fleet.put("a", "good");
         fleet.run_for(6);
         // Both are committed before the leader learns of the first refusal.
@@ -180,7 +180,7 @@
 }
 
 TEST_CASE("a change that a canary refuses is never active on other followers than canaries", "[rollout]") {
-    Fleet fleet(stable_plan(9));
+    Fleet fleet(stable_scenario(9));
     fleet.put("a", "good");
     fleet.run_for(6);
     const std::string canary = fleet.fleet_report("c0").canaries.at(0).name;
@@ -204,7 +204,7 @@
 }
 
 TEST_CASE("a refused change is not cleared while its revert cannot be committed", "[rollout]") {
-    Fleet fleet(stable_plan(9));
+    Fleet fleet(stable_scenario(9));
     fleet.put("a", "good");
     fleet.run_for(6);
     const std::string canary = fleet.fleet_report("c0").canaries.at(0).name;
@@ -236,9 +236,9 @@
 }
 
 TEST_CASE("without canaries, a committed change is cleared after canary_timeout_s", "[rollout]") {
-    Plan plan = stable_plan(2);
-    plan.canary_count = 0;
-    Fleet fleet(plan);
+    Scenario scenario = stable_scenario(2);
+    scenario.canary_count = 0;
+    Fleet fleet(scenario);
     const std::uint64_t number = fleet.put("a", "1");
     fleet.run_for(1.9);
     CHECK_FALSE(fleet.has_event(LeaderEvent::Kind::cleared, number));
@@ -250,7 +250,7 @@
 }
 
 TEST_CASE("a paused canary delays the other followers by no more than the bound", "[rollout]") {
-    Fleet fleet(stable_plan(6));
+    Fleet fleet(stable_scenario(6));
     fleet.put("a", "0");
     fleet.run_for(6);
     fleet.pause(fleet.fleet_report("c0").canaries.at(0).name, 60);
@@ -317,9 +317,9 @@
           "[rollout]") {
     // Figure 8 of the Raft paper: a majority has the record of term 1, which a record of term 2 may still
     // replace.
-    Plan plan = stable_plan(2);
-    plan.control_machines = 5;
-    Fleet fleet(plan);
+    Scenario scenario = stable_scenario(2);
+    scenario.control_machines = 5;
+    Fleet fleet(scenario);
     fleet.put("a", "0");
     fleet.run_for(5);
     const auto send_records_only_to = [&](const std::set<std::string>& names) {
@@ -373,9 +373,9 @@
 
 TEST_CASE("the children of a paused relay switch to other parents, and return once it resumes",
           "[rollout]") {
-    Plan plan = stable_plan(6);
-    plan.relays = 1;
-    Fleet fleet(plan);
+    Scenario scenario = stable_scenario(6);
+    scenario.relays = 1;
+    Fleet fleet(scenario);
     fleet.put("a", "1");
     fleet.run_for(6);
     REQUIRE(fleet.count_with("a", "1") == 6);
@@ -420,9 +420,9 @@
 }
 
 TEST_CASE("an ingress that was down for longer than records are kept installs a snapshot", "[rollout]") {
-    Plan plan = stable_plan();
-    plan.max_log_records = 100;
-    Fleet fleet(plan);
+    Scenario scenario = stable_scenario();
+    scenario.max_log_records = 100;
+    Fleet fleet(scenario);
     fleet.put("a", "0");
     fleet.run_for(6);
     fleet.kill("f1");
@@ -473,9 +473,9 @@
 }
 
 TEST_CASE("a corrupted snapshot is never activated", "[rollout]") {
-    Plan plan = stable_plan();
-    plan.max_log_records = 10;
-    Fleet fleet(plan);
+    Scenario scenario = stable_scenario();
+    scenario.max_log_records = 10;
+    Fleet fleet(scenario);
     for (int i = 1; i <= 60; ++i) {
         fleet.put("k" + std::to_string(i), std::to_string(i));
         fleet.run_for(0.2);
@@ -499,7 +499,7 @@
 }
 
 TEST_CASE("a zone in a network partition keeps its versions, and catches up afterwards", "[rollout]") {
-    Fleet fleet(stable_plan(6));
+    Fleet fleet(stable_scenario(6));
     fleet.put("a", "1");
     fleet.run_for(6);
     for (const char* name : {"c2", "f0", "f1"}) fleet.set_partition(name, 1);
@@ -518,11 +518,11 @@
 }
 
 TEST_CASE("followers converge when messages are reordered, duplicated and lost", "[rollout]") {
-    Plan plan = stable_plan();
-    plan.max_delay_s = 1.2;
-    plan.duplicate_probability = 0.5;
-    plan.loss_probability = 0.2;
-    Fleet fleet(plan, 3);
+    Scenario scenario = stable_scenario();
+    scenario.max_delay_s = 1.2;
+    scenario.duplicate_probability = 0.5;
+    scenario.loss_probability = 0.2;
+    Fleet fleet(scenario, 3);
     for (int i = 1; i <= 100; ++i) {
         fleet.put("k" + std::to_string(i % 7), std::to_string(i));
         fleet.run_for(0.1);
@@ -533,11 +533,12 @@
 }
 
 TEST_CASE("changes are rolled out while all nodes are restarted one by one", "[rollout]") {
-    Plan plan = stable_plan(8);
-    Fleet fleet(plan);
+    Scenario scenario = stable_scenario(8);
+    Fleet fleet(scenario);
     int value = 0;
     for (int i = 0; i < 11; ++i) {
-        const std::string name = i < 8 ? World::follower_name(i) : World::control_name(10 - i);   // c0 last
+        const std::string name =
+            i < 8 ? Simulation::follower_name(i) : Simulation::control_name(10 - i);   // c0 last
         for (int k = 0; k < 10; ++k) {
             const std::string at = fleet.leader("c0").phase() == Leader::Phase::ready ? "c0" : "c1";
             fleet.put("k" + std::to_string(k % 3), std::to_string(++value), at);
@@ -658,9 +659,9 @@
     // c3 becomes leader and c1 promises its term; c1 loses its disk, and c0 admits it again. c2 promises
     // and sends c3 its log status, loses its disk as well, and c0 admits it with the help of c1. The log
     // status that c3 has by then misses what c0 commits afterwards.
-    Plan plan = stable_plan(2);
-    plan.control_machines = 5;
-    Fleet fleet(plan);
+    Scenario scenario = stable_scenario(2);
+    scenario.control_machines = 5;
+    Fleet fleet(scenario);
     fleet.put("a", "1");
     fleet.run_for(5);
     std::set<std::string> reached_by_c3{"c1", "c3"},
@@ -714,22 +715,25 @@
 }
 
 TEST_CASE("the first start of a fleet needs all replicas", "[rollout]") {
-    World world(stable_plan(2), 1);
-    world.kill("c2");
-    world.grant_lease("c0");
-    world.run_for(5);
-    CHECK(world.leader("c0").phase() == Leader::Phase::collecting_promises);
-    CHECK(world.propose("c0", "a", "1").error == ProposeError::not_ready);
-    world.start("c2");
-    world.run_for(3);
-    CHECK(world.leader("c0").phase() == Leader::Phase::ready);
-    for (const char* name : {"c0", "c1", "c2"}) CHECK(world.replica(name).storage_intact());
-    CHECK(world.propose("c1", "a", "1").error == ProposeError::not_leader);
-    CHECK(world.propose("c0", "", "1").error == ProposeError::too_large);
-    CHECK(world.propose("c0", std::string(kMaxKeyBytes + 1, 'k'), "1").error == ProposeError::too_large);
-    CHECK(world.propose("c0", "a", std::string(kMaxValueBytes + 1, 'v')).error == ProposeError::too_large);
-    CHECK(world.propose("c0", std::string(kMaxKeyBytes, 'k'), std::string(kMaxValueBytes, 'v')).number ==
-          1);
+    Simulation simulation(stable_scenario(2), 1);
+    simulation.kill("c2");
+    simulation.grant_lease("c0");
+    simulation.run_for(5);
+    CHECK(simulation.leader("c0").phase() == Leader::Phase::collecting_promises);
+    CHECK(simulation.propose("c0", "a", "1").error == ProposeError::not_ready);
+    simulation.start("c2");
+    simulation.run_for(3);
+    CHECK(simulation.leader("c0").phase() == Leader::Phase::ready);
+    for (const char* name : {"c0", "c1", "c2"}) CHECK(simulation.replica(name).storage_intact());
+    CHECK(simulation.propose("c1", "a", "1").error == ProposeError::not_leader);
+    CHECK(simulation.propose("c0", "", "1").error == ProposeError::too_large);
+    CHECK(simulation.propose("c0", std::string(kMaxKeyBytes + 1, 'k'), "1").error ==
+          ProposeError::too_large);
+    CHECK(simulation.propose("c0", "a", std::string(kMaxValueBytes + 1, 'v')).error ==
+          ProposeError::too_large);
+    CHECK(
+        simulation.propose("c0", std::string(kMaxKeyBytes, 'k'), std::string(kMaxValueBytes, 'v')).number ==
+        1);
 }
 
 TEST_CASE("a leader without a majority accepts a bounded number of proposals", "[rollout]") {
--- a/tests/rollout/decision_digest_test.cpp
+++ b/tests/rollout/decision_digest_test.cpp
@@ -5,7 +5,7 @@
 #include <catch2/catch.hpp>
 
 #include "digest.hpp"
-#include "rollout/world.hpp"
+#include "rollout/simulation.hpp"
 
 namespace {
 
@@ -27,18 +27,18 @@
 TEST_CASE("the rollout's decisions match the recorded digests", "[rollout]") {
     for (std::uint64_t seed = 1; seed <= kDigests.size(); ++seed) {
         INFO("seed " << seed);
-        rollout_world::World world(rollout_world::random_plan(seed), seed);
-        CHECK(world.run().violation == "");
-        CHECK(world.digest() == kDigests[seed - 1]);
+        rollout_simulation::Simulation simulation(rollout_simulation::random_scenario(seed), seed);
+        CHECK(simulation.run().violation == "");
+        CHECK(simulation.digest() == kDigests[seed - 1]);
     }
 }
 
 TEST_CASE("the rollout's decisions over further seeds match one recorded digest", "[rollout]") {
     Digest all;
     for (std::uint64_t seed = kDigests.size() + 1; seed <= 120; ++seed) {
-        rollout_world::World world(rollout_world::random_plan(seed), seed);
-        world.run();
-        all.add(world.digest());
+        rollout_simulation::Simulation simulation(rollout_simulation::random_scenario(seed), seed);
+        simulation.run();
+        all.add(simulation.digest());
     }
     CHECK(all.value() == 0xcf6704923decc3d5ULL);
 }
--- a/tests/rollout/history.hpp
+++ b/tests/rollout/history.hpp
@@ -13,7 +13,7 @@
 
 #include "rollout/record.hpp"
 
-namespace rollout_world {
+namespace rollout_simulation {
 
 using namespace slatejunction::rollout;
 
@@ -211,4 +211,4 @@
     std::map<std::string, std::uint64_t> active_numbers_, stored_numbers_;   // by follower
 };
 
-}   // namespace rollout_world
+}   // namespace rollout_simulation
--- a/tests/rollout/rollout_test.cpp
+++ b/tests/rollout/rollout_test.cpp
@@ -1,9 +1,9 @@
 // Tests of the cores of a rollout one by one, and of a simulated fleet under random schedules of faults.
 #include <catch2/catch.hpp>
 
-#include "rollout/world.hpp"
+#include "rollout/simulation.hpp"
 
-using namespace rollout_world;
+using namespace rollout_simulation;
 
 namespace {
 
@@ -59,8 +59,8 @@
     Result all;
     std::uint64_t bounded = 0;
     for (std::uint64_t seed = 1; seed <= 300; ++seed) {
-        const Plan plan = random_plan(seed);
-        const auto result = World(plan, seed).run();
+        const Scenario scenario = random_scenario(seed);
+        const auto result = Simulation(scenario, seed).run();
         INFO("seed " << seed << "; to repeat: slatejunction-rollout-model 1 " << seed);
         REQUIRE(result.violation == "");
         all.committed += result.committed;
@@ -71,7 +71,7 @@
         all.kills += result.kills;
         all.admitted_learners += result.admitted_learners;
         all.worst_bound_fraction = std::max(all.worst_bound_fraction, result.worst_bound_fraction);
-        bounded += plan.bound_s > 0;
+        bounded += scenario.bound_s > 0;
     }
     // The schedules exercised what they are meant to.
     CHECK(all.committed > 10'000);
--- a/tests/rollout/world.hpp
+++ b/tests/rollout/simulation.hpp
@@ -25,10 +25,10 @@
 #include "rollout/publisher.hpp"
 #include "rollout/replica.hpp"
 
-namespace rollout_world {
+namespace rollout_simulation {
 
 /// The parameters of a run. An interval of 1e9 s means never.
-struct Plan {
+struct Scenario {
     std::size_t control_machines = 3, followers = 6;
     // The first `relays` followers are relays, and further parents of the other followers.
     std::size_t relays = 0;
@@ -54,52 +54,52 @@
 inline constexpr double kLossWindowS = 12;
 
 /// Draws the parameters of a run from a seed.
-inline Plan random_plan(std::uint64_t seed) {
+inline Scenario random_scenario(std::uint64_t seed) {
     std::mt19937_64 random(seed * 7919 + 5);
     const auto draw = [&](double from, double to) {
         return std::uniform_real_distribution<double>(from, to)(random);
     };
     const auto one_in = [&](std::size_t n) { return random() % n == 0; };
-    Plan plan;
-    plan.control_machines = one_in(3) ? 5 : 3;
-    plan.followers = 2 + random() % 7;
-    plan.relays = one_in(3) ? 1 + random() % 2 : 0;
-    plan.canary_count = random() % 4;
-    plan.propose_interval_s = draw(0.05, 1.5);
-    if (one_in(4)) plan.burst_interval_s = draw(3, 10);
-    if (one_in(3)) plan.max_log_records = 5 + random() % 30;
+    Scenario scenario;
+    scenario.control_machines = one_in(3) ? 5 : 3;
+    scenario.followers = 2 + random() % 7;
+    scenario.relays = one_in(3) ? 1 + random() % 2 : 0;
+    scenario.canary_count = random() % 4;
+    scenario.propose_interval_s = draw(0.05, 1.5);
+    if (one_in(4)) scenario.burst_interval_s = draw(3, 10);
+    if (one_in(3)) scenario.max_log_records = 5 + random() % 30;
     if (one_in(4)) {   // a run to which the propagation bound applies
         BoundTimes times;
         times.max_losses = one_in(3) ? 0 : 2;
-        times.hops = plan.relays > 0 ? 2 : 1;
-        plan.max_losses = times.max_losses;
-        plan.loss_probability = times.max_losses > 0 ? draw(0.05, 0.6) : 0;
-        plan.max_delay_s = draw(0.01, times.one_way_s);
-        plan.max_log_records = kMaxLogRecords;
-        plan.burst_interval_s = 1e9;
-        plan.propose_interval_s = std::max(plan.propose_interval_s, 0.2);
-        plan.bound_s = active_within_s(times);
+        times.hops = scenario.relays > 0 ? 2 : 1;
+        scenario.max_losses = times.max_losses;
+        scenario.loss_probability = times.max_losses > 0 ? draw(0.05, 0.6) : 0;
+        scenario.max_delay_s = draw(0.01, times.one_way_s);
+        scenario.max_log_records = kMaxLogRecords;
+        scenario.burst_interval_s = 1e9;
+        scenario.propose_interval_s = std::max(scenario.propose_interval_s, 0.2);
+        scenario.bound_s = active_within_s(times);
         if (one_in(2)) {
-            plan.max_vacancy_s = 4.7;
-            plan.leader_change_interval_s = 40;
-            plan.duration_s = 45;
-            plan.bound_s = active_after_leader_failure_s(times, plan.max_vacancy_s);
+            scenario.max_vacancy_s = 4.7;
+            scenario.leader_change_interval_s = 40;
+            scenario.duration_s = 45;
+            scenario.bound_s = active_after_leader_failure_s(times, scenario.max_vacancy_s);
         }
-        return plan;
-    }
-    plan.loss_probability = one_in(2) ? draw(0, 0.5) : 0;
-    plan.duplicate_probability = one_in(2) ? draw(0, 0.3) : 0;
-    plan.max_delay_s = one_in(2) ? draw(0.02, 1.0) : 0.02;
-    if (one_in(2)) plan.refused_fraction = draw(0.02, 0.3);
-    if (one_in(2)) plan.kill_interval_s = draw(0.7, 8);
-    if (one_in(3)) plan.max_downtime_s = 15;
-    if (one_in(2)) plan.pause_interval_s = draw(1, 8);
-    if (one_in(2)) plan.partition_interval_s = draw(2, 10);
-    if (one_in(3)) plan.disk_full_interval_s = draw(2, 10);
-    if (one_in(3)) plan.disk_loss_interval_s = draw(3, 12);
-    if (!one_in(4)) plan.leader_change_interval_s = draw(1, 10);
-    if (one_in(2)) plan.max_stale_leader_s = draw(0.5, 6);
-    return plan;
+        return scenario;
+    }
+    scenario.loss_probability = one_in(2) ? draw(0, 0.5) : 0;
+    scenario.duplicate_probability = one_in(2) ? draw(0, 0.3) : 0;
+    scenario.max_delay_s = one_in(2) ? draw(0.02, 1.0) : 0.02;
+    if (one_in(2)) scenario.refused_fraction = draw(0.02, 0.3);
+    if (one_in(2)) scenario.kill_interval_s = draw(0.7, 8);
+    if (one_in(3)) scenario.max_downtime_s = 15;
+    if (one_in(2)) scenario.pause_interval_s = draw(1, 8);
+    if (one_in(2)) scenario.partition_interval_s = draw(2, 10);
+    if (one_in(3)) scenario.disk_full_interval_s = draw(2, 10);
+    if (one_in(3)) scenario.disk_loss_interval_s = draw(3, 12);
+    if (!one_in(4)) scenario.leader_change_interval_s = draw(1, 10);
+    if (one_in(2)) scenario.max_stale_leader_s = draw(0.5, 6);
+    return scenario;
 }
 
 /// The result of a run. The counts show whether the run exercised what it is meant to.
@@ -112,13 +112,13 @@
 
 /// The simulated nodes and network. Nodes are named c0, c1, ... (control machines) and f0, f1, ...
 /// (followers).
-class World {
+class Simulation {
   public:
-    World(const Plan& plan, std::uint64_t seed) : plan_(plan), random_(seed) {
-        for (std::size_t i = 0; i < plan.control_machines; ++i)
+    Simulation(const Scenario& scenario, std::uint64_t seed) : scenario_(scenario), random_(seed) {
+        for (std::size_t i = 0; i < scenario.control_machines; ++i)
             control_machines_.push_back(control_name(i));
-        for (std::size_t i = 0; i < plan.control_machines; ++i) add_node(control_name(i));
-        for (std::size_t i = 0; i < plan.followers; ++i) add_node(follower_name(i));
+        for (std::size_t i = 0; i < scenario.control_machines; ++i) add_node(control_name(i));
+        for (std::size_t i = 0; i < scenario.followers; ++i) add_node(follower_name(i));
     }
 
     // --- Random schedules.
@@ -126,17 +126,19 @@
     /// Runs a random schedule of faults, then lets the nodes recover, and checks the history.
     Result run() {
         grant_lease(pick_control_machine());
-        repeat(plan_.propose_interval_s, [this] { propose_random(); });
-        repeat(plan_.burst_interval_s, [this] {
+        repeat(scenario_.propose_interval_s, [this] { propose_random(); });
+        repeat(scenario_.burst_interval_s, [this] {
             for (int i = 0; i < 60; ++i) propose_random();
         });
-        repeat(plan_.leader_change_interval_s, [this] { change_leader(); });
-        repeat(plan_.kill_interval_s, [this] { kill_for(pick_node(), draw(0.05, plan_.max_downtime_s)); });
-        repeat(plan_.pause_interval_s, [this] { pause(pick_node(), draw(0.1, plan_.max_pause_s)); });
-        repeat(plan_.partition_interval_s, [this] { partition_randomly(); });
-        repeat(plan_.disk_full_interval_s, [this] { fill_disk(pick_node(), draw(0.5, 8)); });
-        repeat(plan_.disk_loss_interval_s, [this] { erase_random_disk(); });
-        events_.run_until(plan_.duration_s);
+        repeat(scenario_.leader_change_interval_s, [this] { change_leader(); });
+        repeat(scenario_.kill_interval_s,
+               [this] { kill_for(pick_node(), draw(0.05, scenario_.max_downtime_s)); });
+        repeat(scenario_.pause_interval_s,
+               [this] { pause(pick_node(), draw(0.1, scenario_.max_pause_s)); });
+        repeat(scenario_.partition_interval_s, [this] { partition_randomly(); });
+        repeat(scenario_.disk_full_interval_s, [this] { fill_disk(pick_node(), draw(0.5, 8)); });
+        repeat(scenario_.disk_loss_interval_s, [this] { erase_random_disk(); });
+        events_.run_until(scenario_.duration_s);
         end_faults();
         check_result();
         return result_;
@@ -242,7 +244,7 @@
     }
     /// An additional validator of followers besides validate(). Returns an error, or an empty text.
     std::function<std::string(const std::string& name, const State& state)> extra_validator;
-    void set_loss(double loss) { plan_.loss_probability = loss; }
+    void set_loss(double loss) { scenario_.loss_probability = loss; }
 
     const Leader& leader(const std::string& name) const { return *nodes_.at(name).leader; }
     const Replica& replica(const std::string& name) const { return *nodes_.at(name).replica; }
@@ -254,7 +256,7 @@
     Report fleet_report(const std::string& name) const { return leader(name).fleet_report(now()); }
     std::string violation() {
         if (!result_.violation.empty()) return result_.violation;
-        return Checker(plan_.control_machines).check(history_);
+        return Checker(scenario_.control_machines).check(history_);
     }
     std::size_t messages() const { return result_.messages; }
 
@@ -300,12 +302,12 @@
 
     // Disks outlive processes. Each write is added to the history or the digest.
     struct SimulatedReplicaStorage : ReplicaStorage {
-        SimulatedReplicaStorage(World& owner, std::string node_name)
-            : world(owner), name(std::move(node_name)) {}
-        Node& node() { return world.nodes_.at(name); }
+        SimulatedReplicaStorage(Simulation& owner, std::string node_name)
+            : simulation(owner), name(std::move(node_name)) {}
+        Node& node() { return simulation.nodes_.at(name); }
         bool save_promise(std::uint64_t term, bool storage_intact) override {
             if (node().disk_full) return false;
-            world.digest_.add(world.now(), name, term, storage_intact);
+            simulation.digest_.add(simulation.now(), name, term, storage_intact);
             node().replica_disk.promised = term;
             node().replica_disk.storage_intact = storage_intact;
             return true;
@@ -314,15 +316,15 @@
             if (node().disk_full) return false;
             for (const Record& one : records) {
                 if (!node().replica_disk.log.push(one))
-                    world.fail(name + ": stored records do not follow each other");
-                world.add_event(
-                    {HistoryEvent::Type::record_stored, world.now(), name, one.number, one, {}, true});
+                    simulation.fail(name + ": stored records do not follow each other");
+                simulation.add_event(
+                    {HistoryEvent::Type::record_stored, simulation.now(), name, one.number, one, {}, true});
             }
             return true;
         }
         bool truncate(std::uint64_t number) override {
             if (node().disk_full) return false;
-            world.digest_.add(world.now(), name, number);
+            simulation.digest_.add(simulation.now(), name, number);
             node().replica_disk.log.truncate(number);
             return true;
         }
@@ -330,23 +332,28 @@
             if (node().disk_full) return false;
             node().replica_disk.log = log;
             node().replica_disk.committed = committed;
-            world.add_event(
-                {HistoryEvent::Type::log_replaced, world.now(), name, log.base().number, {}, {}, true});
+            simulation.add_event({HistoryEvent::Type::log_replaced,
+                                  simulation.now(),
+                                  name,
+                                  log.base().number,
+                                  {},
+                                  {},
+                                  true});
             return true;
         }
         void save_commit_index(std::uint64_t number) override { node().replica_disk.committed = number; }
-        World& world;
+        Simulation& simulation;
         const std::string name;
     };
     struct SimulatedFollowerStorage : FollowerStorage {
-        SimulatedFollowerStorage(World& owner, std::string node_name)
-            : world(owner), name(std::move(node_name)) {}
-        Node& node() { return world.nodes_.at(name); }
+        SimulatedFollowerStorage(Simulation& owner, std::string node_name)
+            : simulation(owner), name(std::move(node_name)) {}
+        Node& node() { return simulation.nodes_.at(name); }
         bool append(const std::vector<Record>& records) override {
             if (node().disk_full) return false;
             for (const Record& one : records)
                 if (!node().follower_disk.log.push(one))
-                    world.fail(name + ": stored records do not follow each other");
+                    simulation.fail(name + ": stored records do not follow each other");
             return add_version_stored();
         }
         bool replace(const Log& log) override {
@@ -355,30 +362,30 @@
             return add_version_stored();
         }
         bool add_version_stored() {
-            world.add_event({HistoryEvent::Type::version_stored,
-                             world.now(),
-                             name,
-                             node().follower_disk.log.last().number,
-                             {},
-                             {},
-                             true});
+            simulation.add_event({HistoryEvent::Type::version_stored,
+                                  simulation.now(),
+                                  name,
+                                  node().follower_disk.log.last().number,
+                                  {},
+                                  {},
+                                  true});
             return true;
         }
-        World& world;
+        Simulation& simulation;
         const std::string name;
     };
 
     static bool is_control(const std::string& name) { return name.front() == 'c'; }
     bool is_relay(const std::string& name) const {
-        return !is_control(name) && std::stoul(name.substr(1)) < plan_.relays;
+        return !is_control(name) && std::stoul(name.substr(1)) < scenario_.relays;
     }
     bool is_paused(const Node& node) const { return now() < node.paused_until; }
     double draw(double from, double to) {
         return std::uniform_real_distribution<double>(from, to)(random_);
     }
-    std::string pick_control_machine() { return control_name(random_() % plan_.control_machines); }
+    std::string pick_control_machine() { return control_name(random_() % scenario_.control_machines); }
     std::string pick_node() {
-        return random_() % 2 == 0 ? pick_control_machine() : follower_name(random_() % plan_.followers);
+        return random_() % 2 == 0 ? pick_control_machine() : follower_name(random_() % scenario_.followers);
     }
     void add_event(HistoryEvent event) {
         digest_.add(event.type, event.time, event.node, event.number, event.valid);
@@ -425,7 +432,7 @@
         node.replica_storage = std::make_unique<SimulatedReplicaStorage>(*this, name);
         ReplicaSettings settings;
         settings.name = name;
-        settings.max_log_records = plan_.max_log_records;
+        settings.max_log_records = scenario_.max_log_records;
         settings.compact_after_records = 40;
         const ReplicaDisk& disk = node.replica_disk;
         node.replica = std::make_unique<Replica>(
@@ -437,8 +444,8 @@
         node.publisher->advance(now(), node.replica->commit_index(), node.replica->staging());
         LeaderSettings leader_settings;
         leader_settings.replicas = control_machines_;
-        leader_settings.canary_count = plan_.canary_count;
-        leader_settings.max_log_records = plan_.max_log_records;
+        leader_settings.canary_count = scenario_.canary_count;
+        leader_settings.max_log_records = scenario_.max_log_records;
         node.leader = std::make_unique<Leader>(leader_settings, random_());
     }
     static PublisherSettings publisher_settings() {
@@ -450,13 +457,13 @@
         FollowerSettings settings;
         settings.name = name;
         settings.region = "r0";
-        for (std::size_t i = 0; i < plan_.control_machines; ++i)
+        for (std::size_t i = 0; i < scenario_.control_machines; ++i)
             settings.parents.push_back({control_name(i), "r" + std::to_string(1 + i % 2)});
         settings.max_log_bytes = kMaxLogBytes;
         if (is_relay(name))
-            settings.max_log_records = plan_.max_log_records;
+            settings.max_log_records = scenario_.max_log_records;
         else
-            for (std::size_t i = 0; i < plan_.relays; ++i)
+            for (std::size_t i = 0; i < scenario_.relays; ++i)
                 settings.parents.push_back({follower_name(i), "r0"});
         settings.compact_after_records = 30;
         settings.preferred_retry_s = 10;
@@ -650,10 +657,10 @@
             body = encode(*message);
         }
         const std::uint64_t process = at->second.process, sender = nodes_.at(from).process;
-        const int copies = from != to && draw(0, 1) < plan_.duplicate_probability ? 2 : 1;
+        const int copies = from != to && draw(0, 1) < scenario_.duplicate_probability ? 2 : 1;
         for (int i = 0; i < copies; ++i) {
             if (from != to && is_lost(from, to)) continue;
-            const double delay = from == to ? 0 : draw(plan_.min_delay_s, plan_.max_delay_s);
+            const double delay = from == to ? 0 : draw(scenario_.min_delay_s, scenario_.max_delay_s);
             events_.at(now() + delay, [this, from, to, process, sender, body] {
                 if (nodes_.at(from).partition == nodes_.at(to).partition)
                     deliver(from, to, process, sender, body);
@@ -661,11 +668,11 @@
         }
     }
     bool is_lost(const std::string& from, const std::string& to) {
-        if (draw(0, 1) >= plan_.loss_probability) return false;
-        if (plan_.max_losses < 0) return true;
+        if (draw(0, 1) >= scenario_.loss_probability) return false;
+        if (scenario_.max_losses < 0) return true;
         auto& lost = recent_losses_[std::minmax(from, to)];
         std::erase_if(lost, [&](double time) { return time + kLossWindowS < now(); });
-        if (static_cast<int>(lost.size()) >= plan_.max_losses) return false;
+        if (static_cast<int>(lost.size()) >= scenario_.max_losses) return false;
         lost.push_back(now());
         return true;
     }
@@ -696,17 +703,17 @@
         const std::string old = lease_holder_;
         if (!old.empty()) {
             lease_holder_.clear();
-            if (plan_.bound_s > 0)
+            if (scenario_.bound_s > 0)
                 kill_for(old, draw(0.5, 3));
-            else if (plan_.max_stale_leader_s > 0)
-                events_.at(now() + draw(0, plan_.max_stale_leader_s),
+            else if (scenario_.max_stale_leader_s > 0)
+                events_.at(now() + draw(0, scenario_.max_stale_leader_s),
                            [this, old, held = nodes_.at(old).fencing_token] {
                                if (nodes_.at(old).fencing_token == held) revoke_stale_lease(old);
                            });
             else
                 revoke_lease(old);
         }
-        grant_lease_after(draw(0.1, plan_.max_vacancy_s));
+        grant_lease_after(draw(0.1, scenario_.max_vacancy_s));
     }
     void revoke_stale_lease(const std::string& name) {
         if (lease_holder_ == name) return;
@@ -725,12 +732,12 @@
         if (!nodes_.at(name).running) return;
         const bool held = lease_holder_ == name;
         kill(name);
-        if (held) grant_lease_after(draw(0.1, plan_.max_vacancy_s));
+        if (held) grant_lease_after(draw(0.1, scenario_.max_vacancy_s));
         events_.at(now() + s, [this, name] { start(name); });
     }
     void partition_randomly() {
         for (auto& [name, node] : nodes_) node.partition = random_() % 3 == 0 ? 1 : 0;
-        events_.at(now() + draw(0.3, plan_.max_partition_s), [this] { heal_partitions(); });
+        events_.at(now() + draw(0.3, scenario_.max_partition_s), [this] { heal_partitions(); });
     }
     void fill_disk(const std::string& name, double s) {
         set_disk_full(name, true);
@@ -743,10 +750,10 @@
             std::size_t lost = 1;
             for (const std::string& one : control_machines_)
                 lost += one != name && !nodes_.at(one).replica_disk.storage_intact;
-            if (lost > (plan_.control_machines - 1) / 2) return;
+            if (lost > (scenario_.control_machines - 1) / 2) return;
         }
         if (!nodes_.at(name).running) return;
-        kill_for(name, draw(0.05, plan_.max_downtime_s));
+        kill_for(name, draw(0.05, scenario_.max_downtime_s));
         erase_disk(name);
     }
 
@@ -761,7 +768,7 @@
         const std::string unique = std::to_string(++proposed_values_);
         if (random_() % 6 == 0) return void(propose(name, key, std::nullopt));
         std::string value = "v " + unique;
-        if (draw(0, 1) < plan_.refused_fraction) {
+        if (draw(0, 1) < scenario_.refused_fraction) {
             const std::string kinds[] = {"bad-all ", "bad-odd ", "bad-odd ",
                                          "needs:k" + std::to_string(random_() % 12) + " "};
             value = kinds[random_() % 4] + unique;
@@ -775,8 +782,8 @@
     // Ends all faults and proposes valid changes, which must become active on all followers.
     void end_faults() {
         faults_ended_ = true;
-        plan_.loss_probability = plan_.duplicate_probability = 0;
-        plan_.max_delay_s = std::min(plan_.max_delay_s, 0.02);
+        scenario_.loss_probability = scenario_.duplicate_probability = 0;
+        scenario_.max_delay_s = std::min(scenario_.max_delay_s, 0.02);
         heal_partitions();
         for (auto& [name, node] : nodes_) {
             node.disk_full = false;
@@ -799,7 +806,7 @@
     void check_result() {
         for (const auto& [name, node] : nodes_) count_snapshots(node);
         if (!result_.violation.empty()) return;
-        Checker checker(plan_.control_machines);
+        Checker checker(scenario_.control_machines);
         result_.violation = checker.check(history_);
         result_.committed = checker.last();
         if (!result_.violation.empty()) return;
@@ -810,15 +817,15 @@
         for (const std::string& name : control_machines_)
             if (!nodes_.at(name).replica->storage_intact() && result_.violation.empty())
                 result_.violation = name + " is not admitted as a replica at the end";
-        if (plan_.bound_s <= 0 || !result_.violation.empty()) return;
+        if (scenario_.bound_s <= 0 || !result_.violation.empty()) return;
         std::string change;
         result_.worst_bound_fraction = checker.worst_bound_fraction(
-            history_, plan_.followers, plan_.bound_s, plan_.duration_s, change);
+            history_, scenario_.followers, scenario_.bound_s, scenario_.duration_s, change);
         if (result_.worst_bound_fraction > 1)
             result_.violation = "propagation exceeded the bound: " + change;
     }
 
-    Plan plan_;
+    Scenario scenario_;
     std::mt19937_64 random_;
     Events events_;
     std::map<std::string, Node> nodes_;
@@ -837,4 +844,4 @@
     Digest digest_;
 };
 
-}   // namespace rollout_world
+}   // namespace rollout_simulation
