--- a/src/gateway/concurrency_limit.hpp
+++ b/src/gateway/concurrency_limit.hpp
@@ -1,13 +1,12 @@
-// Rule: a request is rejected while the attempts in flight to its subset, over the rate of answers, promise
-// a latency above kMaxExpectedLatencyRatio (Little's law).
-// Inputs: attempts in flight and their classes' latency objectives (s); times of answers (s); backends per
-// ingress; the request's priority over the mean one's, which lengthens or shortens the wait that is
-// allowed.
-// Output: whether the limit is exceeded.
-// It never rejects while fewer attempts are in flight than kMinInFlightPerBackend allows, and never
-// cancels.
-// Seen in: RejectReason::concurrency_limit (measure slatejunction_refusals_total), log line "refused: ...
-// open work N ...".
+// Concurrency limit: a request is rejected while the attempts in flight to its subset, divided by the rate
+// of answers, predict a latency above kMaxExpectedLatencyRatio (Little's law).
+//
+// - Inputs: attempts in flight and the latency objectives of their classes (s); times of answers (s);
+//   backends per ingress; the request's priority relative to the mean, which scales the allowed latency.
+// - Output: whether the limit is exceeded.
+// - Limits: it does not reject while fewer attempts are in flight than kMinInFlightPerBackend allows, and
+//   never cancels an attempt.
+// - Visible in: RejectReason::concurrency_limit (metric slatejunction_refusals_total); RejectionLog.
 #pragma once
 
 #include <algorithm>
@@ -15,24 +14,30 @@
 
 namespace slatejunction::gateway {
 
-constexpr double kMaxExpectedLatencyRatio = 0.35;   // latency objectives
-constexpr double kMinPriorityAllowance = 0.3;       // of the ratio above; for requests of little priority
-constexpr double kAnswerRateTimeS = 1.5;            // averaging time of the rate
-constexpr double kMinRateWeight = 0.1;              // of a full average, just after the first answer
-constexpr double kMinInFlightPerBackend = 4.0;      // over all ingresses
-constexpr double kMinInFlight = 1.0;                // at one ingress; fewer show no queue
+/// In latency objectives.
+constexpr double kMaxExpectedLatencyRatio = 0.35;
+/// Least fraction of that ratio which requests of low priority are allowed.
+constexpr double kMinPriorityAllowance = 0.3;
+/// Time constant of the exponentially decaying rate of answers.
+constexpr double kAnswerRateDecayS = 1.5;
+/// Least weight by which the rate is corrected just after the first answer; 1 is a full average.
+constexpr double kMinRateWeight = 0.1;
+/// Attempts in flight that are always allowed for each backend, over all ingresses.
+constexpr double kMinInFlightPerBackend = 4.0;
+/// Attempts in flight that are always allowed at one ingress; fewer are no sign of a queue.
+constexpr double kMinInFlight = 1.0;
 
-/// Attempts in flight to one subset against its rate of answers.
+/// Compares the attempts in flight to one subset with its rate of answers.
 class ConcurrencyLimit {
   public:
     void on_attempt_started(double latency_objective_s) { change(latency_objective_s, 1); }
-    /// It ended, or no longer counts as it is overdue at a silent backend.
+    /// The attempt ended, or it no longer counts because it is overdue at a silent backend.
     void on_attempt_removed(double latency_objective_s) { change(latency_objective_s, -1); }
 
     /// An attempt was answered.
     void on_answer(double now) {
         if (first_answer_at_s_ < 0) first_answer_at_s_ = now;
-        rate_ = decayed_rate(now) + 1 / kAnswerRateTimeS;
+        rate_ = decayed_rate(now) + 1 / kAnswerRateDecayS;
         rate_at_s_ = now;
     }
 
@@ -45,14 +50,15 @@
     }
 
   private:
-    // Answers a second, over the time since the first one: a new gateway would reject its first second.
+    // Answers per second, corrected for the short time since the first answer. Without the correction a new
+    // gateway would reject requests throughout its first second.
     double answer_rate(double now) const {
         const double weight =
-            first_answer_at_s_ < 0 ? 0 : 1 - std::exp(-(now - first_answer_at_s_) / kAnswerRateTimeS);
+            first_answer_at_s_ < 0 ? 0 : 1 - std::exp(-(now - first_answer_at_s_) / kAnswerRateDecayS);
         return decayed_rate(now) / std::max(weight, kMinRateWeight);
     }
     double decayed_rate(double now) const {
-        return rate_ * std::exp(-(now - rate_at_s_) / kAnswerRateTimeS);
+        return rate_ * std::exp(-(now - rate_at_s_) / kAnswerRateDecayS);
     }
     void change(double latency_objective_s, int count) {
         in_flight_ += count;
@@ -62,9 +68,9 @@
 
     double in_flight_ = 0;
     double in_flight_ratios_ = 0;   // sum of 1 / latency objective, 1/s
-    double rate_ = 0;               // answers a second at rate_at_s_, not yet corrected for a short history
+    double rate_ = 0;               // answers per second at rate_at_s_, before the correction
     double rate_at_s_ = 0;
-    double first_answer_at_s_ = -1;
+    double first_answer_at_s_ = -1;   // negative: none yet
 };
 
 }   // namespace slatejunction::gateway
--- a/src/gateway/endpoint_set.cpp
+++ b/src/gateway/endpoint_set.cpp
@@ -8,16 +8,17 @@
 namespace slatejunction::gateway {
 
 double EndpointSet::update(const EndpointUpdate& update, const OutlierDetector& outliers, double now) {
-    const double before = std::max<double>(1.0, static_cast<double>(usable()));
+    const double previous_count = std::max<double>(1.0, static_cast<double>(listed_count()));
     if (update.kind != EndpointUpdateKind::delta)
         for (auto& [id, backend] : backends_) backend.listed = false;
     double changed = 0;
     for (const Endpoint& endpoint : update.endpoints) apply(endpoint, outliers, now, changed);
     rebuild();
-    return std::max(changed, std::abs(static_cast<double>(usable()) - before)) / before;
+    return std::max(changed, std::abs(static_cast<double>(listed_count()) - previous_count)) /
+           previous_count;
 }
 
-// A backend that started anew is a new one, but for the attempts in flight to it.
+// A backend that has restarted counts as new, except for its attempts in flight.
 void EndpointSet::apply(const Endpoint& endpoint, const OutlierDetector& outliers, double now,
                         double& changed) {
     if (endpoint.state != EndpointState::serving) {
@@ -60,17 +61,17 @@
                          [&](const Backend* backend) { return outliers.is_outlier(backend->health, now); });
 }
 
-// Forgets the backends that are neither listed nor have attempts in flight, and collects the subsets anew.
+// Removes the backends that are neither listed nor have attempts in flight, and rebuilds the subsets.
 void EndpointSet::rebuild() {
     recent_responders_.fill(nullptr);
     subsets_.assign(1, {});
-    for (auto at = backends_.begin(); at != backends_.end();) {
-        Backend& backend = at->second;
+    for (auto it = backends_.begin(); it != backends_.end();) {
+        Backend& backend = it->second;
         if (!backend.listed && backend.in_flight == 0) {
-            at = backends_.erase(at);
+            it = backends_.erase(it);
             continue;
         }
-        ++at;
+        ++it;
         if (backend.listed) add_to_subsets(backend);
     }
 }
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -1,10 +1,10 @@
-// Passes the events of one gateway to its modules and collects the actions that follow; decides nothing
-// itself. The interface, its events, actions and units: include/slatejunction/gateway.hpp. Each rule stands
-// in the header of its module in this folder.
+// Passes the events of one gateway to its modules and collects the resulting actions; it has no decision
+// rule of its own. Interface, events, actions and units: include/slatejunction/gateway.hpp. Each rule is
+// documented in the header of its module in this directory.
 //
-// Order for a request: quota, limits of the daemon's own rules, hard limit, admitted fraction, concurrency
-// limit, backend. An action is appended as soon as it is decided, and the random generator is drawn from in
-// that order: equal events give equal actions.
+// A request is checked in this order: quota, rate limits of the caller, hard limit, admitted fraction,
+// concurrency limit, choice of a backend. Actions are appended as they are decided, and random numbers are
+// used in the same order, so that equal events give equal actions.
 #include "slatejunction/gateway.hpp"
 
 #include <algorithm>
@@ -41,8 +41,8 @@
 
 constexpr double kIdleCustomerCheckS = 10.0;
 
-// The load of one subset. Each has its own, so that one that is slow or flooded rejects nothing of the
-// others.
+// The load of one subset. Subsets have separate state, so that a slow or overloaded one causes no
+// rejections in the others.
 struct SubsetLoad {
     AdmissionController admission;
     ConcurrencyLimit concurrency;
@@ -50,8 +50,8 @@
     bool period_complete = false;
 };
 
-std::size_t count_kinds(const Settings& settings) {
-    return settings.classes.size() * (settings.plans.size() + 1);   // a request may be of no known plan
+std::size_t count_request_kinds(const Settings& settings) {
+    return settings.classes.size() * (settings.plans.size() + 1);   // the plan of a request may be unknown
 }
 
 }   // namespace
@@ -69,7 +69,8 @@
     void on(const Request& request);
     void on(const AttemptEnded& ended);
     void on(const StreamStarted& started);
-    void on(const HealthCheckEnded&) {}   // none is started: latency and results of attempts show the same
+    // No health checks are started: latencies and results of attempts give the same information.
+    void on(const HealthCheckEnded&) {}
     void on(const TimerFired& fired);
     void on(const ClientDisconnected& disconnected);
 
@@ -99,7 +100,7 @@
                                                 request.service_class->latency_objective_s);
     }
     template <class A>
-    void act(A action) {
+    void emit(A action) {
         actions_->emplace_back(std::move(action));
     }
 
@@ -115,7 +116,7 @@
     std::vector<SubsetLoad> subsets_{1};   // by SubsetIndex
     PriorityMean mean_priority_;
     PauseDetector pauses_;
-    WatchRetry watch_;
+    WatchRetry watch_retry_;
     RejectionLog rejection_log_;
     std::vector<Action>* actions_ = nullptr;   // during handle()
     double now_ = 0;
@@ -128,7 +129,7 @@
 Gateway::Impl::Impl(Settings settings, std::uint64_t seed)
     : settings_(std::move(settings)),
       random_(seed),
-      outliers_(count_kinds(settings_)),
+      outliers_(count_request_kinds(settings_)),
       slow_start_(settings_),
       balancer_(settings_, endpoints_, outliers_, slow_start_),
       quotas_(settings_),
@@ -139,7 +140,7 @@
     if (std::isfinite(now)) now_ = clock_known_ ? std::max(now_, now) : now;
     clock_known_ = true;
     actions_ = &actions;
-    std::visit([this](const auto& e) { on(e); }, event);
+    std::visit([this](const auto& received) { on(received); }, event);
     actions_ = nullptr;
 }
 
@@ -150,26 +151,26 @@
     retries_.budget().start(now_);
     quotas_.start(now_);
     if (settings_.discovery == DiscoveryMode::subscribe) {
-        watch_.on_requested(now_);
-        act(WatchEndpoints{true});
+        watch_retry_.on_requested(now_);
+        emit(WatchEndpoints{true});
     }
-    act(SetTimer{now_ + kTickS, TimerTag::kTick});
+    emit(SetTimer{now_ + kTickS, TimerTag::kTick});
 }
 
 void Gateway::Impl::on(const EndpointUpdate& update) {
     if (update.kind == EndpointUpdateKind::watch_lost) {
-        watch_.on_lost(now_);
+        watch_retry_.on_lost(now_);
         return;
     }
-    const double changed_part = endpoints_.update(update, outliers_, now_);
-    for (SubsetLoad& load : subsets_) load.admission.on_fleet_change(changed_part);
+    const double changed_fraction = endpoints_.update(update, outliers_, now_);
+    for (SubsetLoad& load : subsets_) load.admission.on_fleet_change(changed_fraction);
 }
 
 void Gateway::Impl::on(const Request& request) {
     if (!started_ || requests_.contains(request.id)) return;
     OpenRequest open;
     if (!find_class_and_plan(request, open) || !(request.deadline_at_s > now_))
-        return act(RejectRequest{request.id, 0, RejectReason::malformed});
+        return emit(RejectRequest{request.id, 0, RejectReason::malformed});
     CustomerUsage& usage = quotas_.find_or_add(request.customer, now_, *open.plan, request.ingress_count);
     usage.hard_limit.refill(now_, started_at_s_, *open.plan, usage.ingress_count);
     if (!admit_customer(request, open, usage)) return;
@@ -177,7 +178,7 @@
     forward(request, open, usage);
 }
 
-// False where the class is not known; a plan that is not known has no quota.
+// Returns false if the class is unknown. An unknown plan has no limits.
 bool Gateway::Impl::find_class_and_plan(const Request& request, OpenRequest& open) const {
     static const Plan kNoPlan;
     const auto& classes = settings_.classes;
@@ -189,8 +190,8 @@
         std::find_if(plans.begin(), plans.end(), [&](const auto& p) { return p.name == request.plan; });
     open.service_class = &*service_class;
     open.plan = plan == plans.end() ? &kNoPlan : &*plan;
-    open.kind = static_cast<std::size_t>((plan - plans.begin()) * std::ssize(classes) +
-                                         (service_class - classes.begin()));
+    open.request_kind = static_cast<std::size_t>((plan - plans.begin()) * std::ssize(classes) +
+                                                 (service_class - classes.begin()));
     return true;
 }
 
@@ -203,7 +204,7 @@
         return false;
     }
     if (request.rate_limit_retry_after_s > 0) {
-        act(RejectRequest{request.id, request.rate_limit_retry_after_s, RejectReason::rate_limit});
+        emit(RejectRequest{request.id, request.rate_limit_retry_after_s, RejectReason::rate_limit});
         return false;
     }
     if (!within_hard_limits(*open.plan, usage.hard_limit, units, usage.in_flight)) {
@@ -216,10 +217,10 @@
 bool Gateway::Impl::admit_to_subset(const Request& request, OpenRequest& open) {
     open.subset = subset_index(request.subset);
     if (open.subset >= subsets_.size()) subsets_.resize(open.subset + 1);
-    if (falls_back_at_arrival(request.subset_fallback, endpoints_.usable(open.subset)))
+    if (falls_back_at_arrival(request.subset_fallback, endpoints_.listed_count(open.subset)))
         open.subset = kWholeFleet;
     const double priority = request_priority(*open.service_class, *open.plan);
-    const double relative_priority = mean_priority_.relative(priority);
+    const double relative_priority = mean_priority_.observe(priority);
     auto reason = overload_reason(open.subset, relative_priority);
     if (reason && open.subset != kWholeFleet && falls_back_when_overloaded(request.subset_fallback)) {
         open.subset = kWholeFleet;
@@ -234,7 +235,7 @@
     SubsetLoad& load = subsets_[subset];
     if (!load.admission.admit(relative_priority)) return RejectReason::admitted_fraction;
     const double ingresses = std::max(1.0, positive_or_zero(settings_.ingress_count));
-    const double backends_per_ingress = static_cast<double>(endpoints_.usable(subset)) / ingresses;
+    const double backends_per_ingress = static_cast<double>(endpoints_.listed_count(subset)) / ingresses;
     if (load.concurrency.exceeded(backends_per_ingress, relative_priority, now_))
         return RejectReason::concurrency_limit;
     return std::nullopt;
@@ -252,11 +253,11 @@
     if (open.plan->hard_limit_rate > 0) usage.hard_limit.consume(units);
     retries_.budget().on_request_forwarded(now_);
     const double give_up_at_s = request.deadline_at_s - positive_or_zero(settings_.timer_resolution_s);
-    act(SetTimer{std::max(now_, give_up_at_s), TimerTag::request_deadline(open)});
+    emit(SetTimer{std::max(now_, give_up_at_s), TimerTag::request_deadline(open)});
     requests_.insert(std::move(open));
 }
 
-// False where the request may not be attempted again, or no backend can take it.
+// Returns false if the request may not be attempted again or no backend can take it.
 bool Gateway::Impl::start_attempt(OpenRequest& request) {
     if (!retries_.may_start_attempt(request, now_)) return false;
     Backend* backend = choose_backend(request);
@@ -272,29 +273,29 @@
     subsets_[request.subset].concurrency.on_attempt_started(request.service_class->latency_objective_s);
     if (CustomerUsage* usage = quotas_.find(request.request.customer)) ++usage->in_flight;
     const bool used_fallback = request.request.subset != 0 && request.subset == kWholeFleet;
-    act(StartAttempt{id, backend->id, 0, used_fallback, start_by_s});
-    act(SetTimer{now_ + silence_limit_s(request), TimerTag::attempt_overdue(request)});
+    emit(StartAttempt{id, backend->id, 0, used_fallback, start_by_s});
+    emit(SetTimer{now_ + silence_limit_s(request), TimerTag::attempt_overdue(request)});
     return true;
 }
 
 Backend* Gateway::Impl::choose_backend(OpenRequest& request) {
-    BackendRequirements needed;
-    needed.idempotent = request.service_class->idempotency == Idempotency::idempotent;
-    needed.kind = request.kind;
-    needed.tried = &request.tried_backends;
-    needed.scope = request.service_class->idempotency_scope;
-    needed.subset = request.subset;
+    BackendRequirements requirements;
+    requirements.idempotent = request.service_class->idempotency == Idempotency::idempotent;
+    requirements.request_kind = request.request_kind;
+    requirements.tried = &request.tried_backends;
+    requirements.scope = request.service_class->idempotency_scope;
+    requirements.subset = request.subset;
     if (RetryPolicy::bound_to_scope(request)) {
-        needed.scope_anchor = endpoints_.find(request.first_that_may_have_run()->backend);
-        if (!needed.scope_anchor) return nullptr;
+        requirements.scope_anchor = endpoints_.find(request.first_that_may_have_run()->backend);
+        if (!requirements.scope_anchor) return nullptr;
     }
-    Backend* backend = balancer_.choose(needed, now_, random_);
+    Backend* backend = balancer_.choose(requirements, now_, random_);
     if (backend || request.subset == kWholeFleet) return backend;
-    const std::size_t usable = endpoints_.usable(request.subset);
-    if (!falls_back_without_backend(request.request.subset_fallback, usable)) return nullptr;
+    const std::size_t listed_count = endpoints_.listed_count(request.subset);
+    if (!falls_back_without_backend(request.request.subset_fallback, listed_count)) return nullptr;
     request.subset = kWholeFleet;
-    needed.subset = kWholeFleet;
-    return balancer_.choose(needed, now_, random_);
+    requirements.subset = kWholeFleet;
+    return balancer_.choose(requirements, now_, random_);
 }
 
 void Gateway::Impl::on(const AttemptEnded& ended) {
@@ -327,7 +328,7 @@
     const bool counts_as_load = outliers_.latency_counts_as_load(backend.health, now_);
     SubsetLoad& load = subsets_[attempt.subset];
     --backend.in_flight;
-    outliers_.on_result(backend.health, request.kind, ended, now_);
+    outliers_.on_result(backend.health, request.request_kind, ended, now_);
     if (ended.result == AttemptResult::ok) {
         balancer_.on_answer(backend, latency, now_);
         slow_start_.on_answer();
@@ -339,7 +340,7 @@
     endpoints_.on_attempt_ended(backend);
 }
 
-// The fleet's mean where a pause of this process hides how long the attempt took.
+// Returns the mean of the fleet if a pause of this process makes the duration of the attempt unknown.
 double Gateway::Impl::measured_latency_ratio(const OpenRequest& request, const Attempt& attempt,
                                              const AttemptEnded& ended) const {
     if (pauses_.spans_pause(attempt.started_at_s, now_)) return balancer_.mean_latency_ratio();
@@ -367,16 +368,16 @@
         check_overdue_attempt(*request);
 }
 
-// The last attempt has lasted for the silence limit. Where its backend has answered nothing since it
-// started, the request is hedged, or the attempt cancelled so that a retry follows.
+// Called when the last attempt has lasted for the silence limit. If its backend has answered nothing since
+// the attempt started, the request is hedged, or the attempt is cancelled so that a retry follows.
 void Gateway::Impl::check_overdue_attempt(OpenRequest& request) {
     Attempt& attempt = request.attempts.back();
     Backend* backend = endpoints_.find(attempt.backend);
     const double limit_s = silence_limit_s(request);
     const std::uint64_t tag = TimerTag::attempt_overdue(request);
-    if (pauses_.just_resumed(now_)) return act(SetTimer{now_ + kTickS, tag});
+    if (pauses_.just_resumed(now_)) return emit(SetTimer{now_ + kTickS, tag});
     if (!attempt.in_flight || !OutlierDetector::is_overdue(now_ - attempt.started_at_s, limit_s)) return;
-    if (request.request.deadline_at_s - now_ > limit_s) act(SetTimer{now_ + limit_s, tag});
+    if (request.request.deadline_at_s - now_ > limit_s) emit(SetTimer{now_ + limit_s, tag});
     if (!backend || !OutlierDetector::is_silent_since(backend->health, attempt.started_at_s)) return;
     outliers_.on_silence(backend->health, now_);
     if (outliers_.fleet_wide_failure()) return;
@@ -390,7 +391,7 @@
             if (start_attempt(request)) retries_.budget().consume();
             break;
         case OverdueAction::cancel:
-            act(CancelAttempt{request.request.id, attempt_index});
+            emit(CancelAttempt{request.request.id, attempt_index});
             break;
         case OverdueAction::none:
             break;
@@ -399,35 +400,35 @@
 
 void Gateway::Impl::reject(RejectReason reason, const std::string& id, double retry_after_s) {
     rejection_log_.count(reason);
-    act(RejectRequest{id, retry_after_s, reason});
+    emit(RejectRequest{id, retry_after_s, reason});
 }
 
-// The final answer, as soon as no attempt can bring one any more.
+// Gives the final answer as soon as no attempt can bring one any more.
 void Gateway::Impl::close_without_answer(OpenRequest& request) {
     const double retry_after_s = retries_.overload_retry_after_s(*request.service_class);
     if (RetryPolicy::may_reject(request))
         reject(RejectReason::attempts_exhausted, request.request.id, retry_after_s);
     else
-        act(FailRequest{request.request.id});
+        emit(FailRequest{request.request.id});
     finish(request);
 }
 
-// Cancels what is still in flight; the request is forgotten once all of that has ended. `request` may be
-// destroyed by then.
+// Cancels the attempts in flight; the request is removed once all of them have ended. `request` may be
+// invalid after the call.
 void Gateway::Impl::finish(OpenRequest& request) {
     if (retries_.cancels_in_flight(request))
         for (std::size_t i = 0; i < request.attempts.size(); ++i)
             if (request.attempts[i].in_flight)
-                act(CancelAttempt{request.request.id, static_cast<std::int64_t>(i)});
+                emit(CancelAttempt{request.request.id, static_cast<std::int64_t>(i)});
     request.answered = true;
     if (request.in_flight == 0) requests_.erase(request);
 }
 
 void Gateway::Impl::on_tick() {
-    act(SetTimer{now_ + kTickS, TimerTag::kTick});
-    if (settings_.discovery == DiscoveryMode::subscribe && watch_.should_retry(settings_, now_)) {
-        watch_.on_retried(now_);
-        act(WatchEndpoints{true});
+    emit(SetTimer{now_ + kTickS, TimerTag::kTick});
+    if (settings_.discovery == DiscoveryMode::subscribe && watch_retry_.should_retry(settings_, now_)) {
+        watch_retry_.on_retried(now_);
+        emit(WatchEndpoints{true});
     }
     close_admission_periods();
     if (rejection_log_.interval_elapsed(now_)) write_rejection_log();
@@ -451,7 +452,7 @@
         load.admission.close_period(now_);
         if (load.admission.fraction() == load.reported_fraction) continue;
         load.reported_fraction = load.admission.fraction();
-        act(ReportAdmittedFraction{load.reported_fraction, subset_bit(subset)});
+        emit(ReportAdmittedFraction{load.reported_fraction, subset_bit(subset)});
     }
 }
 
@@ -474,7 +475,7 @@
     const double fraction = subsets_[kWholeFleet].admission.fraction();
     const std::ptrdiff_t outliers = endpoints_.count_outliers(outliers_, now_);
     std::string text = rejection_log_.close_interval(fraction, outliers, now_);
-    if (!text.empty()) act(LogMessage{std::move(text)});
+    if (!text.empty()) emit(LogMessage{std::move(text)});
 }
 
 Gateway::Gateway(Settings settings, std::uint64_t seed)
--- a/src/gateway/load_balancer.hpp
+++ b/src/gateway/load_balancer.hpp
@@ -1,15 +1,18 @@
-// Rule: an attempt goes to the cheapest of a few backends drawn by weight; outliers, backends that reject
-// its kind, and those that the request has attempted on already, rank last.
-// Inputs: the subset's backends with weights, attempts in flight, latency ratios (latency over latency
-// objective), health, slow start; the request's kind, idempotency scope and tried backends; the zone of
-// this ingress.
-// Output: a backend, or none.
-// It never chooses a backend outside of the subset or the idempotency scope, nor a warming one for a retry,
-// but where the scope leaves it no other way.
-// Seen in: action StartAttempt; RejectReason::no_backend where it has none (slatejunction_refusals_total).
+// Load balancing: an attempt goes to the backend of least cost among a few that are drawn by weight.
+// Outliers, backends that reject its kind of request, and backends that the request has already tried rank
+// last.
 //
-// Few are drawn, as many ingresses with the same late knowledge would herd on the one that looks best.
-// Draws in which no backend answered lately are joined by the last responders of this ingress.
+// - Inputs: the subset's backends with weights, attempts in flight, latency ratios (latency over latency
+//   objective), health and slow start; the request's kind, idempotency scope and tried backends; the zone
+//   of this ingress.
+// - Output: a backend, or none.
+// - Limits: it never chooses a backend outside of the subset or of the idempotency scope. A warming backend
+//   is not chosen for a retry, unless the retry has to stay in an idempotency scope.
+// - Visible in: action StartAttempt; RejectReason::no_backend (metric slatejunction_refusals_total).
+//
+// Only a few backends are drawn because many ingresses with the same outdated information would otherwise
+// all send to the backend that looks best. Where none of the drawn ones answered recently, the last
+// responders of this ingress are considered as well.
 #pragma once
 
 #include <cmath>
@@ -28,32 +31,32 @@
 /// What an attempt needs of its backend.
 struct BackendRequirements {
     bool idempotent = true;
-    std::size_t kind = 0;                              // of request: class and plan
-    const std::vector<std::string>* tried = nullptr;   // backends of earlier attempts; never null
+    std::size_t request_kind = 0;                      // class and plan
+    const std::vector<std::string>* tried = nullptr;   // backends of earlier attempts; must not be null
     IdempotencyScope scope = IdempotencyScope::all;
-    const Backend* scope_anchor = nullptr;   // a backend in the zone or cell to stay in; or null
+    const Backend* scope_anchor = nullptr;   // a backend in the zone or cell to stay in, or null
     SubsetIndex subset = kWholeFleet;
 };
 
-/// Chooses backends, and owns the latencies that it compares.
+/// Chooses backends, and maintains the latencies that it compares.
 class LoadBalancer {
   public:
-    /// All of these must outlive this.
+    /// All arguments must outlive this object.
     LoadBalancer(const Settings& settings, EndpointSet& endpoints, const OutlierDetector& outliers,
                  const SlowStart& slow_start)
         : settings_(settings), endpoints_(endpoints), outliers_(outliers), slow_start_(slow_start) {}
 
-    /// nullptr where the subset has no backend that meets the requirements.
-    Backend* choose(const BackendRequirements& needed, double now, Random& random) const;
+    /// nullptr if no backend of the subset is available that meets the requirements.
+    Backend* choose(const BackendRequirements& requirements, double now, Random& random) const;
 
     /// An attempt was answered.
     void on_answer(Backend& backend, double latency_ratio, double now);
 
-    /// The fleet's mean latency ratio.
+    /// The mean latency ratio of the fleet.
     double mean_latency_ratio() const { return mean_latency_ratio_; }
 
   private:
-    // The cheapest backend seen so far, and the cheapest of those that are avoided.
+    // The cheapest backend so far, and the cheapest of those that should be avoided.
     struct Candidates {
         Backend* best = nullptr;
         Backend* best_avoided = nullptr;
@@ -63,11 +66,11 @@
         Backend* result() const { return best ? best : best_avoided; }
     };
 
-    Backend* choose_in_scope(const BackendRequirements& needed, double now, Random& random) const;
-    void consider(Candidates& candidates, Backend& backend, const BackendRequirements& needed, double now,
-                  Random& random) const;
+    Backend* choose_in_scope(const BackendRequirements& requirements, double now, Random& random) const;
+    void consider(Candidates& candidates, Backend& backend, const BackendRequirements& requirements,
+                  double now, Random& random) const;
     double latency_ratio(const Backend& backend, double now) const;
-    double cost(const Backend& backend, const BackendRequirements& needed, double now) const;
+    double cost(const Backend& backend, const BackendRequirements& requirements, double now) const;
 
     const Settings& settings_;
     EndpointSet& endpoints_;
--- a/src/gateway/numeric.hpp
+++ b/src/gateway/numeric.hpp
@@ -1,4 +1,4 @@
-// Arithmetic helpers shared by the gateway's modules. They hold no rule of their own.
+// Arithmetic helpers shared by the gateway's modules.
 #pragma once
 
 #include <algorithm>
@@ -6,11 +6,11 @@
 
 namespace slatejunction::gateway {
 
-/// `value` where it is finite and above zero, else 0: settings and events may carry anything.
+/// `value` if it is finite and above zero, else 0: settings and events may contain any value.
 inline double positive_or_zero(double value) { return std::isfinite(value) && value > 0 ? value : 0; }
 
-/// `value` limited to [low, high]. Unlike std::clamp it turns NaN into `low`.
-inline double limited(double value, double low, double high) {
+/// `value` clamped to [low, high]. Unlike std::clamp() it maps NaN to `low`.
+inline double clamped(double value, double low, double high) {
     return std::max(low, std::min(value, high));
 }
 
--- a/src/gateway/random.hpp
+++ b/src/gateway/random.hpp
@@ -1,8 +1,9 @@
-// Rule: all random numbers of a gateway come from one generator, seeded by the caller.
-// Input: a 64 bit seed.
-// Output: uniform numbers in [0, 1), the same sequence on every platform.
-// It never reads a clock or a device; it is not fit for secrets.
-// Seen in: nothing of its own; equal seeds and events give equal actions.
+// Random numbers: all random numbers of a gateway come from one generator, which the caller seeds.
+//
+// - Input: a 64-bit seed.
+// - Output: uniform numbers in [0, 1), the same sequence on every platform.
+// - Limits: it reads no clock and no device; it must not be used for secrets.
+// - Visible in: nothing directly; equal seeds and events give equal actions.
 #pragma once
 
 #include <cstdint>
--- a/src/gateway/rejection_log.hpp
+++ b/src/gateway/rejection_log.hpp
@@ -1,11 +1,12 @@
-// Rule: every kRejectionLogS in which requests were rejected or a backend is an outlier, one log line
-// counts the reasons.
-// Inputs: the reasons of rejections; the whole fleet's admitted fraction (0 to 1); the number of outliers;
-// seconds.
-// Output: the line's text.
-// It never decides on a request.
-// Seen in: log line "refused: share N, ceiling or cap N, fraction N, open work N, no server N; admitted
-// fraction N%; suspect servers N".
+// Rejection log: every kRejectionLogS in which requests were rejected or a backend is an outlier, one log
+// line has the number of rejections by reason.
+//
+// - Inputs: the reasons of rejections; the whole fleet's admitted fraction (0 to 1); the number of
+//   outliers; times in seconds.
+// - Output: the text of the line.
+// - Limits: it makes no decision on a request.
+// - Visible in: log line "refused: share N, ceiling or cap N, fraction N, open work N, no server N;
+//   admitted fraction N%; suspect servers N".
 #pragma once
 
 #include <array>
@@ -28,14 +29,15 @@
 
     bool interval_elapsed(double now) const { return now - last_line_at_s_ > kRejectionLogS; }
 
-    /// Begins the next interval. Returns the line's text, or an empty one where no line is needed.
+    /// Starts the next interval. Returns the text of the line, empty if no line is needed.
     std::string close_interval(double admitted_fraction, std::ptrdiff_t outliers, double now) {
-        static const std::array<const char*, 5> kNames{"share ", ", ceiling or cap ", ", fraction ",
-                                                       ", open work ", ", no server "};
+        static const std::array<const char*, 5> kLabels{"share ", ", ceiling or cap ", ", fraction ",
+                                                        ", open work ", ", no server "};
         std::string text;
         if (outliers > 0 || counts_ != Counts{}) {
             text = "refused: ";
-            for (std::size_t i = 0; i < kNames.size(); ++i) text += kNames[i] + std::to_string(counts_[i]);
+            for (std::size_t i = 0; i < kLabels.size(); ++i)
+                text += kLabels[i] + std::to_string(counts_[i]);
             text += "; admitted fraction " + std::to_string(static_cast<int>(100 * admitted_fraction));
             text += "%; suspect servers " + std::to_string(outliers);
         }
--- a/src/gateway/request_table.hpp
+++ b/src/gateway/request_table.hpp
@@ -1,9 +1,10 @@
-// Rule: a request stays in the table from its first attempt until it has its final answer and all of its
-// attempts have ended.
-// Inputs: requests and their attempts.
-// Output: look-up by id and by number, walks in the order of arrival.
-// It never decides on a request and never drops one with an attempt in flight.
-// Seen in: Gateway::open_requests().
+// Table of open requests: a request is in the table from its first attempt until it has its final answer
+// and all of its attempts have ended.
+//
+// - Inputs: requests and their attempts.
+// - Output: lookup by id and by number; iteration in the order of arrival.
+// - Limits: it makes no decision on a request, and never removes one with an attempt in flight.
+// - Visible in: Gateway::open_requests().
 #pragma once
 
 #include <cstddef>
@@ -19,14 +20,14 @@
 
 namespace slatejunction::gateway {
 
-/// One attempt of a request; its position in OpenRequest::attempts is its number.
+/// One attempt of a request; its index in OpenRequest::attempts is its number.
 struct Attempt {
     std::string backend;
     double started_at_s = 0;
     bool in_flight = true;
     bool may_have_run = true;   // until its result proves otherwise
     bool overdue = false;       // at a silent backend: it no longer counts against the concurrency limit
-    SubsetIndex subset = kWholeFleet;   // that it was sent to
+    SubsetIndex subset = kWholeFleet;   // the subset that it was sent to
 };
 
 /// A request with at least one attempt.
@@ -37,13 +38,13 @@
     const Plan* plan = nullptr;
     std::vector<Attempt> attempts;
     std::vector<std::string> tried_backends;
-    std::size_t kind = 0;               // class and plan
-    SubsetIndex subset = kWholeFleet;   // that its next attempt is for
+    std::size_t request_kind = 0;       // class and plan
+    SubsetIndex subset = kWholeFleet;   // the subset for its next attempt
     bool streaming = false;
-    bool answered = false;   // finally, or its client has disconnected
+    bool answered = false;   // it has its final answer, or its client has disconnected
     int in_flight = 0;       // attempts
 
-    /// The first attempt that may have had an effect; nullptr: none.
+    /// The first attempt that may have had an effect, or nullptr.
     const Attempt* first_that_may_have_run() const {
         for (const Attempt& attempt : attempts)
             if (attempt.may_have_run) return &attempt;
@@ -57,7 +58,7 @@
     }
 };
 
-/// Owns the open requests. Pointers to them hold until erase().
+/// Owns the open requests. Pointers to a request are valid until its erase().
 class RequestTable {
   public:
     /// The number of the next request to arrive, from 1.
@@ -67,12 +68,12 @@
     std::size_t size() const { return requests_.size(); }
     const std::map<std::uint64_t, OpenRequest>& by_number() const { return requests_; }
 
-    /// nullptr where there is none.
+    /// nullptr if there is none.
     OpenRequest* find(const std::string& id) {
         const auto found = numbers_by_id_.find(id);
         return found == numbers_by_id_.end() ? nullptr : &requests_.at(found->second);
     }
-    /// nullptr where there is none.
+    /// nullptr if there is none.
     OpenRequest* find(std::uint64_t number) {
         const auto found = requests_.find(number);
         return found == requests_.end() ? nullptr : &found->second;
@@ -91,11 +92,11 @@
 
   private:
     std::map<std::uint64_t, OpenRequest> requests_;
-    std::unordered_map<std::string, std::uint64_t> numbers_by_id_;   // never walked: its order is not fixed
+    std::unordered_map<std::string, std::uint64_t> numbers_by_id_;   // never iterated: no fixed order
     std::uint64_t last_number_ = 0;
 };
 
-/// What a timer is for, in its tag.
+/// Encodes the purpose of a timer in its tag.
 struct TimerTag {
     enum class Kind { tick, request_deadline, attempt_overdue };
 
--- a/src/gateway/retry_policy.cpp
+++ b/src/gateway/retry_policy.cpp
@@ -9,13 +9,13 @@
 namespace slatejunction::gateway {
 namespace {
 
-constexpr double kBudgetPerRequest = 0.2;   // attempts
+constexpr double kBudgetAttemptsPerRequest = 0.2;
 constexpr double kBudgetDecayS = 10.0;
 constexpr double kQuotaRetryAfterRatio = 0.2;      // latency objectives
 constexpr double kOverloadRetryAfterRatio = 0.1;   // latency objectives
 
-// Until when a request with an idempotency key, that may have run, may begin again: it has to arrive in
-// time.
+// The time by which a further attempt of a request with an idempotency key has to start after `ran`, which
+// may have run. One tick is left for it to reach the backend within the window.
 double window_end_s(const Attempt& ran, const ServiceClass& service_class) {
     return ran.started_at_s + positive_or_zero(service_class.idempotency_window_s) - kTickS;
 }
@@ -23,7 +23,7 @@
 }   // namespace
 
 void RetryBudget::on_request_forwarded(double now) {
-    attempts_ = attempts_ * std::exp(-(now - updated_at_s_) / kBudgetDecayS) + kBudgetPerRequest;
+    attempts_ = attempts_ * std::exp(-(now - updated_at_s_) / kBudgetDecayS) + kBudgetAttemptsPerRequest;
     updated_at_s_ = now;
 }
 
@@ -93,7 +93,8 @@
     return static_cast<double>(request.attempts.size()) >= std::max(1.0, settings_.max_attempts);
 }
 
-// Given also where the settings say that clients are not notified: one that is will retry when it helps.
+// Applies also if Settings::retry_after_allowed is off: a client that receives the value all the same then
+// retries at a useful time.
 double RetryPolicy::clipped_retry_after_s(double retry_after_s) const {
     const double max_s = positive_or_zero(settings_.max_retry_after_s);
     return max_s > 0 ? std::min(retry_after_s, max_s) : retry_after_s;
--- a/src/gateway/retry_policy.hpp
+++ b/src/gateway/retry_policy.hpp
@@ -1,13 +1,16 @@
-// Rule: a request that may have run is attempted again only if its class is idempotent, or has an
-// idempotency key and the attempt can begin within its window; each retry or hedged request takes one of
-// the retry budget. Never after a time-out, once answered or streaming; beside an attempt in flight only as
-// a hedged request. Inputs: a request's class and attempts; Settings::max_attempts, hedging_allowed,
-// cancellation_allowed, max_retry_after_s; results of attempts; times in seconds. Output: whether a further
-// attempt may start, and until when; what to do about an overdue attempt; whether a request without an
-// answer is rejected or failed; the retry-after of rejections. It never lets a request that may have run,
-// and may not be repeated, run again, nor calls it free of effects. Seen in:
-// RejectReason::attempts_exhausted (measure slatejunction_refusals_total), FailRequest;
-// slatejunction_attempts_total counts attempts by result.
+// Retry policy: a request that may have run is attempted again only if its class is idempotent, or if it
+// has an idempotency key and the attempt can start within the idempotency window. Each retry or hedged
+// request uses one attempt of the retry budget. There is no retry after a timeout, and none once the
+// request is answered or streaming; a second attempt beside one in flight is always a hedged request.
+//
+// - Inputs: a request's class and attempts; Settings::max_attempts, hedging_allowed, cancellation_allowed,
+//   max_retry_after_s; results of attempts; times in seconds.
+// - Output: whether a further attempt may start, and until when; what to do about an overdue attempt;
+//   whether a request without an answer is rejected or failed; the Retry-After of rejections.
+// - Limits: a request that may have run and may not be repeated is never run again, and never rejected, as
+//   a rejection means that it had no effect.
+// - Visible in: RejectReason::attempts_exhausted (metric slatejunction_refusals_total); FailRequest; metric
+//   slatejunction_attempts_total, which counts attempts by result.
 #pragma once
 
 #include "gateway/request_table.hpp"
@@ -15,12 +18,13 @@
 
 namespace slatejunction::gateway {
 
-/// Retries and hedged requests are earned by requests, so that in an outage they add little load.
+/// Limits retries and hedged requests to a fraction of the requests, so that they add little load in an
+/// outage.
 class RetryBudget {
   public:
-    /// The gateway starts, with a few attempts in hand.
+    /// The gateway starts. The budget has kInitialAttempts.
     void start(double now) { updated_at_s_ = now; }
-    /// A request was forwarded: earns a part of an attempt. What was earned before decays.
+    /// A request was forwarded: the budget decays, then gains a fraction of an attempt.
     void on_request_forwarded(double now);
     bool has_attempt() const { return attempts_ >= 1; }
     void consume() { attempts_ -= 1; }
@@ -35,30 +39,30 @@
 /// What to do about an attempt whose backend is silent.
 enum class OverdueAction { none, hedge, cancel };
 
-/// The rules by class and settings.
+/// Decides on retries by class, settings and budget.
 class RetryPolicy {
   public:
-    /// `settings` must outlive this.
+    /// `settings` must outlive this object.
     explicit RetryPolicy(const Settings& settings) : settings_(settings) {}
 
     RetryBudget& budget() { return budget_; }
 
-    /// Whether another attempt of the request may start at `now`: its class, its window, its attempts so
-    /// far.
+    /// Whether another attempt of the request may start at `now`, by its class, its idempotency window and
+    /// its attempts so far.
     bool may_start_attempt(const OpenRequest& request, double now) const;
 
-    /// Whether the next attempt is to stay in the scope (zone or cell) of that which may have run.
+    /// Whether the next attempt has to stay in the scope (zone or cell) of the one that may have run.
     static bool bound_to_scope(const OpenRequest& request);
 
-    /// Until when (clock time, s) the next attempt may begin; 0: no such limit.
+    /// The time (clock time, s) by which the next attempt has to start; 0: no limit.
     static double start_by_s(const OpenRequest& request);
 
-    /// Whether an attempt that ended without an answer may be followed by a retry, as far as budget and the
-    /// time left go. A timed out one is not retried: its backend may be at work on it still.
+    /// Whether budget and remaining time permit a retry after an attempt that ended without an answer. An
+    /// attempt that timed out is not retried: its backend may still be working on it.
     bool may_retry_after(const OpenRequest& request, AttemptResult result, double now) const;
 
-    /// What to do once the backend of the request's last attempt has been found silent. `is_first_time`:
-    /// for this attempt.
+    /// What to do once the backend of the request's last attempt is found silent. `is_first_time`: for this
+    /// attempt.
     OverdueAction overdue_action(const OpenRequest& request, bool is_first_time) const;
 
     /// Whether the attempts in flight are cancelled once the request has its final answer.
@@ -69,13 +73,13 @@
     /// Whether the result proves that the attempt had no effect.
     static bool never_ran(AttemptResult result);
 
-    /// Whether a request without an answer may be rejected, as it had no effect or may be repeated. Else it
-    /// fails.
+    /// Whether a request without an answer may be rejected, because it had no effect or may be repeated.
+    /// Otherwise it fails.
     static bool may_reject(const OpenRequest& request);
 
-    /// Retry-after (s) of a rejection for the customer's quota or hard limit.
+    /// Retry-After (s) of a rejection because of the customer's quota or hard limit.
     double quota_retry_after_s(const ServiceClass& service_class) const;
-    /// Retry-after (s) of a rejection for the load of the backends.
+    /// Retry-After (s) of a rejection because of the load of the backends.
     double overload_retry_after_s(const ServiceClass& service_class) const;
 
   private:
--- a/src/gateway/timing.hpp
+++ b/src/gateway/timing.hpp
@@ -1,22 +1,24 @@
-// Rule: a gap between events longer than kPauseS means that this process was paused, so no attempt's
-// silence or age counts against a backend until kTickS after it.
-// Inputs: times of events, seconds on the caller's monotonic clock.
-// Output: whether a measured duration is valid.
-// It never reads a clock. The tick timer runs every kTickS, so that without a pause no gap comes near
-// kPauseS.
-// Seen in: nothing of its own; answers that waited during the pause are handled before anything is judged
-// late.
+// Pause detection: a gap between events that is longer than kPauseS means that this process was paused. No
+// attempt's silence or age counts against a backend until kTickS after the pause.
+//
+// - Inputs: times of events, in seconds on the caller's monotonic clock.
+// - Output: whether a measured duration is valid.
+// - Limits: it reads no clock. The tick timer fires every kTickS, so that without a pause no gap comes
+//   close to kPauseS.
+// - Visible in: nothing directly; answers that waited during the pause are handled before any attempt
+//   counts as overdue.
 #pragma once
 
 namespace slatejunction::gateway {
 
+/// Interval of the gateway's periodic timer.
 constexpr double kTickS = 0.05;
 constexpr double kPauseS = 0.2;
 
-/// Tells when this process itself was paused (swapped out, suspended, a stopped virtual machine).
+/// Detects that this process itself was paused (swapped out, suspended, a stopped virtual machine).
 class PauseDetector {
   public:
-    /// An event at `now`, `gap_s` after the one before.
+    /// An event is handled at `now`, `gap_s` after the previous one.
     void on_event(double now, double gap_s) {
         if (gap_s > kPauseS) resumed_at_s_ = now;
     }
--- a/src/gateway/watch_retry.hpp
+++ b/src/gateway/watch_retry.hpp
@@ -1,9 +1,10 @@
-// Rule: a lost endpoint watch is requested again kWatchRetryS after the loss, and in any case once half of
-// Settings::watch_retry_within_s has passed since it was last requested.
-// Inputs: times in seconds; watch_retry_within_s.
-// Output: whether to request the watch now.
-// It never touches the endpoint list: the last one stays in use.
-// Seen in: action WatchEndpoints.
+// Watch retry: a lost endpoint watch is requested again kWatchRetryS after the loss, and in any case once
+// half of Settings::watch_retry_within_s has passed since it was last requested.
+//
+// - Inputs: times in seconds; watch_retry_within_s.
+// - Output: whether to request the watch now.
+// - Limits: it does not change the endpoint list: the last one stays in use.
+// - Visible in: action WatchEndpoints.
 #pragma once
 
 #include <algorithm>
@@ -16,11 +17,11 @@
 
 constexpr double kWatchRetryS = 0.5;
 
-/// When the endpoint watch is requested. Only in use with DiscoveryMode::subscribe.
+/// Decides when the endpoint watch is requested again. Only used with DiscoveryMode::subscribe.
 class WatchRetry {
   public:
     void on_requested(double now) { requested_at_s_ = now; }
-    /// It is requested again, after should_retry().
+    /// The watch was requested again because of should_retry().
     void on_retried(double now) {
         retry_at_s_ = kNever;
         on_requested(now);
--- a/tests/gateway/endpoint_set_test.cpp
+++ b/tests/gateway/endpoint_set_test.cpp
@@ -28,7 +28,7 @@
     }
     std::string ids(SubsetIndex subset) const {
         std::string text;
-        if (set.usable(subset) == 0) return text;
+        if (set.listed_count(subset) == 0) return text;
         for (const Backend* backend : set.subset(subset).backends) text += backend->id;
         return text;
     }
@@ -62,8 +62,8 @@
     EXPECT_EQ(ids(kWholeFleet), "abc");
     EXPECT_EQ(ids(subset_index(0b1)), "ab");
     EXPECT_EQ(ids(subset_index(0b100)), "b");
-    EXPECT_EQ(set.usable(subset_index(0b10)), 0u);
-    EXPECT_EQ(set.usable(subset_index(0b1000)), 0u);
+    EXPECT_EQ(set.listed_count(subset_index(0b10)), 0u);
+    EXPECT_EQ(set.listed_count(subset_index(0b1000)), 0u);
     EXPECT_EQ(set.subset(subset_index(0b1)).weight_sums, (std::vector<double>{1, 4}));
     EXPECT_TRUE(EndpointSet::in_subset(*set.find("b"), subset_index(0b100)));
     EXPECT_FALSE(EndpointSet::in_subset(*set.find("a"), subset_index(0b100)));
--- a/tests/gateway/load_balancer_test.cpp
+++ b/tests/gateway/load_balancer_test.cpp
@@ -106,9 +106,9 @@
     AttemptEnded rejected;
     rejected.result = AttemptResult::rejected;
     for (int i = 0; i < 2; ++i) outliers.on_result(backend("b").health, 1, rejected, 100);
-    needed.kind = 1;
+    needed.request_kind = 1;
     EXPECT_LT(choose(1000)["b"], 100);
-    needed.kind = 0;
+    needed.request_kind = 0;
     EXPECT_GT(choose(1000)["b"], 300);
 }
 
--- a/tests/gateway/sampling_test.cpp
+++ b/tests/gateway/sampling_test.cpp
@@ -41,9 +41,9 @@
 
 TEST(PriorityMean, IsRelativeToTheMeanThatIncludesTheRequest) {
     PriorityMean mean;
-    EXPECT_DOUBLE_EQ(mean.relative(0), 1);   // no mean yet
-    EXPECT_DOUBLE_EQ(mean.relative(2), 1);   // the first weight is the mean
-    EXPECT_DOUBLE_EQ(mean.relative(4), 4 / (2 + 0.05 * 2));
+    EXPECT_DOUBLE_EQ(mean.observe(0), 1);   // no mean yet
+    EXPECT_DOUBLE_EQ(mean.observe(2), 1);   // the first weight is the mean
+    EXPECT_DOUBLE_EQ(mean.observe(4), 4 / (2 + 0.05 * 2));
 }
 
 TEST(Random, IsSplitmix64) {
