--- a/src/simulator_adapter.cpp
+++ b/src/simulator_adapter.cpp
@@ -1,11 +1,12 @@
-// Runs many gateways behind the simulator's line protocol on standard input and output.
+// Runs any number of gateways behind the simulator's line protocol on standard input and output.
 //
-// Inputs: batches of event lines (WIRE page; tab separated, times in seconds).
-// Output: a reply of action lines for each batch; faulty lines are reported on standard error with their
-// line number and otherwise ignored. Each message is mapped in one function of simulator_adapter/, from the
-// simulator's words to the types of gateway.hpp and back.
-// It decides nothing; each instance has a Gateway of its own and they share nothing. The simulator starts
-// it.
+// The input is batches of event lines (tab separated, times in seconds). The output is a reply of action
+// lines for each batch. Malformed lines are reported on standard error with their line number and otherwise
+// ignored. The functions in simulator_adapter/ map each message between the names of the wire protocol and
+// the types of gateway.hpp.
+//
+// The adapter makes no decisions. Each instance has its own Gateway, and instances share nothing. The
+// simulator starts this program.
 #include <iostream>
 #include <map>
 #include <optional>
@@ -21,7 +22,7 @@
 namespace slatejunction::simulator {
 namespace {
 
-/// Owns the gateways and passes events and actions between them and the lines.
+/// Owns the gateways, passes them the events that it reads and writes their actions.
 class GatewayHost {
   public:
     void run() {
@@ -40,15 +41,16 @@
 
   private:
     static constexpr const char* kEndOfBatch = "OVER_TO_YOU";
-    static constexpr const char* kListCutShort = "the list ended early";
+    static constexpr const char* kTruncatedUpdate =
+        "endpoint update ended before all of its entries arrived";
 
     using Gateways = std::map<InstanceId, Gateway>;
 
-    // An endpoint update of which not all lines have been read.
+    // An endpoint update whose lines have not all been read.
     struct PartialUpdate {
         InstanceId instance = 0;
-        std::int64_t missing = 0;   // lines
-        bool has_bad_line = false;
+        std::int64_t missing_lines = 0;
+        bool has_malformed_line = false;
         EndpointUpdate update;
     };
 
@@ -58,7 +60,7 @@
 
     void handle_line(const std::string& line) {
         if (line.empty() || line == kEndOfBatch) {
-            end_update(kListCutShort);
+            end_update(kTruncatedUpdate);
             return;
         }
         const Columns columns = split(line, '\t');
@@ -67,12 +69,12 @@
             add_endpoint(columns);
             return;
         }
-        end_update(kListCutShort);
+        end_update(kTruncatedUpdate);
         if (name == "BATCH") {
-            now_ = ColumnReader(columns, 1).number("the clock");
+            now_ = ColumnReader(columns, 1).number("the batch time");
             return;
         }
-        if (!is_event_name(name)) throw BadLine("an unknown message: '" + std::string(name) + "'");
+        if (!is_event_name(name)) throw MalformedLine("unknown message type: '" + std::string(name) + "'");
         ColumnReader reader(columns, 1);
         const auto instance = reader.integer<InstanceId>("Who");
         if (name == "BEGIN")
@@ -87,7 +89,8 @@
 
     Gateways::iterator find_instance(InstanceId instance) {
         const auto found = gateways_.find(instance);
-        if (found == gateways_.end()) throw BadLine("an unknown instance");
+        if (found == gateways_.end())
+            throw MalformedLine("unknown instance: it has not begun or was shut down");
         return found;
     }
 
@@ -106,39 +109,39 @@
         if (event) handle(instance, gateway, *event);
     }
 
-    // The update of an unknown instance is begun all the same, so that its lines are skipped.
+    // The update of an unknown instance is started as well, so that its lines are skipped.
     void begin_update(InstanceId instance, ColumnReader& reader) {
         PartialUpdate partial;
         partial.instance = instance;
         partial.update.kind = parse_update_kind(reader.string("Form"));
         reader.integer<std::int64_t>("Index");
-        partial.missing = reader.integer<std::int64_t>("Elements");
-        if (partial.missing < 0) throw BadLine("Elements is below 0");
+        partial.missing_lines = reader.integer<std::int64_t>("Elements");
+        if (partial.missing_lines < 0) throw MalformedLine("Elements must not be negative");
         partial_update_ = std::move(partial);
         find_instance(instance);
-        if (partial_update_->missing == 0) end_update("");
+        if (partial_update_->missing_lines == 0) end_update("");
     }
 
     void add_endpoint(const Columns& columns) {
-        if (!partial_update_) throw BadLine("a list entry outside a list");
-        --partial_update_->missing;
+        if (!partial_update_) throw MalformedLine("endpoint entry outside of an endpoint update");
+        --partial_update_->missing_lines;
         try {
             partial_update_->update.endpoints.push_back(parse_endpoint(ColumnReader(columns, 1)));
         } catch (const std::exception& error) {
-            partial_update_->has_bad_line = true;
+            partial_update_->has_malformed_line = true;
             report_error(error.what());
         }
-        if (partial_update_->missing == 0) end_update("");
+        if (partial_update_->missing_lines == 0) end_update("");
     }
 
-    // A snapshot with lines missing or bad is handled as a delta: such a line must not remove a backend.
-    // `error`: reported where lines are missing.
+    // Passes the update on. A snapshot with missing or malformed lines is handled as a delta: such a line
+    // must not remove a backend. `error` is reported if lines are missing.
     void end_update(const char* error) {
         if (!partial_update_) return;
         PartialUpdate partial = std::move(*partial_update_);
         partial_update_.reset();
-        if (partial.missing > 0) report_error(error);
-        const bool incomplete = partial.missing > 0 || partial.has_bad_line;
+        if (partial.missing_lines > 0) report_error(error);
+        const bool incomplete = partial.missing_lines > 0 || partial.has_malformed_line;
         if (incomplete && partial.update.kind == EndpointUpdateKind::snapshot)
             partial.update.kind = EndpointUpdateKind::delta;
         const auto found = gateways_.find(partial.instance);
@@ -155,7 +158,7 @@
     std::optional<PartialUpdate> partial_update_;
     std::vector<Action> actions_;
     ReplyWriter reply_;
-    double now_ = 0;   // seconds; clock of the batch
+    double now_ = 0;   // time of the current batch, seconds
     std::uint64_t line_number_ = 0;
 };
 
--- a/src/simulator_adapter/event_lines.hpp
+++ b/src/simulator_adapter/event_lines.hpp
@@ -1,9 +1,8 @@
-// Maps the simulator's event lines to the types of gateway.hpp.
+// Maps the event lines of the simulator's wire protocol to the types of gateway.hpp.
 //
-// Inputs: the columns of a line, as in the WIRE page (times in seconds).
-// Output: settings, endpoints and events; a line that can't be understood throws BadLine with the text for
-// standard error.
-// It keeps no state and never changes what a line says. simulator_adapter.cpp calls it.
+// The input is the columns of a line (times in seconds); the output is settings, endpoints and events. A
+// line that cannot be parsed throws MalformedLine with the text for standard error. The functions keep no
+// state and are called by simulator_adapter.cpp.
 #pragma once
 
 #include <charconv>
@@ -19,41 +18,42 @@
 
 namespace slatejunction::simulator {
 
-/// The columns of a line; they point into it.
+/// The columns of a line, as views into its text.
 using Columns = std::vector<std::string_view>;
-/// The simulator's number of a gateway.
+/// The number by which the simulator identifies a gateway.
 using InstanceId = std::int64_t;
 
-/// A line that can't be understood; the text goes to standard error.
-struct BadLine : std::runtime_error {
+/// A line that cannot be parsed; its what() is written to standard error.
+struct MalformedLine : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
-/// The parts of `text` between the separators; at least one.
+/// Splits `text` at each separator. The result has at least one element.
 Columns split(std::string_view text, char separator);
 
-/// A finite number. `name`: of the column or setting, for error texts.
+/// Parses a finite number. `name`: the column or setting, for error texts.
 double parse_number(std::string_view text, const char* name);
 
-/// A whole number within the range of Int.
+/// Parses a whole number within the range of Int. `name`: as for parse_number().
 template <class Int>
 Int parse_integer(std::string_view text, const char* name) {
     Int value = 0;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
     if (error != std::errc() || end != text.data() + text.size())
-        throw BadLine(std::string(name) + " is not a whole number: '" + std::string(text) + "'");
+        throw MalformedLine(std::string(name) + " must be a whole number in range: '" + std::string(text) +
+                            "'");
     return value;
 }
 
-/// Reads the columns of one line in order; '-' and a missing trailing column are absent.
-/// `name`: the column's name on the wire, for error texts.
+/// Reads the columns of one line in order. A column that is '-' or missing at the end of the line is
+/// absent. `name`: the column's name in the wire protocol, for error texts.
 class ColumnReader {
   public:
     ColumnReader(const Columns& columns, std::size_t first) : columns_(columns), next_(first) {}
 
     std::string_view text(const char* name) {
         if (next_ >= columns_.size() || columns_[next_] == "-" || columns_[next_].empty())
-            throw BadLine(std::string(name) + " is missing");
+            throw MalformedLine(std::string(name) + " is missing");
         return columns_[next_++];
     }
     std::string string(const char* name) { return std::string(text(name)); }
@@ -68,7 +68,7 @@
     }
     bool flag(const char* name) {
         const std::string_view value = text(name);
-        if (value != "0" && value != "1") throw BadLine(std::string(name) + " is neither 1 nor 0");
+        if (value != "0" && value != "1") throw MalformedLine(std::string(name) + " must be 0 or 1");
         return value == "1";
     }
     std::vector<double> numbers(const char* name) {
@@ -90,20 +90,20 @@
     std::size_t next_;
 };
 
-/// BEGIN: the `key=value` columns from `first` on.
+/// Parses the `key=value` columns of a BEGIN line, from column `first` on.
 Settings parse_settings(const Columns& columns, std::size_t first);
 
-/// DIRECTORY_UPDATE, column Form.
+/// Parses column Form of a DIRECTORY_UPDATE line.
 EndpointUpdateKind parse_update_kind(const std::string& form);
 
-/// M, one endpoint of a DIRECTORY_UPDATE.
+/// Parses an M line, one endpoint of a DIRECTORY_UPDATE.
 Endpoint parse_endpoint(ColumnReader columns);
 
-/// Whether the wire has an event line of that name.
+/// Whether the protocol has an event line of that name.
 bool is_event_name(std::string_view name);
 
-/// The event of a line that concerns one running gateway and is complete in itself. `columns`: those after
-/// the instance. None for MEMO and TALLIED, which are of no use to a gateway.
+/// Parses a line that is a whole event for one running gateway. `columns`: those after the instance.
+/// Returns nullopt for MEMO and TALLIED, which a gateway does not use.
 std::optional<Event> parse_event(std::string_view name, const ColumnReader& columns);
 
 }   // namespace slatejunction::simulator
