--- a/tests/gateway/admission_controller_test.cpp
+++ b/tests/gateway/admission_controller_test.cpp
@@ -1,4 +1,4 @@
-// One step of the admission controller at a time, by the equation of the design page.
+// Single steps of the admission controller, with expected values computed from its equation.
 #include "gateway/admission_controller.hpp"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 namespace {
 
 // Closes a period at `now` with `count` samples of `latency_ratio`.
-void close(AdmissionController& controller, double now, double latency_ratio, int count = 10) {
+void close_period(AdmissionController& controller, double now, double latency_ratio, int count = 10) {
     for (int i = 0; i < count; ++i) controller.add_sample(latency_ratio);
     ASSERT_TRUE(controller.period_complete(now));
     controller.close_period(now);
@@ -22,7 +22,7 @@
     for (int i = 0; i < 100; ++i) EXPECT_TRUE(controller.admit(0));
 }
 
-TEST(AdmissionController, APeriodNeedsTimeAndSamplesOrMoreTime) {
+TEST(AdmissionController, APeriodEndsWithEnoughSamplesOrAtItsMaximumLength) {
     AdmissionController controller;
     controller.close_period(100);
     controller.add_sample(0.1);
@@ -35,98 +35,99 @@
     EXPECT_TRUE(controller.period_complete(101.5));
 }
 
-TEST(AdmissionController, MovesByTheFixedStepUntilBothPointsAreMeasured) {
+TEST(AdmissionController, UsesTheFixedStepUntilBothOperatingPointsAreMeasured) {
     AdmissionController controller;
     controller.close_period(100);
-    close(controller, 100.5, 0.6);   // error -0.3: a full step down, limited to it
+    close_period(controller, 100.5, 0.6);   // error -0.3: a full step down, which is the limit
     EXPECT_NEAR(controller.fraction(), 0.6, 1e-12);
 }
 
-TEST(AdmissionController, FewSamplesStepDownByAPart) {
+TEST(AdmissionController, FewSamplesReduceTheStepDown) {
     AdmissionController controller;
     controller.close_period(100);
-    close(controller, 101, 0.45, 1);   // two periods; evidence 1 * 1.5 / (2 * 2); error half the reference
+    // Two periods; evidence 1 * 1.5 / (2 * 2); the error is half the reference.
+    close_period(controller, 101, 0.45, 1);
     EXPECT_NEAR(controller.fraction(), 1 - 2 * 0.4 * 0.5 * (1.5 / 4), 1e-12);
 }
 
-TEST(AdmissionController, InterpolatesBetweenTheHighAndTheLowPoint) {
+TEST(AdmissionController, DerivesTheGainFromTheHighAndTheLowOperatingPoint) {
     AdmissionController controller;
     controller.close_period(100);
-    close(controller, 100.5, 0.6);   // high point: 1 at 0.6
+    close_period(controller, 100.5, 0.6);   // high point: fraction 1 at ratio 0.6
     ASSERT_NEAR(controller.fraction(), 0.6, 1e-12);
-    close(controller, 101,
-          0.2);   // low point: 0.6 at 0.2; gain 0.4 / 0.4, error 0.1, half of it filtered in
+    // Low point: fraction 0.6 at ratio 0.2; gain 0.4 / 0.4, error 0.1, of which the filter passes half.
+    close_period(controller, 101, 0.2);
     EXPECT_NEAR(controller.fraction(), 0.6 + 0.5 * 1.0 * 0.1 + 0.06 * 0.1, 1e-12);
 }
 
-TEST(AdmissionController, OldPointsOrAChangedFleetGiveNoGain) {
+TEST(AdmissionController, OldOperatingPointsOrAChangedFleetGiveNoGain) {
     for (const bool fleet_changed : {false, true}) {
         AdmissionController controller;
         controller.close_period(100);
-        close(controller, 100.5, 0.6);
+        close_period(controller, 100.5, 0.6);
         const double now = fleet_changed ? 101 : 120.6;
         const double periods = fleet_changed ? 1 : 4;
         controller.on_fleet_change(fleet_changed ? 0.16 : 0.15);
-        close(controller, now, 0.27);   // error 0.03, a tenth of the reference
+        close_period(controller, now, 0.27);   // error 0.03, a tenth of the reference
         EXPECT_NEAR(controller.fraction(), 0.6 + periods * 0.4 * 0.1, 1e-12) << fleet_changed;
     }
 }
 
-TEST(AdmissionController, StaysBetweenTheLimitsAndWhenNothingFinishes) {
+TEST(AdmissionController, StaysWithinTheLimitsAndIsUnchangedWithoutSamples) {
     AdmissionController controller;
     controller.close_period(100);
-    for (int i = 1; i <= 20; ++i) close(controller, 100 + 0.5 * i, 5);
+    for (int i = 1; i <= 20; ++i) close_period(controller, 100 + 0.5 * i, 5);
     EXPECT_EQ(controller.fraction(), 0.05);
     ASSERT_TRUE(controller.period_complete(120));
     controller.close_period(120);
     EXPECT_EQ(controller.fraction(), 0.05);
-    for (int i = 1; i <= 20; ++i) close(controller, 120 + 0.5 * i, 0.01);
+    for (int i = 1; i <= 20; ++i) close_period(controller, 120 + 0.5 * i, 0.01);
     EXPECT_EQ(controller.fraction(), 1);
 }
 
-// Steps beyond the limit leave nothing in the filter that would delay the next step down.
-TEST(AdmissionController, TakesBackWhatTheLimitCutOff) {
+// Steps beyond the limit must not accumulate in the filter, where they would delay the next step down.
+TEST(AdmissionController, StepsBeyondTheLimitDoNotWindUp) {
     AdmissionController controller;
     controller.close_period(100);
-    close(controller, 100.5, 0.6);
+    close_period(controller, 100.5, 0.6);
     double now = 100.5;
     while (controller.fraction() < 1 && now < 110) {
         now += 0.5;
-        close(controller, now, 0.05);
+        close_period(controller, now, 0.05);
     }
     ASSERT_EQ(now, 102.5);
-    close(controller, 103, 0.6);
+    close_period(controller, 103, 0.6);
     EXPECT_NEAR(controller.fraction(), 0.992, 0.001);
 }
 
-TEST(AdmissionController, OneSlowSampleIsLimited) {
-    AdmissionController limited;
+TEST(AdmissionController, ASingleSlowSampleIsCapped) {
+    AdmissionController with_slow_sample;
     AdmissionController at_limit;
-    for (AdmissionController* controller : {&limited, &at_limit}) controller->close_period(100);
+    for (AdmissionController* controller : {&with_slow_sample, &at_limit}) controller->close_period(100);
     for (int i = 0; i < 3; ++i) {
-        limited.add_sample(0.1);
+        with_slow_sample.add_sample(0.1);
         at_limit.add_sample(0.1);
     }
-    limited.add_sample(1000);
+    with_slow_sample.add_sample(1000);
     at_limit.add_sample(0.6);
-    limited.close_period(100.5);
+    with_slow_sample.close_period(100.5);
     at_limit.close_period(100.5);
-    EXPECT_EQ(limited.fraction(), at_limit.fraction());
+    EXPECT_EQ(with_slow_sample.fraction(), at_limit.fraction());
 }
 
 TEST(AdmissionController, AdmitsTheFractionAndHigherPrioritiesEarlier) {
     AdmissionController controller;
     controller.close_period(100);
-    close(controller, 100.5, 0.6);
+    close_period(controller, 100.5, 0.6);
     ASSERT_NEAR(controller.fraction(), 0.6, 1e-12);
-    EXPECT_TRUE(controller.admit(1));    // 0.6 of the 0.5 that are needed with credit 0.5
-    EXPECT_FALSE(controller.admit(1));   // 0.2
+    EXPECT_TRUE(controller.admit(1));    // 0.6 accumulated; 0.5 needed with a credit of 0.5
+    EXPECT_FALSE(controller.admit(1));   // 0.2 accumulated
     int admitted = 1;
     for (int i = 0; i < 998; ++i) admitted += controller.admit(0) ? 1 : 0;
     EXPECT_NEAR(admitted, 600, 1);
 }
 
-TEST(AdmissionController, CountsSamplesByResult) {
+TEST(AdmissionController, SelectsSamplesByResult) {
     EXPECT_TRUE(AdmissionController::is_sample(AttemptResult::ok, false));
     EXPECT_TRUE(AdmissionController::is_sample(AttemptResult::timeout, false));
     EXPECT_TRUE(AdmissionController::is_sample(AttemptResult::cancelled, true));
--- a/tests/gateway/decision_digest_test.cpp
+++ b/tests/gateway/decision_digest_test.cpp
@@ -1,6 +1,6 @@
-// A characterization test: the digests of all actions of drawn runs are those of the program before its
-// names and structure were changed. A change that is meant to keep every decision keeps every digest; one
-// that is meant to change decisions replaces them, and states it.
+// Characterization test of the gateway's decisions: the digests of all actions of random runs must equal
+// the recorded ones. A change that is meant to keep every decision keeps every digest; one that is meant to
+// change decisions, or the text of a log message, replaces the digests and says so.
 #include <gtest/gtest.h>
 
 #include <cstdint>
@@ -12,9 +12,9 @@
 
 namespace {
 
-constexpr std::size_t kEvents = 14000;   // of each seed
+constexpr std::size_t kEventsPerSeed = 14000;
 
-constexpr std::uint64_t kExpected[] = {
+constexpr std::uint64_t kExpectedDigests[] = {
 #include "decision_digests.inc"
 };
 
@@ -25,30 +25,32 @@
 }
 
 template <class Counts>
-void expect_all(const Counts& counts, const char* what, std::size_t first, std::size_t absent) {
+void expect_all_covered(const Counts& counts, const char* category, std::size_t first,
+                        std::size_t excluded) {
     for (std::size_t i = first; i < counts.size(); ++i) {
-        if (i == absent)
-            EXPECT_EQ(counts[i], 0u) << what << " " << i;
+        if (i == excluded)
+            EXPECT_EQ(counts[i], 0u) << category << " " << i;
         else
-            EXPECT_GT(counts[i], 0u) << what << " " << i;
+            EXPECT_GT(counts[i], 0u) << category << " " << i;
     }
 }
 
-TEST(DecisionDigest, EveryActionOfFortyDrawnRunsIsAsBefore) {
-    ASSERT_EQ(std::size(kExpected), 40u);
+TEST(DecisionDigest, ActionsOfFortyRandomRunsMatchTheRecordedDigests) {
+    ASSERT_EQ(std::size(kExpectedDigests), 40u);
     decision::Coverage coverage;
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
-        const std::uint64_t seen = decision::World(seed, coverage).run(kEvents);
-        EXPECT_TRUE(seen == kExpected[seed - 1]) << "seed " << seed << " digest " << hex(seen);
+        const std::uint64_t digest = decision::Simulation(seed, coverage).run(kEventsPerSeed);
+        EXPECT_TRUE(digest == kExpectedDigests[seed - 1]) << "seed " << seed << " digest " << hex(digest);
     }
-    constexpr auto none = static_cast<std::size_t>(-1);
-    expect_all(coverage.events, "event", 0, none);
-    // The source holds no place that emits StartHealthCheck; all other kinds can be emitted.
-    expect_all(coverage.actions, "action", 1, static_cast<std::size_t>(decision::Kind::probe));
-    expect_all(coverage.outcomes, "outcome", 0, none);
-    expect_all(coverage.lists, "list", 0, none);
-    // 7 is given by the ingress alone and is no number of the gateway's.
-    expect_all(coverage.reasons, "reason", 0, 7);
+    constexpr auto kNoExclusion = static_cast<std::size_t>(-1);
+    expect_all_covered(coverage.events, "event", 0, kNoExclusion);
+    // The gateway never emits StartHealthCheck; every other kind must occur.
+    expect_all_covered(coverage.actions, "action", 1,
+                       static_cast<std::size_t>(decision::ActionKind::start_health_check));
+    expect_all_covered(coverage.results, "result", 0, kNoExclusion);
+    expect_all_covered(coverage.update_kinds, "update kind", 0, kNoExclusion);
+    // Reason 7 is used by the ingress only.
+    expect_all_covered(coverage.reasons, "reason", 0, 7);
     for (std::size_t i = 0; i < coverage.reasons.size(); ++i)
         RecordProperty("reason" + std::to_string(i), std::to_string(coverage.reasons[i]));
     for (std::size_t i = 0; i < coverage.actions.size(); ++i)
--- a/tests/gateway/ejection_test.cpp
+++ b/tests/gateway/ejection_test.cpp
@@ -1,5 +1,5 @@
-// Outlier detection: backends that fail, stay silent or answer late; their return; a fleet that fails as a
-// whole.
+// Ejection of outliers through the public interface: backends that fail, are silent or answer slowly, their
+// return to use, and failures of the whole fleet.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -8,52 +8,58 @@
 
 namespace {
 
-// Sends `rate` requests a second; `answer` gives the result of an attempt by its backend, and after how
-// long (s; below 0: never).
+// The result of an attempt, and after how long it ends (s; below 0: never).
 struct Answer {
     sj::AttemptResult result;
     double after_s;
 };
-void play(GatewayDriver& d, double seconds, double rate,
-          const std::function<Answer(const std::string&)>& answer, const char* cls = "read") {
-    static int id = 0;
-    const double until = d.now + seconds;
-    while (d.now < until) {
-        d.request("p" + std::to_string(id++), cls);
-        d.run_to(d.now + 1 / rate);
-        for (std::size_t i = 0; i < d.pending.size();) {
-            const Answer a = answer(d.pending[i].backend);
-            const std::pair<std::string, std::int64_t> name{d.pending[i].id, d.pending[i].attempt};
-            if (std::find(d.cancelled.begin(), d.cancelled.end(), name) != d.cancelled.end())
-                d.end_attempt(i, sj::AttemptResult::cancelled);
-            else if (d.now - d.pending[i].started_at_s >= 5)
-                d.end_attempt(i, sj::AttemptResult::timeout);
-            else if (a.after_s >= 0 && d.now - d.pending[i].started_at_s >= a.after_s)
-                d.end_attempt(i, a.result);
+// Sends `rate` requests per second for `seconds`; `answer` gives the answer of a backend.
+void send_requests(GatewayDriver& driver, double seconds, double rate,
+                   const std::function<Answer(const std::string&)>& answer,
+                   const char* service_class = "read") {
+    static int next_id = 0;
+    const double until = driver.now + seconds;
+    while (driver.now < until) {
+        driver.request("p" + std::to_string(next_id++), service_class);
+        driver.run_to(driver.now + 1 / rate);
+        for (std::size_t i = 0; i < driver.pending.size();) {
+            const Answer expected = answer(driver.pending[i].backend);
+            const std::pair<std::string, std::int64_t> attempt{driver.pending[i].id,
+                                                               driver.pending[i].attempt};
+            if (std::find(driver.cancelled.begin(), driver.cancelled.end(), attempt) !=
+                driver.cancelled.end())
+                driver.end_attempt(i, sj::AttemptResult::cancelled);
+            else if (driver.now - driver.pending[i].started_at_s >= 5)
+                driver.end_attempt(i, sj::AttemptResult::timeout);
+            else if (expected.after_s >= 0 &&
+                     driver.now - driver.pending[i].started_at_s >= expected.after_s)
+                driver.end_attempt(i, expected.result);
             else
                 ++i;
         }
     }
 }
-const Answer kGood{sj::AttemptResult::ok, 0.1};
-const std::vector<std::string> kFive{"a:1", "b:1", "c:1", "d:1", "e:1"};
+const Answer kOkAnswer{sj::AttemptResult::ok, 0.1};
+const std::vector<std::string> kFiveBackends{"a:1", "b:1", "c:1", "d:1", "e:1"};
 
-// One of five backends answers as `failing` for 10 s: it may get `most` of 400 requests then, and is used
-// again afterwards. Summed over seeds, as it is random how soon an ejected backend gets an attempt.
-void expect_ejected_and_used_again(const Answer& failing, std::size_t most) {
-    std::size_t back = 0;
+// One of five backends answers as `failing` for 10 s. It may get at most `max_attempts` of 400 requests in
+// that time and is used again afterwards. The attempts afterwards are summed over seeds, because it is
+// random how soon an ejected backend gets an attempt.
+void expect_ejected_and_used_again(const Answer& failing, std::size_t max_attempts) {
+    std::size_t attempts_afterwards = 0;
     for (std::uint64_t seed = 1; seed <= 8; ++seed) {
-        GatewayDriver d(plain_settings(), seed);
-        d.update_endpoints(kFive);
-        play(d, 3, 40, [](const auto&) { return kGood; });
-        const std::size_t before = d.attempts_to("a:1");
-        play(d, 10, 40, [&](const auto& s) { return s == "a:1" ? failing : kGood; });
-        EXPECT_LE(d.attempts_to("a:1") - before, most) << "of 400, a fifth would be 80";
-        const std::size_t bad = d.attempts_to("a:1");
-        play(d, 30, 40, [](const auto&) { return kGood; });
-        back += d.attempts_to("a:1") - bad;
+        GatewayDriver driver(plain_settings(), seed);
+        driver.update_endpoints(kFiveBackends);
+        send_requests(driver, 3, 40, [](const auto&) { return kOkAnswer; });
+        const std::size_t before = driver.attempts_to("a:1");
+        send_requests(driver, 10, 40,
+                      [&](const auto& backend) { return backend == "a:1" ? failing : kOkAnswer; });
+        EXPECT_LE(driver.attempts_to("a:1") - before, max_attempts) << "of 400; an even share would be 80";
+        const std::size_t before_recovery = driver.attempts_to("a:1");
+        send_requests(driver, 30, 40, [](const auto&) { return kOkAnswer; });
+        attempts_afterwards += driver.attempts_to("a:1") - before_recovery;
     }
-    EXPECT_GE(back, 8 * 100u) << "of 8 * 1200";
+    EXPECT_GE(attempts_afterwards, 8 * 100u) << "of 8 * 1200";
 }
 
 TEST(OutlierDetection, ABackendThatFailsFastIsEjectedAndUsedAgain) {
@@ -64,57 +70,60 @@
     expect_ejected_and_used_again({sj::AttemptResult::ok, -1}, 25);
 }
 
-TEST(OutlierDetection, ASlowBackendGetsLess) {
-    GatewayDriver d(plain_settings());
-    d.update_endpoints(kFive);
-    play(d, 20, 40, [](const auto& s) { return s == "a:1" ? Answer{sj::AttemptResult::ok, 0.6} : kGood; });
-    EXPECT_LT(d.attempts_to("a:1") * 2, d.attempts_to("b:1"));
-    EXPECT_GT(d.attempts_to("a:1"), 0u);
+TEST(OutlierDetection, ASlowBackendGetsFewerAttempts) {
+    GatewayDriver driver(plain_settings());
+    driver.update_endpoints(kFiveBackends);
+    send_requests(driver, 20, 40, [](const auto& backend) {
+        return backend == "a:1" ? Answer{sj::AttemptResult::ok, 0.6} : kOkAnswer;
+    });
+    EXPECT_LT(driver.attempts_to("a:1") * 2, driver.attempts_to("b:1"));
+    EXPECT_GT(driver.attempts_to("a:1"), 0u);
 }
 
-TEST(OutlierDetection, NonIdempotentRequestsAreNotUsedToTestAnOutlier) {
-    GatewayDriver d(plain_settings());
-    d.update_endpoints(kFive);
-    play(
-        d, 10, 40,
-        [](const auto& s) {
-            return s == "a:1" ? Answer{sj::AttemptResult::error, 0.01} : kGood;
+TEST(OutlierDetection, NonIdempotentRequestsAreNotSentToAnOutlier) {
+    GatewayDriver driver(plain_settings());
+    driver.update_endpoints(kFiveBackends);
+    send_requests(
+        driver, 10, 40,
+        [](const auto& backend) {
+            return backend == "a:1" ? Answer{sj::AttemptResult::error, 0.01} : kOkAnswer;
         },
         "write");
-    EXPECT_LE(d.attempts_to("a:1"), 4u);
+    EXPECT_LE(driver.attempts_to("a:1"), 4u);
 }
 
-TEST(OutlierDetection, AFleetThatFailsAsAWholeIsStillUsed) {
-    GatewayDriver d(plain_settings());
-    d.update_endpoints(kFive);
-    play(d, 10, 40, [](const auto&) { return Answer{sj::AttemptResult::error, 0.01}; });
-    const std::size_t before = d.started.size();
-    play(d, 2, 40, [](const auto&) { return Answer{sj::AttemptResult::error, 0.01}; });
-    EXPECT_GT(d.started.size(), before + 10);
+TEST(OutlierDetection, AttemptsAreStillStartedWhenTheWholeFleetFails) {
+    GatewayDriver driver(plain_settings());
+    driver.update_endpoints(kFiveBackends);
+    send_requests(driver, 10, 40, [](const auto&) { return Answer{sj::AttemptResult::error, 0.01}; });
+    const std::size_t before = driver.started.size();
+    send_requests(driver, 2, 40, [](const auto&) { return Answer{sj::AttemptResult::error, 0.01}; });
+    EXPECT_GT(driver.started.size(), before + 10);
 }
 
 TEST(OutlierDetection, TheOnlyBackendIsUsedEvenAsAnOutlier) {
-    GatewayDriver d(plain_settings());
-    d.update_endpoints({"a:1"});
+    GatewayDriver driver(plain_settings());
+    driver.update_endpoints({"a:1"});
     for (int i = 0; i < 10; ++i) {
-        d.request("r" + std::to_string(i));
-        while (!d.pending.empty()) d.end_attempt(0, sj::AttemptResult::error);
+        driver.request("r" + std::to_string(i));
+        while (!driver.pending.empty()) driver.end_attempt(0, sj::AttemptResult::error);
     }
-    const std::size_t before = d.started.size();
-    d.request("last", "write");
-    EXPECT_EQ(d.started.size(), before + 1);
+    const std::size_t before = driver.started.size();
+    driver.request("last", "write");
+    EXPECT_EQ(driver.started.size(), before + 1);
 }
 
 TEST(OutlierDetection, AnOverdueAttemptIsRetriedWhereTheClassAllowsIt) {
-    GatewayDriver d(plain_settings());
-    d.update_endpoints({"a:1", "b:1"});
-    d.request("r", "read", 5);
-    d.run_to(d.now + 2);
-    ASSERT_EQ(d.cancelled.size(), 1u) << "one at a time: cancelled, not hedged";
-    EXPECT_EQ(d.started.size(), 1u);
-    d.end_attempt(0, sj::AttemptResult::cancelled);
-    ASSERT_EQ(d.started.size(), 2u);
-    EXPECT_NE(d.started[0].backend, d.started[1].backend);
+    GatewayDriver driver(plain_settings());
+    driver.update_endpoints({"a:1", "b:1"});
+    driver.request("r", "read", 5);
+    driver.run_to(driver.now + 2);
+    ASSERT_EQ(driver.cancelled.size(), 1u)
+        << "only one attempt at a time is allowed, so it is cancelled and not hedged";
+    EXPECT_EQ(driver.started.size(), 1u);
+    driver.end_attempt(0, sj::AttemptResult::cancelled);
+    ASSERT_EQ(driver.started.size(), 2u);
+    EXPECT_NE(driver.started[0].backend, driver.started[1].backend);
 }
 
 }   // namespace
--- a/tests/gateway/endpoint_set_test.cpp
+++ b/tests/gateway/endpoint_set_test.cpp
@@ -1,4 +1,4 @@
-// The endpoint list, subsets and when backends are forgotten.
+// Endpoint updates, subsets and the removal of backends.
 #include "gateway/endpoint_set.hpp"
 
 #include <gtest/gtest.h>
@@ -12,14 +12,14 @@
 
 Endpoint endpoint(const std::string& backend, std::uint64_t subsets = 0,
                   EndpointState state = EndpointState::serving) {
-    Endpoint e;
-    e.backend = backend;
-    e.subsets = subsets;
-    e.state = state;
-    return e;
+    Endpoint endpoint;
+    endpoint.backend = backend;
+    endpoint.subsets = subsets;
+    endpoint.state = state;
+    return endpoint;
 }
 
-struct Endpoints : testing::Test {
+struct EndpointSetTest : testing::Test {
     OutlierDetector outliers{1};
     EndpointSet set;
 
@@ -34,7 +34,7 @@
     }
 };
 
-TEST_F(Endpoints, ASnapshotReplacesTheListAndADeltaChangesIt) {
+TEST_F(EndpointSetTest, ASnapshotReplacesTheListAndADeltaChangesIt) {
     update(EndpointUpdateKind::snapshot, {endpoint("b"), endpoint("a"), endpoint("c")});
     EXPECT_EQ(ids(kWholeFleet), "abc");
     update(EndpointUpdateKind::delta, {endpoint("d"), endpoint("a", 0, EndpointState::removed)});
@@ -46,7 +46,7 @@
     EXPECT_EQ(set.find("c"), nullptr);
 }
 
-TEST_F(Endpoints, TellsThePartOfTheFleetThatChanged) {
+TEST_F(EndpointSetTest, ReturnsTheChangedFractionOfTheFleet) {
     EXPECT_EQ(
         update(EndpointUpdateKind::snapshot, {endpoint("a"), endpoint("b"), endpoint("c"), endpoint("d")}),
         4);
@@ -55,7 +55,7 @@
     EXPECT_DOUBLE_EQ(update(EndpointUpdateKind::snapshot, {endpoint("b")}), 2.0 / 3);
 }
 
-TEST_F(Endpoints, SubsetsListTheirBackendsWithSumsOfWeights) {
+TEST_F(EndpointSetTest, SubsetsListTheirBackendsWithSumsOfWeights) {
     Endpoint heavy = endpoint("b", 0b101);
     heavy.capacity_hint = 3;
     update(EndpointUpdateKind::snapshot, {endpoint("a", 0b1), heavy, endpoint("c")});
@@ -70,7 +70,7 @@
     EXPECT_TRUE(EndpointSet::in_subset(*set.find("c"), kWholeFleet));
 }
 
-TEST_F(Endpoints, ABackendThatLeftIsForgottenOnceNothingIsInFlight) {
+TEST_F(EndpointSetTest, AnUnlistedBackendIsRemovedOnceNothingIsInFlight) {
     update(EndpointUpdateKind::snapshot, {endpoint("a"), endpoint("b")});
     Backend* a = set.find("a");
     a->in_flight = 1;
@@ -80,13 +80,13 @@
     set.on_answer(*set.find("b"));
     set.on_attempt_ended(*a);
     ASSERT_EQ(set.find("a"), a);
-    EXPECT_EQ(set.recent_responders()[0], set.find("b"));   // nothing was rebuilt
+    EXPECT_EQ(set.recent_responders()[0], set.find("b"));   // the set was not rebuilt
     a->in_flight = 0;
     set.on_attempt_ended(*a);
     EXPECT_EQ(set.find("a"), nullptr);
 }
 
-TEST_F(Endpoints, ARestartedBackendIsNewButForItsAttempts) {
+TEST_F(EndpointSetTest, ARestartedBackendIsNewExceptForItsAttemptsInFlight) {
     update(EndpointUpdateKind::snapshot, {endpoint("a")});
     Backend* a = set.find("a");
     a->in_flight = 2;
@@ -105,7 +105,7 @@
     EXPECT_EQ(a->latency_ratio, 5);
 }
 
-TEST_F(Endpoints, RecentRespondersAreTheLastFourAndGoWithARebuild) {
+TEST_F(EndpointSetTest, RecentRespondersAreTheLastFourAndAreClearedByARebuild) {
     update(EndpointUpdateKind::snapshot,
            {endpoint("a"), endpoint("b"), endpoint("c"), endpoint("d"), endpoint("e")});
     for (const char* id : {"a", "b", "b", "c", "d", "e"}) set.on_answer(*set.find(id));
@@ -116,7 +116,7 @@
     for (const Backend* backend : set.recent_responders()) EXPECT_EQ(backend, nullptr);
 }
 
-TEST_F(Endpoints, CountsListedOutliers) {
+TEST_F(EndpointSetTest, CountsListedOutliers) {
     update(EndpointUpdateKind::snapshot, {endpoint("a"), endpoint("b")});
     EXPECT_EQ(set.count_outliers(outliers, 100), 0);
     for (int i = 0; i < 3; ++i) outliers.on_silence(set.find("a")->health, 100);
@@ -131,7 +131,7 @@
         EXPECT_EQ(subset_bit(subset_index(bit)), bit);
 }
 
-TEST(SubsetFallback, ByStage) {
+TEST(SubsetFallback, AppliesByStageAndListedBackends) {
     EXPECT_FALSE(falls_back_at_arrival(SubsetFallback::never, 0));
     EXPECT_TRUE(falls_back_at_arrival(SubsetFallback::when_empty, 0));
     EXPECT_TRUE(falls_back_at_arrival(SubsetFallback::when_overloaded, 0));
--- a/tests/gateway/fleet_test.cpp
+++ b/tests/gateway/fleet_test.cpp
@@ -1,4 +1,5 @@
-// Many gateways over one fleet, and one gateway that sees only a little of it.
+// Several gateways that share one fleet of backends, and a gateway that gets only a small share of the
+// requests.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -10,393 +11,413 @@
 
 namespace {
 
-// Independent gateways; requests go to each in turn and are answered after 0.1 s.
+// Independent gateways. Requests go to each in turn, and attempts are answered after 0.1 s.
 struct Fleet {
-    Fleet(sj::Settings s, std::size_t count, int backends) : settings(std::move(s)) {
+    Fleet(sj::Settings base_settings, std::size_t count, int backend_count)
+        : settings(std::move(base_settings)) {
         settings.ingress_count = static_cast<double>(count);
-        for (int i = 0; i < backends; ++i) names.push_back("s" + std::to_string(100 + i) + ":1");
+        for (int i = 0; i < backend_count; ++i) backend_ids.push_back("s" + std::to_string(100 + i) + ":1");
         for (std::size_t i = 0; i < count; ++i) gateways.push_back(start(i));
     }
     std::unique_ptr<GatewayDriver> start(std::size_t i) {
         settings.ingress_index = static_cast<std::int64_t>(i);
-        auto d = std::make_unique<GatewayDriver>(settings, ++seed, now);
-        d->update_endpoints(names);
-        return d;
+        auto driver = std::make_unique<GatewayDriver>(settings, ++seed, now);
+        driver->update_endpoints(backend_ids);
+        return driver;
     }
     void run(double seconds, double rate,
-             const std::function<void(GatewayDriver&, const std::string&)>& ask) {
+             const std::function<void(GatewayDriver&, const std::string&)>& send) {
         const double until = now + seconds;
         while (now < until) {
-            GatewayDriver& d = *gateways[next++ % gateways.size()];
-            d.run_to(now);
-            answer_pending(d);
-            ask(d, "f" + std::to_string(ids++));
+            GatewayDriver& driver = *gateways[next_gateway++ % gateways.size()];
+            driver.run_to(now);
+            answer_pending(driver);
+            send(driver, "f" + std::to_string(next_request_id++));
             now += 1 / rate;
-            if (now < next_visit_at) continue;
-            next_visit_at = now + 0.05;
-            for (auto& one : gateways) {
-                one->run_to(now);
-                answer_pending(*one);
+            if (now < next_update_at_s) continue;
+            next_update_at_s = now + 0.05;
+            for (auto& gateway : gateways) {
+                gateway->run_to(now);
+                answer_pending(*gateway);
             }
         }
-        for (auto& d : gateways) {
-            d->run_to(now);
-            answer_pending(*d);
+        for (auto& driver : gateways) {
+            driver->run_to(now);
+            answer_pending(*driver);
         }
     }
-    void answer_pending(GatewayDriver& d) const {
-        while (!d.pending.empty() && now - d.pending[0].started_at_s >= 0.1)
-            d.end_attempt(0, sj::AttemptResult::ok, meter_reading);
+    void answer_pending(GatewayDriver& driver) const {
+        while (!driver.pending.empty() && now - driver.pending[0].started_at_s >= 0.1)
+            driver.end_attempt(0, sj::AttemptResult::ok, meter_reading);
     }
 
     sj::Settings settings;
-    std::vector<std::string> names;
+    std::vector<std::string> backend_ids;
     std::vector<std::unique_ptr<GatewayDriver>> gateways;
     std::uint64_t seed = 0;
-    std::size_t next = 0;
-    std::int64_t ids = 0;
+    std::size_t next_gateway = 0;
+    std::int64_t next_request_id = 0;
     double now = 100;
-    double meter_reading = 0;   // on every answer
-    double next_visit_at = 0;
+    double meter_reading = 0;   // in every answer
+    double next_update_at_s = 0;
 };
 
-// Rule 4 over the fleet: `cold` of 20 backends restart at a load of 0.6; in no span may one of them get
-// more than overload_multiple times its capacity.
-void cold_budget(std::size_t gateways, int cold) {
-    Fleet f(plain_settings(), gateways,
-            20);   // slow start from 0.2 over 10 s; fails at 3 times its capacity for 2 s
+// Slow start over the fleet: `restarted` of 20 backends restart at a load of 0.6. In no span of
+// overload_window_s may one of them get more than overload_multiple times its capacity.
+void expect_slow_start_budget(std::size_t gateways, int restarted) {
+    // Slow start from a capacity of 0.2 over 10 s; a backend fails at 3 times its capacity for 2 s.
+    Fleet fleet(plain_settings(), gateways, 20);
     const double rate = 240, capacity = rate / 0.6 / 20;
-    const auto ask = [](GatewayDriver& d, const std::string& id) { d.request(id, "read", 5); };
-    f.run(6, rate, ask);
-    const double born = f.now;
-    for (auto& d : f.gateways)
-        for (int i = 0; i < cold; ++i)
-            d->update_endpoint(GatewayDriver::endpoint(f.names[static_cast<std::size_t>(i)],
-                                                       sj::EndpointState::serving, born));
-    f.run(6, rate, ask);
+    const auto send = [](GatewayDriver& driver, const std::string& id) { driver.request(id, "read", 5); };
+    fleet.run(6, rate, send);
+    const double restarted_at_s = fleet.now;
+    for (auto& driver : fleet.gateways)
+        for (int i = 0; i < restarted; ++i)
+            driver->update_endpoint(GatewayDriver::endpoint(fleet.backend_ids[static_cast<std::size_t>(i)],
+                                                            sj::EndpointState::serving, restarted_at_s));
+    fleet.run(6, rate, send);
     std::size_t total = 0;
-    for (int i = 0; i < cold; ++i) {
-        std::vector<double> at;
-        for (const auto& d : f.gateways)
-            for (const auto& s : d->started)
-                if (s.backend == f.names[static_cast<std::size_t>(i)] && s.started_at_s > born)
-                    at.push_back(s.started_at_s);
-        std::sort(at.begin(), at.end());
-        total += at.size();
-        for (std::size_t from = 0, to = 0; to < at.size(); ++to) {
-            while (at[to] - at[from] > 2) ++from;
-            const double warmth = 0.2 + 0.8 * (at[from] - born) / 10;
-            ASSERT_LE(static_cast<double>(to - from + 1), 3 * warmth * capacity * 2)
-                << gateways << " gateways, " << cold << " cold, backend " << i;
+    for (int i = 0; i < restarted; ++i) {
+        std::vector<double> times;
+        for (const auto& driver : fleet.gateways)
+            for (const auto& attempt : driver->started)
+                if (attempt.backend == fleet.backend_ids[static_cast<std::size_t>(i)] &&
+                    attempt.started_at_s > restarted_at_s)
+                    times.push_back(attempt.started_at_s);
+        std::sort(times.begin(), times.end());
+        total += times.size();
+        for (std::size_t from = 0, to = 0; to < times.size(); ++to) {
+            while (times[to] - times[from] > 2) ++from;
+            const double slow_start_capacity = 0.2 + 0.8 * (times[from] - restarted_at_s) / 10;
+            ASSERT_LE(static_cast<double>(to - from + 1), 3 * slow_start_capacity * capacity * 2)
+                << gateways << " gateways, " << restarted << " restarted, backend " << i;
         }
     }
-    EXPECT_GT(total, static_cast<std::size_t>(55 * cold)) << "of 72 each that a warm one would get";
+    EXPECT_GT(total, static_cast<std::size_t>(55 * restarted))
+        << "warm backends would get 72 attempts each";
 }
 TEST(SlowStartFleet, OneGateway) {
-    for (const int cold : {1, 7, 20}) cold_budget(1, cold);
+    for (const int restarted : {1, 7, 20}) expect_slow_start_budget(1, restarted);
 }
 TEST(SlowStartFleet, ThreeGateways) {
-    for (const int cold : {1, 7, 20}) cold_budget(3, cold);
+    for (const int restarted : {1, 7, 20}) expect_slow_start_budget(3, restarted);
 }
 TEST(SlowStartFleet, FourHundredGateways) {
-    for (const int cold : {1, 7, 20}) cold_budget(400, cold);
+    for (const int restarted : {1, 7, 20}) expect_slow_start_budget(400, restarted);
 }
 
 TEST(HardLimitFleet, HoldsInSumThroughARestartOfHalfTheGateways) {
     for (const std::size_t count : {1u, 3u, 40u}) {
-        sj::Settings s = plain_settings();
-        s.plans = {{"plan", 1000, 1000, 40, 80, 8}};
-        Fleet f(s, count, 5);
-        std::size_t sent = 0;
-        const double began = f.now;
-        for (int turn = 0; turn < 4; ++turn) {
-            f.run(2, 400, [&](GatewayDriver& d, const std::string& id) {
-                d.request(id, "read", 5, 1, 9, static_cast<double>(count));
+        sj::Settings settings = plain_settings();
+        settings.plans = {{"plan", 1000, 1000, 40, 80, 8}};
+        Fleet fleet(settings, count, 5);
+        std::size_t attempts = 0;
+        const double started_at_s = fleet.now;
+        for (int round = 0; round < 4; ++round) {
+            fleet.run(2, 400, [&](GatewayDriver& driver, const std::string& id) {
+                driver.request(id, "read", 5, 1, 9, static_cast<double>(count));
             });
             for (std::size_t i = 0; i < count; i += 2) {
-                sent += f.gateways[i]->started.size();
-                f.gateways[i] = f.start(i);
+                attempts += fleet.gateways[i]->started.size();
+                fleet.gateways[i] = fleet.start(i);
             }
         }
-        for (const auto& d : f.gateways) sent += d->started.size();
-        EXPECT_LE(static_cast<double>(sent), 80 + 40 * (f.now - began) + 8) << count;
-        EXPECT_GT(sent, 60u) << count;
+        for (const auto& driver : fleet.gateways) attempts += driver->started.size();
+        EXPECT_LE(static_cast<double>(attempts), 80 + 40 * (fleet.now - started_at_s) + 8) << count;
+        EXPECT_GT(attempts, 60u) << count;
     }
 }
 
-// A customer of 10 units a second behind `count` gateways; the meter sums what all forward and is 1 s late.
-double spread(std::size_t count, double asked, double seconds, double tail) {
-    sj::Settings s = plain_settings();
-    s.plans = {{"plan", 10, 30}};
-    s.meter_period_s = 0.5;
-    Fleet f(s, count, 5);
-    const auto sent = [&] {
-        std::size_t n = 0;
-        for (const auto& d : f.gateways) n += d->started.size();
-        return static_cast<double>(n);
+// Sends `request_rate` requests per second of a customer with a quota of 10 units per second through
+// `count` gateways for `seconds`. The meter sums what all gateways forward and is 1 s late. Returns the
+// attempts per second in the last `tail_s`.
+double forwarded_rate(std::size_t count, double request_rate, double seconds, double tail_s) {
+    sj::Settings settings = plain_settings();
+    settings.plans = {{"plan", 10, 30}};
+    settings.meter_period_s = 0.5;
+    Fleet fleet(settings, count, 5);
+    const auto count_attempts = [&] {
+        std::size_t total = 0;
+        for (const auto& driver : fleet.gateways) total += driver->started.size();
+        return static_cast<double>(total);
     };
-    std::deque<double> late{0, 0};
-    double before = 0, mark = 0;
-    for (double t = 0; t < seconds; t += 0.5) {
-        if (t < seconds - tail) mark = sent();
-        f.run(0.5, asked, [&](GatewayDriver& d, const std::string& id) {
-            d.request(id, "read", 5, 1, 9, static_cast<double>(count));
+    std::deque<double> delayed_readings{0, 0};
+    double attempts_before = 0, attempts_before_tail = 0;
+    for (double elapsed_s = 0; elapsed_s < seconds; elapsed_s += 0.5) {
+        if (elapsed_s < seconds - tail_s) attempts_before_tail = count_attempts();
+        fleet.run(0.5, request_rate, [&](GatewayDriver& driver, const std::string& id) {
+            driver.request(id, "read", 5, 1, 9, static_cast<double>(count));
         });
-        late.push_back(1 + 100 * (sent() - before) / 5);
-        before = sent();
-        f.meter_reading = late.front();
-        late.pop_front();
+        delayed_readings.push_back(1 + 100 * (count_attempts() - attempts_before) / 5);
+        attempts_before = count_attempts();
+        fleet.meter_reading = delayed_readings.front();
+        delayed_readings.pop_front();
     }
-    return (sent() - mark) / tail;
+    return (count_attempts() - attempts_before_tail) / tail_s;
 }
 TEST(QuotaFleet, ConvergesOnTheRateWithHundredsOfGateways) {
     for (const std::size_t count : {1u, 3u, 200u}) {
-        const double passed = spread(count, 40, 60, 20);
-        EXPECT_GT(passed, 5) << count << " gateways, of 40 requests a second, 10 inside the quota";
-        EXPECT_LT(passed, 17) << count;
+        const double rate = forwarded_rate(count, 40, 60, 20);
+        EXPECT_GT(rate, 5) << count << " gateways; 40 requests per second, 10 of them within the quota";
+        EXPECT_LT(rate, 17) << count;
     }
 }
-TEST(QuotaFleet, ACustomerInsideItsQuotaIsAdmittedWithHundredsOfGateways) {
-    for (const std::size_t count : {1u, 3u, 200u}) EXPECT_GT(spread(count, 5, 40, 40), 0.93 * 5) << count;
+TEST(QuotaFleet, ACustomerWithinItsQuotaIsAdmittedWithHundredsOfGateways) {
+    for (const std::size_t count : {1u, 3u, 200u})
+        EXPECT_GT(forwarded_rate(count, 5, 40, 40), 0.93 * 5) << count;
 }
-TEST(QuotaFleet, ABurstInsideTheBucketIsAdmitted) {
-    sj::Settings s = plain_settings();
-    s.plans = {{"plan", 10, 30}};
-    s.meter_period_s = 0.5;
-    Fleet f(s, 200, 5);
-    std::size_t sent = 0;
-    f.run(0.5, 48, [](GatewayDriver& d, const std::string& id) { d.request(id, "read", 5, 1, 9, 200); });
-    for (const auto& d : f.gateways) sent += d->started.size();
-    EXPECT_GE(sent, 22u) << "of 24 requests; the bucket has 30 units";
+TEST(QuotaFleet, ABurstWithinTheBucketIsAdmitted) {
+    sj::Settings settings = plain_settings();
+    settings.plans = {{"plan", 10, 30}};
+    settings.meter_period_s = 0.5;
+    Fleet fleet(settings, 200, 5);
+    std::size_t attempts = 0;
+    fleet.run(0.5, 48, [](GatewayDriver& driver, const std::string& id) {
+        driver.request(id, "read", 5, 1, 9, 200);
+    });
+    for (const auto& driver : fleet.gateways) attempts += driver->started.size();
+    EXPECT_GE(attempts, 22u) << "of 24 requests; the bucket holds 30 units";
 }
 
-// Unknown customers send one request each, three reads to one write of `relative_weight` times the priority
-// weight, through `ingresses` ingresses: what part of the reads and of the writes is admitted.
-struct Passed {
+struct AdmittedFractions {
     double reads = 0, writes = 0;
 };
-Passed strangers(std::size_t ingresses, double relative_weight) {
-    sj::Settings s = plain_settings();
-    s.plans = {{"plan", 0.8, 4}};
-    s.plans[0].over_quota_penalty = 0.8;
-    s.classes[0].priority_weight = 2, s.classes[2].priority_weight = 2 * relative_weight;
-    s.meter_period_s = 2;
-    Passed passed;
+// Sends one request from each of many unknown customers through one of `ingresses` ingresses. Of four
+// requests one is a write, with `relative_weight` times the priority weight of a read. Returns the
+// fractions that are admitted.
+AdmittedFractions admitted_of_unknown_customers(std::size_t ingresses, double relative_weight) {
+    sj::Settings settings = plain_settings();
+    settings.plans = {{"plan", 0.8, 4}};
+    settings.plans[0].over_quota_penalty = 0.8;
+    settings.classes[0].priority_weight = 2, settings.classes[2].priority_weight = 2 * relative_weight;
+    settings.meter_period_s = 2;
+    AdmittedFractions admitted;
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-        GatewayDriver d(s, seed);
-        d.update_endpoints({"a:1"});
+        GatewayDriver driver(settings, seed);
+        driver.update_endpoints({"a:1"});
         for (std::uint64_t i = 0; i < 200; ++i) {
             const bool write = i % 4 == 3;
-            const std::size_t before = d.started.size();
-            d.request("q" + std::to_string(i), write ? "write" : "read", 5, 1, i,
-                      static_cast<double>(ingresses));
-            if (d.started.size() > before)
-                (write ? passed.writes : passed.reads) += 1.0 / (write ? 1000 : 3000);
-            while (!d.pending.empty()) d.end_attempt(0, sj::AttemptResult::ok);
+            const std::size_t before = driver.started.size();
+            driver.request("q" + std::to_string(i), write ? "write" : "read", 5, 1, i,
+                           static_cast<double>(ingresses));
+            if (driver.started.size() > before)
+                (write ? admitted.writes : admitted.reads) += 1.0 / (write ? 1000 : 3000);
+            while (!driver.pending.empty()) driver.end_attempt(0, sj::AttemptResult::ok);
         }
     }
-    return passed;
+    return admitted;
 }
-// With many ingresses they count as heavy, so a part of them is admitted. No later request is likely to
-// make up for the credit of a class of more priority, so not all of it is admitted, or it would use the
-// bucket alone.
-TEST(QuotaFleet, UnknownCustomersOfManyIngressesAreAdmittedInPartWithAPartForEachClass) {
+// Unknown customers of many ingresses are assumed to have high demand, so only a fraction of their requests
+// is admitted. A later request that would make up for the credit of a class of higher priority is unlikely,
+// so that class is not admitted in full either; otherwise it would use the whole bucket.
+TEST(QuotaFleet, UnknownCustomersOfManyIngressesAreAdmittedInPartInEachClass) {
     for (const double relative_weight : {3.0, 5.0, 20.0}) {
-        const Passed passed = strangers(100, relative_weight);
-        EXPECT_LT(passed.reads, 0.6) << relative_weight;
-        EXPECT_GT(passed.reads, 0.08) << relative_weight << ", it may be a light one, which retries";
-        EXPECT_LT(passed.writes, 0.85) << relative_weight;
-        EXPECT_GT(passed.writes, 1.5 * passed.reads) << relative_weight;
+        const AdmittedFractions admitted = admitted_of_unknown_customers(100, relative_weight);
+        EXPECT_LT(admitted.reads, 0.6) << relative_weight;
+        EXPECT_GT(admitted.reads, 0.08)
+            << relative_weight << ": an unknown customer may have low demand and retry";
+        EXPECT_LT(admitted.writes, 0.85) << relative_weight;
+        EXPECT_GT(admitted.writes, 1.5 * admitted.reads) << relative_weight;
     }
 }
 TEST(QuotaFleet, UnknownCustomersOfFewIngressesAreAdmitted) {
-    const Passed passed = strangers(2, 3);
-    EXPECT_DOUBLE_EQ(passed.writes, 1);
-    EXPECT_GT(passed.reads, 0.95);
+    const AdmittedFractions admitted = admitted_of_unknown_customers(2, 3);
+    EXPECT_DOUBLE_EQ(admitted.writes, 1);
+    EXPECT_GT(admitted.reads, 0.95);
 }
 
 TEST(QuotaFleet, ClientRetriesThroughManyIngressesAreAdmittedLess) {
-    const auto passed = [](bool repeat) {
-        sj::Settings s = plain_settings();
-        s.plans = {{"plan", 2, 6}};
-        s.meter_period_s = 0.5;
-        Fleet f(s, 60, 5);
-        f.run(20, 30, [&](GatewayDriver& d, const std::string& id) {
-            d.handle(sj::Request{id, "read", "plan", 1, 9, d.now + 5, 60, repeat});
+    const auto attempts_sent = [](bool is_client_retry) {
+        sj::Settings settings = plain_settings();
+        settings.plans = {{"plan", 2, 6}};
+        settings.meter_period_s = 0.5;
+        Fleet fleet(settings, 60, 5);
+        fleet.run(20, 30, [&](GatewayDriver& driver, const std::string& id) {
+            driver.handle(sj::Request{id, "read", "plan", 1, 9, driver.now + 5, 60, is_client_retry});
         });
-        std::size_t sent = 0;
-        for (const auto& d : f.gateways) sent += d->started.size();
-        return static_cast<double>(sent);
+        std::size_t attempts = 0;
+        for (const auto& driver : fleet.gateways) attempts += driver->started.size();
+        return static_cast<double>(attempts);
     };
-    EXPECT_LT(passed(true), 0.7 * passed(false));
+    EXPECT_LT(attempts_sent(true), 0.7 * attempts_sent(false));
 }
 
-struct Sparse : testing::Test {   // one of 400 gateways: a request a second, 20 backends
-    Sparse() : d(settings()) {
-        for (int i = 0; i < 20; ++i) names.push_back("s" + std::to_string(100 + i) + ":1");
-        d.update_endpoints(names);
+// One of 400 gateways, which gets few requests for 20 backends.
+struct LowTrafficGateway : testing::Test {
+    LowTrafficGateway() : driver(settings()) {
+        for (int i = 0; i < 20; ++i) backend_ids.push_back("s" + std::to_string(100 + i) + ":1");
+        driver.update_endpoints(backend_ids);
     }
     static sj::Settings settings() {
-        sj::Settings s = plain_settings();
-        s.ingress_count = 400;
-        s.plans = {{"plan"}, {"other"}};
-        return s;
+        sj::Settings settings = plain_settings();
+        settings.ingress_count = 400;
+        settings.plans = {{"plan"}, {"other"}};
+        return settings;
     }
-    // Answers after 0.15 s with the result of `outcome`; a backend with `timeout` stays silent.
-    void play(
-        double seconds, double every,
-        const std::function<sj::AttemptResult(const std::string& backend, const std::string& id)>& outcome,
+    // Sends a request every `interval_s` for `seconds`. Attempts end after 0.15 s with the result that
+    // `result` gives; for `timeout` the backend is silent.
+    void send_requests(
+        double seconds, double interval_s,
+        const std::function<sj::AttemptResult(const std::string& backend, const std::string& id)>& result,
         const std::function<const char*(int)>& plan = [](int) { return "plan"; }) {
-        const double until = d.now + seconds;
-        while (d.now < until) {
-            const std::string p = plan(ids);
-            d.request(p + std::to_string(ids++), "read", 5, 1, 1, 1, p);
-            for (double left = every; left > 0.02; left -= 0.05) {
-                d.run_to(d.now + std::min(0.05, left));
-                for (std::size_t i = 0; i < d.pending.size();) {
-                    const auto& p = d.pending[i];
-                    const sj::AttemptResult o = outcome(p.backend, p.id);
-                    const bool off = std::find(d.cancelled.begin(), d.cancelled.end(),
-                                               std::pair{p.id, p.attempt}) != d.cancelled.end();
-                    if (off)
-                        d.end_attempt(i, sj::AttemptResult::cancelled);
-                    else if (d.now - p.started_at_s >= (o == sj::AttemptResult::timeout ? 5 : 0.15))
-                        d.end_attempt(i, o);
+        const double until = driver.now + seconds;
+        while (driver.now < until) {
+            const std::string plan_name = plan(next_id);
+            driver.request(plan_name + std::to_string(next_id++), "read", 5, 1, 1, 1, plan_name);
+            for (double left = interval_s; left > 0.02; left -= 0.05) {
+                driver.run_to(driver.now + std::min(0.05, left));
+                for (std::size_t i = 0; i < driver.pending.size();) {
+                    const auto& attempt = driver.pending[i];
+                    const sj::AttemptResult ended = result(attempt.backend, attempt.id);
+                    const bool cancelled =
+                        std::find(driver.cancelled.begin(), driver.cancelled.end(),
+                                  std::pair{attempt.id, attempt.attempt}) != driver.cancelled.end();
+                    if (cancelled)
+                        driver.end_attempt(i, sj::AttemptResult::cancelled);
+                    else if (driver.now - attempt.started_at_s >=
+                             (ended == sj::AttemptResult::timeout ? 5 : 0.15))
+                        driver.end_attempt(i, ended);
                     else
                         ++i;
                 }
             }
         }
     }
-    GatewayDriver d;
-    std::vector<std::string> names;
-    int ids = 0;
+    GatewayDriver driver;
+    std::vector<std::string> backend_ids;
+    int next_id = 0;
 };
-const auto kAllGood = [](const std::string&, const std::string&) { return sj::AttemptResult::ok; };
+const auto kAllOk = [](const std::string&, const std::string&) { return sj::AttemptResult::ok; };
 
-TEST_F(Sparse, AdmitsEverythingWhileTheBackendsAreHealthy) {
-    play(120, 1, kAllGood);
-    EXPECT_LE(d.rejected.size(), 2u) << "of 120";
+TEST_F(LowTrafficGateway, AdmitsEverythingWhileTheBackendsAreHealthy) {
+    send_requests(120, 1, kAllOk);
+    EXPECT_LE(driver.rejected.size(), 2u) << "of 120";
 }
 
-TEST(SparseFleet,
-     ShedsWithinSecondsOfAQueueAndOpensAgain) {   // 40 gateways with two requests a second each
-    double asked = 0, sent = 0;
-    const auto play = [&](GatewayDriver& d, double until, double latency, double from) {
-        static int ids = 0;
-        for (; d.now < until; d.run_to(d.now + 0.05)) {
-            for (std::size_t i = 0; i < d.pending.size();)
-                d.now - d.pending[i].started_at_s >= latency ? d.end_attempt(i, sj::AttemptResult::ok)
-                                                             : void(++i);
-            if (std::fmod(d.now + 0.025, 0.5) >= 0.05) continue;
-            const std::size_t before = d.started.size();
-            d.request("q" + std::to_string(ids++));
-            if (d.now > from) asked += 1, sent += d.started.size() > before;
+// 40 gateways with two requests per second each.
+TEST(LowTrafficFleet, ShedsLoadWithinSecondsOfAQueueAndRecovers) {
+    double requests = 0, attempts = 0;
+    const auto send_requests = [&](GatewayDriver& driver, double until, double latency, double from) {
+        static int next_id = 0;
+        for (; driver.now < until; driver.run_to(driver.now + 0.05)) {
+            for (std::size_t i = 0; i < driver.pending.size();)
+                driver.now - driver.pending[i].started_at_s >= latency
+                    ? driver.end_attempt(i, sj::AttemptResult::ok)
+                    : void(++i);
+            if (std::fmod(driver.now + 0.025, 0.5) >= 0.05) continue;
+            const std::size_t before = driver.started.size();
+            driver.request("q" + std::to_string(next_id++));
+            if (driver.now > from) requests += 1, attempts += driver.started.size() > before;
         }
     };
     std::vector<std::unique_ptr<GatewayDriver>> fleet;
     for (std::uint64_t i = 0; i < 40; ++i) {
-        fleet.push_back(std::make_unique<GatewayDriver>(Sparse::settings(), 7 + i));
+        fleet.push_back(std::make_unique<GatewayDriver>(LowTrafficGateway::settings(), 7 + i));
         fleet.back()->update_endpoints({"a:1", "b:1", "c:1", "d:1", "e:1"});
-        play(*fleet.back(), 104.5, 0.45, 102.5);
+        send_requests(*fleet.back(), 104.5, 0.45, 102.5);
     }
-    EXPECT_LT(sent, 0.55 * asked) << "latencies over the reference since the start, 2.5 to 4.5 s ago";
-    asked = sent = 0;
-    for (const auto& d : fleet) play(*d, 140, 0.1, 130);
-    EXPECT_GT(sent, 0.9 * asked);
+    EXPECT_LT(attempts, 0.55 * requests) << "latencies have been above the reference for 2.5 to 4.5 s";
+    requests = attempts = 0;
+    for (const auto& driver : fleet) send_requests(*driver, 140, 0.1, 130);
+    EXPECT_GT(attempts, 0.9 * requests);
 }
 
-TEST_F(Sparse, AvoidsDeadBackends) {
-    play(20, 0.5, kAllGood);
-    const auto dead = [&](const std::string& s) { return s < names[6]; };   // 6 of 20
-    play(20, 0.5, [&](const auto& s, const auto&) {
-        return dead(s) ? sj::AttemptResult::timeout : sj::AttemptResult::ok;
+TEST_F(LowTrafficGateway, AvoidsDeadBackends) {
+    send_requests(20, 0.5, kAllOk);
+    const auto is_dead = [&](const std::string& backend) { return backend < backend_ids[6]; };   // 6 of 20
+    send_requests(20, 0.5, [&](const auto& backend, const auto&) {
+        return is_dead(backend) ? sj::AttemptResult::timeout : sj::AttemptResult::ok;
     });
-    const std::size_t from = d.started.size();
-    play(60, 0.5, [&](const auto& s, const auto&) {
-        return dead(s) ? sj::AttemptResult::timeout : sj::AttemptResult::ok;
+    const std::size_t from = driver.started.size();
+    send_requests(60, 0.5, [&](const auto& backend, const auto&) {
+        return is_dead(backend) ? sj::AttemptResult::timeout : sj::AttemptResult::ok;
     });
-    std::size_t lost = 0;
-    for (std::size_t i = from; i < d.started.size(); ++i) lost += dead(d.started[i].backend);
-    EXPECT_LT(static_cast<double>(lost), 0.2 * static_cast<double>(d.started.size() - from))
-        << "an even part would be 0.3";
+    std::size_t dead_attempts = 0;
+    for (std::size_t i = from; i < driver.started.size(); ++i)
+        dead_attempts += is_dead(driver.started[i].backend);
+    EXPECT_LT(static_cast<double>(dead_attempts), 0.2 * static_cast<double>(driver.started.size() - from))
+        << "an even share would be 0.3";
 }
 
-TEST_F(Sparse, APauseOfItsOwnShowsNothingAboutTheBackends) {
-    play(30, 0.25, kAllGood);
-    for (int i = 0; i < 3; ++i) d.request("stall" + std::to_string(i), "read", 5);
-    const std::size_t held = d.pending.size();
-    ASSERT_GE(held, 1u);
-    std::vector<std::uint64_t> due;   // all events of the next 2 s are handled at once, timers first
-    while (!d.timers.empty() && d.timers.begin()->first <= d.now + 2) {
-        due.push_back(d.timers.begin()->second);
-        d.timers.erase(d.timers.begin());
+TEST_F(LowTrafficGateway, APauseOfTheProcessIsNotCountedAgainstTheBackends) {
+    send_requests(30, 0.25, kAllOk);
+    for (int i = 0; i < 3; ++i) driver.request("stall" + std::to_string(i), "read", 5);
+    const std::size_t pending_count = driver.pending.size();
+    ASSERT_GE(pending_count, 1u);
+    // All events of the next 2 s are handled at once, timers first.
+    std::vector<std::uint64_t> due;
+    while (!driver.timers.empty() && driver.timers.begin()->first <= driver.now + 2) {
+        due.push_back(driver.timers.begin()->second);
+        driver.timers.erase(driver.timers.begin());
     }
-    d.now += 2;
-    for (const std::uint64_t tag : due) d.handle(sj::TimerFired{tag});
-    EXPECT_TRUE(d.cancelled.empty()) << "their answers are queued behind the timers";
-    while (!d.pending.empty()) d.end_attempt(0, sj::AttemptResult::ok);
-    const std::size_t refused = d.rejected.size();
-    play(10, 0.25, kAllGood);
-    EXPECT_LE(d.rejected.size() - refused, 4u) << "of 40";
+    driver.now += 2;
+    for (const std::uint64_t tag : due) driver.handle(sj::TimerFired{tag});
+    EXPECT_TRUE(driver.cancelled.empty()) << "the answers are queued behind the timers";
+    while (!driver.pending.empty()) driver.end_attempt(0, sj::AttemptResult::ok);
+    const std::size_t rejected_before = driver.rejected.size();
+    send_requests(10, 0.25, kAllOk);
+    EXPECT_LE(driver.rejected.size() - rejected_before, 4u) << "of 40";
 }
 
-TEST_F(Sparse, ABackendThatRejectsOnePlanStillServesTheOthers) {
-    const auto one = [&](const std::string& s, const std::string& id) {
-        return s < names[10] && id.starts_with("plan") ? sj::AttemptResult::rejected
-                                                       : sj::AttemptResult::ok;
+TEST_F(LowTrafficGateway, ABackendThatRejectsOnePlanStillServesTheOthers) {
+    const auto rejects_one_plan = [&](const std::string& backend, const std::string& id) {
+        return backend < backend_ids[10] && id.starts_with("plan") ? sj::AttemptResult::rejected
+                                                                   : sj::AttemptResult::ok;
     };
-    play(120, 0.1, one, [](int i) { return i % 2 ? "plan" : "other"; });
-    std::size_t full = 0, plan = 0, here = 0, other = 0;
-    for (std::size_t i = d.started.size() / 2; i < d.started.size(); ++i) {
-        const bool first = d.started[i].backend < names[10], narrow = d.started[i].id.starts_with("plan");
-        (narrow ? plan : other) += 1;
-        if (first) (narrow ? full : here) += 1;
+    send_requests(120, 0.1, rejects_one_plan, [](int i) { return i % 2 ? "plan" : "other"; });
+    std::size_t plan_to_rejecting = 0, plan = 0, other_to_rejecting = 0, other = 0;
+    for (std::size_t i = driver.started.size() / 2; i < driver.started.size(); ++i) {
+        const bool to_rejecting = driver.started[i].backend < backend_ids[10],
+                   of_plan = driver.started[i].id.starts_with("plan");
+        (of_plan ? plan : other) += 1;
+        if (to_rejecting) (of_plan ? plan_to_rejecting : other_to_rejecting) += 1;
     }
-    EXPECT_LT(static_cast<double>(full), 0.25 * static_cast<double>(plan)) << "an even part would be 0.5";
-    EXPECT_GT(static_cast<double>(here), 0.3 * static_cast<double>(other));
+    EXPECT_LT(static_cast<double>(plan_to_rejecting), 0.25 * static_cast<double>(plan))
+        << "an even share would be 0.5";
+    EXPECT_GT(static_cast<double>(other_to_rejecting), 0.3 * static_cast<double>(other));
 }
 
-TEST_F(Sparse, FleetWideSilenceIsAQueueAndIsNotCancelled) {
-    play(20, 0.2, kAllGood);
-    play(20, 0.2, [](const auto&, const auto&) { return sj::AttemptResult::timeout; });
-    const std::size_t off = d.cancelled.size(), refused = d.rejected.size();
-    play(20, 0.2, [](const auto&, const auto&) { return sj::AttemptResult::timeout; });
-    EXPECT_LE(d.cancelled.size() - off, 8u);
-    EXPECT_GT(d.rejected.size() - refused, 50u) << "of 100";
+TEST_F(LowTrafficGateway, FleetWideSilenceIsOverloadAndIsNotCancelled) {
+    send_requests(20, 0.2, kAllOk);
+    send_requests(20, 0.2, [](const auto&, const auto&) { return sj::AttemptResult::timeout; });
+    const std::size_t cancelled_before = driver.cancelled.size(), rejected_before = driver.rejected.size();
+    send_requests(20, 0.2, [](const auto&, const auto&) { return sj::AttemptResult::timeout; });
+    EXPECT_LE(driver.cancelled.size() - cancelled_before, 8u);
+    EXPECT_GT(driver.rejected.size() - rejected_before, 50u) << "of 100";
 }
 
 TEST(BadSettings, ExtremeSizesAndReportsAreHandled) {
-    for (const double ingresses : {0.0, 1.0, -3.0, 1e12, std::nan("")}) {
-        sj::Settings s = plain_settings();
-        s.plans = {{"plan", 10, 20, 20, 40, 4}, {"free"}, {"still", 0, 5}};
-        s.ingress_count = ingresses;
-        s.ingress_index = 1 << 30;
-        s.meter_period_s = 0.5;
-        s.report_fields = {"rif", "busy", "q", "unheard"};
-        GatewayDriver d(s);
-        d.update_endpoints({"a:1", "b:1"});
+    for (const double fleet_size : {0.0, 1.0, -3.0, 1e12, std::nan("")}) {
+        sj::Settings settings = plain_settings();
+        settings.plans = {{"plan", 10, 20, 20, 40, 4}, {"free"}, {"still", 0, 5}};
+        settings.ingress_count = fleet_size;
+        settings.ingress_index = 1 << 30;
+        settings.meter_period_s = 0.5;
+        settings.report_fields = {"rif", "busy", "q", "unheard"};
+        GatewayDriver driver(settings);
+        driver.update_endpoints({"a:1", "b:1"});
         std::size_t served = 0;
         for (int i = 0; i < 200; ++i) {
             const double ingresses = i % 3 == 0 ? 0 : i % 3 == 1 ? 1 : std::nan("");
-            d.request("b" + std::to_string(i), "read", 5, i % 5 ? 0.1 : -1, static_cast<std::uint64_t>(i),
-                      ingresses,
-                      i % 2   ? "free"
-                      : i % 4 ? "still"
-                              : "plan");
-            while (!d.pending.empty()) {
-                const auto p = d.pending[0];
-                d.pending.erase(d.pending.begin());
-                sj::AttemptEnded e{p.id, p.attempt, sj::AttemptResult::ok, -1, true, 1e9, 0, {}};
-                e.report = {std::nan(""), -5, 1e300};
-                d.handle(e);
+            driver.request("b" + std::to_string(i), "read", 5, i % 5 ? 0.1 : -1,
+                           static_cast<std::uint64_t>(i), ingresses,
+                           i % 2   ? "free"
+                           : i % 4 ? "still"
+                                   : "plan");
+            while (!driver.pending.empty()) {
+                const auto attempt = driver.pending[0];
+                driver.pending.erase(driver.pending.begin());
+                sj::AttemptEnded ended{attempt.id, attempt.attempt, sj::AttemptResult::ok, -1, true, 1e9, 0,
+                                       {}};
+                ended.report = {std::nan(""), -5, 1e300};
+                driver.handle(ended);
                 ++served;
             }
-            d.run_to(d.now + (i == 100 ? 30 : 0.05));
+            driver.run_to(driver.now + (i == 100 ? 30 : 0.05));
         }
-        EXPECT_GT(served, 100u) << ingresses;
-        d.run_to(d.now + 20);
-        EXPECT_EQ(d.gateway.open_requests(), 0u);
+        EXPECT_GT(served, 100u) << fleet_size;
+        driver.run_to(driver.now + 20);
+        EXPECT_EQ(driver.gateway.open_requests(), 0u);
     }
 }
 
--- a/tests/gateway/quota_estimator_test.cpp
+++ b/tests/gateway/quota_estimator_test.cpp
@@ -1,4 +1,4 @@
-// The quota estimator by itself: one customer, its bucket, the meter and clients' retries.
+// Unit tests of the quota estimator: one customer, its bucket, the meter and client retries.
 #include "gateway/quota_estimator.hpp"
 
 #include <gtest/gtest.h>
@@ -8,12 +8,12 @@
 namespace slatejunction::gateway {
 namespace {
 
-struct Estimator : testing::Test {
+struct QuotaEstimatorTest : testing::Test {
     Settings settings;
     Plan plan;
     Random random{1};
 
-    Estimator() {
+    QuotaEstimatorTest() {
         settings.meter_period_s = 1;
         settings.classes.resize(1);
         settings.classes[0].priority_weight = 1;
@@ -21,8 +21,9 @@
         plan.burst = 30;
         plan.over_quota_penalty = 1;
     }
-    // Requests of one unit at `rate` a second over 20 s, all of them here; the meter reads the last
-    // second's use. Returns those admitted in the last 10 s.
+    // Sends `rate` requests of one unit per second for 20 s, all through this ingress; the meter reports
+    // the use of the last second, or always `reading` if that is above 0. Returns the number admitted in
+    // the last 10 s.
     int run(QuotaEstimator& quotas, double rate, bool client_retries = false, double reading = 0) {
         quotas.start(100);
         int admitted = 0;
@@ -44,25 +45,25 @@
     }
 };
 
-TEST_F(Estimator, APlanWithoutRateAdmitsEverything) {
+TEST_F(QuotaEstimatorTest, APlanWithoutRateAdmitsEverything) {
     plan.rate = 0;
     QuotaEstimator quotas(settings);
     EXPECT_EQ(run(quotas, 100), 1000);
 }
 
-TEST_F(Estimator, UseInsideTheRateIsAdmitted) {
+TEST_F(QuotaEstimatorTest, UseWithinTheRateIsAdmitted) {
     QuotaEstimator quotas(settings);
     EXPECT_GE(run(quotas, 6), 58);
 }
 
-TEST_F(Estimator, UseBeyondTheRateIsAdmittedDownToTheRate) {
+TEST_F(QuotaEstimatorTest, UseBeyondTheRateIsReducedToTheRate) {
     QuotaEstimator quotas(settings);
-    const int admitted = run(quotas, 40);   // 100 are inside the quota
+    const int admitted = run(quotas, 40);   // 100 are within the quota
     EXPECT_GT(admitted, 25);
     EXPECT_LT(admitted, 110);
 }
 
-TEST_F(Estimator, WithAnEmptyBucketTheMarginFollowsTheCostOfExcess) {
+TEST_F(QuotaEstimatorTest, WithAnEmptyBucketTheMarginFollowsTheCostOfExcess) {
     const auto probability = [&](double penalty, double weight) {
         plan.over_quota_penalty = penalty;
         plan.over_quota_weight = weight;
@@ -83,7 +84,7 @@
     EXPECT_NEAR(probability(0.2, 0.9), at_rate, 1e-12);
 }
 
-TEST_F(Estimator, AClientRetryGetsNothingFromTheBucket) {
+TEST_F(QuotaEstimatorTest, AClientRetryGetsNothingFromTheBucket) {
     const auto probability = [&](double bucket_s, bool is_client_retry) {
         QuotaEstimator quotas(settings);
         quotas.start(100);
@@ -97,21 +98,21 @@
     EXPECT_GT(probability(3, false), probability(0, false));
 }
 
-TEST_F(Estimator, UseAtOtherIngressesCounts) {
+TEST_F(QuotaEstimatorTest, UseAtOtherIngressesCounts) {
     QuotaEstimator alone(settings);
     const int before = run(alone, 9);
     QuotaEstimator shared(settings);
     EXPECT_LT(run(shared, 9, false, 1 + 400), before / 2);
 }
 
-TEST_F(Estimator, ClientRetriesAreAdmittedLess) {
-    QuotaEstimator first(settings);
-    const int before = run(first, 20);
-    QuotaEstimator retried(settings);
-    EXPECT_LT(run(retried, 20, true), before);
+TEST_F(QuotaEstimatorTest, ClientRetriesAreAdmittedLess) {
+    QuotaEstimator without_retries(settings);
+    const int before = run(without_retries, 20);
+    QuotaEstimator with_retries(settings);
+    EXPECT_LT(run(with_retries, 20, true), before);
 }
 
-TEST_F(Estimator, ABurstThatFitsTheBucketIsAdmittedAndNoMore) {
+TEST_F(QuotaEstimatorTest, ABurstUpToTheBucketsCapacityIsAdmitted) {
     QuotaEstimator quotas(settings);
     quotas.start(100);
     CustomerUsage& usage = quotas.find_or_add(7, 100, plan, 1);
@@ -130,7 +131,7 @@
     EXPECT_LT(admitted, 60);
 }
 
-TEST_F(Estimator, ARepeatedReadingCountsOncePerPeriodAndAnotherAfterHalf) {
+TEST_F(QuotaEstimatorTest, ARepeatedReadingCountsOncePerPeriodAndAnotherAfterHalf) {
     QuotaEstimator quotas(settings);
     quotas.start(100);
     CustomerUsage& usage = quotas.find_or_add(7, 100, plan, 1);
@@ -151,7 +152,7 @@
     EXPECT_EQ(usage.last_reading_at_s, 101.7);
 }
 
-TEST_F(Estimator, ReadingsDecayOverTwelveSecondsAndLocalUseSooner) {
+TEST_F(QuotaEstimatorTest, ReadingsDecayOverTwelveSecondsAndUnmeteredUseFaster) {
     QuotaEstimator quotas(settings);
     quotas.start(100);
     CustomerUsage& usage = quotas.find_or_add(7, 100, plan, 1);
@@ -167,7 +168,7 @@
     EXPECT_LE(usage.bucket_s, 3);   // the bucket's capacity over the rate
 }
 
-TEST_F(Estimator, IdleCustomersAreForgottenUnlessInFlight) {
+TEST_F(QuotaEstimatorTest, IdleCustomersAreRemovedUnlessAttemptsAreInFlight) {
     QuotaEstimator quotas(settings);
     quotas.start(100);
     quotas.find_or_add(7, 100, plan, 3).in_flight = 1;
@@ -177,24 +178,24 @@
     quotas.forget_idle(160.1);
     EXPECT_EQ(quotas.find(8), nullptr);
     ASSERT_NE(quotas.find(7), nullptr);
-    EXPECT_EQ(quotas.find_or_add(7, 161, plan, 2).ingress_count, 3);   // never falls
+    EXPECT_EQ(quotas.find_or_add(7, 161, plan, 2).ingress_count, 3);   // never decreases
 }
 
-TEST_F(Estimator, HigherPriorityIsAdmittedOnCredit) {
+TEST_F(QuotaEstimatorTest, HigherPriorityIsAdmittedOnCredit) {
     settings.classes.resize(2);
     settings.classes[1].priority_weight = 4;
     QuotaEstimator quotas(settings);
     quotas.start(100);
     int low = 0, high = 0;
     for (int i = 0; i < 1200; ++i) {
-        const double now = 100 + i / 60.0;   // 60 a second, 10 inside the quota
+        const double now = 100 + i / 60.0;   // 60 per second, 10 of them within the quota
         CustomerUsage& usage = quotas.find_or_add(7, now, plan, 1);
         const bool is_high = i % 5 == 0;
         if (!quotas.admit(usage, plan, 1, false, is_high ? 4 : 1, random)) continue;
         quotas.on_forwarded(usage, 1);
         (is_high ? high : low) += 1;
     }
-    EXPECT_GT(4 * high, 3 * low);   // each high one far more often: there are four times as many low ones
+    EXPECT_GT(4 * high, 3 * low);   // there are four times as many requests of low priority
 }
 
 }   // namespace
--- a/tests/gateway/request_table_test.cpp
+++ b/tests/gateway/request_table_test.cpp
@@ -1,4 +1,4 @@
-// Open requests, their attempts and the tags of their timers; the small modules timing, watch_retry,
+// Open requests, their attempts and the tags of their timers; also the modules timing, watch_retry and
 // rejection_log.
 #include "gateway/request_table.hpp"
 
@@ -47,7 +47,7 @@
     EXPECT_EQ(open.attempt_in_flight(-1), nullptr);
 }
 
-TEST(TimerTag, TellsKindAndRequest) {
+TEST(TimerTag, EncodesKindAndRequest) {
     OpenRequest open;
     open.number = 21;
     EXPECT_EQ(TimerTag::kind(TimerTag::kTick), TimerTag::Kind::tick);
@@ -57,7 +57,7 @@
     EXPECT_EQ(TimerTag::request_number(TimerTag::attempt_overdue(open)), 21u);
 }
 
-TEST(PauseDetector, AGapIsAPauseOfWhichMeasuresAreVoidForATick) {
+TEST(PauseDetector, DurationsAcrossAPauseAreInvalidForOneTick) {
     PauseDetector pauses;
     pauses.on_event(100, 0.2);
     EXPECT_FALSE(pauses.just_resumed(100));
@@ -69,7 +69,7 @@
     EXPECT_FALSE(pauses.spans_pause(99.9, 100.06));
 }
 
-TEST(WatchRetry, IsDueAfterALossAndAfterHalfTheAllowedGap) {
+TEST(WatchRetry, IsDueAfterALossAndAfterHalfTheAllowedTime) {
     Settings settings;
     settings.watch_retry_within_s = 10;
     WatchRetry watch;
@@ -87,7 +87,7 @@
     EXPECT_TRUE(watch.should_retry(settings, 101.56));
 }
 
-TEST(RejectionLog, SumsUpAnIntervalWithRejectionsOrOutliers) {
+TEST(RejectionLog, SummarizesAnIntervalWithRejectionsOrOutliers) {
     RejectionLog log;
     EXPECT_FALSE(log.interval_elapsed(5));
     EXPECT_TRUE(log.interval_elapsed(5.01));
--- a/tests/gateway/retry_policy_test.cpp
+++ b/tests/gateway/retry_policy_test.cpp
@@ -1,4 +1,4 @@
-// Which requests may be attempted again, and how the others end.
+// Which requests may be attempted again, and how other requests end.
 #include "gateway/retry_policy.hpp"
 
 #include <gtest/gtest.h>
@@ -8,13 +8,13 @@
 namespace slatejunction::gateway {
 namespace {
 
-struct Policy : testing::Test {
+struct RetryPolicyTest : testing::Test {
     Settings settings;
     ServiceClass idempotent, key, not_idempotent;
     Plan plan;
     RetryPolicy policy{settings};
 
-    Policy() {
+    RetryPolicyTest() {
         settings.max_attempts = 3;
         idempotent.latency_objective_s = key.latency_objective_s = not_idempotent.latency_objective_s = 2;
         key.idempotency = Idempotency::idempotency_key;
@@ -34,7 +34,7 @@
     }
 };
 
-TEST_F(Policy, WhatMayHaveRunIsRepeatedByIdempotencyOnly) {
+TEST_F(RetryPolicyTest, ARequestThatMayHaveRunIsRepeatedOnlyIfIdempotencyAllowsIt) {
     EXPECT_TRUE(policy.may_start_attempt(request(idempotent, true), 101));
     EXPECT_TRUE(policy.may_start_attempt(request(key, true), 101));
     EXPECT_FALSE(policy.may_start_attempt(request(not_idempotent, true), 101));
@@ -42,7 +42,7 @@
         EXPECT_TRUE(policy.may_start_attempt(request(*any, false), 109));
 }
 
-TEST_F(Policy, AKeyIsRepeatedWithinItsWindowLessATick) {
+TEST_F(RetryPolicyTest, ARequestWithAKeyIsRepeatedUpToOneTickBeforeTheWindowEnds) {
     EXPECT_TRUE(policy.may_start_attempt(request(key, true), 102.94));
     EXPECT_FALSE(policy.may_start_attempt(request(key, true), 102.96));
     EXPECT_NEAR(RetryPolicy::start_by_s(request(key, true)), 102.95, 1e-9);
@@ -55,13 +55,13 @@
     EXPECT_FALSE(RetryPolicy::bound_to_scope(request(key, true)));
 }
 
-TEST_F(Policy, OnlyTheFirstAttemptThatMayHaveRunSetsTheWindow) {
+TEST_F(RetryPolicyTest, OnlyTheFirstAttemptThatMayHaveRunSetsTheWindow) {
     OpenRequest open = request(key, false);
     open.attempts.push_back({"b", 101, false, true, false, kWholeFleet});
     EXPECT_NEAR(RetryPolicy::start_by_s(open), 103.95, 1e-9);
 }
 
-TEST_F(Policy, AttemptsAreLimitedAndSecondOnesInFlightNeedHedging) {
+TEST_F(RetryPolicyTest, AttemptsAreLimitedAndASecondOneInFlightNeedsHedging) {
     OpenRequest open = request(idempotent, true, true);
     EXPECT_FALSE(policy.may_start_attempt(open, 101));
     settings.hedging_allowed = true;
@@ -78,7 +78,7 @@
     EXPECT_FALSE(policy.may_start_attempt(open, 101));
 }
 
-TEST_F(Policy, RetriesNeedBudgetTimeAndAResultOtherThanATimeout) {
+TEST_F(RetryPolicyTest, ARetryNeedsBudgetAndTimeAndDoesNotFollowATimeout) {
     const OpenRequest open = request(idempotent, true);
     EXPECT_TRUE(policy.may_retry_after(open, AttemptResult::error, 109.9));
     EXPECT_FALSE(policy.may_retry_after(open, AttemptResult::error, 109.96));
@@ -89,7 +89,7 @@
     EXPECT_FALSE(policy.may_retry_after(open, AttemptResult::error, 101));
 }
 
-TEST_F(Policy, TheBudgetIsEarnedByRequestsAndDecays) {
+TEST_F(RetryPolicyTest, TheBudgetGrowsWithForwardedRequestsAndDecays) {
     RetryBudget budget;
     budget.start(100);
     budget.consume();
@@ -97,7 +97,7 @@
     for (int i = 0; i < 4; ++i) budget.on_request_forwarded(100);
     EXPECT_FALSE(budget.has_attempt());
     budget.on_request_forwarded(100);
-    budget.on_request_forwarded(100);   // 1.2
+    budget.on_request_forwarded(100);   // 6 x 0.2 = 1.2 attempts
     EXPECT_TRUE(budget.has_attempt());
     budget.on_request_forwarded(104);   // 1.2 / e^0.4 + 0.2 = 1.004
     EXPECT_TRUE(budget.has_attempt());
@@ -105,7 +105,7 @@
     EXPECT_FALSE(budget.has_attempt());
 }
 
-TEST_F(Policy, AnOverdueAttemptIsHedgedElseCancelledElseLeft) {
+TEST_F(RetryPolicyTest, AnOverdueAttemptIsHedgedOrElseCancelledIfAllowed) {
     const OpenRequest open = request(idempotent, true, true);
     EXPECT_EQ(policy.overdue_action(open, true), OverdueAction::none);
     settings.cancellation_allowed = true;
@@ -123,7 +123,7 @@
     EXPECT_EQ(policy.overdue_action(open, true), OverdueAction::none);
 }
 
-TEST_F(Policy, ARequestIsRejectedOnlyIfItHadNoEffectOrMayBeRepeated) {
+TEST_F(RetryPolicyTest, ARequestIsRejectedOnlyIfItHadNoEffectOrMayBeRepeated) {
     EXPECT_TRUE(RetryPolicy::may_reject(request(idempotent, true)));
     EXPECT_FALSE(RetryPolicy::may_reject(request(key, true)));
     EXPECT_FALSE(RetryPolicy::may_reject(request(not_idempotent, true)));
@@ -135,7 +135,7 @@
     EXPECT_FALSE(RetryPolicy::may_reject(request(not_idempotent, true)));
 }
 
-TEST_F(Policy, OnlyThreeResultsProveThatAnAttemptNeverRan) {
+TEST_F(RetryPolicyTest, OnlyThreeResultsProveThatAnAttemptNeverRan) {
     for (const auto result :
          {AttemptResult::rejected, AttemptResult::connect_failed, AttemptResult::not_started})
         EXPECT_TRUE(RetryPolicy::never_ran(result));
@@ -144,7 +144,7 @@
         EXPECT_FALSE(RetryPolicy::never_ran(result));
 }
 
-TEST_F(Policy, CancelsInFlightOnceWhereAllowed) {
+TEST_F(RetryPolicyTest, AttemptsInFlightAreCancelledOnceIfAllowed) {
     OpenRequest open = request(idempotent, true, true);
     EXPECT_FALSE(policy.cancels_in_flight(open));
     settings.cancellation_allowed = true;
@@ -156,7 +156,7 @@
     EXPECT_FALSE(policy.cancels_in_flight(open));
 }
 
-TEST_F(Policy, RetryAfterIsAPartOfTheObjectiveUpToTheMaximum) {
+TEST_F(RetryPolicyTest, RetryAfterIsAFractionOfTheObjectiveUpToTheMaximum) {
     EXPECT_DOUBLE_EQ(policy.quota_retry_after_s(idempotent), 0.4);
     EXPECT_DOUBLE_EQ(policy.overload_retry_after_s(idempotent), 0.2);
     settings.max_retry_after_s = 0.3;
--- a/tests/gateway/sampling_test.cpp
+++ b/tests/gateway/sampling_test.cpp
@@ -8,7 +8,7 @@
 namespace slatejunction::gateway {
 namespace {
 
-TEST(SystematicSampler, AdmitsAsManyAsTheProbabilitiesAddUpToEvenlySpaced) {
+TEST(SystematicSampler, AdmitsTheSumOfTheProbabilitiesEvenlySpaced) {
     SystematicSampler sampler;
     int admitted = 0;
     for (int i = 1; i <= 400; ++i) {
@@ -24,7 +24,7 @@
     EXPECT_NEAR(admitted, 300, 1);
 }
 
-TEST(SystematicSampler, CreditAdmitsEarlierButNotMore) {
+TEST(SystematicSampler, CreditAdmitsEarlierButNotMoreRequests) {
     SystematicSampler sampler;
     EXPECT_TRUE(sampler.sample(0.25, 0.75));
     int admitted = 1;
--- a/tests/gateway/slow_start_fleet_test.cpp
+++ b/tests/gateway/slow_start_fleet_test.cpp
@@ -1,6 +1,6 @@
-// Slow start under the load of a whole fleet of gateways: no backend may get more in any span of
-// overload_window_s than its budget N for that span and what chance alone brings (2 x root of N + 2),
-// whichever gateway sent it.
+// Slow start under the load of a whole fleet of gateways: in any span of overload_window_s, no warming
+// backend may get more attempts, summed over all gateways, than its budget N for that span plus the allowed
+// random deviation (2 x sqrt(N) + 2).
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -12,206 +12,224 @@
 
 namespace {
 
-// A fleet of independent gateways and backends that queue: each backend completes `rate` requests a second
-// for each unit of its own speed, times its slow start capacity.
-struct World {
-    struct Case {
+// A fleet of independent gateways, and backends that queue: each backend completes `rate` requests per
+// second times its own speed and its slow start capacity.
+struct FleetSimulation {
+    struct Scenario {
         std::size_t gateways = 3, backends = 24;
-        double load = 0.7;           // offered load over the capacity of all backends
-        double rate = 20;            // requests a second of a backend of speed 1
-        double uneven = 1;           // requests of the busiest gateway over those of the idlest
-        double spread = 0;           // speeds of backends: 1 - spread to 1 + spread, which no weight shows
-        double update_delay = 0;     // s; the most by which a gateway learns of a start late
-        double restarts = 0;         // part of the gateways that restart during slow start
-        double client_retries = 0;   // probability that a client retries a rejected request once, soon
-        double cold_part = 0.5;      // of the backends that start
+        double load = 0.7;               // offered load over the capacity of all backends
+        double rate = 20;                // requests per second of a backend of speed 1
+        double gateway_load_ratio = 1;   // requests of the busiest gateway over those of the least busy
+        // Speeds of backends are from 1 - speed_spread to 1 + speed_spread; their weights are equal.
+        double speed_spread = 0;
+        double max_update_delay_s = 0;         // until a gateway learns that a backend started
+        double restarted_fraction = 0;         // fraction of the gateways that restart during slow start
+        double client_retry_probability = 0;   // of one retry soon after a rejection
+        double started_fraction = 0.5;         // fraction of the backends that start at the same time
     };
     struct Backend {
         std::string id;
-        double speed = 1, started_at_s = -1e9, free_at = 0;
-        std::vector<double> sent;   // since its start
+        double speed = 1, started_at_s = -1e9, free_at_s = 0;
+        std::vector<double> attempt_times;   // since its start
     };
-    World(sj::Settings s, const Case& c, std::uint64_t seed) : settings(std::move(s)), is(c), random(seed) {
-        settings.ingress_count = static_cast<double>(is.gateways);
+    FleetSimulation(sj::Settings base_settings, const Scenario& chosen, std::uint64_t seed)
+        : settings(std::move(base_settings)), scenario(chosen), random(seed) {
+        settings.ingress_count = static_cast<double>(scenario.gateways);
         events.run_until(100);
-        for (std::size_t i = 0; i < is.backends; ++i) {
-            Backend one;
-            one.id = "s" + std::to_string(1000 + i) + ":1";
-            one.speed = 1 + is.spread * (2 * chance() - 1);
-            backends.push_back(one);
-            total += one.speed * is.rate;
+        for (std::size_t i = 0; i < scenario.backends; ++i) {
+            Backend backend;
+            backend.id = "s" + std::to_string(1000 + i) + ":1";
+            backend.speed = 1 + scenario.speed_spread * (2 * uniform() - 1);
+            backends.push_back(backend);
+            total_rate += backend.speed * scenario.rate;
         }
-        for (std::size_t i = 0; i < is.gateways; ++i) {
-            weights.push_back(1 + (is.uneven - 1) * chance());
+        for (std::size_t i = 0; i < scenario.gateways; ++i) {
+            weights.push_back(1 + (scenario.gateway_load_ratio - 1) * uniform());
             gateways.push_back(nullptr);
-            begin(i);
+            start_gateway(i);
         }
     }
 
-    double chance() { return std::uniform_real_distribution<double>()(random); }
-    double capacity(const Backend& s, double at) const {
-        const double from = settings.slow_start_min_capacity;
-        return std::min(1.0, from + (1 - from) * (at - s.started_at_s) / settings.slow_start_window_s);
+    double uniform() { return std::uniform_real_distribution<double>()(random); }
+    double capacity(const Backend& backend, double time) const {
+        const double min_capacity = settings.slow_start_min_capacity;
+        return std::min(1.0, min_capacity + (1 - min_capacity) * (time - backend.started_at_s) /
+                                                settings.slow_start_window_s);
     }
     double now() const { return events.now(); }
 
-    void begin(std::size_t i) {
+    void start_gateway(std::size_t i) {
         settings.ingress_index = static_cast<std::int64_t>(i);
         gateways[i] = std::make_unique<GatewayDriver>(settings, random(), now());
-        sj::EndpointUpdate list{sj::EndpointUpdateKind::snapshot, {}};
-        for (const Backend& s : backends)
-            list.endpoints.push_back(
-                GatewayDriver::endpoint(s.id, sj::EndpointState::serving, std::max(0.0, s.started_at_s)));
-        gateways[i]->handle(list);
+        sj::EndpointUpdate update{sj::EndpointUpdateKind::snapshot, {}};
+        for (const Backend& backend : backends)
+            update.endpoints.push_back(GatewayDriver::endpoint(backend.id, sj::EndpointState::serving,
+                                                               std::max(0.0, backend.started_at_s)));
+        gateways[i]->handle(update);
         tick(i, gateways[i].get());
     }
-    // Runs its timers until it is restarted.
-    void tick(std::size_t i, GatewayDriver* alive) {
-        if (gateways[i].get() != alive) return;
-        alive->run_to(now());
-        receive(i);
-        events.at(now() + 0.05, [this, i, alive] { tick(i, alive); });
+    // Runs the timers of a gateway until it is restarted.
+    void tick(std::size_t i, GatewayDriver* expected) {
+        if (gateways[i].get() != expected) return;
+        expected->run_to(now());
+        deliver_attempts(i);
+        events.at(now() + 0.05, [this, i, expected] { tick(i, expected); });
     }
 
-    void send_request(std::size_t i, bool again) {
-        GatewayDriver& d = *gateways[i];
-        d.run_to(now());
-        const std::size_t before = d.rejected.size();
-        d.handle(sj::Request{"q" + std::to_string(ids++), "read", "plan", 1, ids, now() + 5, 1, again});
-        receive(i);
-        if (d.rejected.size() > before && chance() < is.client_retries)
-            events.at(now() + 0.1 + 0.3 * chance(), [this] { send_request(pick(), true); });
+    void send_request(std::size_t i, bool is_client_retry) {
+        GatewayDriver& driver = *gateways[i];
+        driver.run_to(now());
+        const std::size_t before = driver.rejected.size();
+        driver.handle(sj::Request{"q" + std::to_string(next_request_id++), "read", "plan", 1,
+                                  next_request_id, now() + 5, 1, is_client_retry});
+        deliver_attempts(i);
+        if (driver.rejected.size() > before && uniform() < scenario.client_retry_probability)
+            events.at(now() + 0.1 + 0.3 * uniform(), [this] { send_request(random_gateway(), true); });
     }
-    // Its new attempts reach their backends.
-    void receive(std::size_t i) {
-        GatewayDriver& d = *gateways[i];
-        while (!d.pending.empty()) {
-            const GatewayDriver::PendingAttempt out = d.pending.front();
-            d.pending.erase(d.pending.begin());
-            Backend& s = *std::find_if(backends.begin(), backends.end(),
-                                       [&](const Backend& one) { return one.id == out.backend; });
-            s.sent.push_back(now());
-            const double work = -std::log(1 - chance()) / (is.rate * s.speed * capacity(s, now()));
-            const double wait = std::max(0.0, s.free_at - now());
-            const sj::AttemptResult outcome =
-                wait > 1 ? sj::AttemptResult::rejected : sj::AttemptResult::ok;
-            double took = 0.002;
-            if (outcome == sj::AttemptResult::ok) s.free_at = now() + wait + work, took += wait + work;
-            GatewayDriver* alive = &d;
-            events.at(now() + took, [this, i, alive, out, outcome] {
-                if (gateways[i].get() != alive) return;
-                alive->run_to(now());
-                sj::AttemptEnded e;
-                e.id = out.id;
-                e.attempt = out.attempt;
-                e.result = outcome;
-                e.duration_s = now() - out.started_at_s;
-                e.request_ended = outcome == sj::AttemptResult::ok;
-                alive->handle(e);
-                receive(i);
+    // Delivers the new attempts of a gateway to their backends.
+    void deliver_attempts(std::size_t i) {
+        GatewayDriver& driver = *gateways[i];
+        while (!driver.pending.empty()) {
+            const GatewayDriver::PendingAttempt attempt = driver.pending.front();
+            driver.pending.erase(driver.pending.begin());
+            Backend& backend =
+                *std::find_if(backends.begin(), backends.end(),
+                              [&](const Backend& candidate) { return candidate.id == attempt.backend; });
+            backend.attempt_times.push_back(now());
+            const double service_time_s =
+                -std::log(1 - uniform()) / (scenario.rate * backend.speed * capacity(backend, now()));
+            const double queue_time_s = std::max(0.0, backend.free_at_s - now());
+            const sj::AttemptResult result =
+                queue_time_s > 1 ? sj::AttemptResult::rejected : sj::AttemptResult::ok;
+            double latency_s = 0.002;
+            if (result == sj::AttemptResult::ok)
+                backend.free_at_s = now() + queue_time_s + service_time_s,
+                latency_s += queue_time_s + service_time_s;
+            GatewayDriver* expected = &driver;
+            events.at(now() + latency_s, [this, i, expected, attempt, result] {
+                if (gateways[i].get() != expected) return;
+                expected->run_to(now());
+                sj::AttemptEnded ended;
+                ended.id = attempt.id;
+                ended.attempt = attempt.attempt;
+                ended.result = result;
+                ended.duration_s = now() - attempt.started_at_s;
+                ended.request_ended = result == sj::AttemptResult::ok;
+                expected->handle(ended);
+                deliver_attempts(i);
             });
         }
     }
 
-    std::size_t pick() {
+    std::size_t random_gateway() {
         return std::discrete_distribution<std::size_t>(weights.begin(), weights.end())(random);
     }
-    void arrive() {
-        send_request(pick(), false);
-        events.at(now() + std::exponential_distribution<double>(is.load * total)(random),
-                  [this] { arrive(); });
+    void generate_arrivals() {
+        send_request(random_gateway(), false);
+        events.at(now() + std::exponential_distribution<double>(scenario.load * total_rate)(random),
+                  [this] { generate_arrivals(); });
     }
-    void update_endpoints(const std::vector<sj::Endpoint>& entries) {
+    void update_endpoints(const std::vector<sj::Endpoint>& endpoints) {
         for (std::size_t i = 0; i < gateways.size(); ++i) {
-            events.at(now() + is.update_delay * chance(), [this, i, entries] {
+            events.at(now() + scenario.max_update_delay_s * uniform(), [this, i, endpoints] {
                 gateways[i]->run_to(now());
-                gateways[i]->handle(sj::EndpointUpdate{sj::EndpointUpdateKind::delta, entries});
-                receive(i);
+                gateways[i]->handle(sj::EndpointUpdate{sj::EndpointUpdateKind::delta, endpoints});
+                deliver_attempts(i);
             });
         }
     }
-    void release() {
-        const auto all = static_cast<std::size_t>(is.cold_part * static_cast<double>(is.backends));
-        std::vector<sj::Endpoint> in;
-        for (std::size_t i = 0; i < all; ++i) {
-            Backend& s = backends[i];
-            s.started_at_s = s.free_at = now();
-            s.sent.clear();
-            in.push_back(GatewayDriver::endpoint(s.id, sj::EndpointState::serving, now()));
+    void start_backends() {
+        const auto started_count =
+            static_cast<std::size_t>(scenario.started_fraction * static_cast<double>(scenario.backends));
+        std::vector<sj::Endpoint> started;
+        for (std::size_t i = 0; i < started_count; ++i) {
+            Backend& backend = backends[i];
+            backend.started_at_s = backend.free_at_s = now();
+            backend.attempt_times.clear();
+            started.push_back(GatewayDriver::endpoint(backend.id, sj::EndpointState::serving, now()));
         }
-        update_endpoints(in);
+        update_endpoints(started);
         events.run_until(now() + 1);
-        const auto anew = static_cast<std::size_t>(is.restarts * static_cast<double>(is.gateways));
-        for (std::size_t i = 0; i < anew; ++i) begin(i);
+        const auto restarted_count =
+            static_cast<std::size_t>(scenario.restarted_fraction * static_cast<double>(scenario.gateways));
+        for (std::size_t i = 0; i < restarted_count; ++i) start_gateway(i);
     }
 
-    // The most that any backend got in any span beyond its budget there, in units of what chance may bring.
-    struct Worst {
-        double over = -1e9, of_budget = 0;   // over: at most 1; of_budget: of N itself
+    // The largest excess over the budget N of any backend in any span.
+    struct MaxExcess {
+        // `deviations`: excess over the allowed random deviation, which must be at most 1.
+        // `budget_multiple`: number of attempts over N.
+        double deviations = -1e9, budget_multiple = 0;
     };
-    Worst worst() const {
-        Worst result;
-        for (const Backend& s : backends) {
-            if (s.started_at_s < 0) continue;
-            for (std::size_t from = 0, to = 0; to < s.sent.size(); ++to) {
-                while (s.sent[to] - s.sent[from] > settings.overload_window_s) ++from;
-                // The least it can be: its capacity when the span began.
-                const double n =
-                    settings.overload_multiple * is.rate * s.speed * settings.overload_window_s *
-                    capacity(s, std::max(s.started_at_s, s.sent[to] - settings.overload_window_s));
-                const auto got = static_cast<double>(to - from + 1);
-                result.over = std::max(result.over, (got - n) / (2 * std::sqrt(n) + 2));
-                result.of_budget = std::max(result.of_budget, got / n);
+    MaxExcess max_excess() const {
+        MaxExcess result;
+        for (const Backend& backend : backends) {
+            if (backend.started_at_s < 0) continue;
+            for (std::size_t from = 0, to = 0; to < backend.attempt_times.size(); ++to) {
+                while (backend.attempt_times[to] - backend.attempt_times[from] > settings.overload_window_s)
+                    ++from;
+                // The lower bound of the budget, by the capacity at the start of the span.
+                const double budget =
+                    settings.overload_multiple * scenario.rate * backend.speed *
+                    settings.overload_window_s *
+                    capacity(backend, std::max(backend.started_at_s,
+                                               backend.attempt_times[to] - settings.overload_window_s));
+                const auto attempts = static_cast<double>(to - from + 1);
+                result.deviations =
+                    std::max(result.deviations, (attempts - budget) / (2 * std::sqrt(budget) + 2));
+                result.budget_multiple = std::max(result.budget_multiple, attempts / budget);
             }
         }
         return result;
     }
 
     sj::Settings settings;
-    Case is;
+    Scenario scenario;
     std::mt19937_64 random;
     std::vector<Backend> backends;
     std::vector<std::unique_ptr<GatewayDriver>> gateways;
     std::vector<double> weights;
     Events events;
-    std::uint64_t ids = 0;
-    double total = 0;
+    std::uint64_t next_request_id = 0;
+    double total_rate = 0;   // requests per second of all backends
 };
 
-// Half of the backends start at once at a load beyond the capacity of the others, requests arrive unevenly,
-// speeds differ from the list's weights, a tenth of the gateways restart, all learn late, clients retry.
-// None of it may overload a warming backend, however many gateways there are.
-struct Restarts : testing::TestWithParam<std::size_t> {};
-TEST_P(Restarts, NoWarmingBackendGetsMoreThanItsBudgetAndChance) {
+// Half of the backends start at the same time, at a load beyond the capacity of the others. Requests are
+// spread unevenly over gateways, speeds of backends differ from their weights, a tenth of the gateways
+// restart, all of them learn of the start with a delay, and clients retry. A warming backend must not be
+// overloaded, for any number of gateways.
+struct BackendStart : testing::TestWithParam<std::size_t> {};
+TEST_P(BackendStart, NoWarmingBackendGetsMoreThanItsBudgetAndRandomDeviation) {
     for (const double multiple : {2.0, 4.0}) {
-        double got = 0;
+        double mean_attempts = 0;
         for (std::uint64_t seed = 1; seed <= 6; ++seed) {
-            sj::Settings s = plain_settings();
-            s.overload_multiple = multiple;
-            s.slow_start_min_capacity = 0.15;
-            s.hedging_allowed = true;
-            World::Case c;
-            c.gateways = GetParam();
-            c.uneven = 6;
-            c.spread = 0.25;
-            c.update_delay = 0.3;
-            c.restarts = 0.1;
-            c.client_retries = 0.5;
-            World world(s, c, seed);
-            world.events.at(world.now(), [&] { world.arrive(); });
-            world.events.run_until(106);
-            world.release();
-            world.events.run_until(world.now() + 5);
-            const World::Worst worst = world.worst();
-            EXPECT_LE(worst.over, 1) << "times " << multiple << ", seed " << seed << ": " << worst.of_budget
-                                     << " of the budget";
-            for (const World::Backend& one : world.backends)
-                if (one.started_at_s > 0) got += static_cast<double>(one.sent.size()) / 12 / 6;
+            sj::Settings settings = plain_settings();
+            settings.overload_multiple = multiple;
+            settings.slow_start_min_capacity = 0.15;
+            settings.hedging_allowed = true;
+            FleetSimulation::Scenario scenario;
+            scenario.gateways = GetParam();
+            scenario.gateway_load_ratio = 6;
+            scenario.speed_spread = 0.25;
+            scenario.max_update_delay_s = 0.3;
+            scenario.restarted_fraction = 0.1;
+            scenario.client_retry_probability = 0.5;
+            FleetSimulation simulation(settings, scenario, seed);
+            simulation.events.at(simulation.now(), [&] { simulation.generate_arrivals(); });
+            simulation.events.run_until(106);
+            simulation.start_backends();
+            simulation.events.run_until(simulation.now() + 5);
+            const FleetSimulation::MaxExcess excess = simulation.max_excess();
+            EXPECT_LE(excess.deviations, 1) << "overload multiple " << multiple << ", seed " << seed << ": "
+                                            << excess.budget_multiple << " times the budget";
+            for (const FleetSimulation::Backend& backend : simulation.backends)
+                if (backend.started_at_s > 0)
+                    mean_attempts += static_cast<double>(backend.attempt_times.size()) / 12 / 6;
         }
-        EXPECT_GT(got, 0.15 * 20 * 6)
-            << "of what a warm one gets in that time: they have to be used as well";
+        EXPECT_GT(mean_attempts, 0.15 * 20 * 6)
+            << "0.15 of the attempts that a warm backend gets: warming backends have to be used as well";
     }
 }
-INSTANTIATE_TEST_SUITE_P(Gateways, Restarts, testing::Values(3, 20, 300));
+INSTANTIATE_TEST_SUITE_P(Gateways, BackendStart, testing::Values(3, 20, 300));
 
 }   // namespace
--- a/tests/gateway/slow_start_test.cpp
+++ b/tests/gateway/slow_start_test.cpp
@@ -19,7 +19,7 @@
     const Settings settings = slow_start_settings();
     const SlowStart slow_start(settings);
     EXPECT_DOUBLE_EQ(slow_start.capacity(100, 100), 0.2);
-    EXPECT_DOUBLE_EQ(slow_start.capacity(100, 99), 0.2);   // a start in the future
+    EXPECT_DOUBLE_EQ(slow_start.capacity(100, 99), 0.2);   // the start is in the future
     EXPECT_DOUBLE_EQ(slow_start.capacity(100, 105), 0.6);
     EXPECT_FALSE(slow_start.is_warm(100, 109.9));
     EXPECT_TRUE(slow_start.is_warm(100, 110));
@@ -35,7 +35,7 @@
     EXPECT_TRUE(SlowStart(settings).is_warm(100, 100));
 }
 
-TEST(SlowStart, ProbabilityIsThePartOfTheBudgetWithAReserveAtFirst) {
+TEST(SlowStart, ProbabilityIsTheAllowedFractionMinusAnInitialReserve) {
     const Settings settings = slow_start_settings();
     const SlowStart slow_start(settings);
     EXPECT_DOUBLE_EQ(slow_start.admission_probability(100, 100), 0.68 * 2 * 0.2 * 0.8);
@@ -44,7 +44,7 @@
     EXPECT_DOUBLE_EQ(slow_start.admission_probability(100, 109), 1);
 }
 
-TEST(SlowStart, ProbabilityFollowsThePartThatIsAnswered) {
+TEST(SlowStart, ProbabilityFollowsTheAnsweredFraction) {
     const Settings settings = slow_start_settings();
     SlowStart slow_start(settings);
     const double all_answered = slow_start.admission_probability(100, 105);
@@ -53,7 +53,7 @@
     slow_start.on_answer();
     EXPECT_DOUBLE_EQ(slow_start.admission_probability(100, 105), all_answered);
     for (int i = 0; i < 10; ++i) slow_start.on_answer();
-    EXPECT_DOUBLE_EQ(slow_start.admission_probability(100, 105), 1.1 * all_answered);   // no more
+    EXPECT_DOUBLE_EQ(slow_start.admission_probability(100, 105), 1.1 * all_answered);   // the upper limit
 }
 
 }   // namespace
--- a/tests/gateway/token_bucket_test.cpp
+++ b/tests/gateway/token_bucket_test.cpp
@@ -1,4 +1,4 @@
-// Hard limits of a plan at one ingress.
+// The hard limits of a plan at one ingress.
 #include "gateway/token_bucket.hpp"
 
 #include <gtest/gtest.h>
@@ -13,7 +13,7 @@
     return plan;
 }
 
-TEST(TokenBucket, StartsEmptyAndFillsAtItsPartOfTheRateUpToItsPartOfTheBurst) {
+TEST(TokenBucket, StartsEmptyAndFillsAtItsShareOfTheRateUpToItsShareOfTheBurst) {
     TokenBucket bucket;
     bucket.refill(100, 100, limited_plan(), 2);
     EXPECT_FALSE(bucket.would_admit(0.1));
@@ -25,7 +25,7 @@
     EXPECT_FALSE(bucket.would_admit(20.1));
 }
 
-TEST(TokenBucket, ANewCustomersBucketHasFilledSinceTheGatewayStarted) {
+TEST(TokenBucket, TheBucketOfANewCustomerFillsFromTheStartOfTheGateway) {
     TokenBucket bucket;
     bucket.refill(103, 100, limited_plan(), 1);
     EXPECT_TRUE(bucket.would_admit(30));
@@ -34,7 +34,7 @@
 
 TEST(TokenBucket, ConsumeTakesUnits) {
     TokenBucket bucket;
-    bucket.refill(103, 100, limited_plan(), 0);   // no count counts as one
+    bucket.refill(103, 100, limited_plan(), 0);   // an ingress count of 0 counts as 1
     bucket.consume(25);
     EXPECT_TRUE(bucket.would_admit(5));
     EXPECT_FALSE(bucket.would_admit(5.1));
@@ -45,7 +45,7 @@
     EXPECT_FALSE(bucket.would_admit(15.1));
 }
 
-TEST(HardLimits, ApplyOnlyWhereThePlanHasThem) {
+TEST(HardLimits, ApplyOnlyIfThePlanHasThem) {
     const TokenBucket empty;
     Plan plan;
     EXPECT_TRUE(within_hard_limits(plan, empty, 100, 100));
