--- a/src/fleet_rate_limit/rate_limit_node.cpp
+++ b/src/fleet_rate_limit/rate_limit_node.cpp
@@ -10,18 +10,20 @@
 namespace slatejunction::fleet_rate_limit {
 namespace {
 
-constexpr double kUnitsTolerance = 1e-9;   // of sums of units
-constexpr double kAwaitReplyS = 0.01;      // retry-after while a reply of the owner is awaited
-constexpr double kMaxUnits = 1e9;          // in a datagram; more is not plausible
-constexpr double kUnresponsive = -1;       // in awaiting_reply_since_s_
+constexpr double kUnitsTolerance = 1e-9;          // rounding tolerance of sums of units
+constexpr double kAwaitReplyRetryAfterS = 0.01;   // retry-after while the owner's reply is awaited
+constexpr double kMaxPlausibleUnits = 1e9;        // a datagram's item with more units is ignored
+constexpr double kUnresponsive = -1;              // marks an owner in awaiting_reply_since_s_
 constexpr double kNoDeadlineS = 1e18;
-constexpr double kLongestPauseS = 1e17;   // longer: the first event of the process
+constexpr double kMaxPauseS = 1e17;   // a longer gap precedes the first event of the process
 constexpr double kUnresponsiveRetransmitFactor = 4;
 constexpr std::size_t kEvictionCandidates = 8;
 
-bool plausible(double value) { return std::isfinite(value) && std::abs(value) <= kMaxUnits; }
+bool is_plausible_units(double value) {
+    return std::isfinite(value) && std::abs(value) <= kMaxPlausibleUnits;
+}
 
-// Highest random weight: D. Thaler, C. Ravishankar, 1998.
+// Rendezvous (highest random weight) hashing: D. Thaler, C. Ravishankar, 1998.
 std::uint64_t rendezvous_weight(std::uint32_t limit, std::uint64_t key, const std::string& name) {
     return XXH64(name.data(), name.size(), key ^ (limit * 0x9e3779b97f4a7c15ULL));
 }
@@ -33,13 +35,13 @@
     alive_members_ = {settings_.name};
 }
 
-const LimitSpec* RateLimitNode::spec(std::uint32_t limit) const {
+const LimitSpec* RateLimitNode::find_spec(std::uint32_t limit) const {
     const auto at = specs_.find(limit);
     return at == specs_.end() ? nullptr : &at->second;
 }
 
-// Fraction of rate and burst that the ingresses visible from here may grant. Ingresses that are not visible
-// may be dead or only partitioned: their fractions stay reserved for them.
+// Returns the fraction of rate and burst that the visible (alive) ingresses may grant. An ingress that is
+// not visible may be dead or only partitioned, so its fraction stays reserved for it.
 double RateLimitNode::visible_fraction() const {
     const double ingresses = static_cast<double>(std::max<std::size_t>(1, settings_.ingresses.size()));
     return std::min(1.0, static_cast<double>(alive_members_.size()) / ingresses);
@@ -67,15 +69,16 @@
     alive_members_ = std::move(alive);
     rescale_owned_buckets(now, before, visible_fraction());
     requeue_reports_to_departed_owners(now);
-    requeue_all(now);
+    reassign_queued_reports(now);
     on_timer(now);
 }
 
-// Buckets keep their level when the fraction of rate and burst changes from `before` to `after`.
+// Preserves the levels of the owned buckets when the fraction of rate and burst changes from `before` to
+// `after`.
 void RateLimitNode::rescale_owned_buckets(double now, double before, double after) {
     if (after == before) return;
     for (auto& [id, bucket] : owned_buckets_) {
-        const LimitSpec& limit = *spec(id.limit);
+        const LimitSpec& limit = *find_spec(id.limit);
         if (limit.rate <= 0) continue;
         const double old_burst = limit.burst * before;
         const double new_burst = limit.burst * after;
@@ -85,7 +88,7 @@
     }
 }
 
-// Usage in flight to an owner that has departed is reported to the next owner.
+// Reports usage that is in flight to an owner that has departed to the next owner instead.
 void RateLimitNode::requeue_reports_to_departed_owners(double now) {
     for (auto report = reports_in_flight_.begin(); report != reports_in_flight_.end();) {
         const std::string& owner = report->second.owner;
@@ -99,8 +102,8 @@
     }
 }
 
-// Assigns queued reports to the owners of now.
-void RateLimitNode::requeue_all(double now) {
+// Moves queued reports to the keys' current owners.
+void RateLimitNode::reassign_queued_reports(double now) {
     const auto queues = std::exchange(queued_reports_, {});
     for (const auto& [owner, ids] : queues)
         for (const BucketId& id : ids) {
@@ -116,40 +119,40 @@
     return since != awaiting_reply_since_s_.end() && since->second < 0;
 }
 
-double RateLimitNode::available_units(const LimitSpec& s, const ReporterState& state, double now) const {
-    const double burst = s.burst * visible_fraction();
+double RateLimitNode::available_units(const LimitSpec& spec, const ReporterState& state, double now) const {
+    const double burst = spec.burst * visible_fraction();
     return std::min(burst,
-                    state.owner_level + s.rate * visible_fraction() * (now - state.owner_level_at_s)) -
+                    state.owner_level + spec.rate * visible_fraction() * (now - state.owner_level_at_s)) -
            state.unreported_units - state.in_flight_units - state.fallback_units -
            state.in_flight_fallback_units;
 }
 
-double RateLimitNode::fallback_units_available(const LimitSpec& s, const ReporterState& state,
+double RateLimitNode::fallback_units_available(const LimitSpec& spec, const ReporterState& state,
                                                double now) const {
-    const double burst = fallback_burst(s, settings_.ingresses.size());
-    if (s.rate <= 0) return burst;
+    const double burst = fallback_burst(spec, settings_.ingresses.size());
+    if (spec.rate <= 0) return burst;
     return burst -
-           std::max(0.0, state.fallback_full_at_s - now) * fallback_rate(s, settings_.ingresses.size());
+           std::max(0.0, state.fallback_full_at_s - now) * fallback_rate(spec, settings_.ingresses.size());
 }
 
-// After a pause of this process its state is stale, and other ingresses may have owned its keys meanwhile:
-// its owned buckets count as empty, and the owners' last replies are dropped.
+// After a pause of this process its state is stale, and other ingresses may have owned its keys in the
+// meantime. The owned buckets therefore count as empty, and the owners' last replies are discarded.
 void RateLimitNode::detect_process_pause(double now) {
-    const double gap = now - std::exchange(last_event_at_s_, now);
-    if (gap < kProcessPauseS || gap > kLongestPauseS || alive_members_.size() < 2) return;
+    const double gap_s = now - std::exchange(last_event_at_s_, now);
+    if (gap_s < kProcessPauseS || gap_s > kMaxPauseS || alive_members_.size() < 2) return;
     ++process_pauses_;
     for (auto& [id, bucket] : owned_buckets_)
-        if (const LimitSpec& limit = *spec(id.limit); limit.rate > 0)
+        if (const LimitSpec& limit = *find_spec(id.limit); limit.rate > 0)
             bucket.full_at_s = std::max(bucket.full_at_s, now + limit.burst / limit.rate);
     for (auto& [id, state] : reporter_states_) state.owner_level_at_s = kNeverS;
 }
 
-// As the key's owner: by the owned bucket.
-double RateLimitNode::owner_retry_after_s(double now, const BucketId& id, const LimitSpec& s,
+// Decides for a key that this ingress owns, by its bucket.
+double RateLimitNode::owner_retry_after_s(double now, const BucketId& id, const LimitSpec& spec,
                                           double units) const {
     const auto bucket = owned_buckets_.find(id);
-    const double rate = s.rate * visible_fraction();
-    const double burst = s.burst * visible_fraction();
+    const double rate = spec.rate * visible_fraction();
+    const double burst = spec.burst * visible_fraction();
     const double available = bucket == owned_buckets_.end()
                                  ? burst
                                  : burst - std::max(0.0, bucket->second.full_at_s - now) * rate;
@@ -159,55 +162,57 @@
 
 double RateLimitNode::retry_after_s(double now, std::uint32_t limit, std::uint64_t key, double units) {
     detect_process_pause(now);
-    const LimitSpec* const s = spec(limit);
-    if (!s || s->rate <= 0) return 0;
-    units = std::min(units, s->burst);
+    const LimitSpec* const spec = find_spec(limit);
+    if (!spec || spec->rate <= 0) return 0;
+    units = std::min(units, spec->burst);
     const BucketId id{limit, key};
     const std::string& owner = this->owner(limit, key);
-    if (owner == settings_.name) return owner_retry_after_s(now, id, *s, units);
+    if (owner == settings_.name) return owner_retry_after_s(now, id, *spec, units);
     const auto found = reporter_states_.find(id);
     const ReporterState state = found == reporter_states_.end() ? ReporterState{} : found->second;
     if (owner_unresponsive(owner)) {
-        const double available = fallback_units_available(*s, state, now);
+        const double available = fallback_units_available(*spec, state, now);
         return available >= units - kUnitsTolerance
                    ? 0
-                   : (units - available) / fallback_rate(*s, settings_.ingresses.size());
+                   : (units - available) / fallback_rate(*spec, settings_.ingresses.size());
     }
     if (state.owner_level_at_s > kNeverS) {
-        const double available = available_units(*s, state, now);
-        if (available < std::min(units, s->burst * visible_fraction()) - kUnitsTolerance)
-            return (units - available) / (s->rate * visible_fraction());
+        const double available = available_units(*spec, state, now);
+        if (available < std::min(units, spec->burst * visible_fraction()) - kUnitsTolerance)
+            return (units - available) / (spec->rate * visible_fraction());
     }
-    const double not_at_owner = state.unreported_units + state.in_flight_units;
-    return not_at_owner + units <= max_unreported(*s, settings_.max_unreported_units) + kUnitsTolerance
+    const double unknown_to_owner = state.unreported_units + state.in_flight_units;
+    return unknown_to_owner + units <=
+                   max_unreported(*spec, settings_.max_unreported_units) + kUnitsTolerance
                ? 0
-               : kAwaitReplyS;
+               : kAwaitReplyRetryAfterS;
 }
 
 void RateLimitNode::consume(double now, std::uint32_t limit, std::uint64_t key, double units) {
-    const LimitSpec* const s = spec(limit);
-    if (!s || s->rate <= 0) return;
+    const LimitSpec* const spec = find_spec(limit);
+    if (!spec || spec->rate <= 0) return;
     const BucketId id{limit, key};
     const std::string& owner = this->owner(limit, key);
     if (owner == settings_.name) {
-        charge_owned_bucket(now, id, *s, units, {});
+        charge_owned_bucket(now, id, *spec, units, {});
         return;
     }
     if (!reporter_states_.contains(id) && reporter_states_.size() >= settings_.max_keys)
         evict_one(reporter_states_, [&](const BucketId& other, const ReporterState& state) {
-            const LimitSpec* const of = spec(other.limit);
+            const LimitSpec* const other_spec = find_spec(other.limit);
             return state.unreported_units + state.in_flight_units + state.fallback_units +
                            state.in_flight_fallback_units ==
                        0 &&
                    !state.report_queued &&
-                   (!of || state.owner_level_at_s <= kNeverS ||
-                    available_units(*of, state, now) >= of->burst * visible_fraction() - kUnitsTolerance);
+                   (!other_spec || state.owner_level_at_s <= kNeverS ||
+                    available_units(*other_spec, state, now) >=
+                        other_spec->burst * visible_fraction() - kUnitsTolerance);
         });
     ReporterState& state = reporter_states_[id];
     state.last_used_at_s = now;
     if (state.unreported_units + state.fallback_units <= 0) state.unreported_since_s = now;
     if (owner_unresponsive(owner)) {
-        const double rate = fallback_rate(*s, settings_.ingresses.size());
+        const double rate = fallback_rate(*spec, settings_.ingresses.size());
         state.fallback_full_at_s = std::max(state.fallback_full_at_s, now) + units / rate;
         state.fallback_units += units;
     } else {
@@ -216,32 +221,34 @@
     report_if_due(now, id, state);
 }
 
-// Queues a report for the owner: at once near the limit, and up to kReportDelayS later far from it, so that
-// several units and keys go in one datagram.
+// Queues a report to the owner if one is due: at once near the limit, and up to kReportDelayS later far
+// from it, so that one datagram carries several units and keys.
 void RateLimitNode::report_if_due(double now, const BucketId& id, ReporterState& state) {
-    const LimitSpec* const s = spec(id.limit);
-    if (!s || state.report_queued || state.unreported_units + state.fallback_units <= 0) return;
+    const LimitSpec* const spec = find_spec(id.limit);
+    if (!spec || state.report_queued || state.unreported_units + state.fallback_units <= 0) return;
     const std::string& owner = this->owner(id.limit, id.key);
     if (owner == settings_.name) {   // this ingress has become the owner
         std::optional<double> last_known_level;
         if (state.owner_level_at_s > kNeverS)
             last_known_level =
-                std::min(s->burst, state.owner_level + s->rate * (now - state.owner_level_at_s));
-        charge_owned_bucket(now, id, *s, state.unreported_units + state.fallback_units, last_known_level);
+                std::min(spec->burst, state.owner_level + spec->rate * (now - state.owner_level_at_s));
+        charge_owned_bucket(now, id, *spec, state.unreported_units + state.fallback_units,
+                            last_known_level);
         state.unreported_units = 0;
         state.fallback_units = 0;
         return;
     }
-    const double not_at_owner = state.unreported_units + state.in_flight_units;
+    const double unknown_to_owner = state.unreported_units + state.in_flight_units;
     const bool far_from_limit = state.owner_level_at_s > kNeverS &&
-                                available_units(*s, state, now) > s->burst * visible_fraction() / 2;
-    const bool fits_another = not_at_owner + s->max_request_units <=
-                              max_unreported(*s, settings_.max_unreported_units) - kUnitsTolerance;
-    if (far_from_limit && fits_another && now < state.unreported_since_s + kReportDelayS) {
+                                available_units(*spec, state, now) > spec->burst * visible_fraction() / 2;
+    const bool fits_another_request =
+        unknown_to_owner + spec->max_request_units <=
+        max_unreported(*spec, settings_.max_unreported_units) - kUnitsTolerance;
+    if (far_from_limit && fits_another_request && now < state.unreported_since_s + kReportDelayS) {
         deferred_reports_at_s_ = std::min(deferred_reports_at_s_, state.unreported_since_s + kReportDelayS);
         return;
     }
-    // At most one report of a key is in flight; usage meanwhile goes with the next.
+    // At most one report of a key is in flight. Usage in the meantime goes into the next one.
     if (state.in_flight_units + state.in_flight_fallback_units > 0) return;
     state.report_queued = true;
     queued_reports_[owner].push_back(id);
@@ -269,10 +276,11 @@
             item.set_key(id.key);
             item.set_units(state.in_flight_units + state.in_flight_fallback_units);
             if (state.owner_level_at_s > kNeverS) {
-                const LimitSpec& s = *spec(id.limit);
+                const LimitSpec& spec = *find_spec(id.limit);
                 item.set_knows(true);
-                item.set_level(std::min(s.burst, state.owner_level + s.rate * visible_fraction() *
-                                                                         (now - state.owner_level_at_s)));
+                item.set_level(std::min(
+                    spec.burst,
+                    state.owner_level + spec.rate * visible_fraction() * (now - state.owner_level_at_s)));
             }
             report.buckets.push_back(id);
         }
@@ -287,18 +295,18 @@
     }
 }
 
-// Charges the owner's bucket; returns the units left. `last_known_level`: of the reporter, for a bucket
-// that does not exist here yet.
-double RateLimitNode::charge_owned_bucket(double now, const BucketId& id, const LimitSpec& s, double units,
-                                          std::optional<double> last_known_level) {
-    const double rate = s.rate * visible_fraction();
-    const double burst = s.burst * visible_fraction();
+// Charges a bucket that this ingress owns and returns the units left in it. A bucket that does not exist
+// yet starts at `last_known_level`, the level that the reporter knows of, or full if there is none.
+double RateLimitNode::charge_owned_bucket(double now, const BucketId& id, const LimitSpec& spec,
+                                          double units, std::optional<double> last_known_level) {
+    const double rate = spec.rate * visible_fraction();
+    const double burst = spec.burst * visible_fraction();
     auto at = owned_buckets_.find(id);
     if (at == owned_buckets_.end()) {
         if (owned_buckets_.size() >= settings_.max_keys)
             evict_one(owned_buckets_,
                       [&](const BucketId&, const OwnedBucket& bucket) { return bucket.full_at_s <= now; });
-        // Only the reporter can know the level that the previous owner had.
+        // The previous owner's level is known to the reporter alone.
         const double level = last_known_level ? std::clamp(*last_known_level, -burst, burst) : burst;
         at = owned_buckets_.emplace(id, OwnedBucket{now + (burst - level) / rate, now}).first;
     }
@@ -323,8 +331,8 @@
         on_report(now, from, process, batch);
 }
 
-// Invariant: each report is counted once, however often it arrives. A report so old that its reply is no
-// longer kept gets none.
+// Invariant: each report is counted once, however often it arrives. A report that is so old that its reply
+// may have been discarded is ignored.
 void RateLimitNode::on_report(double now, const std::string& from, std::uint64_t process,
                               const wire::Batch& batch) {
     const std::uint64_t number = batch.number();
@@ -342,16 +350,16 @@
     reply.set_answer(true);
     reply.set_number(number);
     for (const wire::Item& reported : batch.item()) {
-        const LimitSpec* const s = spec(reported.limit());
-        if (!s || s->rate <= 0 || !plausible(reported.units()) || reported.units() < 0 ||
-            !plausible(reported.level()))
+        const LimitSpec* const spec = find_spec(reported.limit());
+        if (!spec || spec->rate <= 0 || !is_plausible_units(reported.units()) || reported.units() < 0 ||
+            !is_plausible_units(reported.level()))
             continue;
         std::optional<double> last_known_level;
         if (reported.knows()) last_known_level = reported.level();
         wire::Item& item = *reply.add_item();
         item.set_limit(reported.limit());
         item.set_key(reported.key());
-        item.set_level(charge_owned_bucket(now, {reported.limit(), reported.key()}, *s, reported.units(),
+        item.set_level(charge_owned_bucket(now, {reported.limit(), reported.key()}, *spec, reported.units(),
                                            last_known_level));
         item.set_knows(true);
     }
@@ -364,7 +372,7 @@
 
 void RateLimitNode::on_reply(double now, const wire::Batch& batch) {
     const auto at = reports_in_flight_.find(batch.number());
-    if (at == reports_in_flight_.end()) return;   // a duplicate, or requeued since
+    if (at == reports_in_flight_.end()) return;   // a duplicate reply, or requeued since
     const Report report = std::move(at->second);
     reports_in_flight_.erase(at);
     awaiting_reply_since_s_.erase(report.owner);
@@ -378,7 +386,7 @@
     for (const wire::Item& item : batch.item()) {
         const BucketId id{item.limit(), item.key()};
         const auto state = reporter_states_.find(id);
-        if (state == reporter_states_.end() || !plausible(item.level())) continue;
+        if (state == reporter_states_.end() || !is_plausible_units(item.level())) continue;
         state->second.owner_level = item.level();
         state->second.owner_level_at_s = now;
     }
@@ -391,8 +399,8 @@
     send_reports(now, report.owner);
 }
 
-// Whether the owner has counted the report is unknown: it is reported again, which may reject requests
-// within the limit but admits none beyond it.
+// Reports the usage again, because it is unknown whether the owner counted the report. Counting it twice
+// may reject requests within the limit but admits none beyond it.
 void RateLimitNode::requeue_report(double now, Report& report) {
     for (const BucketId& id : report.buckets) {
         const auto at = reporter_states_.find(id);
@@ -440,26 +448,27 @@
     return next;
 }
 
-// Evicts one of a few randomly chosen entries: one that loses nothing by it, else the least recently used.
-template <class Table, class LosesNothing>
-void RateLimitNode::evict_one(Table& table, LosesNothing loses_nothing_by_it) {
+// Evicts one of a few randomly chosen entries: one whose eviction loses no state, or else the least
+// recently used one. `is_lossless` tells whether evicting an entry loses no state.
+template <class Table, class IsLossless>
+void RateLimitNode::evict_one(Table& table, IsLossless is_lossless) {
     if (table.empty()) return;
     auto victim = table.end();
-    bool victim_loses_nothing = false;
+    bool victim_is_lossless = false;
     std::size_t bucket = random_() % table.bucket_count();
     for (std::size_t candidates = 0; candidates < kEvictionCandidates;
          bucket = (bucket + 1) % table.bucket_count())
         for (auto at = table.begin(bucket); at != table.end(bucket) && candidates < kEvictionCandidates;
              ++at, ++candidates) {
-            const bool loses_nothing = loses_nothing_by_it(at->first, at->second);
-            if (victim != table.end() && (victim_loses_nothing > loses_nothing ||
-                                          (victim_loses_nothing == loses_nothing &&
+            const bool lossless = is_lossless(at->first, at->second);
+            if (victim != table.end() && (victim_is_lossless > lossless ||
+                                          (victim_is_lossless == lossless &&
                                            victim->second.last_used_at_s <= at->second.last_used_at_s)))
                 continue;
             victim = table.find(at->first);
-            victim_loses_nothing = loses_nothing;
+            victim_is_lossless = lossless;
         }
-    lossy_evictions_ += !victim_loses_nothing;
+    lossy_evictions_ += !victim_is_lossless;
     table.erase(victim);
 }
 
--- a/src/fleet_rate_limit/settings.hpp
+++ b/src/fleet_rate_limit/settings.hpp
@@ -1,15 +1,15 @@
-// The operator's [fleet_limits] section: settings that all limits with scope = fleet share. A field is
-// named as its key.
+// The [fleet_limits] section of the operator's settings file, which applies to all limits with
+// scope = fleet. Each field has the name of its key.
 #pragma once
 
 #include "ini/ini.hpp"
 
 namespace slatejunction::fleet_rate_limit {
 
-/// credit: Settings::max_unreported_units; keys_max: Settings::max_keys.
+/// Values of the section's keys.
 struct Options {
-    double credit = 2;
-    std::int64_t keys_max = 100'000;
+    double credit = 2;                 ///< Settings::max_unreported_units
+    std::int64_t keys_max = 100'000;   ///< Settings::max_keys
     bool operator==(const Options&) const = default;
 
     ini::Section section() {
--- a/src/fleet_rate_limit/staleness_bound.hpp
+++ b/src/fleet_rate_limit/staleness_bound.hpp
@@ -1,6 +1,6 @@
-// Error bound of a limit that holds over the fleet, as pure functions of its settings: units that may be
-// admitted beyond burst + rate * t in any window of t seconds. Called by RateLimitNode, the checks of the
-// configuration, measures and tests.
+// Error bound of a fleet-wide limit: the units that may be admitted beyond burst + rate * t in any window
+// of t seconds. All functions are pure functions of the settings. RateLimitNode, the configuration check
+// and tests use them.
 #pragma once
 
 #include <algorithm>
@@ -8,67 +8,75 @@
 
 namespace slatejunction::fleet_rate_limit {
 
-/// A limit's definition.
+/// Definition of a limit.
 struct LimitSpec {
-    double rate = 0;                ///< units a second, over all ingresses
-    double burst = 1;               ///< units
-    double max_request_units = 1;   ///< of one request
+    double rate = 0;                ///< units per second, across all ingresses
+    double burst = 1;               ///< units, across all ingresses
+    double max_request_units = 1;   ///< most units of a single request
     bool operator==(const LimitSpec&) const = default;
 };
 
-inline constexpr double kMaxReplyDelayS = 2;   ///< s, that the `late_replies` bound holds for
+/// Longest delay of a reply (s) for which ErrorBound::late_replies holds.
+inline constexpr double kMaxReplyDelayS = 2;
 
-/// Units that one ingress may have admitted of a key and not reported.
-inline double max_unreported(const LimitSpec& s, double wanted) {
-    return std::max(wanted, s.max_request_units);
+/// Units of one key that an ingress may admit before the owner knows of them; at least one request.
+inline double max_unreported(const LimitSpec& spec, double max_unreported_units) {
+    return std::max(max_unreported_units, spec.max_request_units);
 }
 
-/// An even share of rate (units a second) and burst (units), for an ingress whose owner does not answer.
-inline double fallback_rate(const LimitSpec& s, std::size_t ingresses) {
-    return s.rate / static_cast<double>(ingresses);
+/// Rate (units per second) of the fallback bucket: an even share of the limit's rate. An ingress uses this
+/// bucket while the key's owner does not reply.
+inline double fallback_rate(const LimitSpec& spec, std::size_t ingresses) {
+    return spec.rate / static_cast<double>(ingresses);
 }
-inline double fallback_burst(const LimitSpec& s, std::size_t ingresses) {
-    return std::max(s.burst / static_cast<double>(ingresses), s.max_request_units);
+/// Burst (units) of the fallback bucket: an even share of the limit's burst, and at least one request.
+inline double fallback_burst(const LimitSpec& spec, std::size_t ingresses) {
+    return std::max(spec.burst / static_cast<double>(ingresses), spec.max_request_units);
 }
 
-/// Units, by what is wrong in the fleet.
+/// Error bound in units, for each state of the fleet.
 struct ErrorBound {
-    double healthy = 0;         ///< all replies arrive within kUnresponsiveAfterS
-    double late_replies = 0;    ///< replies are lost or late by up to kMaxReplyDelayS; adds to any other
-    double partition = 0;       ///< ingresses are cut off or the fleet is split in two, and heals
-    double owner_lost = 0;      ///< a key's owner crashes
-    double process_pause = 0;   ///< an ingress is suspended and resumes
+    double healthy = 0;        ///< all replies arrive within kUnresponsiveAfterS
+    double late_replies = 0;   ///< added to the others while replies are lost or up to kMaxReplyDelayS late
+    double partition = 0;      ///< ingresses are cut off, or the fleet splits in two, and it heals
+    double owner_lost = 0;     ///< the owner of a key crashes
+    double process_pause = 0;   ///< the process of an ingress is suspended and resumes
     double per_restart = 0;     ///< added by each restart of an ingress
 };
 
-/// `wanted_credit`: Settings::max_unreported_units; `ingresses`: number of the whole fleet; `apart`: number
-/// on the smaller side of a partition; `known_s`: time (s) until all know which members are alive
-/// (membership::known_within_s).
+/// Error bound of `spec` in a fleet of `ingresses` ingresses.
 ///
-/// - healthy: each ingress may have max_unreported() units that the owner does not know of.
-/// - late_replies: an ingress that waits admits from its fallback bucket and reports that afterwards.
-/// - partition: every ingress separated from a key's owner, at most all others, empties its fallback
-/// bucket; then the
-///   separated ones have an owner of their own. Until the membership has changed, when the partition begins
-///   and again when it heals, their fraction of rate and burst is granted twice.
+/// - `max_unreported_units` is Settings::max_unreported_units.
+/// - `cut_off` is the number of ingresses on the smaller side of a partition.
+/// - `detection_s` is the time (s) until all ingresses know which members are alive
+///   (membership::detection_bound_s).
+///
+/// How each bound comes about:
+/// - healthy: each ingress may have admitted max_unreported() units that the owner does not know of.
+/// - late_replies: an ingress that waits for a reply admits from its fallback bucket and reports those
+///   units afterwards.
+/// - partition: every ingress that is cut off from the owner of a key, at most all others, empties its
+///   fallback bucket. Then the ingresses on the far side have an owner of their own. Their fraction of rate
+///   and burst is granted twice until the membership has changed, once when the partition begins and once
+///   when it heals.
 /// - owner_lost: every ingress empties its fallback bucket, and the next owner may start with a full
-/// bucket.
-/// - process_pause: the same; the process resumes with empty buckets (RateLimitNode::detect_process_pause)
-/// and grants the
-///   whole rate until its membership has changed.
-inline ErrorBound error_bound(const LimitSpec& s, double wanted_credit, std::size_t ingresses,
-                              std::size_t apart, double known_s) {
-    const double n = static_cast<double>(ingresses);
-    const double separated = static_cast<double>(apart);
-    const double unreported = n * max_unreported(s, wanted_credit);
-    const double fallback = fallback_burst(s, ingresses);
+///   bucket.
+/// - process_pause: as owner_lost and a restart. The process resumes with empty buckets
+///   (RateLimitNode::detect_process_pause) and grants the whole rate until its membership has changed.
+inline ErrorBound error_bound(const LimitSpec& spec, double max_unreported_units, std::size_t ingresses,
+                              std::size_t cut_off, double detection_s) {
+    const double ingress_count = static_cast<double>(ingresses);
+    const double cut_off_count = static_cast<double>(cut_off);
+    const double unreported = ingress_count * max_unreported(spec, max_unreported_units);
+    const double fallback = fallback_burst(spec, ingresses);
     ErrorBound bound;
     bound.healthy = unreported;
-    bound.late_replies = n * fallback + s.rate * kMaxReplyDelayS;
-    bound.partition = unreported + n * fallback + 2 * (s.burst + s.rate * known_s) * separated / n;
-    bound.owner_lost = unreported + n * fallback + s.burst;
-    bound.per_restart = max_unreported(s, wanted_credit) + fallback;
-    bound.process_pause = bound.owner_lost + bound.per_restart + s.rate * known_s;
+    bound.late_replies = ingress_count * fallback + spec.rate * kMaxReplyDelayS;
+    bound.partition = unreported + ingress_count * fallback +
+                      2 * (spec.burst + spec.rate * detection_s) * cut_off_count / ingress_count;
+    bound.owner_lost = unreported + ingress_count * fallback + spec.burst;
+    bound.per_restart = max_unreported(spec, max_unreported_units) + fallback;
+    bound.process_pause = bound.owner_lost + bound.per_restart + spec.rate * detection_s;
     return bound;
 }
 
