--- a/src/quota/admission.cpp
+++ b/src/quota/admission.cpp
@@ -1,4 +1,5 @@
-// Of SharedQuota (shared_quota.hpp): whether a customer's buckets hold its units, and consuming from them.
+// SharedQuota (shared_quota.hpp): whether a customer's buckets hold the units of a request, and their
+// consumption.
 #include <algorithm>
 #include <cmath>
 
@@ -7,14 +8,14 @@
 namespace slatejunction::quota {
 namespace {
 
-constexpr double kRefreshPeriodS = 5;    // while the shared bucket is empty
-constexpr double kAwaitReportS = 0.01;   // retry-after while a report is in flight
+constexpr double kRefreshPeriodS = 5;                 // between refreshes of an empty shared bucket
+constexpr double kReportInFlightRetryAfterS = 0.01;   // retry-after while a report is in flight
 constexpr double kMinRetryAfterS = 0.001;
-constexpr double kDefaultRetryAfterS = 1;   // where no time can be computed
-constexpr double kUnitsTolerance = 1e-9;    // of sums of units
+constexpr double kDefaultRetryAfterS = 1;   // retry-after where no time can be computed
+constexpr double kUnitsTolerance = 1e-9;    // rounding tolerance of sums of units
 constexpr std::size_t kEvictionCandidates = 16;
 
-// Time (s) until a bucket with `available` units has `units`; 0: now.
+// Returns the time (s) until a bucket with `available` units holds `units`, or 0 if it already does.
 double time_until_available_s(double units, double available, double rate) {
     if (available >= units - kUnitsTolerance) return 0;
     return rate > 0 ? std::max(kMinRetryAfterS, (units - available) / rate) : kDefaultRetryAfterS;
@@ -30,8 +31,9 @@
     return bucket_layout(settings_, plan(state), state.ingresses.count);
 }
 
-// Factor by which units are reported to the counter: above 1 while some of the customer's ingresses are cut
-// off and admit from their fallback buckets.
+// Returns the factor by which units are multiplied when they are reported to the counter. It is above 1
+// while some of the customer's ingresses are cut off from the counter, as these admit from their fallback
+// buckets.
 double SharedQuota::cost_multiplier(const CustomerState& state) const {
     const CounterPart& part = parts_[state.part];
     unsigned missing = 0;
@@ -49,7 +51,7 @@
     return part.unreachable || now_ < part.recovered_at_s + kRecoveryGraceS;
 }
 
-// Units in the shared bucket, as it will be once all usage is reported.
+// Returns the units that the shared bucket will hold once all usage is reported.
 double SharedQuota::level(const CustomerState& state) const {
     const BucketLayout layout = layout_of(state);
     const double not_on_counter = state.unreported_units + state.in_flight_units;
@@ -77,8 +79,8 @@
            layout.fallback_rate * std::max(0.0, state.fallback_full_at_s - fleet_time_s());
 }
 
-// Time (s) until `units` are admitted; 0: now.
-double SharedQuota::time_until_admitted(const CustomerState& state, double units) const {
+// Returns the time (s) until `units` are admitted, or 0 if they are admitted now.
+double SharedQuota::time_until_admitted_s(const CustomerState& state, double units) const {
     const BucketLayout layout = layout_of(state);
     const double local_wait_s = time_until_available_s(units, local_level(state), layout.local_rate);
     if (local_wait_s == 0 || state.ingresses.count <= 1) return local_wait_s;
@@ -87,7 +89,7 @@
                         time_until_available_s(units, fallback_level(state), layout.fallback_rate));
     const double multiplier = cost_multiplier(state);
     if (state.full_at_s != kNeverS) {
-        // A reply may show units sooner than this, not later.
+        // The next reply may shorten this wait but not extend it.
         const double shared_wait_s =
             time_until_available_s(units, level(state) / multiplier, layout.rate / multiplier);
         if (shared_wait_s > 0) return std::min(local_wait_s, shared_wait_s);
@@ -95,36 +97,36 @@
     const double not_on_counter = state.unreported_units + state.in_flight_units;
     const bool may_stay_unreported =
         not_on_counter + units <= layout.max_unreported + kUnitsTolerance || not_on_counter == 0;
-    return may_stay_unreported ? 0 : std::min(local_wait_s, kAwaitReportS);
+    return may_stay_unreported ? 0 : std::min(local_wait_s, kReportInFlightRetryAfterS);
 }
 
-double SharedQuota::retry_after_s(double now, std::uint64_t customer, unsigned plan_number,
+double SharedQuota::retry_after_s(double now, std::uint64_t customer, unsigned plan_index,
                                   IngressSet ingresses, double units) {
-    advance(now);
-    if (plan_number >= settings_.plans.size() || units <= 0) return 0;
-    const PlanQuota& plan = settings_.plans[plan_number];
+    advance_time(now);
+    if (plan_index >= settings_.plans.size() || units <= 0) return 0;
+    const PlanQuota& plan = settings_.plans[plan_index];
     const auto at = customers_.find(customer);
-    CustomerState unknown;
-    unknown.plan = plan_number;
-    unknown.ingresses = ingresses;
-    unknown.part = part_of(customer);
+    CustomerState new_state;
+    new_state.plan = plan_index;
+    new_state.ingresses = ingresses;
+    new_state.part = part_of(customer);
     const bool known =
-        at != customers_.end() && at->second.plan == plan_number && at->second.ingresses == ingresses;
-    const CustomerState& state = known ? at->second : unknown;
+        at != customers_.end() && at->second.plan == plan_index && at->second.ingresses == ingresses;
+    const CustomerState& state = known ? at->second : new_state;
     if (known && now_ - state.updated_at_s > kRefreshPeriodS) refresh(customer, at->second);
     if (plan.max_in_flight > 0 &&
         state.attempts_in_flight + 1 > std::max(1.0, std::floor(plan.max_in_flight / ingresses.count)))
         return kDefaultRetryAfterS;
-    return plan.rate > 0 ? time_until_admitted(state, units) : 0;
+    return plan.rate > 0 ? time_until_admitted_s(state, units) : 0;
 }
 
-CustomerState& SharedQuota::find_or_create(std::uint64_t customer, unsigned plan_number,
+CustomerState& SharedQuota::find_or_create(std::uint64_t customer, unsigned plan_index,
                                            IngressSet ingresses) {
     auto [found, created] = customers_.try_emplace(customer);
     CustomerState& state = found->second;
-    if (!created && state.plan == plan_number && state.ingresses == ingresses) return state;
-    // Another plan has other buckets; what is known in s stays valid.
-    state.plan = plan_number;
+    if (!created && state.plan == plan_index && state.ingresses == ingresses) return state;
+    // Another plan has other buckets, but the theoretical arrival times stay valid.
+    state.plan = plan_index;
     state.ingresses = ingresses;
     state.part = part_of(customer);
     if (!created || customers_.size() <= settings_.max_customers) return state;
@@ -132,7 +134,8 @@
     return customers_[customer];
 }
 
-// Forgets one of a few randomly chosen customers: one whose buckets are full, else the least recently used.
+// Evicts one of a few randomly chosen customers: one whose buckets are full, or else the least recently
+// used one. A customer with a pending call, report or attempt is not evicted.
 void SharedQuota::evict_one() {
     const double now = fleet_time_s();
     std::uint64_t victim = 0;
@@ -146,7 +149,7 @@
             if (state.call_in_flight || state.awaits_check || state.report_queued ||
                 state.attempts_in_flight > 0)
                 continue;
-            if (state.last_used_at_s == 0) continue;   // the one just created
+            if (state.last_used_at_s == 0) continue;   // the customer that was just created
             ++candidates;
             const bool full = state.unreported_units == 0 && state.fallback_units == 0 &&
                               state.full_at_s <= now && state.local_full_at_s <= now &&
@@ -162,11 +165,11 @@
     if (found) customers_.erase(victim);
 }
 
-void SharedQuota::consume(double now, std::uint64_t customer, unsigned plan_number, IngressSet ingresses,
+void SharedQuota::consume(double now, std::uint64_t customer, unsigned plan_index, IngressSet ingresses,
                           double units) {
-    advance(now);
-    if (plan_number >= settings_.plans.size()) return;
-    CustomerState& state = find_or_create(customer, plan_number, ingresses);
+    advance_time(now);
+    if (plan_index >= settings_.plans.size()) return;
+    CustomerState& state = find_or_create(customer, plan_index, ingresses);
     ++state.attempts_in_flight;
     state.last_used_at_s = fleet_time_s();
     if (plan(state).rate <= 0 || units <= 0) return;
@@ -183,8 +186,8 @@
 void SharedQuota::consume_fallback(std::uint64_t customer, CustomerState& state, double units) {
     state.fallback_full_at_s =
         std::max(state.fallback_full_at_s, fleet_time_s()) + units / layout_of(state).fallback_rate;
-    // Until the other ingresses can have noticed and reserved this one its share, its usage is reported as
-    // shared.
+    // The usage is reported as shared usage until the other ingresses must have noticed that this one is
+    // cut off, and have reserved its share.
     const CounterPart& part = parts_[state.part];
     const bool share_reserved =
         part.unreachable && now_ > part.unreachable_since_s + kIngressMissingAfterS + kHeartbeatTtlS;
--- a/src/quota/bucket_layout.cpp
+++ b/src/quota/bucket_layout.cpp
@@ -37,10 +37,10 @@
         kIngressMissingAfterS + kHeartbeatTtlS + 2 * kHeartbeatPeriodS + kRecoveryGraceS;
     bound.partition =
         bound.healthy + cut_off * (layout.fallback_burst + layout.fallback_rate * unnoticed_s);
-    // The first name that is read shows the loss. From then on all buckets count as empty, and what was
-    // admitted beyond them before is no longer accounted for.
+    // The first entry that is read after the loss shows it. From then on all buckets count as empty, so
+    // units that were admitted before the loss and not reported are no longer accounted for.
     bound.counter_state_lost = bound.healthy + ingresses * layout.max_unreported;
-    // Reports since the last check may be lost unnoticed: one whole burst.
+    // Reports since the last check may be lost without notice, up to a whole burst.
     bound.counter_state_rolled_back = bound.counter_state_lost + layout.burst;
     bound.per_restart = layout.max_unreported + layout.local_burst + layout.burst;
     return bound;
--- a/src/quota/counter_incarnation.cpp
+++ b/src/quota/counter_incarnation.cpp
@@ -10,7 +10,7 @@
 namespace slatejunction::quota {
 namespace {
 
-constexpr double kIntegerTolerance = 0.5;   // totals are whole numbers
+constexpr double kIntegerTolerance = 0.5;   // totals are integers
 constexpr std::size_t kMaxMessageBytes = 60;
 
 }   // namespace
@@ -56,7 +56,7 @@
     suspect_loss(now, part);
 }
 
-// The leader verifies a suspected loss at once; any other ingress reports it to the leader.
+// Verifies a suspected loss at once on the leader; any other ingress reports it to the leader.
 void CounterIncarnation::suspect_loss(double now, unsigned part) {
     PartState& state = parts_[part];
     state.loss_suspected = true;
@@ -78,7 +78,8 @@
 void CounterIncarnation::on_read(double now, unsigned part, std::int64_t generation, double total) {
     PartState& state = parts_[part];
     if (generation < state.generation) return;   // a late reply
-    // A total lower than before proves a loss. A generation's name that was never seen set proves nothing.
+    // A total lower than before proves a loss. The entry of a new generation, which was never seen set,
+    // proves nothing.
     const bool state_lost = generation == state.generation && total < state.last_total - kIntegerTolerance;
     state.generation = generation;
     state.last_total = total;
@@ -88,7 +89,7 @@
     }
     if (total < kIntegerTolerance) pending_adds_.push_back({part, generation, 1});
     if (state_lost) return confirm_loss(now, part);
-    // The suspected loss was none, or it is the one that was broadcast already.
+    // The suspicion was wrong, or it is about the loss that was broadcast already.
     if (!std::exchange(state.loss_to_verify, false)) return;
     ++false_alarms_;
     state.loss_suspected = false;
@@ -112,11 +113,12 @@
     outgoing_.push_back({true, {IncarnationMessage::Kind::epoch_announced, part, parts_[part].epoch}});
 }
 
-// Takes over an epoch that is higher than this ingress's.
+// Adopts an epoch that is higher than this ingress's.
 void CounterIncarnation::adopt_epoch(double now, unsigned part, std::uint64_t epoch) {
     PartState& state = parts_[part];
     if (epoch <= state.epoch) return;
-    // The first epoch that is received is no loss: it may have been raised before this process started.
+    // The first epoch that is received does not mean a loss, as it may have been incremented before this
+    // process started.
     const bool provisional = state.epoch == 0 || now < state.epoch_provisional_until_s;
     if (!provisional && !state.loss_known_locally) confirmed_losses_.push_back(part);
     state.epoch = epoch;
@@ -135,7 +137,7 @@
 void CounterIncarnation::on_loss_suspected(double now, const IncarnationMessage& message) {
     PartState& state = parts_[message.part];
     if (!is_leader_) return;
-    if (message.epoch < state.epoch) {   // the sender has missed the last broadcast
+    if (message.epoch < state.epoch) {   // the sender missed the last broadcast
         broadcast_epoch(now, message.part);
         return;
     }
@@ -147,10 +149,10 @@
 
 void CounterIncarnation::on_epoch_announced(double now, const IncarnationMessage& message) {
     PartState& state = parts_[message.part];
-    if (message.epoch < state.epoch && !is_leader_)   // a new leader that has missed the last loss
+    if (message.epoch < state.epoch && !is_leader_)   // a new leader that missed the last loss
         outgoing_.push_back(
             {false, {IncarnationMessage::Kind::epoch_announced, message.part, state.epoch}});
-    if (message.epoch == state.epoch) {   // the leader has verified
+    if (message.epoch == state.epoch) {   // the leader has verified the suspicion
         state.loss_suspected = false;
         state.loss_known_locally = false;
     }
--- a/src/quota/counter_names.hpp
+++ b/src/quota/counter_names.hpp
@@ -1,5 +1,5 @@
-// The names that ingresses use on the shared counter. They are a wire format: all ingresses, of any
-// version, must write them alike.
+// Names of the entries on the shared counter. The names are part of the wire format: ingresses of all
+// versions must generate the same names.
 #pragma once
 
 #include <cstdint>
@@ -7,18 +7,20 @@
 
 namespace slatejunction::quota {
 
-inline constexpr std::uint32_t kNameTtlMs = 60'000;   ///< time to live of a new name
+inline constexpr std::uint32_t kEntryTtlMs = 60'000;   ///< time to live of a new entry
 
-/// Name of a customer's theoretical arrival time, which is kept in s from the start of the generation.
+/// Name of a customer's entry, which holds the theoretical arrival time in s since the start of the
+/// generation.
 std::string customer_name(std::uint64_t customer, std::int64_t generation);
 
-/// Name of one ingress's check that the counter keeps its state. `nonce` differs after each restart.
+/// Name of the entry by which one ingress checks that the counter kept its state. `nonce` differs after
+/// each restart of the ingress.
 std::string check_name(unsigned ingress, std::uint64_t nonce, std::int64_t generation);
 
-/// Name of the heartbeats of all ingresses on one part of the counter.
+/// Name of the entry that holds the heartbeats of all ingresses on one part of the counter.
 std::string heartbeat_name(unsigned part);
 
-/// Name of the fleet's own check, see counter_incarnation.hpp.
+/// Name of the fleet's incarnation entry (counter_incarnation.hpp).
 std::string incarnation_name(std::int64_t generation);
 
 }   // namespace slatejunction::quota
--- a/src/quota/counter_protocol.cpp
+++ b/src/quota/counter_protocol.cpp
@@ -10,26 +10,27 @@
 namespace slatejunction::quota {
 namespace {
 
-constexpr std::size_t kMaxBulkBytes = 256;    // of a value; totals have about 20
-constexpr std::size_t kMaxLineBytes = 1024;   // of a status or an error line
+constexpr std::size_t kMaxBulkBytes = 256;    // bulk string; a total has about 20 bytes
+constexpr std::size_t kMaxLineBytes = 1024;   // status or error line
 constexpr std::int64_t kMaxArrayItems = 8;
-constexpr int kRepliesPerCall = 4;   // MULTI, two queued commands, EXEC
+constexpr int kRepliesPerCall = 4;   // one each for MULTI, the two queued commands and EXEC
 
-// A decimal number without an exponent, which both protocols read alike.
-std::string decimal(double amount) {
+// Formats a decimal number without an exponent, as both protocols accept it.
+std::string format_decimal(double amount) {
     std::array<char, 64> text{};
     const auto end =
         std::to_chars(text.data(), text.data() + text.size(), amount, std::chars_format::fixed, 6).ptr;
     return {text.data(), end};
 }
 
+// Returns NaN if `text` is not a number.
 double parse_number(std::string_view text) {
     while (!text.empty() && (text.back() == '\n' || text.back() == '\r' || text.back() == ' '))
         text.remove_suffix(1);
     double value = 0;
-    const auto [end, fault] = std::from_chars(text.data(), text.data() + text.size(), value);
-    const bool good = !text.empty() && fault == std::errc() && end == text.data() + text.size();
-    return good ? value : std::numeric_limits<double>::quiet_NaN();
+    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
+    const bool valid = !text.empty() && error == std::errc() && end == text.data() + text.size();
+    return valid ? value : std::numeric_limits<double>::quiet_NaN();
 }
 
 class HttpCounterProtocol final : public CounterProtocol {
@@ -37,7 +38,7 @@
     explicit HttpCounterProtocol(std::string host) : host_(std::move(host)) {}
 
     void write(const CounterCall& call, std::string& out) const override {
-        out += "POST /counters/" + call.name + "?by=" + decimal(call.amount) +
+        out += "POST /counters/" + call.name + "?by=" + format_decimal(call.amount) +
                "&expire_ms=" + std::to_string(call.ttl_ms) + " HTTP/1.1\r\nHost: " + host_ +
                "\r\nContent-Length: 0\r\n\r\n";
     }
@@ -45,11 +46,11 @@
     ProtocolStatus parse(std::string_view bytes, std::vector<Reply>& replies) override {
         while (!bytes.empty()) {
             const std::span<char> space = parser_.receive_space(buffer_);
-            const std::size_t some = std::min(space.size(), bytes.size());
-            if (some == 0) return ProtocolStatus::violated;
-            std::copy_n(bytes.data(), some, space.data());
-            bytes.remove_prefix(some);
-            buffer_.commit(some);
+            const std::size_t count = std::min(space.size(), bytes.size());
+            if (count == 0) return ProtocolStatus::violated;
+            std::copy_n(bytes.data(), count, space.data());
+            bytes.remove_prefix(count);
+            buffer_.commit(count);
             if (parse_buffered(replies) == ProtocolStatus::violated) return ProtocolStatus::violated;
         }
         return ProtocolStatus::ok;
@@ -57,12 +58,12 @@
     bool connection_closing() const override { return connection_closing_; }
 
   private:
-    // Reads all complete responses in the buffer.
+    // Parses all complete responses in the buffer.
     ProtocolStatus parse_buffered(std::vector<Reply>& replies) {
         for (;;) {
             const http::Step step = parser_.feed(buffer_);
             if (step == http::Step::more) {
-                // Without a length the reply would end with the connection: no reply of a counter.
+                // A counter's reply has a length. Without one it would extend to the end of the connection.
                 return parser_.ends_with_connection() ? ProtocolStatus::violated : ProtocolStatus::ok;
             }
             if (step != http::Step::done) return ProtocolStatus::violated;
@@ -93,7 +94,7 @@
     void write(const CounterCall& call, std::string& out) const override {
         append_command(out, {"MULTI"});
         append_command(out, {"SET", call.name, "0", "PX", std::to_string(call.ttl_ms), "NX"});
-        append_command(out, {"INCRBYFLOAT", call.name, decimal(call.amount)});
+        append_command(out, {"INCRBYFLOAT", call.name, format_decimal(call.amount)});
         append_command(out, {"EXEC"});
     }
 
@@ -117,27 +118,27 @@
   private:
     enum class ParseStatus { need_more, done, malformed };
     struct Value {
-        char kind = 0;        // + - : $ *
-        std::string text;     // of an array: of its last item
-        bool error = false;   // the value, or an item of it, is an error
-        std::int64_t items = 0;
+        char kind = 0;            // type byte: + - : $ *
+        std::string text;         // text of the value; for an array, of its last item
+        bool error = false;       // whether the value or one of its items is an error
+        std::int64_t items = 0;   // number of items in an array
     };
 
-    static void append_command(std::string& out, const std::vector<std::string>& words) {
-        out += "*" + std::to_string(words.size()) + "\r\n";
-        for (const std::string& word : words)
-            out += "$" + std::to_string(word.size()) + "\r\n" + word + "\r\n";
+    static void append_command(std::string& out, const std::vector<std::string>& arguments) {
+        out += "*" + std::to_string(arguments.size()) + "\r\n";
+        for (const std::string& argument : arguments)
+            out += "$" + std::to_string(argument.size()) + "\r\n" + argument + "\r\n";
     }
 
-    // The first three replies of a call only acknowledge it; the fourth is the transaction's. False: not a
-    // reply that a call can have.
+    // Handles one reply. The first three replies to a call only acknowledge it, and the fourth is that of
+    // the transaction. Returns false for a reply that a call cannot have.
     bool on_value(const Value& value, std::vector<Reply>& replies) {
         if (++replies_of_call_ < kRepliesPerCall) return value.kind == '+' || value.kind == '-';
         replies_of_call_ = 0;
         if (value.kind == '*' && value.items == 2 && !value.error)
             replies.push_back({true, parse_number(value.text)});
         else if (value.error || value.kind == '-' || value.kind == '*')
-            replies.push_back({});   // the transaction was discarded, or the amount rejected
+            replies.push_back({});   // the transaction was discarded or the amount was rejected
         else
             return false;
         return true;
@@ -164,8 +165,8 @@
             return ParseStatus::done;
         }
         std::int64_t size = 0;
-        const auto [end, fault] = std::from_chars(rest.data(), rest.data() + rest.size(), size);
-        if (fault != std::errc() || end != rest.data() + rest.size() || size < -1)
+        const auto [end, error] = std::from_chars(rest.data(), rest.data() + rest.size(), size);
+        if (error != std::errc() || end != rest.data() + rest.size() || size < -1)
             return ParseStatus::malformed;
         if (value.kind == '$') {
             value.text.clear();
@@ -189,7 +190,7 @@
     }
 
     std::string received_;
-    int replies_of_call_ = 0;   // received for the next call
+    int replies_of_call_ = 0;   // replies received for the current call
 };
 
 }   // namespace
--- a/src/quota/driver.cpp
+++ b/src/quota/driver.cpp
@@ -10,7 +10,7 @@
 
 constexpr double kReplyTimeoutS = 2;   // without a reply, until a connection is closed
 constexpr double kNoDeadlineS = 1e18;
-constexpr double kNameUnset = 0.5;   // totals of the incarnation name are whole numbers
+constexpr double kMinSetTotal = 0.5;   // the incarnation entry holds an integer, and 0 while it is not set
 constexpr std::size_t kReceiveBufferBytes = 8192;
 
 double unix_s() {
@@ -34,12 +34,12 @@
     // Sends all unsent calls in one write.
     void flush() {
         if (connecting || unsent_calls_.empty()) return;
-        // From here on they may reach the counter, even if the connection fails.
+        // From here on the calls may reach the counter, even if the connection fails.
         sent_calls_.insert(sent_calls_.end(), unsent_calls_.begin(), unsent_calls_.end());
         unsent_calls_.clear();
         const std::string bytes = std::exchange(unsent_bytes_, {});
-        const std::string_view part = bytes;
-        if (!stream.send({&part, 1})) on_end(false);
+        const std::string_view buffer = bytes;
+        if (!stream.send({&buffer, 1})) on_end(false);
     }
     void on_open() override {
         connecting = false;
@@ -88,7 +88,7 @@
     net::Stream stream{*this};
     std::unique_ptr<CounterProtocol> protocol_;
     std::string unsent_bytes_;
-    std::deque<std::uint64_t> sent_calls_;     // ids of calls without a reply, in their order
+    std::deque<std::uint64_t> sent_calls_;     // ids of sent calls without a reply, in their order
     std::deque<std::uint64_t> unsent_calls_;   // ids of the calls in unsent_bytes_
     double last_reply_at_s = 0;
     bool connecting = false;
@@ -165,12 +165,14 @@
     pump();
 }
 
-// Passes SharedQuota's findings and reads to CounterIncarnation, and its calls and verdicts back.
+// Passes the detected losses and incarnation reads of SharedQuota to CounterIncarnation, and the confirmed
+// losses and calls of CounterIncarnation back.
 void Driver::exchange_incarnation_events() {
-    for (const unsigned part : shared_quota_.take_found_losses()) incarnation_->on_local_loss(now(), part);
-    for (const auto& read : shared_quota_.take_incarnations()) {
+    for (const unsigned part : shared_quota_.take_detected_losses())
+        incarnation_->on_local_loss(now(), part);
+    for (const auto& read : shared_quota_.take_incarnation_reads()) {
         incarnation_->on_read(now(), read.part, read.generation, read.total);
-        if (read.total < kNameUnset ||
+        if (read.total < kMinSetTotal ||
             std::exchange(logged_generation_[read.part], read.generation) == read.generation)
             continue;
         const std::pair<std::string_view, std::string> fields[] = {
@@ -178,10 +180,10 @@
         log_.event("sentinel_seen", fields);
     }
     for (const unsigned part : incarnation_->take_confirmed_losses())
-        shared_quota_.on_counter_lost(now(), part);
+        shared_quota_.on_counter_state_lost(now(), part);
     for (const auto& add : incarnation_->take_adds())
         if (add.amount == 0 || fleet_.leader_may_act())
-            shared_quota_.add_incarnation(now(), add.part, add.generation, add.amount);
+            shared_quota_.add_to_incarnation(now(), add.part, add.generation, add.amount);
     for (const auto& outgoing : incarnation_->take_outgoing())
         fleet_.send(outgoing.broadcast, serialize(outgoing.message));
 }
@@ -194,7 +196,8 @@
 }
 
 void Driver::send_calls() {
-    // A call that fails at once may cause others: they wait for the next timer, so that this loop ends.
+    // A call that fails at once may cause other calls. These wait for the next timer, so that the loop
+    // ends.
     for (const CounterCall& call : shared_quota_.take_calls()) {
         ++calls_sent_;
         auto& connection = connections_[call.part];
@@ -238,17 +241,17 @@
         logged_unreachable_[part] = unreachable;
         if (unreachable)
             log_.write(Log::Level::warning, net::now(),
-                       "quota: the counter at %s is lost; this ingress keeps to its share",
+                       "quota: the counter at %s is unreachable; admitting from fallback buckets",
                        parts_[part].c_str());
         else
-            log_.write(Log::Level::info, net::now(), "quota: the counter at %s answers again",
+            log_.write(Log::Level::info, net::now(), "quota: the counter at %s is reachable again",
                        parts_[part].c_str());
     }
     if (shared_quota_.counter_losses() == logged_losses_) return;
     logged_losses_ = shared_quota_.counter_losses();
     log_.event("counter_emptied", {});
     log_.write(Log::Level::warning, net::now(),
-               "quota: the counter has lost what it held; customers' stores count as empty from now on");
+               "quota: the counter lost its state; customers' shared buckets count as empty from now on");
 }
 
 }   // namespace slatejunction::quota
--- a/src/quota/driver.hpp
+++ b/src/quota/driver.hpp
@@ -1,6 +1,6 @@
-// Carries SharedQuota's and CounterIncarnation's calls to the counter and the replies back: one connection
-// for each part, one timer. Logs when a part becomes unreachable, answers again, or has lost its state.
-// Decides nothing; owned by app::QuotaComponent.
+// Sends the calls of SharedQuota and CounterIncarnation to the counter and passes the replies back, over
+// one connection per part and with one timer. Logs when a part becomes unreachable or reachable again, and
+// when the counter has lost its state. Makes no decisions of its own. Owned by app::QuotaComponent.
 #pragma once
 
 #include <functional>
@@ -19,32 +19,34 @@
 
 namespace slatejunction::quota {
 
-/// The shared quota of this process.
+/// Runs the shared quota of this process.
 class Driver {
   public:
-    /// `settings`: of make_settings(), without a fault. `timers` and `log` outlive the driver.
+    /// `settings` come from make_settings() without an error. `timers` and `log` must outlive the driver.
     Driver(const Options& options, const Settings& settings, std::uint64_t seed, net::Timers& timers,
            Log& log);
     ~Driver();
     Driver(const Driver&) = delete;
     Driver& operator=(const Driver&) = delete;
     void start();
-    /// What CounterIncarnation needs of the fleet.
+    /// Access to the fleet for CounterIncarnation.
     struct FleetCallbacks {
-        std::function<bool()> leader_may_act;   ///< whether this ingress may act as the leader now
+        /// Returns whether this ingress may act as the leader now.
+        std::function<bool()> leader_may_act;
         /// Sends `body` to all ingresses if `broadcast`, else to the leader.
         std::function<void(bool broadcast, const std::string& body)> send;
     };
-    /// Before start(); the callbacks are valid as long as the driver.
+    /// Must be called before start(). The callbacks must stay valid for the driver's lifetime.
     void join_fleet(FleetCallbacks fleet);
     void on_leadership_change(bool is_leader);
     void on_message(std::string_view body);
     const CounterIncarnation* incarnation() const { return incarnation_ ? &*incarnation_ : nullptr; }
-    /// Moves to other addresses or the other protocol; the result of calls in flight is unknown then. Any
-    /// other change waits for the next start. False: there is a change of that kind.
+    /// Applies new addresses or another protocol; calls in flight then have an unknown result. Any other
+    /// change, also one of the number of parts, takes effect at the next start only. Returns false if there
+    /// is such a change.
     bool reload(const Options& options);
 
-    /// As of SharedQuota; `plan`: its index in the settings.
+    /// As the functions of SharedQuota; `plan` is the plan's index in the settings.
     double retry_after_s(std::uint64_t customer, unsigned plan, IngressSet ingresses, double units);
     void consume(std::uint64_t customer, unsigned plan, IngressSet ingresses, double units);
     void release(std::uint64_t customer) { shared_quota_.release(customer); }
@@ -54,7 +56,7 @@
 
   private:
     struct Connection;
-    double now() const;   // s, Unix: of the clock that all ingresses read
+    double now() const;   // Unix time (s)
     void pump();
     void send_calls();
     void arm_timer();
@@ -68,11 +70,11 @@
     SharedQuota shared_quota_;
     std::optional<CounterIncarnation> incarnation_;
     FleetCallbacks fleet_;
-    std::vector<std::int64_t> logged_generation_;   // by part: of the last sentinel_seen event
+    std::vector<std::int64_t> logged_generation_;   // by part: generation in the last sentinel_seen event
     net::Timers& timers_;
     Log& log_;
     net::Timer timer_;
-    std::vector<std::shared_ptr<Connection>> connections_;   // by part; null: none
+    std::vector<std::shared_ptr<Connection>> connections_;   // by part; null if there is none
     std::vector<bool> logged_unreachable_;                   // by part
     std::uint64_t logged_losses_ = 0;
     std::uint64_t calls_sent_ = 0;
--- a/src/quota/plan.hpp
+++ b/src/quota/plan.hpp
@@ -1,4 +1,5 @@
-// Settings of the shared quota, and the periods and timeouts that all ingresses of a fleet keep to.
+// Settings of the shared quota, and the periods and timeouts that all ingresses of a fleet use. Times are
+// in s.
 #pragma once
 
 #include <cmath>
@@ -9,50 +10,60 @@
 
 namespace slatejunction::quota {
 
-inline constexpr double kGenerationS =
-    50;   ///< s; a new name is used every 50 s, as names live 60 s at most
+/// Length of a generation. Each generation uses new names on the counter, because an entry expires 60 s
+/// after its creation at the latest.
+inline constexpr double kGenerationS = 50;
 
-/// The number of the generation of names that a time lies in.
+/// Returns the number of the generation that a time (s, Unix) lies in.
 inline std::int64_t generation_of(double unix_s) {
     return static_cast<std::int64_t>(std::floor(unix_s / kGenerationS));
 }
 
-inline constexpr unsigned kMaxIngresses =
-    11;   ///< heartbeat digits that fit in a total exact to 7 decimal digits
-inline constexpr double kHeartbeatPeriodS = 1;        ///< s
-inline constexpr double kHeartbeatTtlS = 3;           ///< s
-inline constexpr double kIngressMissingAfterS = 5;    ///< s without a heartbeat
-inline constexpr double kCheckPeriodS = 2;            ///< s, while anything is reported
-inline constexpr double kUnreachableAfterS = 0.3;     ///< s without any reply while a call is in flight
-inline constexpr int kUnreachableAfterFailures = 3;   ///< consecutive calls that were not carried out
-inline constexpr double kProbePeriodS = 0.5;          ///< s, while the part is unreachable
-inline constexpr double kRecoveryGraceS =
-    2;   ///< s after its recovery during which the other ingresses report their usage
-
-/// The quota of one plan, for each of its customers.
+/// Most ingresses of a fleet. The heartbeat total has one base-4 digit per ingress and is exact to 7
+/// decimal digits, which hold 11 such digits.
+inline constexpr unsigned kMaxIngresses = 11;
+inline constexpr double kHeartbeatPeriodS = 1;
+inline constexpr double kHeartbeatTtlS = 3;
+/// Time without a heartbeat after which an ingress counts as missing.
+inline constexpr double kIngressMissingAfterS = 5;
+/// Time between two checks that a part of the counter kept its state, while usage is reported to it.
+inline constexpr double kCheckPeriodS = 2;
+/// Time without any reply, while a call is in flight, after which a part counts as unreachable.
+inline constexpr double kUnreachableAfterS = 0.3;
+/// Consecutive failed calls after which a part counts as unreachable.
+inline constexpr int kUnreachableAfterFailures = 3;
+/// Time between two probes of an unreachable part.
+inline constexpr double kProbePeriodS = 0.5;
+/// Time after the recovery of a part during which an ingress keeps using its fallback buckets, while the
+/// other ingresses report their usage.
+inline constexpr double kRecoveryGraceS = 2;
+
+/// Quota that each customer of one plan has.
 struct PlanQuota {
     std::string name;
-    double rate = 0;            ///< units a second
+    double rate = 0;            ///< units per second
     double burst = 0;           ///< units
-    double max_in_flight = 0;   ///< attempts over all ingresses; 0: not limited
+    double max_in_flight = 0;   ///< attempts in flight across all ingresses; 0 means unlimited
 };
 
 /// Settings of one ingress's SharedQuota.
 struct Settings {
     std::vector<PlanQuota> plans;
-    unsigned ingress_index = 0;            ///< of this ingress, from 0
-    unsigned ingress_count = 1;            ///< of the fleet
-    unsigned parts = 1;                    ///< of the counter, which customers are spread over
-    double max_unreported_units = 4;       ///< that an ingress may have admitted and not reported
-    double local_fraction = 0.3;           ///< of each rate and burst: split evenly, kept locally
-    double min_local_burst = 2;            ///< burst of the local bucket, at least
-    double max_request_units = 1;          ///< of one request
-    double calls_per_s = 200;              ///< to the counter, at most
-    double skew_s = 0.05;                  ///< between any two ingresses' clocks, at most
-    std::size_t max_customers = 100'000;   ///< known at once; beyond, one is evicted
+    unsigned ingress_index = 0;   ///< index of this ingress in the fleet, from 0
+    unsigned ingress_count = 1;   ///< number of ingresses in the fleet
+    /// Number of parts of the counter. Each customer's entries are kept on one of them.
+    unsigned parts = 1;
+    double max_unreported_units = 4;   ///< units that an ingress may have admitted and not reported
+    /// Fraction of each rate and burst that is split evenly over the ingresses and kept locally.
+    double local_fraction = 0.3;
+    double min_local_burst = 2;            ///< smallest burst (units) of a local bucket
+    double max_request_units = 1;          ///< most units of a single request
+    double calls_per_s = 200;              ///< most calls per second to the counter
+    double skew_s = 0.05;                  ///< largest difference between the clocks of two ingresses
+    std::size_t max_customers = 100'000;   ///< customers tracked at once; beyond that one is evicted
 };
 
-/// The ingresses that a customer's requests come through: `count` of them from index `first` on, modulo the
+/// The ingresses that a customer's requests arrive at: `count` ingresses from index `first` on, modulo the
 /// number of ingresses.
 struct IngressSet {
     unsigned first = 0, count = 1;
--- a/src/quota/reports.cpp
+++ b/src/quota/reports.cpp
@@ -1,5 +1,4 @@
-// Of SharedQuota (shared_quota.hpp): what is reported of customers to the counter, and what its replies
-// mean.
+// SharedQuota (shared_quota.hpp): reports of customers' usage to the counter, and its replies.
 #include <algorithm>
 #include <cmath>
 #include <utility>
@@ -10,48 +9,54 @@
 namespace slatejunction::quota {
 namespace {
 
-constexpr double kCounterResolutionS = 1e-4;    // totals are exact to seven digits
-constexpr double kMinCorrectionUnits = 0.3;     // a smaller correction waits for the next report
-constexpr double kClockSlewRate = 0.02;         // s a second, at most
-constexpr double kClockEvidenceMinGapS = 0.5;   // between two replies from a clock that is ahead
+constexpr double kCounterResolutionS = 1e-4;   // totals are exact to seven digits
+// A correction of fewer units waits for the next report.
+constexpr double kMinCorrectionUnits = 0.3;
+// Largest change of the clock offset, in s per second.
+constexpr double kClockSlewRate = 0.02;
+// Shortest and longest time between two replies that together show a clock that is ahead.
+constexpr double kClockEvidenceMinGapS = 0.5;
 constexpr double kClockEvidenceMaxGapS = 5;
-constexpr double kFreshReadS = 0.02;          // age of a reply after which it is read again before a raise
-constexpr double kUnreportedHoldS = 0.25;     // of the rate, that may stay unreported even near the quota
-constexpr double kUnitsTolerance = 1e-9;      // of sums of units
-constexpr std::uint32_t kReadNameTtlMs = 1;   // a read creates a missing name
+// An entry whose last reply is older is read again before it is raised.
+constexpr double kMaxReplyAgeBeforeRaiseS = 0.02;
+// Usage that may stay unreported even near the quota, as a time at the shared rate.
+constexpr double kUnreportedAllowanceS = 0.25;
+constexpr double kUnitsTolerance = 1e-9;       // rounding tolerance of sums of units
+constexpr std::uint32_t kReadEntryTtlMs = 1;   // reading a missing entry creates it
 
 }   // namespace
 
-// Reads the customer's name again: a reply from while two ingresses raised the name shows too few units for
-// long.
+// Reads the customer's entry again while it shows an empty bucket. A reply that arrived while two ingresses
+// raised the entry shows too few units, and would do so for long without a refresh.
 void SharedQuota::refresh(std::uint64_t customer, CustomerState& state) {
     if (state.full_at_s == kNeverS || state.call_in_flight || state.awaits_check || state.report_queued ||
         state.unreported_units > 0 || uses_fallback(state) || level(state) >= settings_.max_request_units ||
         call_budget_ < 1)
         return;
     call_budget_ -= 1;
-    state.updated_at_s = now_;   // requested
+    state.updated_at_s = now_;   // time of the request
     send_report(customer, state, 0, kNeverS, 0);
 }
 
-// Reports are sent at once near the quota, and only at the most that may be unreported far from it.
-bool SharedQuota::report_wanted(const CustomerState& state) const {
+// Near the quota a report is due at once; far from it, only once the usage reaches the most that may stay
+// unreported.
+bool SharedQuota::is_report_due(const CustomerState& state) const {
     if (state.fallback_units > 0) return true;
     if (state.unreported_units <= 0) return false;
     const BucketLayout layout = layout_of(state);
     const double fill = std::clamp(level(state) / layout.burst, 0.0, 1.0);
-    double limit = std::max(layout.max_unreported * fill, kUnreportedHoldS * layout.rate);
+    double limit = std::max(layout.max_unreported * fill, kUnreportedAllowanceS * layout.rate);
     if (state.sole_reporter) limit = layout.max_unreported;   // no other ingress needs the report
     if (state.full_at_s == kNeverS) limit = 0;
-    const bool fits_another = state.unreported_units + settings_.max_request_units <=
-                              std::min(layout.max_unreported, limit) + kUnitsTolerance;
-    return !fits_another;
+    const bool fits_another_request = state.unreported_units + settings_.max_request_units <=
+                                      std::min(layout.max_unreported, limit) + kUnitsTolerance;
+    return !fits_another_request;
 }
 
 void SharedQuota::report_if_due(std::uint64_t customer, CustomerState& state) {
     if (state.call_in_flight || state.awaits_check || state.report_queued || parts_[state.part].unreachable)
         return;
-    if (!report_wanted(state)) return;
+    if (!is_report_due(state)) return;
     if (call_budget_ < 1) {
         state.report_queued = true;
         queued_reports_.push_back(customer);
@@ -61,12 +66,12 @@
     report_usage(customer, state);
 }
 
-// Reports the fallback usage where there is any, else the unreported usage.
+// Reports the fallback usage if there is any, or else the other unreported usage.
 //
-// Invariant: units are added only to a name that has been raised to the present, as a raise absorbs
-// whatever lies below it, also other ingresses' units. The name is raised without reading it first only
-// where no other ingress can have raised it meanwhile: a name that is raised twice shows an empty bucket to
-// all that read it before the second raise is taken back.
+// Invariant: units are added only to an entry that has been raised to the present. A raise absorbs
+// everything below it, including units that other ingresses added. The entry is raised without reading it
+// first only if no other ingress can have raised it in the meantime: an entry that is raised twice shows an
+// empty bucket to every ingress that reads it before the second raise is undone.
 void SharedQuota::report_usage(std::uint64_t customer, CustomerState& state) {
     const bool fallback = state.fallback_units > 0;
     const double units = fallback ? state.fallback_units : state.unreported_units;
@@ -77,8 +82,9 @@
                        state.generation == generation_of(fleet_time_s()) &&
                        state.counter_epoch == parts_[state.part].epoch;
     const double raise_by_s = known ? raise_to_s - state.counter_full_at_s : 1;
-    const bool others_may_raise = !state.sole_reporter && now_ - state.updated_at_s > kFreshReadS;
-    if (raise_by_s > 0 && (!known || others_may_raise))
+    const bool others_may_have_raised =
+        !state.sole_reporter && now_ - state.updated_at_s > kMaxReplyAgeBeforeRaiseS;
+    if (raise_by_s > 0 && (!known || others_may_have_raised))
         return send_report(customer, state, 0, raise_to_s, 0);
     const double multiplier = fallback ? 1 : cost_multiplier(state);
     send_report(customer, state, units, raise_to_s,
@@ -102,7 +108,7 @@
     pending.raise_to_s = raise_to_s;
     pending.amount = amount;
     pending.generation = generation_of(fleet_time_s());
-    send(pending, customer_name(customer, pending.generation), kNameTtlMs);
+    send(pending, customer_name(customer, pending.generation), kEntryTtlMs);
 }
 
 // Sends as many queued reports as the call budget allows.
@@ -121,12 +127,12 @@
     CounterReply reply;
     reply.full_at_s = generation_start_s(pending.generation) + total;
     reply.full_at_before_s =
-        reply.full_at_s - std::max(0.0, pending.amount);   // a correction downwards is in both
+        reply.full_at_s - std::max(0.0, pending.amount);   // a negative correction is part of both
     reply.raise_to_s = pending.raise_to_s;
     reply.units = pending.units;
     reply.is_fallback_usage = pending.is_fallback_usage;
     reply.generation = pending.generation;
-    reply.name_is_new = total - pending.amount < kCounterResolutionS && pending.amount >= 0;
+    reply.entry_is_new = total - pending.amount < kCounterResolutionS && pending.amount >= 0;
     reply.last_check_sent = parts_[pending.part].checks_sent;
     return reply;
 }
@@ -143,96 +149,100 @@
     const bool went_back = known && reply.full_at_before_s < state.counter_full_at_s - kCounterResolutionS;
     state.sole_reporter =
         known && std::abs(reply.full_at_before_s - state.counter_full_at_s) < kCounterResolutionS;
-    if (!reply.name_is_new && !went_back) return apply_reply(pending.customer, state, reply);
+    if (!reply.entry_is_new && !went_back) return apply_reply(pending.customer, state, reply);
     state.awaits_check = true;
-    state.unconfirmed = reply;
+    state.unconfirmed_reply = reply;
     part.awaiting_check.push_back(pending.customer);
     request_check(state.part);
 }
 
-// A check has come back since: whether the counter kept its state is known.
+// Handles an unconfirmed reply after a later check has shown whether the counter kept its state.
 void SharedQuota::on_reply_confirmed(std::uint64_t customer, CustomerState& state) {
     state.awaits_check = false;
-    const CounterReply reply = state.unconfirmed;
+    const CounterReply reply = state.unconfirmed_reply;
     const BucketLayout layout = layout_of(state);
     const double ingresses = state.ingresses.count;
-    const double full_after = layout.burst / layout.rate + ingresses * layout.max_unreported / layout.rate;
-    // The first report of a generation, early in it: the previous generation's name still matters, as other
+    const double full_refill_s =
+        layout.burst / layout.rate + ingresses * layout.max_unreported / layout.rate;
+    // Early in a generation, its first report must respect the previous generation's entry, as other
     // ingresses may have reported there after this one did.
     const bool early =
-        reply.name_is_new && fleet_time_s() < generation_start_s(reply.generation) + full_after;
+        reply.entry_is_new && fleet_time_s() < generation_start_s(reply.generation) + full_refill_s;
     if (!early) return apply_reply(customer, state, reply);
     state.awaits_check = true;   // until the previous generation is read
     read_previous_generation(customer, state);
 }
 
-// Reads the customer's name of the generation before the unconfirmed reply's.
+// Reads the customer's entry of the generation before that of the unconfirmed reply.
 void SharedQuota::read_previous_generation(std::uint64_t customer, const CustomerState& state) {
     PendingCall pending;
     pending.purpose = CallPurpose::previous_generation;
     pending.customer = customer;
     pending.part = state.part;
-    pending.generation = state.unconfirmed.generation - 1;
-    send(pending, customer_name(customer, pending.generation), kReadNameTtlMs);
+    pending.generation = state.unconfirmed_reply.generation - 1;
+    send(pending, customer_name(customer, pending.generation), kReadEntryTtlMs);
 }
 
 void SharedQuota::on_previous_generation(const PendingCall& pending, double total) {
     const auto found = customers_.find(pending.customer);
     if (found == customers_.end() || !found->second.awaits_check) return;
     found->second.awaits_check = false;
-    CounterReply reply = found->second.unconfirmed;
+    CounterReply reply = found->second.unconfirmed_reply;
     if (total > kCounterResolutionS)
         reply.raise_to_s = std::max(reply.raise_to_s, generation_start_s(pending.generation) + total);
     apply_reply(pending.customer, found->second, reply);
 }
 
-// Theoretical arrival time without the units of the report.
+// Returns the theoretical arrival time without the units of the report.
 double SharedQuota::full_at_before_report(const CustomerState& state, const CounterReply& reply) const {
     const BucketLayout layout = layout_of(state);
     const CounterPart& part = parts_[state.part];
     const double base_s = std::max(reply.full_at_before_s, reply.raise_to_s);
-    // Other ingresses' reports were lost with the counter's state: the bucket counts as empty at that
-    // time.
+    // Other ingresses' reports were lost with the counter's state, so the bucket counts as empty at the
+    // time of the loss.
     const bool state_lost =
-        state.full_at_s != kNeverS ? state.counter_epoch != part.epoch : reply.name_is_new;
+        state.full_at_s != kNeverS ? state.counter_epoch != part.epoch : reply.entry_is_new;
     const double floor_s = part.state_lost_at_s + layout.burst / layout.rate;
     return state_lost && fleet_time_s() < floor_s ? std::max({base_s, state.full_at_s, floor_s}) : base_s;
 }
 
-// `ahead_s`: by which a theoretical arrival time lies beyond what an ingress with this clock can have made.
-// Once may be a name that was raised twice; only a second time soon after shows a clock that is ahead.
+// Adjusts the clock offset towards the fastest clock. `ahead_s` is how far a theoretical arrival time lies
+// beyond any that an ingress with this clock can produce. A single case may come from an entry that was
+// raised twice; only a second one soon after shows that another clock is ahead.
 void SharedQuota::follow_faster_clock(double ahead_s) {
-    const bool counts = ahead_s > 0 && now_ - clock_behind_at_s_ > kClockEvidenceMinGapS;
-    if (!counts) return;
+    const bool is_evidence = ahead_s > 0 && now_ - clock_behind_at_s_ > kClockEvidenceMinGapS;
+    if (!is_evidence) return;
     if (now_ - clock_behind_at_s_ < kClockEvidenceMaxGapS)
         clock_offset_s_ += std::min(ahead_s, kClockSlewRate * (now_ - clock_behind_at_s_));
     clock_behind_at_s_ = now_;
 }
 
-// Takes a reply as the customer's new state, and corrects the name on the counter where it differs from it.
+// Applies a reply to the customer's state, and corrects the entry on the counter if it differs from it.
 void SharedQuota::apply_reply(std::uint64_t customer, CustomerState& state, const CounterReply& reply) {
     const BucketLayout layout = layout_of(state);
     const CounterPart& part = parts_[state.part];
     const double ingresses = state.ingresses.count;
     const double multiplier = cost_multiplier(state);
     const double base_s = full_at_before_report(state, reply);
-    const double empty_full_at_s = fleet_time_s() + layout.burst / layout.rate;   // of an empty bucket
-    double ideal_s = base_s + reply.units * (reply.is_fallback_usage ? 1 : multiplier) / layout.rate;
-    // Other ingresses may already have left this one its share of what it admitted by the fallback bucket.
-    if (reply.is_fallback_usage) ideal_s = std::min(ideal_s, std::max(base_s, empty_full_at_s));
+    const double empty_full_at_s = fleet_time_s() + layout.burst / layout.rate;   // for an empty bucket
+    double target_full_at_s =
+        base_s + reply.units * (reply.is_fallback_usage ? 1 : multiplier) / layout.rate;
+    // Other ingresses may already have reserved this one's share, from which the fallback usage comes.
+    if (reply.is_fallback_usage)
+        target_full_at_s = std::min(target_full_at_s, std::max(base_s, empty_full_at_s));
     follow_faster_clock(reply.full_at_before_s - empty_full_at_s -
                         ingresses * layout.max_unreported * multiplier / layout.rate);
     state.in_flight_units = std::max(0.0, state.in_flight_units - reply.units);
-    state.full_at_s = ideal_s;
+    state.full_at_s = target_full_at_s;
     state.counter_full_at_s = reply.full_at_s;
     state.generation = reply.generation;
     state.counter_epoch = part.epoch;
     state.updated_at_s = now_;
-    const double correction_s = ideal_s - reply.full_at_s;
+    const double correction_s = target_full_at_s - reply.full_at_s;
     const bool correct = std::abs(correction_s) * layout.rate > kMinCorrectionUnits && !part.unreachable;
     if (!correct) return report_if_due(customer, state);
     call_budget_ -= 1;
-    send_report(customer, state, 0, correction_s > 0 ? ideal_s : kNeverS, correction_s);
+    send_report(customer, state, 0, correction_s > 0 ? target_full_at_s : kNeverS, correction_s);
 }
 
 }   // namespace slatejunction::quota
--- a/src/quota/settings.cpp
+++ b/src/quota/settings.cpp
@@ -12,36 +12,38 @@
 constexpr std::size_t kMaxParts = 3;
 constexpr int kBisectionSteps = 60;
 
-/// The plan with the highest healthy error bound, and the bound.
+// A plan and its healthy error bound.
 struct PlanBound {
     std::string plan;
     double units = 0;
 };
 
-PlanBound worst_healthy_bound(const Settings& settings) {
-    PlanBound worst;
+// Returns the plan with the largest healthy error bound.
+PlanBound largest_healthy_bound(const Settings& settings) {
+    PlanBound largest;
     for (const PlanQuota& plan : settings.plans) {
         if (plan.rate <= 0) continue;
         const double units = error_bound(settings, plan, settings.ingress_count, 0).healthy;
-        if (units > worst.units) worst = {plan.name, units};
+        if (units > largest.units) largest = {plan.name, units};
     }
-    return worst;
+    return largest;
 }
 
-// The largest max_unreported_units from `least` on that keeps every plan's healthy bound within
-// `bound_units`.
-double largest_within_bound(Settings settings, double least, double bound_units) {
-    double most = std::max(least, bound_units);
+// Returns, by bisection, the largest max_unreported_units, at least `min_units`, that keeps the healthy
+// error bound of every plan within `bound_units`.
+double max_unreported_within_bound(Settings settings, double min_units, double bound_units) {
+    double max_units = std::max(min_units, bound_units);
     for (int step = 0; step < kBisectionSteps; ++step) {
-        settings.max_unreported_units = (least + most) / 2;
-        if (worst_healthy_bound(settings).units <= bound_units)
-            least = settings.max_unreported_units;
+        settings.max_unreported_units = (min_units + max_units) / 2;
+        if (largest_healthy_bound(settings).units <= bound_units)
+            min_units = settings.max_unreported_units;
         else
-            most = settings.max_unreported_units;
+            max_units = settings.max_unreported_units;
     }
-    return least;
+    return min_units;
 }
 
+// Returns the settings without regard to error_units.
 Settings settings_without_bound(const Options& options, const slatejunction::Settings& platform) {
     Settings settings;
     for (const slatejunction::Plan& plan : platform.plans)
@@ -59,12 +61,12 @@
     return settings;
 }
 
-// The check of the key `counter`; "" where it is well-formed.
+// Checks the value of the key `counter`. Returns what is wrong with it, or "" if it is valid.
 std::string check_counter(const std::string& text) {
-    Options read;
-    read.counter = text;
-    const auto parts = read.parts();
-    if (parts.size() > kMaxParts) return "more than " + std::to_string(kMaxParts) + " parts";
+    Options options;
+    options.counter = text;
+    const auto parts = options.parts();
+    if (parts.size() > kMaxParts) return "more than " + std::to_string(kMaxParts) + " addresses";
     for (const std::string& part : parts)
         if (!net::parse_address(part)) return "'" + part + "' is not ADDRESS:PORT";
     return "";
@@ -107,26 +109,28 @@
 }
 
 Settings make_settings(const Options& options, const slatejunction::Settings& platform,
-                       std::string& fault) {
+                       std::string& error) {
     Settings settings = settings_without_bound(options, platform);
     if (settings.ingress_count > kMaxIngresses)
-        fault = "counter: quotas are kept for at most " + std::to_string(kMaxIngresses) +
-                " ingresses, not " + std::to_string(settings.ingress_count);
+        error = "counter: shared quotas support at most " + std::to_string(kMaxIngresses) +
+                " ingresses, but Balancers is " + std::to_string(settings.ingress_count);
     if (settings.ingress_index >= settings.ingress_count)
-        fault = "counter: MyNumber is none of the ingresses'";
-    if (options.error_units <= 0 || !fault.empty()) return settings;
+        error = "counter: MyNumber must be less than Balancers";
+    if (options.error_units <= 0 || !error.empty()) return settings;
     const double min_unreported = settings.max_request_units;
     settings.max_unreported_units = min_unreported;
-    const PlanBound least = worst_healthy_bound(settings);
-    if (least.units > options.error_units) {
+    const PlanBound smallest = largest_healthy_bound(settings);
+    if (smallest.units > options.error_units) {
         char text[160];
         std::snprintf(text, sizeof text,
-                      "error_units: plan %s can't be held within %g units; %.1f is the least",
-                      least.plan.c_str(), options.error_units, least.units);
-        fault = text;
+                      "error_units: the error bound of plan %s cannot be %g units; the smallest possible "
+                      "is %.1f units",
+                      smallest.plan.c_str(), options.error_units, smallest.units);
+        error = text;
         return settings;
     }
-    settings.max_unreported_units = largest_within_bound(settings, min_unreported, options.error_units);
+    settings.max_unreported_units =
+        max_unreported_within_bound(settings, min_unreported, options.error_units);
     return settings;
 }
 
@@ -134,15 +138,15 @@
     std::vector<std::string> lines;
     for (const PlanQuota& plan : settings.plans) {
         if (plan.rate <= 0) continue;
-        const auto error = error_bound(settings, plan, settings.ingress_count, 1);
+        const auto bound = error_bound(settings, plan, settings.ingress_count, 1);
         char text[320];
         std::snprintf(
             text, sizeof text,
-            "quota of %s: %g a second, burst %g; beyond that in any window at most, in units: %.1f "
-            "healthy, %.1f "
-            "counter lost, %.1f one ingress cut off, %.1f empty, %.1f older, and %.1f for each restart",
-            plan.name.c_str(), plan.rate, plan.burst, error.healthy, error.counter_unreachable,
-            error.partition, error.counter_state_lost, error.counter_state_rolled_back, error.per_restart);
+            "quota of %s: %g units/s, burst %g units; most units beyond that in any window: %.1f healthy, "
+            "%.1f counter unreachable, %.1f one ingress cut off, %.1f counter state lost, "
+            "%.1f counter state rolled back, and %.1f more for each restart",
+            plan.name.c_str(), plan.rate, plan.burst, bound.healthy, bound.counter_unreachable,
+            bound.partition, bound.counter_state_lost, bound.counter_state_rolled_back, bound.per_restart);
         lines.emplace_back(text);
     }
     return lines;
--- a/src/quota/shared_quota.cpp
+++ b/src/quota/shared_quota.cpp
@@ -9,10 +9,12 @@
 namespace {
 
 constexpr double kCounterResolutionS = 1e-4;   // totals are exact to seven digits
-constexpr double kMaxAheadS = 10;              // beyond any theoretical arrival time that an ingress makes
-constexpr double kMaxPlausibleCount = 1e7;     // of a check or of heartbeats
-constexpr double kQueuePollPeriodS = 0.01;     // while reports wait for the call budget
-constexpr double kCallBudgetBurstS = 0.1;      // of the rate of calls
+// A theoretical arrival time that is further ahead of now than this plus a generation is implausible, as no
+// ingress produces one.
+constexpr double kMaxAheadS = 10;
+constexpr double kMaxPlausibleCount = 1e7;   // largest plausible total of any other entry
+constexpr double kQueuePollPeriodS = 0.01;   // while reports wait for the call budget
+constexpr double kCallBudgetBurstS = 0.1;    // burst of the call budget, as a time at the rate of calls
 
 bool holds_arrival_time(CallPurpose purpose) {
     return purpose == CallPurpose::report || purpose == CallPurpose::previous_generation;
@@ -23,16 +25,16 @@
 SharedQuota::SharedQuota(Settings settings, std::uint64_t seed)
     : settings_(std::move(settings)), random_(seed) {
     if (settings_.ingress_count < 1 || settings_.ingress_count > kMaxIngresses)
-        throw std::invalid_argument("1 to " + std::to_string(kMaxIngresses) + " ingresses");
+        throw std::invalid_argument("ingress_count must be from 1 to " + std::to_string(kMaxIngresses));
     if (settings_.ingress_index >= settings_.ingress_count)
-        throw std::invalid_argument("a number beyond the ingresses");
-    if (settings_.parts < 1) throw std::invalid_argument("a counter of no parts");
+        throw std::invalid_argument("ingress_index must be less than ingress_count");
+    if (settings_.parts < 1) throw std::invalid_argument("parts must be at least 1");
     nonce_ = random_() >> 24;
     parts_.resize(settings_.parts);
     for (CounterPart& part : parts_) part.last_heartbeat_at_s.assign(settings_.ingress_count, kNeverS);
 }
 
-void SharedQuota::advance(double now) {
+void SharedQuota::advance_time(double now) {
     if (std::isfinite(now) && now > now_) {
         if (now_ == 0) {
             call_budget_updated_at_s_ = now;
@@ -57,7 +59,7 @@
 
 std::uint64_t SharedQuota::send(PendingCall pending, std::string name, std::uint32_t ttl_ms) {
     CounterPart& part = parts_[pending.part];
-    if (part.calls_in_flight++ == 0) part.silent_since_s = now_;
+    if (part.calls_in_flight++ == 0) part.awaiting_reply_since_s = now_;
     const std::uint64_t id = ++last_call_id_;
     outgoing_calls_.push_back({id, pending.part, std::move(name), pending.amount, ttl_ms});
     pending_.emplace(id, pending);
@@ -65,11 +67,11 @@
 }
 
 void SharedQuota::on_reply(double now, std::uint64_t call, double total) {
-    advance(now);
+    advance_time(now);
     const auto found = pending_.find(call);
     if (found == pending_.end()) return;
     const PendingCall pending = found->second;
-    // A total that the call cannot have produced is no reply.
+    // A total that the call cannot have produced leaves the result of the call unknown.
     const double max_total =
         holds_arrival_time(pending.purpose)
             ? now_ + clock_offset_s_ - generation_start_s(pending.generation) + kMaxAheadS + kGenerationS
@@ -100,7 +102,7 @@
 }
 
 void SharedQuota::on_rejected(double now, std::uint64_t call) {
-    advance(now);
+    advance_time(now);
     const auto found = pending_.find(call);
     if (found == pending_.end()) return;
     const PendingCall pending = found->second;
@@ -120,7 +122,7 @@
     update_deadline();
 }
 
-// The units of a report that was not carried out are to be reported again.
+// Marks the units of a report that was not carried out as unreported again.
 void SharedQuota::requeue_report(const PendingCall& pending, CustomerState& state) {
     state.call_in_flight = false;
     state.in_flight_units = std::max(0.0, state.in_flight_units - pending.units);
@@ -132,8 +134,8 @@
     units += pending.units;
 }
 
-// Treated as if nothing had been added: if it was, the units count twice, which may reject requests within
-// the quota but admits none beyond it.
+// Treats the call as if nothing had been added. If the amount was added, the units count twice, which may
+// reject requests within the quota but admits none beyond it.
 void SharedQuota::on_unknown_result(double now, std::uint64_t call) {
     const auto found = pending_.find(call);
     if (found == pending_.end()) return;
@@ -141,8 +143,8 @@
 }
 
 void SharedQuota::on_timer(double now) {
-    advance(now);
-    for (unsigned number = 0; number < parts_.size(); ++number) on_part_timer(number);
+    advance_time(now);
+    for (unsigned part_index = 0; part_index < parts_.size(); ++part_index) on_part_timer(part_index);
     send_queued_reports();
     update_deadline();
 }
@@ -154,8 +156,8 @@
             next_deadline_s_ = std::min(next_deadline_s_, part.next_probe_at_s);
         else if (settings_.ingress_count > 1)
             next_deadline_s_ = std::min(next_deadline_s_, part.next_heartbeat_at_s);
-        if (!part.unreachable && part.silent_since_s > 0)
-            next_deadline_s_ = std::min(next_deadline_s_, part.silent_since_s + kUnreachableAfterS);
+        if (!part.unreachable && part.awaiting_reply_since_s > 0)
+            next_deadline_s_ = std::min(next_deadline_s_, part.awaiting_reply_since_s + kUnreachableAfterS);
     }
     if (!queued_reports_.empty()) next_deadline_s_ = std::min(next_deadline_s_, now_ + kQueuePollPeriodS);
     next_deadline_s_ = std::max(next_deadline_s_, now_);
--- a/src/quota/shared_quota.hpp
+++ b/src/quota/shared_quota.hpp
@@ -1,20 +1,25 @@
-// Quotas that hold over several ingresses, kept through a shared counter.
+// Quotas that hold across several ingresses, kept on a shared counter.
 //
-// Rule: a request is admitted if the ingress's local bucket, or else the customer's shared bucket on the
-// counter, holds its units; while the counter is unreachable a fallback bucket, an even split of
-// the shared one, takes its place.
-// Inputs: requests (customer, plan, units, the ingresses they come through), replies of the counter and
-// how calls ended, the time (s).
-// Output: whether to admit and how long to wait (s), calls to the counter, the next deadline.
-// Error bound: error_bound() (bucket_layout.hpp), in units beyond burst + rate * t, for each state of the
-// counter.
-// Reason: a customer's name on the counter holds its theoretical arrival time, in s from the start of a
-// generation (generic cell rate algorithm, ITU-T I.371), so adding units is one atomic addition. A part
-// of each rate is kept locally, so that customers far below their quota need no calls. See
-// docs/design/shared-quota.md.
-// Where to see it: the log lines "quota: the counter ..." and the measure of counter losses.
+// A request is admitted if either the ingress's local bucket or the customer's shared bucket on the counter
+// holds its units. While the counter is unreachable, a fallback bucket, an even share of the shared one,
+// takes the place of the shared bucket.
 //
-// A state machine without I/O, clock or globals: equal settings, seed and inputs give equal calls. Driver
+// - Inputs: requests (customer, plan, units and the ingresses that they arrive at), the counter's replies
+//   and how calls ended, and the time (s).
+// - Outputs: whether to admit a request or how long to wait (s), calls to the counter and the next
+// deadline.
+// - Error bound: error_bound() in bucket_layout.hpp gives the units admitted beyond burst + rate * t for
+//   each state of the counter.
+// - Observability: log lines that begin with "quota: " and the metric of counter losses.
+//
+// The counter keeps entries, each a number with a name and a time to live. A customer's entry holds its
+// theoretical arrival time in s since the start of a generation (generic cell rate algorithm, ITU-T I.371),
+// so consuming units is a single atomic addition. A part of each rate is kept locally, so that customers
+// far below their quota need no calls. See docs/design/shared-quota.md.
+//
+// The counter consists of one or more independent parts, and each customer's entries are kept on one part.
+//
+// A state machine without I/O, a clock or globals: equal settings, seed and inputs give equal calls. Driver
 // owns it and is its only caller.
 #pragma once
 
@@ -32,80 +37,81 @@
 
 namespace slatejunction::quota {
 
-/// A call to be made: adds `amount` to `name` on that part of the counter; a new name lives `ttl_ms`. Calls
-/// to one part reach it in their order.
+/// A call to be sent: adds `amount` to the entry `name` on a part of the counter. The calls to one part
+/// must reach it in their order.
 struct CounterCall {
     std::uint64_t id = 0;
     unsigned part = 0;
     std::string name;
-    double amount = 0;   ///< s for a customer's name, a number for others
-    std::uint32_t ttl_ms = 60'000;
+    double amount = 0;               ///< in s for a customer's entry, a plain number for others
+    std::uint32_t ttl_ms = 60'000;   ///< time to live of the entry if the call creates it
 };
 
-/// The quotas of all customers as one ingress keeps them.
+/// One ingress's view of all customers' quotas.
 class SharedQuota {
   public:
-    /// Throws std::invalid_argument for more ingresses than kMaxIngresses, an index beyond them, or no
-    /// parts.
+    /// Throws std::invalid_argument if ingress_count is not 1 to kMaxIngresses, ingress_index is not below
+    /// it, or parts is 0.
     SharedQuota(Settings settings, std::uint64_t seed);
 
-    /// Time (s) until a request of `units` may be admitted; 0: it may be now. Consumes nothing. `now` is in
-    /// s on a clock that all ingresses read, up to Settings::skew_s; an earlier time than the last is taken
-    /// as the last.
+    /// Returns the time (s) until a request of `units` may be admitted, or 0 if it may be admitted now.
+    /// Consumes nothing. `now` is Unix time (s), on which all ingresses agree up to Settings::skew_s. Time
+    /// never runs backwards: an earlier `now` counts as the latest one.
     double retry_after_s(double now, std::uint64_t customer, unsigned plan, IngressSet ingresses,
                          double units);
-    /// The request was admitted and its first attempt started: consumes its units. The attempt counts as in
-    /// flight until release().
+    /// Consumes the units of a request that was admitted and whose first attempt has started. The attempt
+    /// counts as in flight until release().
     void consume(double now, std::uint64_t customer, unsigned plan, IngressSet ingresses, double units);
     void release(std::uint64_t customer);
 
-    /// The counter replied that the name now holds `total`. A late reply is as good as any.
+    /// Handles the counter's reply that the entry now holds `total`. Late replies are valid.
     void on_reply(double now, std::uint64_t call, double total);
-    /// The call ended and nothing was added.
+    /// Handles a call that ended without adding its amount.
     void on_rejected(double now, std::uint64_t call);
-    /// The call ended and its amount may have been added; no reply will come.
+    /// Handles a call that ended without a reply and may have added its amount.
     void on_unknown_result(double now, std::uint64_t call);
 
-    /// Other ingresses have found that the part lost its state: treated as if this ingress's check had
-    /// shown it.
-    void on_counter_lost(double now, unsigned part);
-    /// Parts whose loss of state this ingress's check has proven (it was recent enough) since the last
-    /// call.
-    std::vector<unsigned> take_found_losses() { return std::exchange(found_losses_, {}); }
-    /// Adds to the fleet's own name of that part (counter_incarnation.hpp); the result comes by
-    /// take_incarnations().
-    void add_incarnation(double now, unsigned part, std::int64_t generation, double amount);
+    /// Handles a loss of the part's state that other ingresses found, as if this ingress's check had shown
+    /// it.
+    void on_counter_state_lost(double now, unsigned part);
+    /// Returns the parts whose loss of state this ingress's check has proven since the last call. A check
+    /// whose entry may have expired proves nothing.
+    std::vector<unsigned> take_detected_losses() { return std::exchange(detected_losses_, {}); }
+    /// Adds `amount` to the part's incarnation entry (counter_incarnation.hpp); 0 only reads it. The
+    /// resulting total is returned by take_incarnation_reads().
+    void add_to_incarnation(double now, unsigned part, std::int64_t generation, double amount);
     struct IncarnationRead {
         unsigned part = 0;
         std::int64_t generation = 0;
         double total = 0;
     };
-    std::vector<IncarnationRead> take_incarnations() { return std::exchange(incarnation_reads_, {}); }
+    std::vector<IncarnationRead> take_incarnation_reads() { return std::exchange(incarnation_reads_, {}); }
 
-    /// To be called when next_deadline() has come.
+    /// Must be called once next_deadline() is reached.
     void on_timer(double now);
     double next_deadline() const { return next_deadline_s_; }
-    /// Calls to be made, in their order.
+    /// Returns the calls to be sent, in their order.
     std::vector<CounterCall> take_calls();
     bool has_calls() const { return !outgoing_calls_.empty(); }
 
     bool unreachable(unsigned part) const { return parts_[part].unreachable; }
     std::size_t customers() const { return customers_.size(); }
-    /// Number of times that a part of the counter was found to have lost its state.
+    /// Number of detected losses of a part's state.
     std::uint64_t counter_losses() const { return counter_losses_; }
-    /// Units that the customer's shared bucket holds, as far as this ingress knows.
+    /// Returns the units in the customer's shared bucket as far as this ingress knows; 0 for an unknown
+    /// customer.
     double level(std::uint64_t customer) const;
 
   private:
-    // shared_quota.cpp: the time, calls and how they end.
-    void advance(double now);
-    double fleet_time_s() const { return now_ + clock_offset_s_; }   // as the fastest clock reads it
+    // shared_quota.cpp: time, calls and their results.
+    void advance_time(double now);
+    double fleet_time_s() const { return now_ + clock_offset_s_; }   // time of the fastest clock
     std::uint64_t send(PendingCall pending, std::string name, std::uint32_t ttl_ms);
     void dispatch_reply(const PendingCall& pending, double total);
     void requeue_report(const PendingCall& pending, CustomerState& state);
     void update_deadline();
 
-    // admission.cpp: whether a customer's buckets hold its units, and consuming from them.
+    // admission.cpp: whether a customer's buckets hold the units of a request, and their consumption.
     unsigned part_of(std::uint64_t customer) const;
     const PlanQuota& plan(const CustomerState& state) const { return settings_.plans[state.plan]; }
     BucketLayout layout_of(const CustomerState& state) const;
@@ -114,15 +120,15 @@
     double level(const CustomerState& state) const;
     double local_level(const CustomerState& state) const;
     double fallback_level(const CustomerState& state) const;
-    double time_until_admitted(const CustomerState& state, double units) const;
+    double time_until_admitted_s(const CustomerState& state, double units) const;
     CustomerState& find_or_create(std::uint64_t customer, unsigned plan, IngressSet ingresses);
     void evict_one();
     void consume_fallback(std::uint64_t customer, CustomerState& state, double units);
     void consume_shared(std::uint64_t customer, CustomerState& state, double units);
 
-    // reports.cpp: what is reported of customers to the counter, and what its replies mean.
+    // reports.cpp: reports of customers' usage to the counter, and its replies.
     void refresh(std::uint64_t customer, CustomerState& state);
-    bool report_wanted(const CustomerState& state) const;
+    bool is_report_due(const CustomerState& state) const;
     void report_if_due(std::uint64_t customer, CustomerState& state);
     void report_usage(std::uint64_t customer, CustomerState& state);
     void send_report(std::uint64_t customer, CustomerState& state, double units, double raise_to_s,
@@ -137,8 +143,8 @@
     void follow_faster_clock(double ahead_s);
     void apply_reply(std::uint64_t customer, CustomerState& state, const CounterReply& reply);
 
-    // counter_state.cpp: whether a part of the counter answers and kept its state, and which ingresses use
-    // it.
+    // counter_state.cpp: whether a part of the counter is reachable and kept its state, and which ingresses
+    // use it.
     void request_check(unsigned part);
     void on_check(const PendingCall& pending, double total);
     void confirm_replies_before(unsigned part, std::uint64_t check);
@@ -153,21 +159,21 @@
     Settings settings_;
     std::mt19937_64 random_;
     double now_ = 0;
-    double clock_offset_s_ = 0;            // by which this clock is behind the fastest
-    double clock_behind_at_s_ = kNeverS;   // when a reply last showed that it is
+    double clock_offset_s_ = 0;            // how far this clock is behind the fastest one
+    double clock_behind_at_s_ = kNeverS;   // time at which a reply last showed that it is behind
     double next_deadline_s_ = 0;
-    double call_budget_ = 0;   // calls that may be made now
+    double call_budget_ = 0;   // calls that may be sent now
     double call_budget_updated_at_s_ = 0;
     std::uint64_t last_call_id_ = 0;
     std::uint64_t counter_losses_ = 0;
-    std::uint64_t nonce_ = 0;   // of this process, in the names of its checks
+    std::uint64_t nonce_ = 0;   // identifies this process in the names of its checks
     std::unordered_map<std::uint64_t, CustomerState> customers_;
     std::unordered_map<std::uint64_t, PendingCall> pending_;
     std::vector<CounterPart> parts_;
     std::vector<CounterCall> outgoing_calls_;
-    std::vector<unsigned> found_losses_;
+    std::vector<unsigned> detected_losses_;
     std::vector<IncarnationRead> incarnation_reads_;
-    std::deque<std::uint64_t> queued_reports_;   // customers whose report waits for the call budget
+    std::deque<std::uint64_t> queued_reports_;   // customers with a report that waits for the budget
 };
 
 }   // namespace slatejunction::quota
--- a/tests/quota/counter_protocol_test.cpp
+++ b/tests/quota/counter_protocol_test.cpp
@@ -220,9 +220,9 @@
     CHECK(worst == Approx(12).margin(0.01));
     options.error_units = 2;
     quota::make_settings(options, platform, fault);
-    CHECK(fault.starts_with("error_units: plan basis can't be held within 2 units; "));
+    CHECK(fault.starts_with("error_units: the error bound of plan basis cannot be 2 units; "));
     fault.clear();
     platform.ingress_count = 12;
     quota::make_settings(options, platform, fault);
-    CHECK(fault.starts_with("counter: quotas are kept for at most 11 ingresses"));
+    CHECK(fault.starts_with("counter: shared quotas support at most 11 ingresses, but Balancers is 12"));
 }
