--- a/tests/fleet_rate_limit/decision_digest_test.cpp
+++ b/tests/fleet_rate_limit/decision_digest_test.cpp
@@ -1,6 +1,6 @@
-// That the decisions of fleet rate limits are what they were: digests of seeded schedules, taken before the
-// code was changed. One that differs means that a message, an admitted or refused request or a due time
-// differs. A change that is meant to do so takes new digests; each failed check prints its own.
+// Regression test of fleet-wide rate limits: digests of the outputs in seeded scenarios. A different digest
+// means that a datagram, a retry-after or a deadline has changed. After an intended change of behaviour,
+// replace the digests; each failed check prints the new one.
 #include <array>
 #include <catch2/catch.hpp>
 
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Of seeds 1, 2, ...
+// Digests of seeds 1, 2, ...
 constexpr std::array<std::uint64_t, 40> kDigests{
     0xd1ef9c45f8597c63ULL, 0x83044f8d716728eeULL, 0xf2c6f784450d093fULL, 0xc6a44eded7951a1fULL,
     0xb8bf079d90e8450aULL, 0x3c20c3239b701375ULL, 0xa8496ac6f9b19a10ULL, 0x6543d19ff36ac74cULL,
@@ -24,7 +24,7 @@
 
 }   // namespace
 
-TEST_CASE("digests of fleet rate limits' decisions", "[fleetlimit]") {
+TEST_CASE("decisions of fleet-wide rate limits match the recorded digest of each seed", "[fleetlimit]") {
     for (std::uint64_t seed = 1; seed <= kDigests.size(); ++seed) {
         INFO("seed " << seed);
         rate_limit_simulation::Simulation simulation(rate_limit_simulation::random_scenario(seed), seed);
@@ -33,7 +33,7 @@
     }
 }
 
-TEST_CASE("one digest of fleet rate limits' decisions over more seeds", "[fleetlimit]") {
+TEST_CASE("decisions of fleet-wide rate limits match the combined digest of more seeds", "[fleetlimit]") {
     Digest all;
     for (std::uint64_t seed = kDigests.size() + 1; seed <= 160; ++seed) {
         rate_limit_simulation::Simulation simulation(rate_limit_simulation::random_scenario(seed), seed);
--- a/tests/quota/decision_digest_test.cpp
+++ b/tests/quota/decision_digest_test.cpp
@@ -1,6 +1,6 @@
-// That the decisions of SharedQuota are what they were: digests of seeded schedules, taken before the code
-// was changed. One that differs means that a message, an admitted or refused request, a level or a due time
-// differs. A change that is meant to do so takes new digests; each failed check prints its own.
+// Regression test of SharedQuota: digests of the outputs in seeded scenarios. A different digest means that
+// a call, a retry-after, a level or a deadline has changed. After an intended change of behaviour, replace
+// the digests; each failed check prints the new one.
 #include <array>
 #include <catch2/catch.hpp>
 
@@ -10,7 +10,7 @@
 
 namespace {
 
-// Of seeds 1, 2, ...
+// Digests of seeds 1, 2, ...
 constexpr std::array<std::uint64_t, 40> kDigests{
     0x4d31e5f4c1734084ULL, 0xcd6bf5de370526acULL, 0xa393535b38764400ULL, 0x330b2d9cf5d3c87dULL,
     0xded86ffb692c038fULL, 0xec08a887eed42832ULL, 0xaa185b346a225d92ULL, 0x31df9b351dffb8fdULL,
@@ -25,7 +25,7 @@
 
 }   // namespace
 
-TEST_CASE("digests of SharedQuota's decisions", "[quota]") {
+TEST_CASE("decisions of SharedQuota match the recorded digest of each seed", "[quota]") {
     for (std::uint64_t seed = 1; seed <= kDigests.size(); ++seed) {
         INFO("seed " << seed);
         quota_simulation::Simulation simulation(quota_simulation::random_scenario(seed), seed);
@@ -34,7 +34,7 @@
     }
 }
 
-TEST_CASE("one digest of SharedQuota's decisions over more seeds", "[quota]") {
+TEST_CASE("decisions of SharedQuota match the combined digest of more seeds", "[quota]") {
     Digest all;
     for (std::uint64_t seed = kDigests.size() + 1; seed <= 1000; ++seed) {
         quota_simulation::Simulation simulation(quota_simulation::random_scenario(seed), seed);
@@ -44,7 +44,7 @@
     CHECK(all.value() == 0xc4d49e8fc1286924ULL);
 }
 
-TEST_CASE("the digest of all small schedules of two ingresses' SharedQuota", "[quota]") {
+TEST_CASE("decisions of two ingresses match the digest of all short schedules", "[quota]") {
     slatejunction::quota::Settings settings;
     settings.ingress_count = 2;
     settings.plans = {{"p", 2, 3, 0}};
--- a/tests/quota/exhaustive_search.hpp
+++ b/tests/quota/exhaustive_search.hpp
@@ -1,6 +1,6 @@
-// All small schedules: every order of a few steps for two shared_quotas, one customer and a counter that
-// answers when the schedule says so. Depth first; what breaks the stated error is reported as the steps
-// that lead there.
+// Exhaustive test of SharedQuota: runs every sequence of up to a given number of steps for two ingresses,
+// one customer and a counter that replies when a step says so. A sequence that violates the error bound is
+// reported by its steps, shortest sequences first.
 #pragma once
 
 #include <algorithm>
@@ -22,27 +22,28 @@
 enum class Step {
     request_a,
     request_b,
-    answer,   // the oldest call is done and answered
-    drop,     // the oldest call is done, its answer is lost
-    refuse,   // the oldest call is turned away
-    empty,    // the counter loses all
-    pause,    // 0.4 s
+    reply,        // the oldest call is carried out, and the reply arrives
+    lose_reply,   // the oldest call is carried out, but its reply is lost
+    reject,       // the oldest call is rejected
+    lose_state,   // the counter loses its whole state
+    pause,        // 0.4 s pass
     restart_a
 };
-inline constexpr std::array<const char*, 8> kSteps{"ask A",  "ask B", "answer", "drop",
-                                                   "refuse", "empty", "pause",  "restart A"};
+inline constexpr std::array<const char*, 8> kStepNames{"request A", "request B",  "reply", "lose reply",
+                                                       "reject",    "lose state", "pause", "restart A"};
 
 class ExhaustiveSearch {
   public:
     ExhaustiveSearch(std::size_t depth, quota::Settings settings)
         : depth_(depth), settings_(std::move(settings)) {}
 
-    // The shortest schedule that breaks the stated error; nothing when none does.
+    // Returns a description of the first sequence that violates the error bound, or nothing if there is
+    // none.
     std::optional<std::string> find_violation() {
         for (std::size_t length = 1; length <= depth_; ++length) {
             std::vector<Step> steps(length, Step::request_a);
             for (;;) {
-                if (const auto breach = run(steps)) return breach;
+                if (const auto violation = run(steps)) return violation;
                 ++schedules;
                 std::size_t at = length;
                 while (at > 0 && steps[at - 1] == Step::restart_a) steps[--at] = Step::request_a;
@@ -53,12 +54,11 @@
         return {};
     }
     std::uint64_t schedules = 0;
-    // Of all that the ingresses have put out so far: how long each request is to wait, and calls to the
-    // counter.
+    // Digest of the ingresses' outputs so far: the retry-after of each request, calls and deadlines.
     std::uint64_t digest() const { return digest_.value(); }
 
   private:
-    struct Sent {
+    struct SentCall {
         unsigned from;
         quota::CounterCall call;
     };
@@ -66,43 +66,43 @@
     std::optional<std::string> run(const std::vector<Step>& steps) {
         constexpr double kStart = 1'000'020;
         const auto& plan = settings_.plans[0];
-        double now = kStart, level = plan.burst, allowed = 0;
-        const quota::ErrorBound error = quota::error_bound(settings_, plan, 2, 1);
-        allowed = error.healthy;
-        std::vector<quota::SharedQuota> shared_quotas;
+        double now = kStart, level = plan.burst, bound = 0;
+        const quota::ErrorBound bounds = quota::error_bound(settings_, plan, 2, 1);
+        bound = bounds.healthy;
+        std::vector<quota::SharedQuota> ingresses;
         for (unsigned i = 0; i < 2; ++i) {
             quota::Settings settings = settings_;
             settings.ingress_index = i;
-            shared_quotas.emplace_back(settings, i + 1);
+            ingresses.emplace_back(settings, i + 1);
         }
-        std::map<std::string, double> names;
-        std::deque<Sent> calls;
-        bool lost = false;
+        std::map<std::string, double> entries;
+        std::deque<SentCall> calls;
+        bool was_unreachable = false;
         const auto collect = [&] {
             for (unsigned i = 0; i < 2; ++i) {
-                for (auto& call : shared_quotas[i].take_calls()) {
+                for (auto& call : ingresses[i].take_calls()) {
                     digest_.add(i, call.id, call.part, call.name, call.amount, call.ttl_ms);
                     calls.push_back({i, std::move(call)});
                 }
-                digest_.add(shared_quotas[i].next_deadline(), shared_quotas[i].counter_losses(),
-                            shared_quotas[i].unreachable(0));
-                lost |= shared_quotas[i].unreachable(0);
+                digest_.add(ingresses[i].next_deadline(), ingresses[i].counter_losses(),
+                            ingresses[i].unreachable(0));
+                was_unreachable |= ingresses[i].unreachable(0);
             }
         };
-        for (auto& shared_quota : shared_quotas) shared_quota.on_timer(now);
+        for (auto& ingress : ingresses) ingress.on_timer(now);
         collect();
-        // The first heartbeats are answered: the schedule is of what follows.
+        // The first heartbeats get their replies before the first step.
         while (!calls.empty()) {
-            const Sent sent = calls.front();
+            const SentCall sent = calls.front();
             calls.pop_front();
-            shared_quotas[sent.from].on_reply(now, sent.call.id, names[sent.call.name] += sent.call.amount);
+            ingresses[sent.from].on_reply(now, sent.call.id, entries[sent.call.name] += sent.call.amount);
         }
         const auto request = [&](unsigned i) {
-            const double wait_s = shared_quotas[i].retry_after_s(now, 7, 0, {0, 2}, 1);
+            const double wait_s = ingresses[i].retry_after_s(now, 7, 0, {0, 2}, 1);
             digest_.add(i, wait_s);
             if (wait_s > 0) return;
-            shared_quotas[i].consume(now, 7, 0, {0, 2}, 1);
-            shared_quotas[i].release(7);
+            ingresses[i].consume(now, 7, 0, {0, 2}, 1);
+            ingresses[i].release(7);
             level -= 1;
         };
         for (std::size_t n = 0; n < steps.size(); ++n) {
@@ -113,49 +113,50 @@
                 case Step::request_b:
                     for (int i = 0; i < 3; ++i) request(steps[n] == Step::request_a ? 0 : 1);
                     break;
-                case Step::answer:
-                case Step::drop:
-                case Step::refuse: {
+                case Step::reply:
+                case Step::lose_reply:
+                case Step::reject: {
                     if (calls.empty()) break;
-                    const Sent sent = calls.front();
+                    const SentCall sent = calls.front();
                     calls.pop_front();
-                    if (steps[n] == Step::refuse) {
-                        shared_quotas[sent.from].on_rejected(now, sent.call.id);
+                    if (steps[n] == Step::reject) {
+                        ingresses[sent.from].on_rejected(now, sent.call.id);
                         break;
                     }
-                    const double total = names[sent.call.name] += sent.call.amount;
-                    if (steps[n] == Step::answer)
-                        shared_quotas[sent.from].on_reply(now, sent.call.id, total);
+                    const double total = entries[sent.call.name] += sent.call.amount;
+                    if (steps[n] == Step::reply)
+                        ingresses[sent.from].on_reply(now, sent.call.id, total);
                     else
-                        shared_quotas[sent.from].on_unknown_result(now, sent.call.id);
+                        ingresses[sent.from].on_unknown_result(now, sent.call.id);
                     break;
                 }
-                case Step::empty:
-                    names.clear();
-                    allowed += error.counter_state_lost - error.healthy;
+                case Step::lose_state:
+                    entries.clear();
+                    bound += bounds.counter_state_lost - bounds.healthy;
                     break;
                 case Step::pause:
                     now += 0.4;
                     level = std::min(plan.burst, level + plan.rate * 0.4);
-                    for (auto& shared_quota : shared_quotas) shared_quota.on_timer(now);
+                    for (auto& ingress : ingresses) ingress.on_timer(now);
                     break;
                 case Step::restart_a: {
                     quota::Settings settings = settings_;
-                    shared_quotas[0] = quota::SharedQuota(settings, 100 + n);
-                    shared_quotas[0].on_timer(now);
-                    std::erase_if(calls, [](const Sent& sent) { return sent.from == 0; });
-                    allowed += error.per_restart;
+                    ingresses[0] = quota::SharedQuota(settings, 100 + n);
+                    ingresses[0].on_timer(now);
+                    std::erase_if(calls, [](const SentCall& sent) { return sent.from == 0; });
+                    bound += bounds.per_restart;
                     break;
                 }
             }
             collect();
-            const double most = allowed + (lost ? error.counter_unreachable - error.healthy : 0);
-            if (-level > most + 1e-6) {
-                std::string breach =
-                    std::to_string(-level) + " units over, stated " + std::to_string(most) + ":";
+            const double total_bound =
+                bound + (was_unreachable ? bounds.counter_unreachable - bounds.healthy : 0);
+            if (-level > total_bound + 1e-6) {
+                std::string violation = std::to_string(-level) + " units beyond the quota, bound " +
+                                        std::to_string(total_bound) + ":";
                 for (std::size_t k = 0; k <= n; ++k)
-                    breach += std::string(" ") + kSteps[static_cast<std::size_t>(steps[k])] + ";";
-                return breach;
+                    violation += std::string(" ") + kStepNames[static_cast<std::size_t>(steps[k])] + ";";
+                return violation;
             }
         }
         return {};
--- a/tests/quota/simulation.hpp
+++ b/tests/quota/simulation.hpp
@@ -1,6 +1,6 @@
-// A simulation for SharedQuota: an exact model of the counter, with its faults, the true bucket of each
-// customer, and requests by a seeded schedule. Time is the model's own. A bucket that goes further below
-// empty than the error bound is a breach; the seed repeats it.
+// Simulation of SharedQuota: several ingresses, an exact model of the counter with its faults, the true
+// bucket of each customer, and requests by a seeded schedule. The simulation has its own time (s). A true
+// bucket that goes further below empty than the error bound is a violation, which the same seed reproduces.
 #pragma once
 
 #include <algorithm>
@@ -36,36 +36,40 @@
         duplicate_calls
     };
     Kind kind = Kind::unreachable;
-    double at_s = 0, until_s = 0;   // s of the run
-    unsigned ingress = 0;           // of split (bits) and restart (number)
+    double at_s = 0, until_s = 0;   // time of the run
+    unsigned ingress = 0;           // bit mask of ingresses for partition, index for ingress_restart
 };
 
 struct Customer {
     unsigned plan = 0;
-    double load = 1,
-           surge_fraction =
-               0;   // asked, as a part of the rate; part of the time in which it asks 5 times that
+    double load = 1;             // requests, as a multiple of the rate
+    double surge_fraction = 0;   // fraction of the time with 5 times that load
 };
 
 struct Scenario {
     quota::Settings settings;
-    unsigned customers = 2, spread = 3;
-    std::vector<Customer> mix;         // one for each customer; where there are none, all are as follows
-    double length_s = 20;              // s
-    double load = 1;                   // asked, as a part of the rate
-    double surge_fraction = 0;         // part of the time in which 5 times that is asked
-    double lost_reply_fraction = 0;    // part of calls whose add is done and whose answer is lost
-    std::vector<double> clock_rates;   // of each ingress: its rate, 1 where none is given
+    unsigned customers = 2;
+    unsigned spread = 3;   // ingresses that the requests of one customer enqueue at
+    std::vector<Customer>
+        mix;   // one for each customer; if empty, total_bound have `load` and `surge_fraction`
+    double length_s = 20;
+    double load = 1;                   // as Customer::load
+    double surge_fraction = 0;         // as Customer::surge_fraction
+    double lost_reply_fraction = 0;    // fraction of calls that are carried out and whose reply is lost
+    std::vector<double> clock_rates;   // by ingress; 1 where missing
     std::vector<Fault> faults;
-    double busiest_ingress_period_s = 7;   // s; the busiest ingress changes
+    // Mean time after which another ingress receives most requests of a customer.
+    double busiest_ingress_period_s = 7;
 };
 
 struct Result {
-    double worst_excess = 0, bound = 0;   // units below an empty bucket; the stated error
-    std::uint64_t requests = 0, admitted = 0,
-                  oracle_admitted = 0;   // oracle_admitted: what a perfect bucket would have passed
-    std::uint64_t rejected_with_units = 0, calls = 0;
-    std::uint64_t admitted_within_quota = 0;   // passed with room in the true bucket
+    double worst_excess = 0;   // most units by which a true bucket was below empty
+    double bound = 0;          // the error bound (units)
+    std::uint64_t requests = 0, admitted = 0;
+    std::uint64_t oracle_admitted = 0;         // requests that an exact bucket would have admitted
+    std::uint64_t rejected_with_units = 0;     // rejected although at least half of the burst was available
+    std::uint64_t calls = 0;                   // calls to the counter
+    std::uint64_t admitted_within_quota = 0;   // admitted while the quota held the units
     bool violated() const { return worst_excess > bound + 1e-6; }
 };
 
@@ -75,36 +79,37 @@
         : scenario_(std::move(scenario)),
           random_(seed),
           seed_(seed),
-          start_(1e6 + 0.37 * static_cast<double>(seed % 137)) {
-        for (unsigned i = 0; i < scenario_.settings.ingress_count; ++i) start(i);
+          clock_start_s_(1e6 + 0.37 * static_cast<double>(seed % 137)) {
+        for (unsigned i = 0; i < scenario_.settings.ingress_count; ++i) start_ingress(i);
         for (unsigned c = 0; c < scenario_.customers; ++c)
             buckets_.push_back({quota_of(c).burst, 0, quota_of(c).burst, 0, quota_of(c).burst, 0,
                                 c % scenario_.settings.ingress_count});
     }
 
-    // A split of the quota by itself: each ingress an even share, no calls.
+    // Whether each ingress admits from an even share of the quota, without SharedQuota and its calls.
+    // Serves as a baseline.
     bool even_split = false;
 
     Result run() {
-        for (unsigned c = 0; c < scenario_.customers; ++c) next_request(c, 0);
+        for (unsigned c = 0; c < scenario_.customers; ++c) schedule_request(c, 0);
         for (std::size_t f = 0; f < scenario_.faults.size(); ++f)
-            at(scenario_.faults[f].at_s, [this, f] { begin(f); });
+            at(scenario_.faults[f].at_s, [this, f] { start_fault(f); });
         for (unsigned i = 0; i < ingresses_.size(); ++i) schedule_timer(i, 0);
-        if (wants_snapshots()) at(0, [this] { snapshot(); });
-        while (!events_.empty() && events_.top().at <= scenario_.length_s) {
+        if (needs_snapshots()) at(0, [this] { take_snapshot(); });
+        while (!events_.empty() && events_.top().at_s <= scenario_.length_s) {
             auto event = std::move(const_cast<Event&>(events_.top()));
             events_.pop();
-            now_ = event.at;
+            now_ = event.at_s;
             event.run();
         }
         result_.bound = error_bound();
         return result_;
     }
-    // Of all that the ingresses have put out so far: how long each request is to wait, and calls to the
-    // counter.
+    // Digest of the ingresses' outputs so far: the retry-after of each request, levels, calls and
+    // deadlines.
     std::uint64_t digest() const { return digest_.value(); }
 
-    // The healthy error, and what each fault adds to it.
+    // Returns the healthy error bound plus what each fault adds to it.
     double error_bound() const {
         quota::Settings settings = scenario_.settings;
         double fastest = 1, slowest = 1;
@@ -112,10 +117,10 @@
             fastest = std::max(fastest, rate), slowest = std::min(slowest, rate);
         settings.skew_s += (fastest - slowest) * scenario_.length_s;
         const auto& quota = settings.plans[0];
-        const auto error = quota::error_bound(settings, quota, scenario_.spread, 1);
-        double all = error.healthy + quota.rate * (fastest - 1) * scenario_.length_s;
-        if (scenario_.lost_reply_fraction > 0)
-            all += error.counter_unreachable - error.healthy;   // silence now and then is a loss
+        const auto bounds = quota::error_bound(settings, quota, scenario_.spread, 1);
+        double total_bound = bounds.healthy + quota.rate * (fastest - 1) * scenario_.length_s;
+        // Lost replies can make the counter unreachable now and then.
+        if (scenario_.lost_reply_fraction > 0) total_bound += bounds.counter_unreachable - bounds.healthy;
         for (const Fault& fault : scenario_.faults) {
             switch (fault.kind) {
                 case Fault::Kind::unreachable:
@@ -123,53 +128,56 @@
                 case Fault::Kind::slow:
                 case Fault::Kind::implausible_totals:
                 case Fault::Kind::duplicate_calls:
-                    all += error.counter_unreachable - error.healthy;
+                    total_bound += bounds.counter_unreachable - bounds.healthy;
                     break;
                 case Fault::Kind::partition:
-                    all += static_cast<double>(std::popcount(fault.ingress)) *
-                           (error.partition - error.healthy);
+                    total_bound += static_cast<double>(std::popcount(fault.ingress)) *
+                                   (bounds.partition - bounds.healthy);
                     break;
                 case Fault::Kind::state_lost:
-                    all += error.counter_state_lost - error.healthy;
+                    total_bound += bounds.counter_state_lost - bounds.healthy;
                     break;
                 case Fault::Kind::state_rolled_back:
-                    all += error.counter_state_rolled_back - error.healthy;
+                    total_bound += bounds.counter_state_rolled_back - bounds.healthy;
                     break;
                 case Fault::Kind::ingress_restart:
-                    all += error.per_restart;
+                    total_bound += bounds.per_restart;
                     break;
             }
         }
-        return all;
+        return total_bound;
     }
 
   private:
-    static constexpr double kWay = 0.002, kCallTime = 0.001, kGiveUp = 2;
+    static constexpr double kOneWayS = 0.002, kCallS = 0.001, kReplyTimeoutS = 2;
 
     struct Event {
-        double at;
-        std::uint64_t number;
+        double at_s;
+        std::uint64_t order;   // order among the events of one time
         std::function<void()> run;
         bool operator>(const Event& other) const {
-            return at != other.at ? at > other.at : number > other.number;
+            return at_s != other.at_s ? at_s > other.at_s : order > other.order;
         }
     };
     struct Ingress {
         std::unique_ptr<quota::SharedQuota> shared_quota;
         std::uint64_t incarnation = 0;
-        double timer_at = 1e18;
-        std::map<std::uint64_t, double> out;   // calls without an end
+        double timer_at_s = 1e18;
+        std::map<std::uint64_t, double> pending_calls;   // by id: time at which the call was sent
     };
-    struct Named {
-        double value = 0, dies = 0;
+    struct Entry {
+        double value = 0, expires_at_s = 0;
     };
+    // Buckets and load of one customer.
     struct Bucket {
-        double level, at, perfect, perfect_at;
-        double room, room_at;   // what is passed without room takes nothing
-        unsigned busiest;
-        double moves_at = 0;
+        double level, at_s;                 // true bucket, from which every admitted request takes its unit
+        double oracle_level, oracle_at_s;   // exact bucket that decides on every request
+        // Bucket from which only requests that find a unit take it; others that are admitted take nothing.
+        double quota_level, quota_at_s;
+        unsigned busiest_ingress;   // index among the customer's ingresses
+        double busiest_changes_at_s = 0;
         bool surging = false;
-        double surge_ends = 0;
+        double surge_period_ends_at_s = 0;
     };
 
     Customer customer(unsigned c) const {
@@ -179,94 +187,97 @@
     const quota::PlanQuota& quota_of(unsigned c) const {
         return scenario_.settings.plans[customer(c).plan];
     }
+    // Returns the units in ingress i's even share of customer c's quota.
     double even_share_of(unsigned c, unsigned i) {
         const auto& quota = quota_of(c);
         const double burst = std::max(1.0, quota.burst / scenario_.spread);
-        auto [at, made] = shares_.try_emplace({c, i}, burst, now_);
-        auto& [level, since] = at->second;
-        level = std::min(burst, level + quota.rate / scenario_.spread * (now_ - since));
-        since = now_;
+        auto [share, created] = even_shares_.try_emplace({c, i}, burst, now_);
+        auto& [level, at_s] = share->second;
+        level = std::min(burst, level + quota.rate / scenario_.spread * (now_ - at_s));
+        at_s = now_;
         return level;
     }
     double uniform() { return static_cast<double>(random_() >> 11) * 0x1p-53; }
-    double waiting(double rate) { return -std::log(1 - uniform()) / rate; }
-    void at(double when, std::function<void()> run) { events_.push({when, ++numbers_, std::move(run)}); }
+    double exponential(double rate) { return -std::log(1 - uniform()) / rate; }
+    void at(double time_s, std::function<void()> run) {
+        events_.push({time_s, ++event_count_, std::move(run)});
+    }
     double clock(unsigned i) const {
-        return start_ + now_ * (i < scenario_.clock_rates.size() ? scenario_.clock_rates[i] : 1);
+        return clock_start_s_ + now_ * (i < scenario_.clock_rates.size() ? scenario_.clock_rates[i] : 1);
     }
 
-    void start(unsigned i) {
+    void start_ingress(unsigned i) {
         if (ingresses_.size() <= i) ingresses_.resize(i + 1);
         quota::Settings settings = scenario_.settings;
         settings.ingress_index = i;
         ingresses_[i].shared_quota = std::make_unique<quota::SharedQuota>(
             settings, seed_ * 31 + i + 1'000 * ++ingresses_[i].incarnation);
-        ingresses_[i].out.clear();
+        ingresses_[i].pending_calls.clear();
     }
 
     bool active(Fault::Kind kind, unsigned ingress = ~0U) const {
-        for (const Fault& one : scenario_.faults)
-            if (one.kind == kind && now_ >= one.at_s && now_ < one.until_s &&
-                (kind != Fault::Kind::partition || (one.ingress >> ingress & 1) != 0))
+        for (const Fault& fault : scenario_.faults)
+            if (fault.kind == kind && now_ >= fault.at_s && now_ < fault.until_s &&
+                (kind != Fault::Kind::partition || (fault.ingress >> ingress & 1) != 0))
                 return true;
         return false;
     }
-    bool wants_snapshots() const {
+    bool needs_snapshots() const {
         return std::any_of(scenario_.faults.begin(), scenario_.faults.end(),
-                           [](const Fault& one) { return one.kind == Fault::Kind::state_rolled_back; });
+                           [](const Fault& fault) { return fault.kind == Fault::Kind::state_rolled_back; });
     }
-    void snapshot() {
-        older_ = names_;
-        at(now_ + 3, [this] { snapshot(); });
+    void take_snapshot() {
+        snapshot_ = entries_;
+        at(now_ + 3, [this] { take_snapshot(); });
     }
-    void begin(std::size_t number) {
-        const Fault& fault = scenario_.faults[number];
-        if (fault.kind == Fault::Kind::state_lost) names_.clear();
-        if (fault.kind == Fault::Kind::state_rolled_back) names_ = older_;
+    void start_fault(std::size_t index) {
+        const Fault& fault = scenario_.faults[index];
+        if (fault.kind == Fault::Kind::state_lost) entries_.clear();
+        if (fault.kind == Fault::Kind::state_rolled_back) entries_ = snapshot_;
         if (fault.kind == Fault::Kind::ingress_restart) {
-            start(fault.ingress);
+            start_ingress(fault.ingress);
             schedule_timer(fault.ingress, now_);
         }
     }
 
-    // Requests. ---------------------------------------------------------------------------------------
+    // Requests.
 
-    void next_request(unsigned c, double from) {
+    void schedule_request(unsigned c, double from_s) {
         Bucket& bucket = buckets_[c];
-        if (from >= bucket.surge_ends) {
+        if (from_s >= bucket.surge_period_ends_at_s) {
             bucket.surging = uniform() < customer(c).surge_fraction;
-            bucket.surge_ends = from + 2;
+            bucket.surge_period_ends_at_s = from_s + 2;
         }
         const double rate = quota_of(c).rate * customer(c).load * (bucket.surging ? 5 : 1);
-        const double when = from + waiting(rate);
+        const double when = from_s + exponential(rate);
         at(when, [this, c] {
             request(c);
-            next_request(c, now_);
+            schedule_request(c, now_);
         });
     }
 
-    static void refill(double& level, double& at, double now, const quota::PlanQuota& plan) {
-        level = std::min(plan.burst, level + plan.rate * (now - at));
-        at = now;
+    static void refill(double& level, double& at_s, double now, const quota::PlanQuota& plan) {
+        level = std::min(plan.burst, level + plan.rate * (now - at_s));
+        at_s = now;
     }
 
     void request(unsigned c) {
         Bucket& bucket = buckets_[c];
         const auto& quota = quota_of(c);
-        if (now_ >= bucket.moves_at) {
-            bucket.busiest = static_cast<unsigned>(random_() % scenario_.spread);
-            bucket.moves_at = now_ + scenario_.busiest_ingress_period_s * (0.5 + uniform());
+        if (now_ >= bucket.busiest_changes_at_s) {
+            bucket.busiest_ingress = static_cast<unsigned>(random_() % scenario_.spread);
+            bucket.busiest_changes_at_s = now_ + scenario_.busiest_ingress_period_s * (0.5 + uniform());
         }
-        const unsigned nth =
-            uniform() < 0.6 ? bucket.busiest : static_cast<unsigned>(random_() % scenario_.spread);
+        const unsigned ingress_offset =
+            uniform() < 0.6 ? bucket.busiest_ingress : static_cast<unsigned>(random_() % scenario_.spread);
         const quota::IngressSet ingresses{c % scenario_.settings.ingress_count, scenario_.spread};
-        const unsigned i = (ingresses.first + nth) % scenario_.settings.ingress_count;
-        refill(bucket.level, bucket.at, now_, quota);
-        refill(bucket.perfect, bucket.perfect_at, now_, quota);
-        refill(bucket.room, bucket.room_at, now_, quota);
+        const unsigned i = (ingresses.first + ingress_offset) % scenario_.settings.ingress_count;
+        refill(bucket.level, bucket.at_s, now_, quota);
+        refill(bucket.oracle_level, bucket.oracle_at_s, now_, quota);
+        refill(bucket.quota_level, bucket.quota_at_s, now_, quota);
         ++result_.requests;
-        if (bucket.perfect >= 1) {
-            bucket.perfect -= 1;
+        if (bucket.oracle_level >= 1) {
+            bucket.oracle_level -= 1;
             ++result_.oracle_admitted;
         }
         quota::SharedQuota& shared_quota = *ingresses_[i].shared_quota;
@@ -274,18 +285,18 @@
             even_split ? 0 : shared_quota.retry_after_s(clock(i), c + 1, customer(c).plan, ingresses, 1);
         digest_.add(now_, i, c, wait_s, shared_quota.level(c + 1));
         if (even_split ? even_share_of(c, i) < 1 : wait_s > 0) {
-            result_.rejected_with_units += bucket.room >= quota.burst / 2;
+            result_.rejected_with_units += bucket.quota_level >= quota.burst / 2;
             return;
         }
         if (even_split) {
-            shares_[{c, i}].first -= 1;
+            even_shares_[{c, i}].first -= 1;
         } else {
             shared_quota.consume(clock(i), c + 1, customer(c).plan, ingresses, 1);
             shared_quota.release(c + 1);
         }
         ++result_.admitted;
-        if (bucket.room >= 1) {
-            bucket.room -= 1;
+        if (bucket.quota_level >= 1) {
+            bucket.quota_level -= 1;
             ++result_.admitted_within_quota;
         }
         bucket.level -= 1;
@@ -293,12 +304,12 @@
         flush(i);
     }
 
-    // Calls. ------------------------------------------------------------------------------------------
+    // Calls to the counter.
 
     void schedule_timer(unsigned i, double when) {
-        ingresses_[i].timer_at = when;
+        ingresses_[i].timer_at_s = when;
         at(when, [this, i, when, incarnation = ingresses_[i].incarnation] {
-            if (ingresses_[i].incarnation != incarnation || ingresses_[i].timer_at != when) return;
+            if (ingresses_[i].incarnation != incarnation || ingresses_[i].timer_at_s != when) return;
             ingresses_[i].shared_quota->on_timer(clock(i));
             flush(i);
         });
@@ -308,51 +319,53 @@
         for (quota::CounterCall& call : ingresses_[i].shared_quota->take_calls()) {
             ++result_.calls;
             digest_.add(now_, i, call.id, call.part, call.name, call.amount, call.ttl_ms);
-            ingresses_[i].out[call.id] = now_;
-            const double there = now_ + kWay * (0.7 + 0.6 * uniform());
-            const bool cut = active(Fault::Kind::partition, i) || active(Fault::Kind::unreachable);
-            at(now_ + kGiveUp, [this, i, id = call.id, incarnation = ingresses_[i].incarnation] {
-                if (ingresses_[i].incarnation == incarnation && ingresses_[i].out.erase(id) > 0) {
+            ingresses_[i].pending_calls[call.id] = now_;
+            const double arrives_at_s = now_ + kOneWayS * (0.7 + 0.6 * uniform());
+            const bool cut_off = active(Fault::Kind::partition, i) || active(Fault::Kind::unreachable);
+            at(now_ + kReplyTimeoutS, [this, i, id = call.id, incarnation = ingresses_[i].incarnation] {
+                if (ingresses_[i].incarnation == incarnation && ingresses_[i].pending_calls.erase(id) > 0) {
                     ingresses_[i].shared_quota->on_unknown_result(clock(i), id);
                     flush(i);
                 }
             });
-            if (cut) continue;
-            at(there,
-               [this, i, call, incarnation = ingresses_[i].incarnation] { arrive(i, call, incarnation); });
+            if (cut_off) continue;
+            at(arrives_at_s,
+               [this, i, call, incarnation = ingresses_[i].incarnation] { enqueue(i, call, incarnation); });
         }
         const double rate = i < scenario_.clock_rates.size() ? scenario_.clock_rates[i] : 1;
-        const double due = (ingresses_[i].shared_quota->next_deadline() - start_) / rate;
+        const double deadline_s = (ingresses_[i].shared_quota->next_deadline() - clock_start_s_) / rate;
         digest_.add(ingresses_[i].shared_quota->next_deadline(),
                     ingresses_[i].shared_quota->counter_losses());
-        if (due != ingresses_[i].timer_at || ingresses_[i].timer_at < now_)
-            schedule_timer(i, std::max(now_ + 1e-6, due));
+        if (deadline_s != ingresses_[i].timer_at_s || ingresses_[i].timer_at_s < now_)
+            schedule_timer(i, std::max(now_ + 1e-6, deadline_s));
     }
 
-    void arrive(unsigned i, const quota::CounterCall& call, std::uint64_t incarnation) {
-        free_at_ = std::max(free_at_, now_) + kCallTime * (active(Fault::Kind::slow) ? 10 : 1);
-        at(free_at_, [this, i, call, incarnation] { carry_out(i, call, incarnation); });
+    void enqueue(unsigned i, const quota::CounterCall& call, std::uint64_t incarnation) {
+        counter_free_at_s_ =
+            std::max(counter_free_at_s_, now_) + kCallS * (active(Fault::Kind::slow) ? 10 : 1);
+        at(counter_free_at_s_, [this, i, call, incarnation] { execute(i, call, incarnation); });
     }
 
-    void carry_out(unsigned i, const quota::CounterCall& call, std::uint64_t incarnation) {
+    void execute(unsigned i, const quota::CounterCall& call, std::uint64_t incarnation) {
         if (active(Fault::Kind::unreachable)) return;
-        const bool refuses = active(Fault::Kind::reject);
+        const bool rejects = active(Fault::Kind::reject);
         double total = 0;
-        if (!refuses) {
+        if (!rejects) {
             const int times = active(Fault::Kind::duplicate_calls) && uniform() < 0.3 ? 2 : 1;
             for (int n = 0; n < times; ++n) {
-                Named& named = names_[call.name];
-                if (named.dies <= now_) named = {0, now_ + call.ttl_ms / 1000.0};
-                total = named.value += call.amount;
+                Entry& entry = entries_[call.name];
+                if (entry.expires_at_s <= now_) entry = {0, now_ + call.ttl_ms / 1000.0};
+                total = entry.value += call.amount;
             }
             total = std::strtod(std::to_string(total).c_str(), nullptr);
         }
         if (active(Fault::Kind::implausible_totals))
             total = uniform() < 0.5 ? -1e6 * uniform() : 1e9 * uniform();
         if (active(Fault::Kind::partition, i) || uniform() < scenario_.lost_reply_fraction) return;
-        at(now_ + kWay * (0.7 + 0.6 * uniform()), [this, i, id = call.id, total, refuses, incarnation] {
-            if (ingresses_[i].incarnation != incarnation || ingresses_[i].out.erase(id) == 0) return;
-            if (refuses)
+        at(now_ + kOneWayS * (0.7 + 0.6 * uniform()), [this, i, id = call.id, total, rejects, incarnation] {
+            if (ingresses_[i].incarnation != incarnation || ingresses_[i].pending_calls.erase(id) == 0)
+                return;
+            if (rejects)
                 ingresses_[i].shared_quota->on_rejected(clock(i), id);
             else
                 ingresses_[i].shared_quota->on_reply(clock(i), id, total);
@@ -362,41 +375,44 @@
 
     Scenario scenario_;
     std::mt19937_64 random_;
-    std::uint64_t seed_, numbers_ = 0;
-    double start_;   // s of the shared_quotas' clocks; generations change at any time of a run
-    double now_ = 0, free_at_ = 0;
+    std::uint64_t seed_, event_count_ = 0;
+    // Start of the ingresses' clocks. It depends on the seed, so that generations change at any time of a
+    // run.
+    double clock_start_s_;
+    double now_ = 0, counter_free_at_s_ = 0;
     std::priority_queue<Event, std::vector<Event>, std::greater<>> events_;
     std::vector<Ingress> ingresses_;
     std::vector<Bucket> buckets_;
-    std::map<std::string, Named> names_, older_;
-    std::map<std::pair<unsigned, unsigned>, std::pair<double, double>> shares_;   // level and since
+    std::map<std::string, Entry> entries_, snapshot_;
+    // By customer and ingress: level and the time at which it was updated.
+    std::map<std::pair<unsigned, unsigned>, std::pair<double, double>> even_shares_;
     Result result_;
     Digest digest_;
 };
 
-// The mix of a site of three plans: of a hundred customers most use a part of their quota, some nearly all,
-// some ask far more for all the time or now and then.
+// Returns the scenario of a site with three plans and about a hundred customers. Most use a part of their
+// quota, some use nearly all of it, and some exceed it by far, permanently or in surges.
 inline Scenario site_scenario(double length_s) {
     Scenario scenario;
     scenario.settings.ingress_count = scenario.spread = 3;
     scenario.settings.plans = {{"basis", 0.8, 3.6, 0}, {"plus", 1.8, 8.1, 0}, {"pro", 7.3, 15, 0}};
     scenario.length_s = length_s;
     std::mt19937_64 random(11);
-    // About 78 requests a second inside the quotas: 34, 45 and 21 in 100 of them by scenario.
-    for (const auto& [number, count] : {std::pair{0U, 58}, {1U, 34}, {2U, 4}})
+    // About 78 requests per second within the quotas: 34 %, 45 % and 21 % of them by plan.
+    for (const auto& [plan, count] : {std::pair{0U, 58}, {1U, 34}, {2U, 4}})
         for (int i = 0; i < count; ++i) {
-            const double one = static_cast<double>(random() >> 11) * 0x1p-53;
-            scenario.mix.push_back({number,
-                                    one < 0.10   ? 2.5
-                                    : one < 0.28 ? 0.95
-                                                 : 0.2 + 0.4 * (one - 0.28) / 0.72,
+            const double draw = static_cast<double>(random() >> 11) * 0x1p-53;
+            scenario.mix.push_back({plan,
+                                    draw < 0.10   ? 2.5
+                                    : draw < 0.28 ? 0.95
+                                                  : 0.2 + 0.4 * (draw - 0.28) / 0.72,
                                     random() % 6 == 0 ? 0.1 : 0});
         }
     scenario.customers = static_cast<unsigned>(scenario.mix.size());
     return scenario;
 }
 
-// A schedule by its seed: sizes, load, clocks and up to three faults.
+// Returns the scenario of a seed: sizes, load, clock rates and up to three faults.
 inline Scenario random_scenario(std::uint64_t seed) {
     std::mt19937_64 random(seed * 0x9e3779b97f4a7c15ULL + 7);
     const auto uniform = [&](double low, double high) {
@@ -411,19 +427,19 @@
     scenario.settings.plans = {{"p", rate, std::max(1.0, rate * uniform(1.2, 6)), 0}};
     scenario.settings.max_unreported_units = 1 + static_cast<double>(random() % 4);
     scenario.settings.local_fraction = random() % 4 == 0 ? 0 : uniform(0.1, 0.6);
-    const bool lasting = random() % 16 == 0;   // a fault that lasts
-    scenario.length_s = lasting ? uniform(60, 130) : uniform(10, 25);
+    const bool long_run = random() % 16 == 0;   // a long run with long faults
+    scenario.length_s = long_run ? uniform(60, 130) : uniform(10, 25);
     scenario.load = std::exp(uniform(std::log(0.2), std::log(5)));
     scenario.surge_fraction = random() % 2 ? 0.2 : 0;
     if (random() % 4 == 0) scenario.lost_reply_fraction = uniform(0.02, 0.5);
     if (random() % 4 == 0)
         for (unsigned i = 0; i < scenario.settings.ingress_count; ++i)
             scenario.clock_rates.push_back(uniform(0.99, 1.01));
-    for (std::size_t left = random() % 4; left > 0; --left) {
+    for (std::size_t remaining = random() % 4; remaining > 0; --remaining) {
         Fault fault;
         fault.kind = static_cast<Fault::Kind>(random() % 9);
         fault.at_s = uniform(2, scenario.length_s - 4);
-        fault.until_s = fault.at_s + (lasting ? uniform(15, 60) : uniform(0.1, 8));
+        fault.until_s = fault.at_s + (long_run ? uniform(15, 60) : uniform(0.1, 8));
         fault.ingress = static_cast<unsigned>(random() % scenario.settings.ingress_count);
         if (fault.kind == Fault::Kind::partition) fault.ingress = 1U << fault.ingress;
         scenario.faults.push_back(fault);
