--- a/src/quota/counter_state.cpp
+++ b/src/quota/counter_state.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr double kCheckMaxAgeS = 58;     // below the 60 s after which an entry expires
-constexpr double kPeriodJitter = 0.25;   // as a fraction of the period, centered on it
+constexpr double kPeriodJitter = 0.25;   // width of the random jitter, as a fraction of the period
 // The heartbeat total has one digit of this base for each ingress.
 constexpr unsigned kHeartbeatDigitBase = 4;
 
--- a/src/quota/reports.cpp
+++ b/src/quota/reports.cpp
@@ -21,8 +21,9 @@
 constexpr double kMaxReplyAgeBeforeRaiseS = 0.02;
 // Usage that may stay unreported even near the quota, as a time at the shared rate.
 constexpr double kUnreportedAllowanceS = 0.25;
-constexpr double kUnitsTolerance = 1e-9;       // rounding tolerance of sums of units
-constexpr std::uint32_t kReadEntryTtlMs = 1;   // reading a missing entry creates it
+constexpr double kUnitsTolerance = 1e-9;   // rounding tolerance of sums of units
+// Time to live of an entry that a read creates, because it is missing.
+constexpr std::uint32_t kReadEntryTtlMs = 1;
 
 }   // namespace
 
--- a/src/quota/shared_quota.hpp
+++ b/src/quota/shared_quota.hpp
@@ -1,13 +1,13 @@
 // Quotas that hold across several ingresses, kept on a shared counter.
 //
-// A request is admitted if either the ingress's local bucket or the customer's shared bucket on the counter
-// holds its units. While the counter is unreachable, a fallback bucket, an even share of the shared one,
-// takes the place of the shared bucket.
+// A request is admitted if the ingress's local bucket, or else the customer's shared bucket on the counter,
+// holds its units. No request waits for a reply: an ingress admits by the last known level of the shared
+// bucket, as long as the units that it has not reported stay within Settings::max_unreported_units. While
+// the counter is unreachable, a fallback bucket, an even share of the shared one, takes its place.
 //
 // - Inputs: requests (customer, plan, units and the ingresses that they arrive at), the counter's replies
 //   and how calls ended, and the time (s).
-// - Outputs: whether to admit a request or how long to wait (s), calls to the counter and the next
-// deadline.
+// - Outputs: whether to admit a request or how long to wait (s), calls, and the next deadline.
 // - Error bound: error_bound() in bucket_layout.hpp gives the units admitted beyond burst + rate * t for
 //   each state of the counter.
 // - Observability: log lines that begin with "quota: " and the metric of counter losses.
