--- a/src/lease/acceptor.cpp
+++ b/src/lease/acceptor.cpp
@@ -7,7 +7,7 @@
 
 constexpr std::size_t kMaxNameBytes = 80;
 constexpr double kMaxDurationS = 3600;
-constexpr double kDurationToleranceS = 0.002;   // a message carries whole ms, rounded up
+constexpr double kDurationToleranceS = 0.002;   // durations in messages are rounded up to whole ms
 
 bool is_printable(const std::string& text) {
     for (const char c : text)
@@ -80,7 +80,7 @@
     return handle_request(now, message, *grant, answer);
 }
 
-// Null: an unknown lease that this message does not begin, or too many leases.
+// Returns null for an unknown lease if the message is not a request or kMaxLeases are stored already.
 Grant* Acceptor::find_or_create_grant(const Message& message) {
     const auto found = grants_.find(message.lease);
     if (found != grants_.end()) return &found->second;
@@ -91,7 +91,7 @@
 }
 
 void Acceptor::release(double now, const Message& message, Grant& grant) {
-    // A later request of the same holder may have overtaken this release.
+    // A later request of the same holder may have arrived before this release.
     if (grant.holder == message.holder && message.round >= grant.round) {
         grant.expires_at = now;
         grant.round = message.round;
@@ -101,7 +101,7 @@
 
 bool Acceptor::handle_request(double now, const Message& request, Grant& grant, Message& answer) {
     answer.fencing_token = grant.fencing_token;
-    // Configurations that differ: no candidate may rely on a grant for longer than it is kept here.
+    // The configurations differ: a candidate must not rely on a grant for longer than it is kept here.
     if (request.duration_s > times_.grant_duration_s + kDurationToleranceS) {
         answer.kind = MessageKind::denied;
         return true;
@@ -118,7 +118,7 @@
     const bool owns_token =
         grant.token_owner == request.holder && grant.fencing_token == request.fencing_token;
     if (claims_token && !owns_token && request.fencing_token <= grant.fencing_token) {
-        answer.kind = MessageKind::denied;   // the candidate must learn the highest token anew
+        answer.kind = MessageKind::denied;   // the answer tells the candidate the highest token
         return true;
     }
     store_grant(now, request, claims_token && !owns_token, grant);
@@ -133,7 +133,7 @@
     grant.holder = request.holder;
     grant.round = request.round;
     grant.holder_name = request.holder_name;
-    // By the duration configured here: recovery_wait_s() relies on it.
+    // Uses the duration configured here, not the requested one: recovery_wait_s() relies on it.
     grant.expires_at = now + times_.grant_duration_s;
     if (!claims_token) return;
     grant.fencing_token = request.fencing_token;
--- a/src/lease/acceptor_storage.cpp
+++ b/src/lease/acceptor_storage.cpp
@@ -6,16 +6,18 @@
 namespace slatejunction::lease {
 namespace {
 
-constexpr char kGrantsMagic[] = "sjlease1", kRegistersMagic[] = "sjnotes1";   // with the format's version
+// File signatures, each with the version of the format.
+constexpr char kGrantsMagic[] = "sjlease1", kRegistersMagic[] = "sjnotes1";
 constexpr char kGrantsFile[] = "leases", kRegistersFile[] = "notes";
 
-// What the file holds; nothing where there is none or it is broken.
-template <class Wire>
-std::optional<Wire> load(const std::string& directory, const char* file, const char* magic,
-                         std::string& quarantined_path) {
+// Returns the content of the file; nothing if there is no file or it is broken. A broken file is
+// quarantined.
+template <class Proto>
+std::optional<Proto> load(const std::string& directory, const char* file, const char* magic,
+                          std::string& quarantined_path) {
     const auto body = storage::read_checked_file(directory, file, magic, quarantined_path);
     if (!body) return {};
-    Wire content;
+    Proto content;
     if (content.ParseFromString(*body)) return content;
     quarantined_path = storage::set_aside(directory + "/" + file);
     return {};
--- a/src/lease/acceptor_storage.hpp
+++ b/src/lease/acceptor_storage.hpp
@@ -1,13 +1,12 @@
-// An acceptor's state in files of the state directory: grants in `leases`, registers in `notes`.
+// Stores an acceptor's state in files of the state directory: grants in `leases`, registers in `notes`.
 //
-// Each save writes the whole file with a checksum, and renames it into place after the bytes have
-// reached the disk: a killed process or a power loss leaves the old state or the new one, never a
-// part.
-// Inputs: the acceptor's state.
-// Output: whether it was saved; at the start, the restored state. A broken file is put aside
-// (quarantined_path) and counts as lost state: the acceptor then waits. Grants are saved when a lease
-// changes its holder or token, not at each renewal.
-// Used by src/app/fleet_component, which owns both objects and logs their errors.
+// Each save writes the whole file with a checksum, and renames it into place after the bytes have reached
+// the disk. A killed process or a power loss therefore leaves the old state or the new one, never a mix.
+// A broken file is quarantined when it is read (quarantined_path()) and counts as lost state; the acceptor
+// then starts in recovery. Grants are saved when a lease changes its holder
+// or token or is released, not at each renewal.
+//
+// src/app/fleet_component owns both objects and logs their errors.
 #pragma once
 
 #include <optional>
@@ -20,12 +19,12 @@
 
 class FileAcceptorStorage final : public AcceptorStorage {
   public:
-    /// Throws storage::Error when the file exists and can't be read.
+    /// Throws storage::Error if the file exists and cannot be read.
     explicit FileAcceptorStorage(const std::string& directory);
     bool save(std::uint32_t epoch, const std::map<std::string, Grant>& grants) override;
-    /// What an earlier process saved; null: nothing.
+    /// Returns what an earlier process saved; null if there is no intact file.
     const AcceptorState* restored() const { return restored_ ? &*restored_ : nullptr; }
-    /// Where a broken file was put; empty: there was none.
+    /// Returns where a broken file was moved to; empty if there was none.
     const std::string& quarantined_path() const { return quarantined_path_; }
     const std::string& last_error() const { return last_error_; }
 
@@ -37,12 +36,12 @@
 
 class FileRegisterStorage {
   public:
-    /// Throws storage::Error when the file exists and can't be read.
+    /// Throws storage::Error if the file exists and cannot be read.
     explicit FileRegisterStorage(const std::string& directory);
     bool save(const RegisterAcceptor::Registers& registers);
-    /// What an earlier process saved; null: nothing.
+    /// Returns what an earlier process saved; null if there is no intact file.
     const RegisterAcceptor::Registers* restored() const { return restored_ ? &*restored_ : nullptr; }
-    /// Where a broken file was put; empty: there was none.
+    /// Returns where a broken file was moved to; empty if there was none.
     const std::string& quarantined_path() const { return quarantined_path_; }
     const std::string& last_error() const { return last_error_; }
 
@@ -56,7 +55,7 @@
 class Memory;
 class Notes;
 }   // namespace wire
-/// The file's messages, which a hot restart hands over too.
+/// Conversions to and from the files' messages, which a hot restart also transfers.
 void encode(const AcceptorState& state, wire::Memory& out);
 AcceptorState decode(const wire::Memory& in);
 void encode(const RegisterAcceptor::Registers& registers, wire::Notes& out);
--- a/src/lease/candidate.cpp
+++ b/src/lease/candidate.cpp
@@ -6,7 +6,7 @@
 namespace slatejunction::lease {
 namespace {
 
-constexpr double kNever = 1e18;   // s
+constexpr double kNeverS = 1e18;
 
 }   // namespace
 
@@ -34,9 +34,9 @@
       acceptors_(acceptors),
       random_(seed) {}
 
-// Between `least` and `most` of the longest retry delay.
-double Candidate::draw_backoff_s(double least, double most) {
-    return retry_delay_s(times_) * std::uniform_real_distribution<double>(least, most)(random_);
+// Returns a random time between `min_factor` and `max_factor` times the longest retry delay.
+double Candidate::draw_backoff_s(double min_factor, double max_factor) {
+    return retry_delay_s(times_) * std::uniform_real_distribution<double>(min_factor, max_factor)(random_);
 }
 
 void Candidate::send(const std::string& acceptor, MessageKind kind, std::uint64_t token,
@@ -65,7 +65,7 @@
 double Candidate::next_deadline() const {
     switch (state_) {
         case State::idle:
-            return kNever;
+            return kNeverS;
         case State::backoff:
             return next_attempt_at_;
         case State::preparing:
@@ -74,7 +74,7 @@
         case State::held:
             return std::min(valid_until_, next_attempt_at_);
     }
-    return kNever;
+    return kNeverS;
 }
 
 void Candidate::on_timer(double now) {
@@ -105,7 +105,7 @@
         state_ = State::backoff;
         next_attempt_at_ = now + times_.grant_duration_s / 2 + draw_backoff_s(0.5, 1);
     } else if (now >= next_attempt_at_) {
-        // An acceptor that knows a higher token takes part again once that is exceeded.
+        // An acceptor that knows a higher token grants again only once a token above that one is claimed.
         const bool was_exceeded = highest_known_token_ > fencing_token_;
         start_round(now, was_exceeded ? highest_known_token_ + 1 : fencing_token_);
         next_attempt_at_ = now + std::min(request_timeout_s(times_), renew_delay_s(times_));
@@ -124,8 +124,8 @@
         send(acceptor, MessageKind::request, token, times_.grant_duration_s);
 }
 
-// A candidate that no acceptor answers may still be heard by them: it withdraws its grants and leaves the
-// others half a grant's duration to be elected.
+// Ends a round that got no majority. The requests of a candidate that receives no answers may still reach
+// the acceptors: it releases the grants, and waits half a grant's duration so that another can be elected.
 void Candidate::fail_round(double now, double wait_s) {
     round_open_ = false;
     release_grants();
@@ -137,7 +137,7 @@
     next_attempt_at_ = now + std::min(wait_s, longest_wait_s) + draw_backoff_s(0.25, 1);
 }
 
-// Tells the acceptors that may have granted that the grant is not used.
+// Releases the grants at all acceptors that may have granted the lease.
 void Candidate::release_grants() {
     ++round_;
     for (const std::string& acceptor : acceptors_.members()) {
@@ -156,8 +156,8 @@
     const bool is_of_this_round =
         round_open_ && answer.lease == lease_ && answer.holder == holder_ && answer.round == round_;
     if (!is_of_this_round || !acceptors_.members().contains(acceptor)) return;
-    // A grant of an acceptor more than one epoch behind does not count: it may still serve candidates of
-    // that epoch.
+    // A grant of an acceptor that is more than one epoch behind does not count: that acceptor may still
+    // grant to candidates of its epoch.
     if (answer.kind == MessageKind::granted && answer.epoch + 1 < acceptors_.epoch) return;
     record_answer(now, acceptor, answer);
     if (acceptors_.has_majority(granted_by_) && on_majority_granted(now)) return;
@@ -177,7 +177,7 @@
     }
 }
 
-// True: the round is over.
+// Returns true if the attempt is over, and false if the propose round has started.
 bool Candidate::on_majority_granted(double now) {
     switch (state_) {
         case State::preparing:
@@ -203,7 +203,8 @@
     start_round(now, fencing_token_);
 }
 
-// Counts only while the prepare round does: until then nobody else can have had a majority.
+// The lease is held only if the grants of the prepare round are still valid: until they expire nobody else
+// can have a majority.
 void Candidate::complete_propose(double now) {
     if (now >= prepare_started_at_ + usable_duration_s(times_)) return fail_round(now, 0);
     state_ = State::held;
@@ -233,7 +234,8 @@
 void Candidate::set_acceptors(double now, const AcceptorSet& acceptors) {
     if (acceptors == acceptors_) return;
     acceptors_ = acceptors;
-    // A hold goes on until its end; an open round of the old set no longer counts.
+    // A held lease stays valid until it expires and is renewed with the new set at once. An open round of
+    // the old set no longer counts.
     if (state_ == State::held) {
         round_open_ = false;
         next_attempt_at_ = now;
--- a/src/lease/candidate.hpp
+++ b/src/lease/candidate.hpp
@@ -1,18 +1,23 @@
-// One process's candidacy for one lease, and its hold: asks all acceptors, holds with a majority,
-// renews, and stops in time (PaxosLease with fencing tokens).
+// One process's candidacy for one lease: it requests grants from all acceptors, holds the lease with a
+// majority, renews it, and stops using it in time.
 //
-// Rule: a lease is held from two rounds in which a majority of the acceptors granted it: the first
-// (preparing) learns the highest fencing token of that majority, the second (proposing) claims the
-// next one while the first still counts. Each later round renews both.
-// Inputs: campaign()/release(), answers of acceptors, and `now` in s of a clock that also runs while
-// the machine sleeps.
-// Output: messages to acceptors; state(), fencing_token(), valid_until().
-// Invariants: valid_until() counts from before the request was sent, so it ends before a majority's
-// grants do; rounds only go up; a token is claimed only above all that a majority knows.
-// Reason: a holder that is paused or cut off must not act after another one was elected.
-// From: PaxosLease (Trencseni, Gazso, Reinhardt 2012); docs/design/fleet.md.
-// Seen in: LeaseStatus on the admin page, LeaseEvent of LeaseNode, which owns and calls it.
-// Never does: I/O, reading a clock. `seed` serves backoff jitter only.
+// A lease is acquired in two rounds in which a majority of the acceptors grants it. The first (preparing)
+// learns the highest fencing token known to that majority; the second (proposing) claims the next token
+// while the grants of the first are still valid. Each later round renews both the grants and the token.
+//
+// The inputs are campaign(), release(), answers of acceptors, and `now` in s of a clock that also runs
+// while the machine is suspended. The outputs are messages to acceptors, state(), fencing_token() and
+// valid_until(). A candidate does no I/O and reads no clock; `seed` only determines the backoff jitter.
+//
+// Invariants:
+// - valid_until() counts from before the request was sent, so it ends before a majority's grants expire.
+// - Rounds only increase.
+// - A token is claimed only above all tokens that a majority knows.
+// They prevent a holder that was paused or partitioned away from acting after another one was elected.
+//
+// The protocol is PaxosLease with fencing tokens (Trencseni, Gazso, Reinhardt 2012); see
+// docs/design/fleet.md. LeaseNode owns and calls the candidates; the admin page shows their state through
+// LeaseStatus, and changes are reported as LeaseEvent.
 #pragma once
 
 #include <cstdint>
@@ -27,14 +32,15 @@
 
 namespace slatejunction::lease {
 
-/// The acceptors. During a reconfiguration a majority of both sets is required (docs/design/fleet.md).
+/// The acceptors of all leases. During a reconfiguration a majority of both sets is required
+/// (docs/design/fleet.md).
 struct AcceptorSet {
     std::vector<std::string> current;
-    std::vector<std::string> previous;   ///< of the epoch before, while the set changes; else empty
+    std::vector<std::string> previous;   ///< set of the previous epoch during a reconfiguration, else empty
     std::uint32_t epoch = 1;
     bool operator==(const AcceptorSet&) const = default;
     std::set<std::string> members() const;
-    /// Whether `acceptors` hold a majority of each set.
+    /// Whether `acceptors` contains a majority of each set.
     bool has_majority(const std::set<std::string>& acceptors) const;
 };
 
@@ -47,15 +53,15 @@
   public:
     enum class State { idle, backoff, preparing, proposing, held };
 
-    /// `name`: of this process, for people. `holder`: its identity, never 0.
+    /// `name` is the human-readable name of this process, `holder` its identity, which is never 0.
     Candidate(std::string lease, std::string name, std::uint64_t holder, const LeaseTimes& times,
               const AcceptorSet& acceptors, std::uint64_t seed);
 
-    /// Seeks the lease from now on; without effect if it does already.
+    /// Starts to compete for the lease; has no effect while it already does.
     void campaign(double now);
-    /// Gives up the candidacy; what is held ends now.
+    /// Ends the candidacy and releases the lease if it is held.
     void release(double now);
-    /// An answer of `acceptor`.
+    /// Handles an answer of `acceptor`.
     void receive(double now, const std::string& acceptor, const Message& answer);
     void on_timer(double now);
     double next_deadline() const;
@@ -63,37 +69,39 @@
     std::vector<AddressedMessage> take_outgoing() { return std::exchange(outgoing_, {}); }
 
     State state() const { return state_; }
-    /// Held, and an action that begins now ends before another process can hold the lease.
+    /// Whether the lease is held and an action that begins now ends before another process can hold it.
     bool may_act(double now) const {
         return state_ == State::held && lease::may_act(times_, now, valid_until_);
     }
     bool holds(double now) const { return state_ == State::held && now < valid_until_; }
-    /// 0: not held.
+    /// Returns 0 if the lease is not held.
     std::uint64_t fencing_token() const { return state_ == State::held ? fencing_token_ : 0; }
-    double valid_until() const { return valid_until_; }   ///< s, this process's clock; 0: not held
+    double valid_until() const { return valid_until_; }   ///< s by this process's clock; 0: not held
     double held_since() const { return held_since_; }
     const std::string& lease() const { return lease_; }
     std::uint64_t holder() const { return holder_; }
-    /// The holder named by the last denial, and when that came; empty: none came.
+    /// The holder that the last denial named, and the time of that denial; empty if there was none.
     const std::string& other_holder() const { return other_holder_; }
     double denied_at() const { return denied_at_; }
-    std::uint64_t gained() const { return gained_; }
-    std::uint64_t lost() const { return lost_; }   ///< holds that expired
-    /// When a majority last answered a round, be it by denials.
+    std::uint64_t gained() const { return gained_; }   ///< number of times the lease was acquired
+    std::uint64_t lost() const { return lost_; }       ///< number of times a held lease expired
+    /// The last time at which a majority had answered a round, whether with grants or denials.
     double last_quorum_at() const { return last_quorum_at_; }
 
-    /// All that its future depends on, times relative to `now`: for model checking.
+    /// Returns the state that determines the future decisions, with times relative to `now`, so that a
+    /// model checker recognizes states it has visited.
     std::string state_digest(double now) const;
 
-    /// A hold to be continued by another process of this ingress on this machine.
+    /// A held lease that another process of this ingress on the same machine takes over.
     struct HeldLease {
         std::string lease;
-        std::uint64_t holder = 0, round = 0, fencing_token = 0;   ///< token 0: nothing was held
-        double valid_until = 0, held_since = 0;                   ///< s, boot_clock_s()
+        std::uint64_t holder = 0, round = 0, fencing_token = 0;   ///< token 0: the lease was not held
+        double valid_until = 0, held_since = 0;                   ///< s of boot_clock_s()
     };
-    /// Ends the candidacy here without telling the acceptors.
+    /// Ends the candidacy without releasing the grants at the acceptors.
     HeldLease export_hold(double now);
-    /// Continues a hold under its holder's identity; ignored if it is of another lease or none.
+    /// Takes over `hold` under its holder's identity; an expired one only resumes the candidacy. Has no
+    /// effect if `hold` is of another lease or was not held.
     void import_hold(double now, const HeldLease& hold);
 
   private:
@@ -109,7 +117,7 @@
     void complete_propose(double now);
     void complete_renewal();
     bool majority_still_possible() const;
-    double draw_backoff_s(double least, double most);
+    double draw_backoff_s(double min_factor, double max_factor);
 
     const std::string lease_, name_;
     std::uint64_t holder_;
@@ -122,7 +130,7 @@
     std::uint64_t fencing_token_ = 0, highest_known_token_ = 0, requested_token_ = 0;
     double round_started_at_ = 0, prepare_started_at_ = 0;
     double valid_until_ = 0, held_since_ = 0;
-    double next_attempt_at_ = 0;   // the end of a backoff, or the next renewal
+    double next_attempt_at_ = 0;   // end of the backoff, or time of the next renewal
     double last_quorum_at_ = -1e18;
     bool round_open_ = false;
     std::set<std::string> granted_by_, answered_by_;
--- a/src/lease/holder_webhook.cpp
+++ b/src/lease/holder_webhook.cpp
@@ -14,7 +14,7 @@
 
 }   // namespace
 
-// One connection, reused between calls. A call is over with its response's head.
+// One connection, which is reused for later calls. A call ends when the head of its response has arrived.
 struct HolderWebhook::Connection final : net::Protocol {
     explicit Connection(HolderWebhook& owner) : owner_(owner), parser_(http::Parser::Kind::response) {}
 
@@ -127,7 +127,7 @@
     on_call_finished(kNoResponse);
 }
 
-// `status`: of the response, or kNoResponse or kNotPermitted.
+// `status` is that of the response, kNoResponse or kNotPermitted.
 void HolderWebhook::on_call_finished(int status) {
     call_timeout_timer_.disarm();
     if (status != kNotPermitted) log_call_end(status);
@@ -136,14 +136,16 @@
         failure_logged_ = false;
     } else if (status == kStatusConflict) {
         ++fenced_;
-        log_.write(Log::Level::warning, net::now(),
-                   "lease: an act with number %llu came too late and was turned down",
-                   static_cast<unsigned long long>(last_permit_.fencing_token));
+        log_.write(
+            Log::Level::warning, net::now(),
+            "announce: the receiver rejected the call because fencing token %llu is too low (status 409)",
+            static_cast<unsigned long long>(last_permit_.fencing_token));
     } else if (status != kNotPermitted) {
         ++failed_;
         if (!std::exchange(failure_logged_, true))
-            log_.write(Log::Level::warning, net::now(), "announce: %s takes nothing (status %d)",
-                       url_.host_port.c_str(), status);
+            log_.write(Log::Level::warning, net::now(),
+                       "announce: call to %s failed (status %d, 0: no response)", url_.host_port.c_str(),
+                       status);
     }
     if (held_) interval_timer_.arm(net::now() + interval_s_);
 }
--- a/src/lease/holder_webhook.hpp
+++ b/src/lease/holder_webhook.hpp
@@ -1,14 +1,13 @@
-// Announces the holder of a lease at an address outside the fleet: one HTTP POST at a time, each with
-// the fencing token.
+// Announces the holder of a lease at an HTTP endpoint outside the fleet. It makes one POST call at a time,
+// each with the fencing token.
 //
-// Rule: while the lease is held a call is made every interval_s; the permit is checked right before
-// its bytes are sent, on a connection that is already open.
-// Inputs: whether the lease is held, permits, the receiver's status codes.
-// Output: calls; counters.
-// Invariant: no call begins without a permit. A process that is stopped between permit and send is
-// caught by the receiver, which must refuse a token lower than the highest it has seen (status 409).
-// Seen in: log events act_begin and act_end; accepted(), fenced() and failed() as measures.
-// src/app/fleet_component owns it and calls set_held().
+// While the lease is held, a call is made every interval_s. The permit is checked right before the bytes of
+// the call are sent, on a connection that is already open, so no call begins without a permit. If the
+// process is suspended between the check and the send, the receiver has to reject the call: it must refuse
+// a token lower than the highest it has seen, with status 409.
+//
+// Each call is logged as the events act_begin and act_end. accepted(), fenced() and failed() are exported
+// as metrics. src/app/fleet_component owns the webhook and calls set_held().
 #pragma once
 
 #include <functional>
@@ -26,22 +25,23 @@
 
 class HolderWebhook {
   public:
-    /// `interval_s`: between a call's end and the next. `call_timeout_s`: that a call may take at most.
-    /// `permit`: false: the call must not begin. `timers` and `log` must outlive it.
+    /// `interval_s` is the time from the end of a call to the next one, `call_timeout_s` the longest time
+    /// that a call may take. `permit` returns false if a call must not begin. `timers` and `log` must
+    /// outlive this object.
     HolderWebhook(const std::string& url, double interval_s, std::string holder_name, double call_timeout_s,
                   std::function<bool(Permit&)> permit, net::Timers& timers, Log& log);
     ~HolderWebhook();
     HolderWebhook(const HolderWebhook&) = delete;
     HolderWebhook& operator=(const HolderWebhook&) = delete;
-    /// The lease is held from now on, or no longer; a call under way is dropped then.
+    /// Starts the calls, or stops them and aborts a call in progress.
     void set_held(bool held);
     std::uint64_t accepted() const { return accepted_; }
-    std::uint64_t fenced() const { return fenced_; }   ///< refused for a token that is too low
+    std::uint64_t fenced() const { return fenced_; }   ///< rejected because the token was too low
     std::uint64_t failed() const { return failed_; }
 
   private:
     struct Connection;
-    // How a call ended without a response.
+    // Outcomes of a call without a response, used in place of a status code.
     static constexpr int kNoResponse = 0, kNotPermitted = -1;
     void start_call();
     void on_call_finished(int status);
--- a/src/lease/lease_node.cpp
+++ b/src/lease/lease_node.cpp
@@ -20,7 +20,7 @@
     return campaign.slots == 1 ? lease : lease + "/" + std::to_string(slot + 1);
 }
 
-// Candidates live as long as the process: their rounds only go up.
+// Candidates are never destroyed while the process runs, because their rounds must only increase.
 LeaseNode::Campaign& LeaseNode::find_or_create_campaign(const std::string& lease, unsigned slots) {
     const auto [entry, is_new] = campaigns_.try_emplace(lease);
     Campaign& campaign = entry->second;
@@ -55,7 +55,8 @@
     return save_acceptor() && has_answer;
 }
 
-// What could be forgotten must not be answered. False: the state could not be saved.
+// Saves the acceptor's state if it has changed. Returns false if it could not be saved; then the acceptor
+// must not answer, as it would forget the answer.
 bool LeaseNode::save_acceptor() {
     const bool is_saved = acceptor_->revision() == saved_revision_ && epoch_saved_;
     if (!storage_ || is_saved) return true;
@@ -85,7 +86,7 @@
     deliver_candidate_messages(now);
 }
 
-// Candidates' messages go to the acceptor of this process at once, to the others by datagram.
+// Delivers the candidates' messages: to the acceptor of this process directly, to the others by datagram.
 void LeaseNode::deliver_candidate_messages(double now) {
     bool answered = true;
     while (answered) {
@@ -97,7 +98,7 @@
     update_campaigns(now);
 }
 
-// True: the acceptor of this process answered, so the candidate may have more to send.
+// Returns true if the acceptor of this process answered, as the candidate may then have more to send.
 bool LeaseNode::deliver_messages_of(double now, Candidate& candidate) {
     bool answered = false;
     for (const AddressedMessage& outgoing : candidate.take_outgoing()) {
@@ -115,12 +116,12 @@
 
 void LeaseNode::update_campaigns(double now) {
     for (auto& [lease, campaign] : campaigns_) {
-        report_change(lease, campaign);
+        report_token_change(lease, campaign);
         try_next_slot(now, campaign);
     }
 }
 
-void LeaseNode::report_change(const std::string& lease, Campaign& campaign) {
+void LeaseNode::report_token_change(const std::string& lease, Campaign& campaign) {
     const Candidate& candidate = *campaign.candidates[campaign.slot];
     const std::uint64_t token = candidate.fencing_token();
     const std::uint64_t before = campaign.reported_token;
@@ -134,7 +135,7 @@
     campaign.reported_token = token;
 }
 
-// Moves on to another slot where the one sought is held by another process.
+// Moves on to the next slot if the requested one is held by another process.
 void LeaseNode::try_next_slot(double now, Campaign& campaign) {
     if (!campaign.active || campaign.slots == 1) return;
     Candidate& denied = *campaign.candidates[campaign.slot];
@@ -193,7 +194,7 @@
 
 void LeaseNode::set_acceptors(double now, const AcceptorSet& acceptors) {
     settings_.acceptors = acceptors;
-    // A process that becomes an acceptor can't know what it granted when it was one before.
+    // A process that becomes an acceptor may have been one before and does not know what it granted then.
     if (!acceptor_ && acceptors.members().contains(settings_.name))
         acceptor_ = std::make_unique<Acceptor>(settings_.times, now, token_floor_, false);
     if (acceptor_) acceptor_->set_epoch(acceptors.epoch);
--- a/src/lease/lease_node.hpp
+++ b/src/lease/lease_node.hpp
@@ -1,17 +1,18 @@
-// All leases of one process: its acceptor, if the configuration names it one, and its candidacies,
-// each with k slots where a lease has several.
+// All leases of one process: its acceptor, if the configuration lists the process as one, and its
+// candidacies. A lease may have several slots, each of which has one holder at most.
 //
-// Rule: a process holds at most one slot of a lease; a candidate that is denied its slot tries the
-// next one.
-// Inputs: datagrams and `now` in s of a clock that also runs while the machine sleeps
-// (boot_clock.hpp).
-// Output: datagrams (take_outgoing), changes (take_events), permits to act (permit).
-// Invariant: the acceptor's answer leaves only after what it rests on was saved.
-// Reason: an acceptor that forgets an answer could grant the lease twice.
-// From: PaxosLease; docs/design/fleet.md.
-// Seen in: statuses() on the admin page; the events' log lines.
-// Never does: I/O, reading a clock. The owner (src/app/fleet_component) sends, saves and calls
-// on_timer.
+// A process holds at most one slot of a lease. A candidate that is denied its slot tries the next one.
+//
+// The inputs are datagrams, and `now` in s of a clock that also runs while the machine is suspended
+// (boot_clock.hpp). The outputs are datagrams (take_outgoing), changes of held leases (take_events) and
+// permits to act (permit). A node does no I/O and reads no clock: the owner (src/app/fleet_component) sends
+// the datagrams, saves the state through AcceptorStorage, and calls on_timer.
+//
+// Invariant: an answer of the acceptor is sent only after the state it depends on was saved, because an
+// acceptor that forgets an answer could grant the lease twice.
+//
+// The protocol is PaxosLease; see docs/design/fleet.md. The admin page shows statuses(), and the events are
+// logged.
 #pragma once
 
 #include <cstdint>
@@ -31,11 +32,11 @@
 class AcceptorStorage {
   public:
     virtual ~AcceptorStorage() = default;
-    /// False: it could not be saved, and nothing may be answered.
+    /// Returns false if the state could not be saved; then no answer may be sent.
     virtual bool save(std::uint32_t epoch, const std::map<std::string, Grant>& grants) = 0;
 };
 
-/// What an acceptor must remember over a restart.
+/// The state that an acceptor must keep across a restart.
 struct AcceptorState {
     std::uint32_t epoch = 0;
     std::map<std::string, Grant> grants;
@@ -52,19 +53,19 @@
     std::string lease;
     unsigned slot = 0;
     std::uint64_t fencing_token = 0;
-    double valid_until = 0;   ///< s, boot_clock_s()
+    double valid_until = 0;   ///< s of boot_clock_s()
 };
 
 struct LeaseStatus {
     std::string lease;
-    unsigned slots = 1, slot = 0;   ///< slot: held or sought
+    unsigned slots = 1, slot = 0;   ///< `slot` is the one that is held or requested
     Candidate::State state = Candidate::State::idle;
     std::uint64_t fencing_token = 0;
-    double valid_until = 0, held_since = 0;   ///< s, boot_clock_s()
+    double valid_until = 0, held_since = 0;   ///< s of boot_clock_s()
     std::string other_holder;                 ///< named by the last denial; empty: unknown
 };
 
-/// Allows one action that must end before `valid_until` (s) and carries the fencing token.
+/// Allows one action, which carries the fencing token and must end by `valid_until` (s of boot_clock_s()).
 struct Permit {
     std::uint64_t fencing_token = 0;
     double valid_until = 0;
@@ -74,14 +75,14 @@
 
 class LeaseNode {
   public:
-    /// `holder`: identity drawn for this process, never 0. `state`: what its acceptor saved; null: it waits
-    /// for recovery_wait_s() and its tokens begin above `token_floor`. `storage`: must outlive the node;
-    /// null: nothing is saved.
+    /// `holder` is the random identity of this process, never 0. `state` is what its acceptor saved; if it
+    /// is null, the acceptor is silent for recovery_wait_s(). Tokens of leases that the acceptor does not
+    /// know begin above `token_floor`. `storage` must outlive the node; if it is null, nothing is saved.
     LeaseNode(const LeaseNodeSettings& settings, std::uint64_t holder, std::uint64_t seed, double now,
               std::uint64_t token_floor, const AcceptorState* state = nullptr,
               AcceptorStorage* storage = nullptr);
 
-    /// Seeks one of the lease's slots from now on; without effect if it does already.
+    /// Starts to compete for one of the lease's slots; has no effect while it already does.
     void campaign(double now, const std::string& lease, unsigned slots = 1);
     void release(double now, const std::string& lease);
     void receive(double now, const std::string& from, std::string_view body);
@@ -95,41 +96,45 @@
     std::vector<OutgoingMessage> take_outgoing() { return std::exchange(outgoing_, {}); }
     std::vector<LeaseEvent> take_events() { return std::exchange(events_, {}); }
 
-    /// Must be called right before each action. False: the action must not begin. An action takes
-    /// times.max_action_s at most.
+    /// Must be called right before each action. Returns false if the action must not begin. An action may
+    /// take times.max_action_s at most.
     bool permit(double now, const std::string& lease, Permit& permit) const;
     std::vector<LeaseStatus> statuses() const;
+    /// Whether campaign() has been called for the lease, even if it was released since.
     bool campaigning(const std::string& lease) const { return campaigns_.contains(lease); }
     bool holds(double now, const std::string& lease) const;
-    /// Whether a majority of the acceptors answered some round within the last `window_s`.
+    /// Whether a majority of the acceptors answered a round of some lease within the last `window_s`.
     bool has_quorum(double now, double window_s) const;
     const Acceptor* acceptor() const { return acceptor_.get(); }
     const LeaseNodeSettings& settings() const { return settings_; }
     void set_acceptors(double now, const AcceptorSet& acceptors);
     std::uint64_t gained() const;
     std::uint64_t lost() const;
+    /// Number of received datagrams that could not be decoded.
     std::uint64_t malformed() const { return malformed_; }
     std::uint64_t failed_saves() const { return failed_saves_; }
 
-    /// Hot restart: what is held goes to the other process of this ingress, which is the same holder.
+    /// During a hot restart, transfers the held leases to the other process of this ingress, which
+    /// continues as the same holder.
     std::vector<Candidate::HeldLease> export_holds(double now);
     void import_holds(double now, const std::vector<Candidate::HeldLease>& holds);
-    /// Continues the other process's acceptor, which votes no more; this one need not wait then.
+    /// Takes over the state of the other process's acceptor, which no longer answers; no recovery is
+    /// needed.
     void restore_acceptor(double now, const AcceptorState& state);
 
   private:
     struct Campaign {
         unsigned slots = 1;
-        unsigned slot = 0;   // sought or held
+        unsigned slot = 0;   // the one that is requested or held
         bool active = false;
         double slot_tried_since = 0;
-        std::vector<std::unique_ptr<Candidate>> candidates;   // a slot each
-        std::uint64_t reported_token = 0;                     // of the last event; 0: none is held
+        std::vector<std::unique_ptr<Candidate>> candidates;   // one per slot
+        std::uint64_t reported_token = 0;                     // of the last event; 0: no slot is held
     };
     std::string slot_name(const std::string& lease, const Campaign& campaign, unsigned slot) const;
     Campaign& find_or_create_campaign(const std::string& lease, unsigned slots);
     void update_campaigns(double now);
-    void report_change(const std::string& lease, Campaign& campaign);
+    void report_token_change(const std::string& lease, Campaign& campaign);
     void try_next_slot(double now, Campaign& campaign);
     void deliver_candidate_messages(double now);
     bool deliver_messages_of(double now, Candidate& candidate);
@@ -144,7 +149,7 @@
     std::mt19937_64 random_;
     std::unique_ptr<Acceptor> acceptor_;
     AcceptorStorage* const storage_;
-    std::uint64_t saved_revision_ = 0;   // of the acceptor
+    std::uint64_t saved_revision_ = 0;   // revision of the acceptor that was last saved
     bool epoch_saved_ = false;
     std::map<std::string, Campaign> campaigns_;
     std::vector<OutgoingMessage> outgoing_;
--- a/src/lease/replicated_register.cpp
+++ b/src/lease/replicated_register.cpp
@@ -8,10 +8,10 @@
 namespace {
 
 constexpr std::size_t kMaxNameBytes = 80;
-constexpr double kNever = 1e18;   // s
-// Added to the sequence when a term is continued: exceeds what the other process of a hot restart may still
-// write.
-constexpr std::uint64_t kSequenceStep = 1000;
+constexpr double kNeverS = 1e18;
+// Added to the sequence number when a process continues a term after a hot restart. It exceeds the number
+// of writes that the other process may still complete.
+constexpr std::uint64_t kHotRestartSequenceGap = 1000;
 
 }   // namespace
 
@@ -45,7 +45,7 @@
     return true;
 }
 
-// The acceptor. ---------------------------------------------------------------------------------------
+// RegisterAcceptor
 
 bool RegisterAcceptor::receive(const RegisterMessage& message, RegisterMessage& answer) {
     using Kind = RegisterMessage::Kind;
@@ -58,7 +58,8 @@
         answer.kind = Kind::superseded;
         return true;
     }
-    // A forgotten register is known again from its first write on: the writer has read the other acceptors.
+    // After a loss of state a register is intact again from its first write on, because the writer has read
+    // it from the other acceptors.
     const bool was_written = found != registers_.end() && found->second.value.fencing_token != 0;
     if (found == registers_.end()) found = registers_.emplace(message.name, StoredRegister{}).first;
     StoredRegister& stored = found->second;
@@ -76,9 +77,10 @@
     return write(message.value, stored);
 }
 
-// False: a later write of the same writer is stored here.
+// Returns whether the value is stored, which includes a duplicate of the stored write; false if a later
+// write of the same writer is stored.
 bool RegisterAcceptor::write(const RegisterValue& value, StoredRegister& stored) {
-    if (!stored.value.before(value)) return stored.value == value;
+    if (!stored.value.is_older_than(value)) return stored.value == value;
     stored.value = value;
     ++revision_;
     return true;
@@ -88,13 +90,13 @@
     for (const auto& [name, restored] : stored) {
         StoredRegister& current = registers_[name];
         current.promised_token = std::max(current.promised_token, restored.promised_token);
-        if (current.value.before(restored.value)) current.value = restored.value;
+        if (current.value.is_older_than(restored.value)) current.value = restored.value;
     }
     storage_intact_ = true;
     ++revision_;
 }
 
-// The client. -----------------------------------------------------------------------------------------
+// RegisterClient
 
 RegisterClient::RegisterClient(std::vector<std::string> names, const LeaseTimes& times,
                                const AcceptorSet& acceptors, std::uint64_t seed)
@@ -159,11 +161,11 @@
 void RegisterClient::begin_request(double now, const std::string& name, Register& reg) {
     reg.request_id = ++last_request_id_;
     reg.answered_by.clear();
-    reg.remembered_by.clear();
+    reg.answered_intact_by.clear();
     send_request(now, name, reg);
 }
 
-// To the acceptors that have not answered yet.
+// Sends the request to the acceptors that have not answered it yet.
 void RegisterClient::send_request(double now, const std::string& name, Register& reg) {
     using Kind = RegisterMessage::Kind;
     RegisterMessage message;
@@ -197,36 +199,38 @@
 void RegisterClient::on_read_reply(double now, const std::string& acceptor, const RegisterMessage& message,
                                    Register& reg) {
     reg.answered_by.insert(acceptor);
-    if (message.value_intact) reg.remembered_by.insert(acceptor);
-    if (reg.value.before(message.value)) reg.value = message.value;
-    if (!acceptors_.has_majority(reg.remembered_by)) {
+    if (message.value_intact) reg.answered_intact_by.insert(acceptor);
+    if (reg.value.is_older_than(message.value)) reg.value = message.value;
+    if (!acceptors_.has_majority(reg.answered_intact_by)) {
         const bool all_answered = reg.answered_by.size() == acceptors_.members().size();
-        const bool is_late_majority = read_is_late(now, reg) && acceptors_.has_majority(reg.answered_by);
-        if (!all_answered && !is_late_majority) return;
-        may_have_lost_values_ = true;   // never written, or forgotten: nobody is left to ask
+        const bool is_overdue_majority =
+            is_read_overdue(now, reg) && acceptors_.has_majority(reg.answered_by);
+        if (!all_answered && !is_overdue_majority) return;
+        // The value was never written or has been lost, and no further acceptor answers.
+        may_have_lost_values_ = true;
     }
-    if (reg.value.fencing_token == fencing_token_) reg.value.sequence += kSequenceStep;
+    if (reg.value.fencing_token == fencing_token_) reg.value.sequence += kHotRestartSequenceGap;
     reg.state = State::known;
-    reg.retry_at = kNever;
+    reg.retry_at = kNeverS;
 }
 
 void RegisterClient::on_write_ack(const std::string& acceptor, Register& reg) {
     reg.answered_by.insert(acceptor);
     if (!acceptors_.has_majority(reg.answered_by)) return;
     reg.state = State::known;
-    reg.retry_at = kNever;
+    reg.retry_at = kNeverS;
 }
 
-bool RegisterClient::read_is_late(double now, const Register& reg) const {
-    return now >= reg.read_started_at + kLostAfterGrants * times_.grant_duration_s;
+bool RegisterClient::is_read_overdue(double now, const Register& reg) const {
+    return now >= reg.read_started_at + kReadDeadlineGrantDurations * times_.grant_duration_s;
 }
 
 void RegisterClient::on_timer(double now) {
     if (!has_term() || superseded_) return;
     for (auto& [name, reg] : registers_) {
         if (now < reg.retry_at) continue;
-        // Acceptors that have answered a late read may remember more by now.
-        if (reg.state == State::reading && read_is_late(now, reg))
+        // An overdue read asks all acceptors again, as those that answered may have an intact value by now.
+        if (reg.state == State::reading && is_read_overdue(now, reg))
             begin_request(now, name, reg);
         else
             send_request(now, name, reg);
@@ -234,7 +238,7 @@
 }
 
 double RegisterClient::next_deadline() const {
-    double next = kNever;
+    double next = kNeverS;
     if (!has_term() || superseded_) return next;
     for (const auto& [name, reg] : registers_) next = std::min(next, reg.retry_at);
     return next;
--- a/src/lease/settings.cpp
+++ b/src/lease/settings.cpp
@@ -23,17 +23,17 @@
     return names;
 }
 
-// What is wrong with a list of acceptors; empty: nothing.
+// Returns the error in a list of acceptors; empty if there is none.
 std::string check_names(const std::string& text) {
     const auto names = split_names(text);
-    if (names.size() > kMaxAcceptors) return "more than " + std::to_string(kMaxAcceptors) + " voters";
+    if (names.size() > kMaxAcceptors) return "lists more than " + std::to_string(kMaxAcceptors) + " voters";
     const std::set<std::string> distinct(names.begin(), names.end());
-    if (distinct.contains("")) return "a name is empty";
-    if (distinct.size() != names.size()) return "a name stands twice";
+    if (distinct.contains("")) return "contains an empty name";
+    if (distinct.size() != names.size()) return "contains a name twice";
     return {};
 }
 
-// Names that stand in one list only.
+// Counts the names that are in one of the lists only.
 std::size_t count_differences(const std::string& left, const std::string& right) {
     const auto left_names = split_names(left);
     const auto right_names = split_names(right);
@@ -45,16 +45,16 @@
     return count;
 }
 
-// What is wrong with the section as a whole; empty: nothing.
+// Returns the error in the section as a whole; empty if there is none.
 std::string check_section(const Options& options) {
     if (!options.on()) return {};
-    // One change at a time: majorities of neighbouring sets share an acceptor.
+    // Only one acceptor may change at a time, so that majorities of successive sets share an acceptor.
     if (!options.previous_acceptors.empty() &&
         count_differences(options.acceptors, options.previous_acceptors) > 1)
-        return "voters_before: differs from voters by more than one name";
+        return "voters_before: differs from voters by more than one name; change one voter at a time";
     const LeaseTimes& times = options.times;
     if (usable_duration_s(times) <= times.max_action_s + 2 * request_timeout_s(times))
-        return "lives_s: too short: after drift, margin_s and act_s nothing is left to renew in";
+        return "lives_s: too short: drift, margin_s and act_s leave no time for two rounds of renewal";
     return {};
 }
 
@@ -115,8 +115,9 @@
     const LeaseTimes& t = options.times;
     std::snprintf(
         text, sizeof text,
-        "lease: %zu voters, a grant of %g s may be used for %.2f s; without a holder for at most %.2f s "
-        "after it dies (round trips of 20 ms); a voter that forgot waits %.2f s",
+        "lease: %zu voters; a grant of %g s is usable for %.2f s; at most %.2f s without a holder after "
+        "the "
+        "holder dies (at round trips of 20 ms); a voter that lost its state stays silent for %.2f s",
         split_names(options.acceptors).size(), t.grant_duration_s, usable_duration_s(t),
         max_vacancy_s(t, 0.02), recovery_wait_s(t));
     return {text};
--- a/src/lease/settings.hpp
+++ b/src/lease/settings.hpp
@@ -1,5 +1,6 @@
-// The operator's [lease] and [announce] sections, and what check-config says of them. The INI keys are
-// the operator's words; they are mapped to the code's terms here and nowhere else.
+// The [lease] and [announce] sections of the operator's configuration file, and the summary of them that
+// check-config prints. The INI keys differ from the names in the code (`voters` are acceptors, `step` is an
+// epoch, `numbers` is the persistence of fencing tokens); only settings.cpp maps them.
 #pragma once
 
 #include <string>
@@ -11,16 +12,16 @@
 namespace slatejunction::lease {
 
 struct Options {
-    std::string acceptors, previous_acceptors;   ///< names of [peers], separated by commas
+    std::string acceptors, previous_acceptors;   ///< names of [peers] members, separated by commas
     std::int64_t epoch = 1;                      ///< of the acceptor set
     LeaseTimes times;
-    int token_persistence = 0;       ///< a TokenPersistence
-    std::int64_t max_draining = 0;   ///< ingresses of a site that may drain at once; 0: any number
-    std::string announce_url;        ///< where the leader announces itself; empty: nowhere
+    int token_persistence = 0;       ///< a value of TokenPersistence
+    std::int64_t max_draining = 0;   ///< ingresses of a site that may drain at once; 0: no limit
+    std::string announce_url;        ///< where the leader announces itself; empty: disabled
     double announce_every_s = 5;
     bool operator==(const Options&) const = default;
 
-    /// Where fencing tokens continue after all acceptors were restarted.
+    /// What fencing tokens continue from after all acceptors were restarted.
     enum TokenPersistence { wall_clock, state_directory };
     bool on() const { return !acceptors.empty(); }
     ini::Section section();
@@ -28,7 +29,7 @@
 };
 
 LeaseNodeSettings settings_of(const Options& options, const std::string& name);
-/// The bounds that follow from the options, a line each, for check-config.
+/// Returns the durations that follow from the options, one line each, for check-config and the log.
 std::vector<std::string> describe_bounds(const Options& options);
 
 }   // namespace slatejunction::lease
--- a/tests/lease/lease_test.cpp
+++ b/tests/lease/lease_test.cpp
@@ -198,7 +198,7 @@
         return faults.empty() ? std::string() : faults.front().substr(faults.front().find('['));
     };
     CHECK(fault("[lease]\nvoters = a, b, c\n") == "");
-    CHECK(fault("[lease]\nvoters = a, a\n").starts_with("[lease] voters: a name stands twice"));
+    CHECK(fault("[lease]\nvoters = a, a\n").starts_with("[lease] voters: contains a name twice"));
     CHECK(fault("[lease]\nvoters = a, b, c\nvoters_before = d, e, f\n")
               .starts_with("[lease] voters_before: differs"));
     CHECK(fault("[lease]\nvoters = a, b, c\nlives_s = 0.3\n").starts_with("[lease] lives_s: too short"));
