--- a/bench/lease-model.cpp
+++ b/bench/lease-model.cpp
@@ -12,13 +12,13 @@
 int main(int argc, char** argv) {
     if (argc > 1 && std::strcmp(argv[1], "explore") == 0) {
         lease_model::Bounds bounds;
-        int* const places[] = {&bounds.depth, &bounds.max_lost, &bounds.max_late, &bounds.max_duplicates,
+        int* const places[] = {&bounds.depth, &bounds.max_lost, &bounds.max_delayed, &bounds.max_duplicates,
                                &bounds.max_amnesias};
         for (int i = 2; i < argc && i < 7; ++i) *places[i - 2] = std::atoi(argv[i]);
         const auto found = lease_model::ModelChecker(bounds).run();
         std::printf(
             "depth %d (lost %d, late %d, twice %d, forget %d): %llu states, %llu steps, %llu holds; %s\n",
-            bounds.depth, bounds.max_lost, bounds.max_late, bounds.max_duplicates, bounds.max_amnesias,
+            bounds.depth, bounds.max_lost, bounds.max_delayed, bounds.max_duplicates, bounds.max_amnesias,
             static_cast<unsigned long long>(found.states), static_cast<unsigned long long>(found.steps),
             static_cast<unsigned long long>(found.acquisitions),
             found.violation.empty() ? "no breach" : ("breach: " + found.violation).c_str());
--- a/tests/lease/decision_digest_test.cpp
+++ b/tests/lease/decision_digest_test.cpp
@@ -1,6 +1,6 @@
-// That the decisions of the lease are what they were: digests of seeded schedules, taken before the code
-// was changed. One that differs means that a message, a grant, a holder, a permit or what a voter keeps
-// differs. A change that is meant to do so takes new digests; each failed check prints its own.
+// Checks that the lease code makes the same decisions as before, by digests of seeded simulations. A digest
+// that differs means that a message, a grant, a holder, a permit or the stored state of an acceptor
+// differs. An intended change of behavior replaces the digests; each failed check prints the new one.
 #include <array>
 #include <catch2/catch.hpp>
 
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Of seeds 1, 2, ...
+// Digests of the seeds 1, 2, ...
 constexpr std::array<std::uint64_t, 40> kDigests{
     0x9e3d6ce1bb0c8140ULL, 0x97014e384983ddfdULL, 0xe5ddf51209764af1ULL, 0x1b3aab2f118aba07ULL,
     0x4e344d98b05f9e67ULL, 0xe2152ac14815d1c0ULL, 0x89b821cd126c3d09ULL, 0x1ed42d8bcbd178fcULL,
@@ -24,7 +24,7 @@
 
 }   // namespace
 
-TEST_CASE("digests of the lease's decisions", "[lease]") {
+TEST_CASE("lease decisions match the recorded digest of each seed", "[lease]") {
     for (std::uint64_t seed = 1; seed <= kDigests.size(); ++seed) {
         INFO("seed " << seed);
         lease_simulation::Simulation simulation(lease_simulation::random_scenario(seed), seed);
@@ -33,7 +33,7 @@
     }
 }
 
-TEST_CASE("one digest of the lease's decisions over more seeds", "[lease]") {
+TEST_CASE("lease decisions of further seeds match one recorded digest", "[lease]") {
     Digest all;
     for (std::uint64_t seed = kDigests.size() + 1; seed <= 400; ++seed) {
         lease_simulation::Simulation simulation(lease_simulation::random_scenario(seed), seed);
--- a/tests/lease/model_checker.hpp
+++ b/tests/lease/model_checker.hpp
@@ -1,16 +1,19 @@
-// Every schedule of a small world, by the lease code: 3 acceptors, 2 candidates. A step is one of
-//  - the time goes on by a quantum, all clocks by their rates (acceptors fast, candidates slow, as far as
-//  drift says);
-//  - a candidate whose time has come wakes, or wakes later;
-//  - what a candidate has to say goes out: to each acceptor it comes now and the answer comes now, it is
-//  lost, the
-//    answer is lost, the message comes late, or the answer does (budgets of lost and late ones);
-//  - a late message comes, or comes twice (a budget);
-//  - an acceptor is killed and forgets (a budget).
-// Within one quantum messages to different acceptors commute, so that nothing is left out by taking a round
-// as one step; two rounds that cross are made of late messages. States that were seen before with as much
-// left of depth are not gone on from. After each step: never two hold at once, and no number is gained that
-// is not higher than all before.
+// A bounded model checker for the lease code with 3 acceptors and 2 candidates. It explores every schedule
+// of these steps up to a depth:
+// - Time advances by one time step. The acceptors' clocks run fast and the candidates' clocks slow, by the
+//   full drift.
+// - A candidate whose deadline has passed handles its timer, now or later.
+// - A message of a candidate is sent. It is delivered and answered at once, or it is lost, or its answer is
+//   lost, or it is delayed, or its answer is delayed. Lost and delayed messages are limited.
+// - A delayed message arrives, once or twice. Duplicates are limited.
+// - An acceptor is killed and loses its state. This is limited, too.
+//
+// Within one time step, messages to different acceptors commute, so treating a round as one step omits no
+// schedule; two rounds that overlap are covered by delayed messages. A state that was explored before with
+// at least the same remaining depth is not explored again.
+//
+// After each step it checks that the two candidates never hold the lease at once, and that each acquired
+// fencing token is higher than all earlier ones.
 #pragma once
 
 #include <cstdint>
@@ -27,14 +30,15 @@
 
 using namespace slatejunction::lease;
 
+/// Limits of the search; the max_ members apply to a whole schedule.
 struct Bounds {
     int depth = 12;
-    int max_lost = 1, max_late = 2, max_duplicates = 1, max_amnesias = 1;
-    double time_step_s = 0.25;   // s; a grant lives 1 s
+    int max_lost = 1, max_delayed = 2, max_duplicates = 1, max_amnesias = 1;
+    double time_step_s = 0.25;   // a grant lasts 1 s
 };
 
 struct Report {
-    std::string violation;   // with the steps that lead there; empty: none
+    std::string violation;   // with the steps that lead to it; empty if there was none
     std::uint64_t states = 0, steps = 0, both_sought = 0, acquisitions = 0;
 };
 
@@ -50,29 +54,29 @@
             start.candidates.emplace_back("job", "s", i + 1, times_, set, i + 1);
             start.candidates.back().campaign(0);
         }
-        start.lost = bounds_.max_lost;
-        start.late_left = bounds_.max_late;
-        start.twice = bounds_.max_duplicates;
-        start.forget = bounds_.max_amnesias;
-        go(start, bounds_.depth);
+        start.lost_left = bounds_.max_lost;
+        start.delayed_left = bounds_.max_delayed;
+        start.duplicates_left = bounds_.max_duplicates;
+        start.amnesias_left = bounds_.max_amnesias;
+        explore(start, bounds_.depth);
         return report_;
     }
 
   private:
-    struct Late {
+    struct DelayedMessage {
         int candidate = 0, acceptor = 0;
-        bool answer = false;
+        bool is_answer = false;
         Message message;
     };
     struct State {
         std::vector<Acceptor> acceptors;
         std::vector<Candidate> candidates;
-        std::vector<Late> late;
-        std::vector<AddressedMessage> pending[2];
-        double now = 0;   // s, true time
-        int lost = 0, late_left = 0, twice = 0, forget = 0;
-        std::uint64_t gained = 0;   // the highest number
-        int gained_by = -1;
+        std::vector<DelayedMessage> delayed;
+        std::vector<AddressedMessage> unsent[2];
+        double now = 0;   // s of true time
+        int lost_left = 0, delayed_left = 0, duplicates_left = 0, amnesias_left = 0;
+        std::uint64_t highest_token = 0;   // highest token acquired so far
+        int highest_token_owner = -1;
         bool held[2] = {false, false};
     };
 
@@ -80,177 +84,181 @@
     static double acceptor_clock(double now) { return now * (1 + kDrift); }
     static double candidate_clock(double now) { return now * (1 - kDrift); }
 
-    std::string key(const State& s) const {
-        std::string all;
-        const auto put = [&](std::uint64_t value) { all.append(reinterpret_cast<const char*>(&value), 8); };
-        const double v = acceptor_clock(s.now);
+    std::string state_key(const State& s) const {
+        std::string key;
+        const auto put = [&](std::uint64_t value) { key.append(reinterpret_cast<const char*>(&value), 8); };
+        const double acceptor_now = acceptor_clock(s.now);
         for (const Acceptor& one : s.acceptors) {
-            put(static_cast<std::uint64_t>(std::max(0.0, one.recovery_ends_at() - v) * 1e3));
+            put(static_cast<std::uint64_t>(std::max(0.0, one.recovery_ends_at() - acceptor_now) * 1e3));
             for (const auto& [lease, grant] : one.grants()) {
                 put(grant.holder);
                 put(grant.round);
                 put(grant.fencing_token);
                 put(grant.token_owner);
-                put(static_cast<std::uint64_t>(std::max(0.0, grant.expires_at - v) * 1e3));
+                put(static_cast<std::uint64_t>(std::max(0.0, grant.expires_at - acceptor_now) * 1e3));
             }
-            all += '|';
+            key += '|';
         }
-        for (const Candidate& one : s.candidates) all += one.state_digest(candidate_clock(s.now)) + '|';
-        std::vector<std::string> late;
-        for (const Late& one : s.late)
-            late.push_back(std::to_string(one.candidate) + std::to_string(one.acceptor) +
-                           (one.answer ? 'a' : 'q') + encode(one.message));
-        std::sort(late.begin(), late.end());
-        for (const auto& one : late) all += one + '|';
-        for (const auto& pending : s.pending)
-            for (const AddressedMessage& one : pending) all += one.to + encode(one.message);
-        put(static_cast<std::uint64_t>(s.lost | s.late_left << 4 | s.twice << 8 | s.forget << 12));
-        put(s.gained);
-        put(static_cast<std::uint64_t>(s.gained_by + 1));
-        return all;
+        for (const Candidate& one : s.candidates) key += one.state_digest(candidate_clock(s.now)) + '|';
+        std::vector<std::string> delayed;
+        for (const DelayedMessage& one : s.delayed)
+            delayed.push_back(std::to_string(one.candidate) + std::to_string(one.acceptor) +
+                              (one.is_answer ? 'a' : 'q') + encode(one.message));
+        std::sort(delayed.begin(), delayed.end());
+        for (const auto& one : delayed) key += one + '|';
+        for (const auto& unsent : s.unsent)
+            for (const AddressedMessage& one : unsent) key += one.to + encode(one.message);
+        put(static_cast<std::uint64_t>(s.lost_left | s.delayed_left << 4 | s.duplicates_left << 8 |
+                                       s.amnesias_left << 12));
+        put(s.highest_token);
+        put(static_cast<std::uint64_t>(s.highest_token_owner + 1));
+        return key;
     }
 
-    // False: nothing more is to be looked at.
-    bool check(State& s) {
+    // Returns false if an invariant is violated, so that the search ends.
+    bool check_invariants(State& s) {
         const double clock = candidate_clock(s.now);
         for (int i = 0; i < 2; ++i) {
             Candidate& one = s.candidates[static_cast<std::size_t>(i)];
-            auto& pending = s.pending[i];
-            for (auto& out : one.take_outgoing()) pending.push_back(out);
+            auto& unsent = s.unsent[i];
+            for (auto& outgoing : one.take_outgoing()) unsent.push_back(outgoing);
             if (one.state() == Candidate::State::held && one.fencing_token() != 0 && !s.held[i]) {
                 ++report_.acquisitions;
-                if (one.fencing_token() <= s.gained)
-                    return breach("number " + std::to_string(one.fencing_token()) + " after " +
-                                  std::to_string(s.gained));
-                s.gained = one.fencing_token();
-                s.gained_by = i;
+                if (one.fencing_token() <= s.highest_token)
+                    return report_violation("fencing token " + std::to_string(one.fencing_token()) +
+                                            " acquired after " + std::to_string(s.highest_token));
+                s.highest_token = one.fencing_token();
+                s.highest_token_owner = i;
             }
             s.held[i] = one.state() == Candidate::State::held;
         }
-        if (s.candidates[0].holds(clock) && s.candidates[1].holds(clock)) return breach("two hold at once");
+        if (s.candidates[0].holds(clock) && s.candidates[1].holds(clock))
+            return report_violation("both candidates hold the lease");
         return true;
     }
-    bool breach(const std::string& what) {
+    bool report_violation(const std::string& what) {
         if (!report_.violation.empty()) return false;
         report_.violation = what + ":";
         for (const std::string& one : path_) report_.violation += " " + one;
         return false;
     }
 
-    void step(State next, int depth, std::string name) {
+    void explore_step(State next, int depth, std::string name) {
         if (!report_.violation.empty()) return;
         ++report_.steps;
         path_.push_back(std::move(name));
-        if (check(next)) go(next, depth - 1);
+        if (check_invariants(next)) explore(next, depth - 1);
         path_.pop_back();
     }
 
-    void go(const State& s, int depth) {
+    void explore(const State& s, int depth) {
         if (depth <= 0) return;
-        const std::string text = key(s);
-        const std::uint64_t hash = slatejunction::storage::checksum(text.data(), text.size());
-        int& left = seen_[hash];
-        if (left >= depth) return;
-        if (left == 0) ++report_.states;
-        left = depth;
-        // What has to be said goes out before all else: the time in which it would wait counts as late.
+        const std::string key = state_key(s);
+        const std::uint64_t hash = slatejunction::storage::checksum(key.data(), key.size());
+        int& explored_depth = explored_depths_[hash];
+        if (explored_depth >= depth) return;
+        if (explored_depth == 0) ++report_.states;
+        explored_depth = depth;
+        // Unsent messages are sent before any other step; a message that is sent later counts as delayed.
         for (int i = 0; i < 2; ++i)
-            if (!s.pending[i].empty()) return flush(s, i, depth);
+            if (!s.unsent[i].empty()) return send_next(s, i, depth);
         for (int i = 0; i < 2; ++i) {
             const Candidate& one = s.candidates[static_cast<std::size_t>(i)];
             if (one.next_deadline() > candidate_clock(s.now) + 1e-9) continue;
             State next = s;
             next.candidates[static_cast<std::size_t>(i)].on_timer(candidate_clock(s.now));
-            step(std::move(next), depth, "wake" + std::to_string(i));
+            explore_step(std::move(next), depth, "timer" + std::to_string(i));
         }
-        for (std::size_t k = 0; k < s.late.size(); ++k)
-            for (int twice = 0; twice <= (s.twice > 0 ? 1 : 0); ++twice) {
+        for (std::size_t k = 0; k < s.delayed.size(); ++k)
+            for (int keep_copy = 0; keep_copy <= (s.duplicates_left > 0 ? 1 : 0); ++keep_copy) {
                 State next = s;
-                const Late late = s.late[k];
-                if (twice == 0)
-                    next.late.erase(next.late.begin() + static_cast<std::ptrdiff_t>(k));
+                const DelayedMessage message = s.delayed[k];
+                if (keep_copy == 0)
+                    next.delayed.erase(next.delayed.begin() + static_cast<std::ptrdiff_t>(k));
                 else
-                    --next.twice;
-                bring(next, late);
-                step(std::move(next), depth,
-                     (late.answer ? "late-answer" : "late-ask") + std::to_string(late.candidate));
+                    --next.duplicates_left;
+                deliver(next, message);
+                explore_step(std::move(next), depth,
+                             (message.is_answer ? "delayed-answer" : "delayed-request") +
+                                 std::to_string(message.candidate));
             }
-        if (s.forget > 0)
-            for (std::size_t v = 0; v < 3; ++v) {
+        if (s.amnesias_left > 0)
+            for (std::size_t acceptor = 0; acceptor < 3; ++acceptor) {
                 State next = s;
-                --next.forget;
-                replace(next, v);
-                step(std::move(next), depth, "forget" + std::to_string(v));
+                --next.amnesias_left;
+                restart_without_state(next, acceptor);
+                explore_step(std::move(next), depth, "amnesia" + std::to_string(acceptor));
             }
         State next = s;
         next.now += bounds_.time_step_s;
-        step(std::move(next), depth, "tick");
+        explore_step(std::move(next), depth, "tick");
     }
-    void replace(State& s, std::size_t v) {
+    void restart_without_state(State& s, std::size_t acceptor) {
         std::vector<Acceptor> all;
         for (std::size_t i = 0; i < 3; ++i)
-            i == v ? all.emplace_back(times_, acceptor_clock(s.now),
-                                      static_cast<std::uint64_t>(1000 * (1 + s.now / bounds_.time_step_s)),
-                                      false)
-                   : all.emplace_back(s.acceptors[i]);
+            i == acceptor ? all.emplace_back(
+                                times_, acceptor_clock(s.now),
+                                static_cast<std::uint64_t>(1000 * (1 + s.now / bounds_.time_step_s)), false)
+                          : all.emplace_back(s.acceptors[i]);
         s.acceptors.swap(all);
     }
-    void bring(State& s, const Late& late) {
-        const auto candidate = static_cast<std::size_t>(late.candidate),
-                   acceptor = static_cast<std::size_t>(late.acceptor);
-        if (late.answer)
+    void deliver(State& s, const DelayedMessage& message) {
+        const auto candidate = static_cast<std::size_t>(message.candidate),
+                   acceptor = static_cast<std::size_t>(message.acceptor);
+        if (message.is_answer)
             return s.candidates[candidate].receive(candidate_clock(s.now),
-                                                   "v" + std::to_string(late.acceptor), late.message);
+                                                   "v" + std::to_string(message.acceptor), message.message);
         Message answer;
-        if (s.acceptors[acceptor].receive(acceptor_clock(s.now), late.message, answer))
-            s.candidates[candidate].receive(candidate_clock(s.now), "v" + std::to_string(late.acceptor),
+        if (s.acceptors[acceptor].receive(acceptor_clock(s.now), message.message, answer))
+            s.candidates[candidate].receive(candidate_clock(s.now), "v" + std::to_string(message.acceptor),
                                             answer);
     }
 
-    // The first message that waits, in each way it may fare; then the next.
-    void flush(const State& s, int i, int depth) {
+    // Explores every outcome of the first unsent message. The resulting states send the remaining ones.
+    void send_next(const State& s, int i, int depth) {
         State base = s;
-        const AddressedMessage out = base.pending[i].front();
-        base.pending[i].erase(base.pending[i].begin());
-        const int acceptor = out.to[1] - '0';
-        const Late ask{i, acceptor, false, out.message};
-        const auto more = [&](State next, const char* how) {
-            // One round is one step of depth.
-            const int after = next.pending[i].empty() ? depth : depth + 1;
-            step(std::move(next), after, std::string(how) + std::to_string(i) + std::to_string(acceptor));
+        const AddressedMessage outgoing = base.unsent[i].front();
+        base.unsent[i].erase(base.unsent[i].begin());
+        const int acceptor = outgoing.to[1] - '0';
+        const DelayedMessage request{i, acceptor, false, outgoing.message};
+        const auto explore_outcome = [&](State next, const char* outcome) {
+            // All messages of a round together count as one step of depth.
+            const int depth_left = next.unsent[i].empty() ? depth : depth + 1;
+            explore_step(std::move(next), depth_left,
+                         std::string(outcome) + std::to_string(i) + std::to_string(acceptor));
         };
         {
             State next = base;
-            bring(next, ask);
-            more(std::move(next), "both");
+            deliver(next, request);
+            explore_outcome(std::move(next), "delivered");
         }
-        if (s.lost > 0) {
+        if (s.lost_left > 0) {
             State next = base;
-            --next.lost;
-            more(next, "lost");
+            --next.lost_left;
+            explore_outcome(next, "request-lost");
             Message answer;
-            next.acceptors[static_cast<std::size_t>(acceptor)].receive(acceptor_clock(s.now), out.message,
-                                                                       answer);
-            more(std::move(next), "answer-lost");
+            next.acceptors[static_cast<std::size_t>(acceptor)].receive(acceptor_clock(s.now),
+                                                                       outgoing.message, answer);
+            explore_outcome(std::move(next), "answer-lost");
         }
-        if (s.late_left > 0) {
+        if (s.delayed_left > 0) {
             State next = base;
-            --next.late_left;
-            next.late.push_back(ask);
-            more(next, "late");
-            next.late.pop_back();
+            --next.delayed_left;
+            next.delayed.push_back(request);
+            explore_outcome(next, "request-delayed");
+            next.delayed.pop_back();
             Message answer;
             if (next.acceptors[static_cast<std::size_t>(acceptor)].receive(acceptor_clock(s.now),
-                                                                           out.message, answer)) {
-                next.late.push_back({i, acceptor, true, answer});
-                more(std::move(next), "answer-late");
+                                                                           outgoing.message, answer)) {
+                next.delayed.push_back({i, acceptor, true, answer});
+                explore_outcome(std::move(next), "answer-delayed");
             }
         }
     }
 
     const Bounds bounds_;
     const LeaseTimes times_{1, kDrift, 0.01, 0.05};
-    std::unordered_map<std::uint64_t, int> seen_;
+    std::unordered_map<std::uint64_t, int> explored_depths_;
     std::vector<std::string> path_;
     Report report_;
 };
