--- a/src/lease/acceptor.cpp
+++ b/src/lease/acceptor.cpp
@@ -118,7 +118,7 @@
     const bool owns_token =
         grant.token_owner == request.holder && grant.fencing_token == request.fencing_token;
     if (claims_token && !owns_token && request.fencing_token <= grant.fencing_token) {
-        answer.kind = MessageKind::denied;   // the answer tells the candidate the highest token
+        answer.kind = MessageKind::denied;   // the answer carries the highest known token
         return true;
     }
     store_grant(now, request, claims_token && !owns_token, grant);
--- a/src/lease/acceptor_storage.hpp
+++ b/src/lease/acceptor_storage.hpp
@@ -2,9 +2,9 @@
 //
 // Each save writes the whole file with a checksum, and renames it into place after the bytes have reached
 // the disk. A killed process or a power loss therefore leaves the old state or the new one, never a mix.
-// A broken file is quarantined when it is read (quarantined_path()) and counts as lost state; the acceptor
-// then starts in recovery. Grants are saved when a lease changes its holder
-// or token or is released, not at each renewal.
+// A broken file is quarantined when it is read (quarantined_path()) and counts as lost state; without its
+// grants the acceptor starts in recovery. Grants are saved when a lease changes its holder or token or is
+// released, not at each renewal.
 //
 // src/app/fleet_component owns both objects and logs their errors.
 #pragma once
--- a/src/lease/lease_node.cpp
+++ b/src/lease/lease_node.cpp
@@ -56,7 +56,7 @@
 }
 
 // Saves the acceptor's state if it has changed. Returns false if it could not be saved; then the acceptor
-// must not answer, as it would forget the answer.
+// must not answer, as a restart would lose the state that the answer depends on.
 bool LeaseNode::save_acceptor() {
     const bool is_saved = acceptor_->revision() == saved_revision_ && epoch_saved_;
     if (!storage_ || is_saved) return true;
--- a/src/lease/lease_node.hpp
+++ b/src/lease/lease_node.hpp
@@ -9,7 +9,7 @@
 // the datagrams, saves the state through AcceptorStorage, and calls on_timer.
 //
 // Invariant: an answer of the acceptor is sent only after the state it depends on was saved, because an
-// acceptor that forgets an answer could grant the lease twice.
+// acceptor that lost that state could grant the lease twice.
 //
 // The protocol is PaxosLease; see docs/design/fleet.md. The admin page shows statuses(), and the events are
 // logged.
@@ -118,8 +118,7 @@
     /// continues as the same holder.
     std::vector<Candidate::HeldLease> export_holds(double now);
     void import_holds(double now, const std::vector<Candidate::HeldLease>& holds);
-    /// Takes over the state of the other process's acceptor, which no longer answers; no recovery is
-    /// needed.
+    /// Takes over the state of the other process's acceptor, which no longer answers, without a recovery.
     void restore_acceptor(double now, const AcceptorState& state);
 
   private:
--- a/src/lease/settings.cpp
+++ b/src/lease/settings.cpp
@@ -115,9 +115,8 @@
     const LeaseTimes& t = options.times;
     std::snprintf(
         text, sizeof text,
-        "lease: %zu voters; a grant of %g s is usable for %.2f s; at most %.2f s without a holder after "
-        "the "
-        "holder dies (at round trips of 20 ms); a voter that lost its state stays silent for %.2f s",
+        "lease: %zu voters; a grant of %g s is usable for %.2f s; a holder that dies is replaced within "
+        "%.2f s (at round trips of 20 ms); a voter that lost its state stays silent for %.2f s",
         split_names(options.acceptors).size(), t.grant_duration_s, usable_duration_s(t),
         max_vacancy_s(t, 0.02), recovery_wait_s(t));
     return {text};
