--- a/src/rollout/follower.cpp
+++ b/src/rollout/follower.cpp
@@ -11,8 +11,8 @@
 constexpr unsigned kMaxLeaveNotices = 360;            // to one former parent that does not acknowledge them
 constexpr double kGapPullIntervalS = 0.2;             // minimum time between pulls because of a gap
 constexpr std::size_t kMaxSubtreeReportBytes = 600;   // of a report in a pull
-constexpr double kParentSwitchSpreadS =
-    0.2;   // the first pull to a new parent is sent at a random time in it
+// The first pull to a new parent is sent at a random time within this.
+constexpr double kParentSwitchSpreadS = 0.2;
 constexpr unsigned kMaxBackoffDoublings = 6;
 constexpr double kRetryGrowthFactor = 1.5;   // of the wait, per unanswered pull
 
--- a/src/rollout/leader.hpp
+++ b/src/rollout/leader.hpp
@@ -12,7 +12,7 @@
 //   them.
 // - Staged release: canaries are the reporting followers with the lowest name hashes. A number is cleared
 //   for all followers once every canary has had it active for canary_s. The leader does not wait for a
-//   canary that lacks the number canary_timeout_s after the commit, and for no number longer than both
+//   canary that lacks the number canary_timeout_s after the commit, and no number waits longer than both
 //   times together.
 //
 // Invariants:
--- a/src/rollout/leader_recovery.cpp
+++ b/src/rollout/leader_recovery.cpp
@@ -150,7 +150,7 @@
 void Leader::handle(double now, const std::string& from, const FetchReply& message) {
     if (phase_ != Phase::fetching_log || message.term != term_ || from != best_replica_) return;
     attempts_ = 0;
-    const Version wanted = replicas_[best_replica_].log_status->last;
+    const Version target = replicas_[best_replica_].log_status->last;
     if (!log_.contains(message.previous)) {
         // Ignores a reply to an earlier request.
         if (message.previous.number != fetch_after_) return;
@@ -171,11 +171,11 @@
         log_.truncate(record.number - 1);
         log_.push(record);
     }
-    if (log_.contains(wanted)) {
-        log_.truncate(wanted.number);
+    if (log_.contains(target)) {
+        log_.truncate(target.number);
         return become_ready(now);
     }
-    fetch_after_ = std::min(version.number, wanted.number);
+    fetch_after_ = std::min(version.number, target.number);
     if (message.end) fetch_records(now);
 }
 
--- a/src/rollout/leader_release.cpp
+++ b/src/rollout/leader_release.cpp
@@ -28,9 +28,9 @@
     events_.push_back({LeaderEvent::Kind::refused, refusal.number, refusal.name, refusal.reason});
     if (log_.reverted_by(refusal.number) != 0) return;   // reverted by an earlier leader
     const auto revert = log_.revert_of(refusal.number);
-    const bool made = revert && append_record(now, *revert);
+    const bool appended = revert && append_record(now, *revert);
     events_.push_back(
-        {made ? LeaderEvent::Kind::reverted : LeaderEvent::Kind::irrevertible, refusal.number, {}, {}});
+        {appended ? LeaderEvent::Kind::reverted : LeaderEvent::Kind::irrevertible, refusal.number, {}, {}});
 }
 
 // Makes the reporting followers with the lowest name hashes the canaries, and records when each of them
--- a/src/rollout/leader_replication.cpp
+++ b/src/rollout/leader_replication.cpp
@@ -144,8 +144,8 @@
 // only after the current round began.
 void Leader::readmit_learners(double now) {
     if (phase_ != Phase::ready || now < readmit_at_) return;
-    const bool found_learner = std::any_of(replicas_.begin(), replicas_.end(), [&](const auto& one) {
-        const ReplicaProgress& replica = one.second;
+    const bool found_learner = std::any_of(replicas_.begin(), replicas_.end(), [&](const auto& entry) {
+        const ReplicaProgress& replica = entry.second;
         return !replica.storage_intact && replica.storage_lost_process != 0 &&
                replica.storage_lost_process == replica.process &&
                replica.learner_process != replica.process && replica.match_index == log_.last().number &&
--- a/src/rollout/message.cpp
+++ b/src/rollout/message.cpp
@@ -47,7 +47,7 @@
 }
 template <class Wire>
 void write_records(const std::vector<Record>& from, Wire& to) {
-    for (const Record& one : from) write(one, *to.add_record());
+    for (const Record& record : from) write(record, *to.add_record());
 }
 
 void write(const Pull& from, wire::Pull& to) {
@@ -164,9 +164,9 @@
 template <class Wire>
 bool read_records(const Wire& in, const Version& previous, std::vector<Record>& out) {
     std::uint64_t number = previous.number;
-    for (const wire::Record& one : in.record()) {
+    for (const wire::Record& encoded : in.record()) {
         Record record;
-        if (!read(one, record) || record.number != ++number) return false;
+        if (!read(encoded, record) || record.number != ++number) return false;
         out.push_back(std::move(record));
     }
     return true;
@@ -180,9 +180,9 @@
 template <class Repeated>
 bool read(const Repeated& in, std::size_t max_size, std::vector<FollowerStatus>& out) {
     if (static_cast<std::size_t>(in.size()) > max_size) return false;
-    for (const wire::Standing& one : in) {
+    for (const wire::Standing& encoded : in) {
         out.emplace_back();
-        if (!read(one, out.back())) return false;
+        if (!read(encoded, out.back())) return false;
     }
     return true;
 }
@@ -193,9 +193,9 @@
     out.silent = in.silent();
     out.refused = in.refused();
     if (static_cast<std::size_t>(in.refusal_size()) > kMaxReportedRefusals) return false;
-    for (const wire::Refusal& one : in.refusal()) {
-        if (!is_name(one.name()) || one.number() == 0) return false;
-        out.refusals.push_back({one.number(), one.name(), printable(one.reason())});
+    for (const wire::Refusal& refusal : in.refusal()) {
+        if (!is_name(refusal.name()) || refusal.number() == 0) return false;
+        out.refusals.push_back({refusal.number(), refusal.name(), printable(refusal.reason())});
     }
     return read(in.behind_name(), kMaxReportedNames, out.behind_names) &&
            read(in.silent_name(), kMaxReportedNames, out.silent_names) &&
@@ -235,10 +235,11 @@
     out.index = in.index();
     out.parts = in.parts();
     out.staging = read(in.staging());
-    for (const wire::Entry& one : in.entry()) {
-        if (one.key().empty() || one.key().size() > kMaxKeyBytes || one.value().size() > kMaxValueBytes)
+    for (const wire::Entry& entry : in.entry()) {
+        if (entry.key().empty() || entry.key().size() > kMaxKeyBytes ||
+            entry.value().size() > kMaxValueBytes)
             return false;
-        out.entries.emplace_back(one.key(), one.value());
+        out.entries.emplace_back(entry.key(), entry.value());
     }
     return out.index < out.parts;
 }
--- a/src/rollout/publisher.cpp
+++ b/src/rollout/publisher.cpp
@@ -145,8 +145,8 @@
         std::vector<Body> bodies;
         std::uint64_t reached = 0;
     };
-    std::map<std::tuple<std::uint64_t, std::uint64_t>, Batch>
-        batches;   // by last_sent and activation limit
+    // By last_sent and activation limit.
+    std::map<std::tuple<std::uint64_t, std::uint64_t>, Batch> batches;
     for (auto& [name, child] : children_) {
         if (!child.following || now - child.last_contact_at > settings_.child_timeout_s) continue;
         const std::uint64_t limit = activation_limit(child);
--- a/src/rollout/replica.cpp
+++ b/src/rollout/replica.cpp
@@ -144,19 +144,19 @@
         if (disk_failed_) return false;
         log_.truncate(start);
     }
-    const std::vector<Record> fresh(message.records.begin() + static_cast<std::ptrdiff_t>(known),
-                                    message.records.end());
-    for (const Record& record : fresh)
+    const std::vector<Record> missing(message.records.begin() + static_cast<std::ptrdiff_t>(known),
+                                      message.records.end());
+    for (const Record& record : missing)
         if (!log_.push(record)) {
             log_.truncate(start);
             return false;
         }
-    disk_failed_ = !storage_.append(fresh);
+    disk_failed_ = !storage_.append(missing);
     if (disk_failed_) {
         log_.truncate(start);
         return false;
     }
-    records_since_compaction_ += fresh.size();
+    records_since_compaction_ += missing.size();
     return true;
 }
 
--- a/src/rollout/settings.cpp
+++ b/src/rollout/settings.cpp
@@ -106,8 +106,8 @@
     settings.region = options.region;
     for (const ParentAddress& address : parents_of(options)) settings.parents.push_back(address.parent);
     if (options.publishes()) {
-        settings.max_log_records =
-            kMaxLogRecords;   // a relay keeps as many as a control machine, for its children
+        // A relay keeps as many records for its children as a control machine.
+        settings.max_log_records = kMaxLogRecords;
         settings.max_log_bytes = kMaxLogBytes;
     }
     return settings;
--- a/src/rollout/transport.hpp
+++ b/src/rollout/transport.hpp
@@ -39,7 +39,7 @@
         std::uint64_t sent = 0, sent_bytes = 0;   // datagrams; bytes including authentication
         std::uint64_t unsent = 0;      // rejected by the operating system, or without a known address
         std::uint64_t hellos = 0;      // sent
-        std::uint64_t malformed = 0;   // authenticated datagrams that could not be decoded
+        std::uint64_t malformed = 0;   // authenticated datagrams with malformed content
     };
     /// Called with the name of the sender, the id of its process, and the encoded message.
     using MessageHandler = std::function<void(const std::string&, std::uint64_t, std::string_view)>;
--- a/tests/rollout/cases_test.cpp
+++ b/tests/rollout/cases_test.cpp
@@ -217,7 +217,7 @@
     fleet.set_filter([bad](const std::string& from, const std::string& to, Message& message) {
         auto* append = std::get_if<Append>(&message);
         if (append && from != to)
-            std::erase_if(append->records, [bad](const Record& one) { return one.number > bad; });
+            std::erase_if(append->records, [bad](const Record& record) { return record.number > bad; });
         return false;
     });
     fleet.run_for(10);
@@ -345,7 +345,8 @@
     fleet.set_filter([number](const std::string&, const std::string& to, Message& message) {
         auto* append = std::get_if<Append>(&message);
         if (append && to != "c0")
-            std::erase_if(append->records, [number](const Record& one) { return one.number > number; });
+            std::erase_if(append->records,
+                          [number](const Record& record) { return record.number > number; });
         return false;
     });
     fleet.grant_lease("c0");
--- a/tests/rollout/file_storage_test.cpp
+++ b/tests/rollout/file_storage_test.cpp
@@ -40,8 +40,8 @@
 // Returns the names of all files of a directory in order.
 std::vector<std::string> files_of(const Folder& folder) {
     std::vector<std::string> all;
-    for (const auto& one : std::filesystem::directory_iterator(folder.path()))
-        all.push_back(one.path().filename().string());
+    for (const auto& entry : std::filesystem::directory_iterator(folder.path()))
+        all.push_back(entry.path().filename().string());
     std::sort(all.begin(), all.end());
     return all;
 }
--- a/tests/rollout/rollout_test.cpp
+++ b/tests/rollout/rollout_test.cpp
@@ -106,13 +106,13 @@
 }
 
 TEST_CASE("the chain distinguishes logs, and its encoding does not change", "[rollout]") {
-    const Record one = put_of(1, "a", "1");
-    CHECK(next_version({}, one) == next_version({}, one));
+    const Record record = put_of(1, "a", "1");
+    CHECK(next_version({}, record) == next_version({}, record));
     for (const Record& other : {put_of(1, "a", "2"), put_of(1, "b", "1"), put_of(1, "a", "1", 2),
                                 Record{1, 1, RecordKind::erase, "a", "", 0}, put_of(1, "a1", "")})
-        CHECK(next_version({}, other).chain != next_version({}, one).chain);
-    CHECK(next_version({0, 1}, one).chain != next_version({0, 0}, one).chain);
-    CHECK(next_version({}, one).chain == 0xa9239d58fa3abde0ULL);
+        CHECK(next_version({}, other).chain != next_version({}, record).chain);
+    CHECK(next_version({0, 1}, record).chain != next_version({0, 0}, record).chain);
+    CHECK(next_version({}, record).chain == 0xa9239d58fa3abde0ULL);
 }
 
 TEST_CASE("a log accepts only valid records that follow the last one", "[rollout]") {
@@ -185,10 +185,10 @@
     const Staging staging{1ull << 60, 1ull << 60, ~0ull};
     Report report;
     for (int i = 0; i < 40; ++i) {
-        const std::string one = std::string(60, 'a') + std::to_string(100 + i);
-        const Refusal refusal{version.number + i % 9, one, std::string(kMaxReasonBytes, 'r')};
-        add(report, {one, version.number + i, FollowerFault::disk}, true, &refusal);
-        add_silent(report, {one + "s", version.number + i, FollowerFault::none});
+        const std::string follower = std::string(60, 'a') + std::to_string(100 + i);
+        const Refusal refusal{version.number + i % 9, follower, std::string(kMaxReasonBytes, 'r')};
+        add(report, {follower, version.number + i, FollowerFault::disk}, true, &refusal);
+        add_silent(report, {follower + "s", version.number + i, FollowerFault::none});
     }
     CHECK(report.counted == 40);
     CHECK(report.behind_names.size() == kMaxReportedNames);
@@ -218,13 +218,13 @@
         AppendReply{1ull << 60, 1ull << 60, ~0ull, true, true, version, 1ull << 60, true},
         FollowerReport{upstream}};
     std::mt19937_64 random(7);
-    for (const Message& one : all) {
-        const std::string bytes = encode(one);
-        INFO("kind " << one.index());
+    for (const Message& message : all) {
+        const std::string bytes = encode(message);
+        INFO("kind " << message.index());
         CHECK(bytes.size() <= kMaxBodyBytes);
-        const auto again = decode(bytes);
-        REQUIRE(again);
-        CHECK(*again == one);
+        const auto decoded = decode(bytes);
+        REQUIRE(decoded);
+        CHECK(*decoded == message);
         // Truncated and altered bytes are rejected, or decode to another valid message.
         for (int i = 0; i < 2'000; ++i) {
             std::string broken = bytes.substr(0, 1 + random() % bytes.size());
@@ -315,7 +315,7 @@
     CHECK(publisher.counts().batches_encoded < 40);
     CHECK(messages.size() == 2'000 * publisher.counts().batches_encoded);
     std::set<const std::string*> bodies;
-    for (const OutgoingMessage& one : messages) bodies.insert(one.body.get());
+    for (const OutgoingMessage& message : messages) bodies.insert(message.body.get());
     CHECK(bodies.size() == publisher.counts().batches_encoded);
 }
 
--- a/tests/rollout/simulation.hpp
+++ b/tests/rollout/simulation.hpp
@@ -314,11 +314,16 @@
         }
         bool append(const std::vector<Record>& records) override {
             if (node().disk_full) return false;
-            for (const Record& one : records) {
-                if (!node().replica_disk.log.push(one))
+            for (const Record& record : records) {
+                if (!node().replica_disk.log.push(record))
                     simulation.fail(name + ": stored records do not follow each other");
-                simulation.add_event(
-                    {HistoryEvent::Type::record_stored, simulation.now(), name, one.number, one, {}, true});
+                simulation.add_event({HistoryEvent::Type::record_stored,
+                                      simulation.now(),
+                                      name,
+                                      record.number,
+                                      record,
+                                      {},
+                                      true});
             }
             return true;
         }
@@ -351,8 +356,8 @@
         Node& node() { return simulation.nodes_.at(name); }
         bool append(const std::vector<Record>& records) override {
             if (node().disk_full) return false;
-            for (const Record& one : records)
-                if (!node().follower_disk.log.push(one))
+            for (const Record& record : records)
+                if (!node().follower_disk.log.push(record))
                     simulation.fail(name + ": stored records do not follow each other");
             return add_version_stored();
         }
@@ -557,14 +562,14 @@
         node.publisher->advance(now(), node.replica->commit_index(), node.replica->staging());
     }
     void pump_follower(const std::string& name, Node& node) {
-        for (const Activation& one : node.follower->take_activations()) {
+        for (const Activation& activation : node.follower->take_activations()) {
             ++result_.versions;
-            digest_.add(one.version.number, one.version.chain);
+            digest_.add(activation.version.number, activation.version.chain);
             const State& state = node.follower->state();
             add_event({HistoryEvent::Type::activated,
                        now(),
                        name,
-                       one.version.number,
+                       activation.version.number,
                        {},
                        state,
                        validate_on(name, state).empty()});
@@ -639,11 +644,11 @@
     // --- The network.
 
     void send_all(const std::string& from, const std::vector<OutgoingMessage>& messages) {
-        for (const OutgoingMessage& one : messages) {
-            digest_.add(now(), from, one.to, *one.body);
-            if (one.body->size() > kMaxBodyBytes)
-                fail(from + ": a message of " + std::to_string(one.body->size()) + " bytes");
-            send(from, one.to, *one.body);
+        for (const OutgoingMessage& message : messages) {
+            digest_.add(now(), from, message.to, *message.body);
+            if (message.body->size() > kMaxBodyBytes)
+                fail(from + ": a message of " + std::to_string(message.body->size()) + " bytes");
+            send(from, message.to, *message.body);
         }
     }
     void send(const std::string& from, const std::string& to, std::string body) {
@@ -748,8 +753,8 @@
         const std::string name = pick_node();
         if (is_control(name)) {
             std::size_t lost = 1;
-            for (const std::string& one : control_machines_)
-                lost += one != name && !nodes_.at(one).replica_disk.storage_intact;
+            for (const std::string& other : control_machines_)
+                lost += other != name && !nodes_.at(other).replica_disk.storage_intact;
             if (lost > (scenario_.control_machines - 1) / 2) return;
         }
         if (!nodes_.at(name).running) return;
