--- a/src/admin/call.cpp
+++ b/src/admin/call.cpp
@@ -6,7 +6,7 @@
 namespace slatejunction::admin {
 namespace {
 
-constexpr std::size_t kMaxIdBytes = 1024;   // bytes
+constexpr std::size_t kMaxIdBytes = 1024;   // percent-encoded
 
 int hex_digit(char c) {
     if (c >= '0' && c <= '9') return c - '0';
@@ -17,7 +17,7 @@
 
 }   // namespace
 
-bool decode(std::string_view text, std::string& out) {
+bool percent_decode(std::string_view text, std::string& out) {
     out.clear();
     for (std::size_t i = 0; i < text.size(); ++i) {
         if (text[i] != '%') {
@@ -35,15 +35,15 @@
 
 namespace {
 
-// /v1/rollout/KEY: the key is a section's header.
-AdminCall read_change(std::string_view method, std::string_view key) {
+// Parses /v1/rollout/KEY, where KEY is the header of a section of the operator's file.
+AdminCall read_rollout_path(std::string_view method, std::string_view key) {
     AdminCall call;
     if (key.empty() || key.find('/') != std::string_view::npos) {
         call.error_status = 404;
     } else if (method != "POST" && method != "DELETE") {
         call.error_status = 405;
         call.allow = "POST, DELETE";
-    } else if (key.size() > kMaxIdBytes || !decode(key, call.id)) {
+    } else if (key.size() > kMaxIdBytes || !percent_decode(key, call.id)) {
         call.error_status = 400;
     }
     if (call.error_status != 404)
@@ -54,7 +54,7 @@
 struct FixedPath {
     std::string_view path;
     AdminCall::Kind kind;
-    bool is_read;   // GET and HEAD; else POST
+    bool is_read;   // allows GET and HEAD; else POST
 };
 constexpr std::array<FixedPath, 6> kFixedPaths{
     {{"/v1/readyz", AdminCall::Kind::readyz, true},
@@ -64,7 +64,7 @@
      {"/v1/ingress/drain", AdminCall::Kind::drain, false},
      {"/v1/ingress/activate", AdminCall::Kind::activate, false}}};
 
-// ID/suspend or ID/resume, behind /v1/backends/.
+// Parses ID/suspend or ID/resume, the part of the path after /v1/backends/.
 void read_backend_path(std::string_view path, AdminCall& call) {
     const std::size_t slash = path.rfind('/');
     const std::string_view verb = slash == std::string_view::npos ? "" : path.substr(slash + 1);
@@ -72,7 +72,7 @@
     if (id.empty() || id.find('/') != std::string_view::npos) return;
     if (verb == "suspend") call.kind = AdminCall::Kind::suspend;
     if (verb == "resume") call.kind = AdminCall::Kind::resume;
-    if (call.kind != AdminCall::Kind::none && (id.size() > kMaxIdBytes || !decode(id, call.id)))
+    if (call.kind != AdminCall::Kind::none && (id.size() > kMaxIdBytes || !percent_decode(id, call.id)))
         call.error_status = 400;
 }
 
@@ -82,11 +82,12 @@
     constexpr std::string_view kBackendsPrefix = "/v1/backends/";
     constexpr std::string_view kRolloutPrefix = "/v1/rollout/";
     const std::string_view path = target.substr(0, target.find('?'));
-    if (path.starts_with(kRolloutPrefix)) return read_change(method, path.substr(kRolloutPrefix.size()));
+    if (path.starts_with(kRolloutPrefix))
+        return read_rollout_path(method, path.substr(kRolloutPrefix.size()));
     AdminCall call;
     bool is_read = false;
     const auto fixed = std::find_if(kFixedPaths.begin(), kFixedPaths.end(),
-                                    [&](const FixedPath& one) { return one.path == path; });
+                                    [&](const FixedPath& candidate) { return candidate.path == path; });
     if (fixed != kFixedPaths.end()) {
         call.kind = fixed->kind;
         is_read = fixed->is_read;
--- a/src/admin/call.hpp
+++ b/src/admin/call.hpp
@@ -1,5 +1,5 @@
-// What an operator's HTTP call means: method and target in, AdminCall out. Pure: no I/O. Called by
-// admin::Session.
+// Parses the method and target of an HTTP request to the admin server into an AdminCall. Pure: no I/O.
+// Called by admin::Session.
 #pragma once
 
 #include <string>
@@ -22,17 +22,18 @@
         erase
     };
     Kind kind = Kind::none;
-    std::string id;         // of a backend, or the rollout key that is proposed or erased; percent-decoded
-    std::string body;       // of propose; filled in by the session
-    int error_status = 0;   // HTTP status of a call that is invalid; 0: it is valid
-    std::string_view allow;   // the methods of that path, with 405
-    bool omit_body = false;   // HEAD
+    // The backend's id, or the rollout key that is proposed or erased; percent-decoded.
+    std::string id;
+    std::string body;         // of propose; set by the session
+    int error_status = 0;     // HTTP status for an invalid call; 0: the call is valid
+    std::string_view allow;   // with status 405: the value of the Allow header
+    bool omit_body = false;   // the method is HEAD
 };
 
-/// `target` as in the request line; a query is ignored.
+/// `target` is the request target of the request line; its query is ignored.
 AdminCall read_call(std::string_view method, std::string_view target);
 
-/// Percent-decodes (RFC 3986, section 2.1). False: it is not well formed.
-bool decode(std::string_view text, std::string& out);
+/// Percent-decodes `text` (RFC 3986, section 2.1) into `out`. Returns false if an escape is malformed.
+bool percent_decode(std::string_view text, std::string& out);
 
 }   // namespace slatejunction::admin
--- a/src/admin/operator_overrides.cpp
+++ b/src/admin/operator_overrides.cpp
@@ -19,12 +19,12 @@
 }
 
 void OperatorOverrides::set_listed(const std::string& id, KnownBackend& backend, bool listed) {
-    if (listed == (backend.unlisted_place == 0)) return;
+    if (listed == (backend.unlisted_sequence == 0)) return;
     if (listed) {
-        unlisted_.erase(std::exchange(backend.unlisted_place, 0));
+        unlisted_.erase(std::exchange(backend.unlisted_sequence, 0));
     } else {
-        backend.unlisted_place = ++last_unlisted_place_;
-        unlisted_.emplace(backend.unlisted_place, id);
+        backend.unlisted_sequence = ++last_unlisted_sequence_;
+        unlisted_.emplace(backend.unlisted_sequence, id);
     }
 }
 
@@ -41,10 +41,10 @@
     }
 }
 
-void OperatorOverrides::restore_unread(discovery::EndpointList& endpoint_list) const {
+void OperatorOverrides::restore_unparsed(discovery::EndpointList& endpoint_list) const {
     for (const std::string& id : endpoint_list.unparsed_ids) {
         const auto at = backends_.find(id);
-        if (at == backends_.end() || at->second.unlisted_place != 0) continue;
+        if (at == backends_.end() || at->second.unlisted_sequence != 0) continue;
         endpoint_list.update.endpoints.push_back(at->second.entry);
         endpoint_list.addresses.push_back(at->second.address);
     }
@@ -63,9 +63,10 @@
         if (backend.suspended && entry.state == EndpointState::serving)
             entry.state = EndpointState::draining;
     }
-    if (whole)   // what it does not name is not listed any more
+    // A backend that a whole list does not name is not listed any more.
+    if (whole)
         for (auto& [id, backend] : backends_)
-            if (backend.unlisted_place == 0 && !named.contains(id)) {
+            if (backend.unlisted_sequence == 0 && !named.contains(id)) {
                 backend.entry.state = EndpointState::removed;
                 set_listed(id, backend, false);
             }
@@ -113,19 +114,19 @@
     return OverrideResult::done;
 }
 
-bool OperatorOverrides::suspended(std::string_view id) const {
+bool OperatorOverrides::is_suspended(std::string_view id) const {
     const auto at = backends_.find(std::string(id));
     return at != backends_.end() && at->second.suspended;
 }
 
-std::vector<std::string> OperatorOverrides::suspended() const {
+std::vector<std::string> OperatorOverrides::suspended_ids() const {
     std::vector<std::string> ids;
     for (const auto& [id, backend] : backends_)
         if (backend.suspended) ids.push_back(id);
     return ids;
 }
 
-std::vector<std::string> OperatorOverrides::ever_listed() const {
+std::vector<std::string> OperatorOverrides::ever_listed_ids() const {
     std::vector<std::string> ids;
     for (const auto& [id, backend] : backends_) ids.push_back(id);
     return ids;
@@ -135,7 +136,7 @@
     discovery::EndpointList endpoint_list;
     endpoint_list.update.kind = EndpointUpdateKind::snapshot;
     for (const auto& [id, backend] : backends_) {
-        if (backend.unlisted_place != 0) continue;
+        if (backend.unlisted_sequence != 0) continue;
         endpoint_list.update.endpoints.push_back(backend.entry);
         endpoint_list.addresses.push_back(backend.address);
     }
--- a/src/admin/server.cpp
+++ b/src/admin/server.cpp
@@ -9,15 +9,18 @@
 namespace slatejunction::admin {
 namespace {
 
-constexpr std::size_t kMaxBufferedBytes = std::size_t{512} * 1024;   // of all sessions' requests together
-constexpr std::size_t kMaxDroppedBytes = std::size_t{1024} * 1024;   // of one session after its answer
-// Long: a stalled session does not delay the others.
-constexpr double kCallTimeoutS = 10.0;   // until a call is complete
-constexpr double kLingerS = 2.0;         // until the peer closes its side after the answer
+// Of the requests of all sessions together.
+constexpr std::size_t kMaxBufferedBytes = std::size_t{512} * 1024;
+// Input of one session that is dropped after its reply.
+constexpr std::size_t kMaxDroppedBytes = std::size_t{1024} * 1024;
+// The timeouts are long, as a stalled session does not delay the others.
+constexpr double kCallTimeoutS = 10.0;   // from the connection until the reply is written
+constexpr double kLingerS = 2.0;         // from the reply until the peer closes its side
+// A session younger than that ranks as one that has sent a part of its call.
 constexpr double kNewSessionGraceS = 0.02;
 constexpr int kPriority = G_PRIORITY_HIGH;
 
-const char* reason(int status) {
+const char* reason_phrase(int status) {
     switch (status) {
         case 200:
             return "OK";
@@ -43,25 +46,25 @@
 }   // namespace
 
 struct Server::ConnectedSession : Session {
-    ConnectedSession(AdminCallHandler& host, Server& server) : Session(host, &server, server.bytes_) {
+    ConnectedSession(AdminCallHandler& handler, Server& server) : Session(handler, &server, server.bytes_) {
         attach(stream);
     }
     net::Stream stream{*this, kPriority};
 };
 
-Server::Server(AdminCallHandler& host, net::Timers& timers, std::size_t max_sessions)
-    : handler_(host),
+Server::Server(AdminCallHandler& handler, net::Timers& timers, std::size_t max_sessions)
+    : handler_(handler),
       max_sessions_(max_sessions),
       bytes_(kMaxBufferedBytes),
       listener_(
           timers, [this] { return ensure_capacity(); },
           [this](net::Ref<GSocket> socket) { add_session(std::move(socket)); },
-          [this](const char* why) { handler_.on_admin_error(why); }, kPriority) {}
+          [this](const char* error) { handler_.on_admin_accept_error(error); }, kPriority) {}
 
 Server::~Server() = default;
 
-// Evicts the session that has been stalled longest; those without a byte before those in the middle of a
-// call.
+// Evicts the session that has been stalled longest. Sessions without a byte go before those that have sent
+// a part of their call.
 bool Server::ensure_capacity() {
     if (sessions_.size() < max_sessions_) return true;
     Session* evicted = net::evict_idle(sessions_, net::now());
@@ -100,14 +103,14 @@
         case http::Step::done:
             return handle_call();
         case http::Step::bad:
-            return answer({400, "malformed or ambiguous call"});
+            return send_reply({400, "malformed or ambiguous request"});
         case http::Step::over_budget:
-            return answer({503, "all callers together send too much"});
+            return send_reply({503, "the admin connections together send too much"});
         case http::Step::head_too_large:
-            return answer({431, "the head is over the limits"});
+            return send_reply({431, "request head too large"});
         case http::Step::body_too_large:
-        case http::Step::rest_follows:   // never: its parser does not stream
-            return answer({413, "the body is over the limits"});
+        case http::Step::rest_follows:   // not reached: the parser does not stream
+            return send_reply({413, "request body too large"});
     }
 }
 
@@ -115,35 +118,36 @@
     call_ = read_call(parser_.head().first, parser_.head().second);
     state_ = State::awaiting_reply;
     if (call_.kind == AdminCall::Kind::propose) call_.body = parser_.body();
-    if (call_.error_status == 404) return answer({404, "no such path"});
-    if (call_.error_status == 405) return answer({405, "another method is wanted"});
-    if (call_.error_status != 0) return answer({call_.error_status, "the id can't be read"});
+    if (call_.error_status == 404) return send_reply({404, "no such path"});
+    if (call_.error_status == 405) return send_reply({405, "method not allowed"});
+    if (call_.error_status != 0)
+        return send_reply({call_.error_status, "the id in the path is malformed or too long"});
     handler_.on_call(call_, [self = std::static_pointer_cast<Session>(shared_from_this())](
-                                const AdminReply& reply) { self->answer(reply); });
+                                const AdminReply& reply) { self->send_reply(reply); });
 }
 
-void Session::answer(const AdminReply& reply) {
+void Session::send_reply(const AdminReply& reply) {
     if (state_ == State::closing || state_ == State::ended) return;
     state_ = State::closing;
     state_since_ = net::now();
     const std::string status = std::to_string(reply.status);
     const std::string length = std::to_string(reply.text.size() + 1);
-    const bool allows = !call_.allow.empty();
+    const bool has_allow = !call_.allow.empty();
     const std::array<std::string_view, 12> parts{
         "HTTP/1.1 ",
         status,
         " ",
-        reason(reply.status),
+        reason_phrase(reply.status),
         "\r\nContent-Type: text/plain; charset=utf-8\r\nCache-Control: no-store\r\nContent-Length: ",
         length,
-        allows ? "\r\nAllow: " : "",
+        has_allow ? "\r\nAllow: " : "",
         call_.allow,
         "\r\nConnection: close\r\n\r\n",
         call_.omit_body ? std::string_view() : reply.text,
         call_.omit_body ? "" : "\n",
         ""};
     if (!transport_->send(parts)) return end();
-    // Closing with unread bytes would reset the connection, and the peer might lose the answer.
+    // Closing with unread bytes would reset the connection, and the peer might lose the reply.
     transport_->drop(kMaxDroppedBytes);
     if (!transport_->unsent()) transport_->finish();
 }
--- a/src/admin/server.hpp
+++ b/src/admin/server.hpp
@@ -1,8 +1,9 @@
-// The operators' address: takes HTTP calls, one a connection, and writes the answers.
+// The admin server: accepts HTTP connections at the admin address, one call per connection, and writes the
+// replies.
 //
-// Input: connections at the address of the configuration. Output: AdminCallHandler::on_call for each
-// well-formed call. Its sources have a higher priority in the loop than all others, and its descriptors and
-// bytes are its own, so that no load on the ingress delays an answer.
+// Input: connections. Output: AdminCallHandler::on_call() for each valid call. Its event sources have a
+// higher priority in the loop than those of clients and backends, and its limits of connections and bytes
+// are its own, so that load on the ingress does not delay a reply.
 //
 // Ownership: Server is owned by ingress::Ingress, which is its handler; it owns its sessions.
 #pragma once
@@ -19,7 +20,7 @@
 
 namespace slatejunction::admin {
 
-/// An answer in plain text: one line for a person.
+/// `text` is sent as text/plain, followed by a newline.
 struct AdminReply {
     int status = 200;
     std::string text;
@@ -28,24 +29,26 @@
 class AdminCallHandler {
   public:
     virtual ~AdminCallHandler() = default;
-    /// Calls `reply` once, now or later, also if the peer has disconnected meanwhile.
+    /// Handles a valid call. Calls `reply` once, now or later, even if the peer has disconnected meanwhile.
     virtual void on_call(const AdminCall& call, std::function<void(AdminReply)> reply) = 0;
-    virtual void on_admin_error(const char* why) = 0;
+    /// Connections to the admin address repeatedly could not be accepted.
+    virtual void on_admin_accept_error(const char* error) = 0;
 };
 
 class Session;
 
 class Server {
   public:
-    /// Beyond `max_sessions` the one that has been stalled longest is evicted. `host` and `timers` live
-    /// longer.
-    Server(AdminCallHandler& host, net::Timers& timers, std::size_t max_sessions);
+    /// At `max_sessions` a new connection evicts the session that has been stalled longest. `handler` and
+    /// `timers` must outlive the server.
+    Server(AdminCallHandler& handler, net::Timers& timers, std::size_t max_sessions);
     ~Server();
     Server(const Server&) = delete;
     Server& operator=(const Server&) = delete;
-    bool start(const std::string& address, std::string& why) { return listener_.start(address, why); }
+    /// Listens at `address`. Returns false, and sets `error`, if that fails.
+    bool start(const std::string& address, std::string& error) { return listener_.start(address, error); }
     bool listening() const { return listener_.descriptor() >= 0; }
-    /// Closes sessions past their time limits.
+    /// Closes the sessions that have exceeded their time limit.
     void close_expired(double now);
     std::size_t sessions() const { return sessions_.size(); }
 
@@ -58,28 +61,28 @@
 
     AdminCallHandler& handler_;
     const std::size_t max_sessions_;
-    http::ByteBudget bytes_;   // lives longer than the sessions that hold them
+    http::ByteBudget bytes_;   // outlives the sessions, whose buffers use it
     net::Listener listener_;
     std::unordered_map<Session*, std::shared_ptr<ConnectedSession>> sessions_;
 };
 
-/// State machine of one connection: a call is read, then its reply awaited and written, then the peer
-/// closes.
+/// State machine of one connection: reads a call, awaits its reply, writes it, and waits for the peer to
+/// close.
 class Session : public net::Protocol {
   public:
-    Session(AdminCallHandler& host, Server* server, http::ByteBudget& bytes)
-        : handler_(host), server_(server), parser_(http::Parser::Kind::request), buffer_(&bytes) {}
+    Session(AdminCallHandler& handler, Server* server, http::ByteBudget& bytes)
+        : handler_(handler), server_(server), parser_(http::Parser::Kind::request), buffer_(&bytes) {}
     void attach(net::Transport& transport) { transport_ = &transport; }
 
     std::span<char> receive_buffer() override;
     void on_bytes(std::size_t size) override;
     void on_sent() override;
     void on_end(bool clean) override;
-    void answer(const AdminReply& reply);
+    void send_reply(const AdminReply& reply);
 
-    /// Past the time limit of its state.
+    /// The session has exceeded the time limit of its state.
     bool expired(double now) const;
-    /// In which order sessions are evicted: 0 first; below 0: never.
+    /// The rank for net::evict_idle(): the lowest is evicted first, below 0 never.
     int eviction_rank(double now) const;
     double since() const { return state_since_; }
     void end();
@@ -89,7 +92,7 @@
     void handle_call();
 
     AdminCallHandler& handler_;
-    Server* server_;   // null in tests
+    Server* server_;   // null: no server has to be notified of the end
     net::Transport* transport_ = nullptr;
     http::Parser parser_;
     http::Buffer buffer_;
--- a/src/hot_restart/restart_channel.cpp
+++ b/src/hot_restart/restart_channel.cpp
@@ -16,16 +16,16 @@
 namespace slatejunction::hot_restart {
 namespace {
 
-constexpr double kUseReportIntervalS = 0.05;   // where it has changed
-constexpr double kAnswerTimeoutS = 1.5;        // of an old process, which may be busy
+constexpr double kUseReportIntervalS = 0.05;   // reports are sent only after a change
+constexpr double kAnswerTimeoutS = 1.5;        // of an old process, which may be under load
 constexpr int kBusyRetryDelayMs = 100;
-constexpr double kOrderTimeoutS = 0.6;   // operators wait for 1 s
+constexpr double kCommandTimeoutS = 0.6;   // operators wait 1 s for a reply
 constexpr std::size_t kMaxUnidentifiedLinks = 8;
 constexpr int kPriority = G_PRIORITY_HIGH;
 
 }   // namespace
 
-// One connection between two processes: lines in, lines out.
+// A connection to another process, on which both send lines.
 class RestartChannel::Link : public net::Protocol {
   public:
     explicit Link(RestartChannel& owner) : owner_(owner) {}
@@ -38,7 +38,7 @@
         stream_.adopt(std::move(socket));
     }
     bool send(const RestartMessage& message) {
-        const std::string line = write(message);
+        const std::string line = serialize(message);
         const std::string_view part = line;
         return stream_.send({&part, 1});
     }
@@ -60,7 +60,7 @@
             owner_.on_line(*this, line);
         }
     }
-    // Closes the connection of a process that can't be understood, or has closed it itself.
+    // Closes the connection, after a protocol error or because the other process has closed it.
     void disconnect() {
         if (closed_) return;
         const auto self_reference = shared_from_this();
@@ -98,12 +98,12 @@
     remove_socket_file();
 }
 
-// The new process's side at its start. -----------------------------------------------------------------
+// Takeover, in the new process. -------------------------------------------------------------------------
 
 bool RestartChannel::request_takeover(RestartMessage& state, net::Ref<GSocket>& listening) {
     if (path_.empty()) {
-        log_.write(Log::Level::info, net::now(), "handover: off, %s",
-                   directory_.empty() ? "TMPDIR is not set" : "TMPDIR is too long for a socket's path");
+        log_.write(Log::Level::info, net::now(), "hot restart: disabled, %s",
+                   directory_.empty() ? "TMPDIR is not set" : "TMPDIR is too long for a socket path");
         return false;
     }
     const double deadline = net::now() + takeover_bound_s();
@@ -116,9 +116,9 @@
         if (result != TakeoverResult::busy || net::now() + kBusyRetryDelayMs / 1000.0 > deadline) break;
         ::poll(nullptr, 0, kBusyRetryDelayMs);
     }
-    log_.write(Log::Level::warning, net::now(), "handover: %s; this process listens by itself",
+    log_.write(Log::Level::warning, net::now(), "hot restart: %s; this process listens by itself",
                result == TakeoverResult::busy ? "another process is taking over"
-                                              : "the process there gave no answer");
+                                              : "the process at the socket gave no valid answer");
     return false;
 }
 
@@ -131,24 +131,25 @@
     GError* fault = nullptr;
     const bool connected = g_socket_connect(socket.get(), address.get(), nullptr, &fault);
     const net::Error error(fault);
-    // A full backlog means that the process there does not run: GIO's sockets never wait in connect(2).
+    // GIO's sockets never block in connect(2), so that a full backlog is reported as WOULD_BLOCK: the
+    // process at the socket does not run.
     if (!connected)
         return g_error_matches(fault, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK) ? TakeoverResult::no_answer
                                                                           : TakeoverResult::no_listener;
     if (!same_user(socket.get())) {
-        log_.write(Log::Level::warning, net::now(), "handover: another user's process at %s",
+        log_.write(Log::Level::warning, net::now(), "hot restart: the process at %s runs as another user",
                    path_.c_str());
         return TakeoverResult::no_listener;
     }
     RestartMessage hello;
     hello.name = name_;
     hello.listen = listen_;
-    const std::string line = write(hello);
+    const std::string line = serialize(hello);
     g_socket_send(socket.get(), line.data(), line.size(), nullptr, nullptr);
     return await_state(socket, deadline, state, listening);
 }
 
-// Reads until the state has come, or the deadline has.
+// Reads until the state has arrived or the deadline has passed.
 RestartChannel::TakeoverResult RestartChannel::await_state(net::Ref<GSocket>& socket, double deadline,
                                                            RestartMessage& state,
                                                            net::Ref<GSocket>& listening) {
@@ -164,7 +165,7 @@
             const std::string line = received.substr(0, end);
             received.erase(0, end + 1);
             RestartMessage message;
-            if (!read(line, message)) return TakeoverResult::no_answer;
+            if (!parse(line, message)) return TakeoverResult::no_answer;
             if (message.kind == RestartMessage::Kind::busy) return TakeoverResult::busy;
             if (message.kind != RestartMessage::Kind::state) continue;
             if (!listening) return TakeoverResult::no_answer;
@@ -184,7 +185,7 @@
     if (peer_) {
         tick_timer_.arm(net::now() + kUseReportIntervalS);
         const auto self_reference = peer_;
-        self_reference->read_lines();   // that came with the state
+        self_reference->read_lines();   // those that came with the state
     }
 }
 
@@ -193,48 +194,47 @@
     const auto self_reference = peer_;
     RestartMessage accepting;
     accepting.kind = RestartMessage::Kind::accepting;
-    apply_role();   // before the message: at any time one process accepts
+    apply_role();   // before the message, so that at any time one process accepts
     if (self_reference) self_reference->send(accepting);
 }
 
-// The socket's file.
-// --------------------------------------------------------------------------------------------
+// Socket file. -------------------------------------------------------------------------------------------
 
 void RestartChannel::set_listening(bool own) {
     if (path_.empty() || own == (listening_socket_ != nullptr)) return;
-    if (!own) {   // the file is the other process's, or will be
+    if (!own) {   // another process has replaced the file, or will
         accept_source_.reset();
         listening_socket_.reset();
         return;
     }
-    std::string why;
-    if (bind_socket_file(why)) return;
+    std::string error;
+    if (bind_socket_file(error)) return;
     listening_socket_.reset();
-    log_.write(Log::Level::warning, net::now(), "handover: off, no socket at %s: %s", path_.c_str(),
-               why.c_str());
+    log_.write(Log::Level::warning, net::now(), "hot restart: disabled, can't create a socket at %s: %s",
+               path_.c_str(), error.c_str());
 }
 
-// Made under a temporary name and renamed, so that a socket's file is there at any time.
-bool RestartChannel::bind_socket_file(std::string& why) {
+// Creates the file under a temporary name and renames it, so that a socket file exists at any time.
+bool RestartChannel::bind_socket_file(std::string& error) {
     const std::string temporary_path = path_ + "~";
     ::unlink(temporary_path.c_str());
     listening_socket_ = unix_socket();
     if (!listening_socket_) {
-        why = "no Unix sockets";
+        error = "no Unix sockets";
         return false;
     }
     const auto address = unix_address(temporary_path);
     GError* fault = nullptr;
     if (!g_socket_bind(listening_socket_.get(), address.get(), FALSE, &fault) ||
         !g_socket_listen(listening_socket_.get(), &fault)) {
-        const net::Error error(fault);
-        why = error ? error->message : "unknown";
+        const net::Error cause(fault);
+        error = cause ? cause->message : "unknown";
         return false;
     }
     struct stat file {};
     if (::chmod(temporary_path.c_str(), 0600) != 0 || ::stat(temporary_path.c_str(), &file) != 0 ||
         ::rename(temporary_path.c_str(), path_.c_str()) != 0) {
-        why = std::strerror(errno);
+        error = std::strerror(errno);
         ::unlink(temporary_path.c_str());
         return false;
     }
@@ -247,7 +247,7 @@
     return true;
 }
 
-// Only its own file: it may be another process's by now.
+// Removes the file only if it is this process's: another one may have replaced it.
 void RestartChannel::remove_socket_file() {
     if (!listening_socket_) return;
     struct stat file {};
@@ -287,22 +287,23 @@
         keep->close();
         return on_link_closed(*keep);
     }
-    log_.write(Log::Level::info, net::now(), "handover: a new process takes over");
+    log_.write(Log::Level::info, net::now(),
+               "hot restart: sent the listening socket and the state to a new process");
     apply_role();
 }
 
-// With a line of its own, which is short enough for the system to take at once.
+// Sends the socket with a line of its own, which is short enough for the kernel to take at once.
 bool RestartChannel::send_listening_socket(Link& link, int listening) {
     RestartMessage socket_message;
     socket_message.kind = RestartMessage::Kind::socket;
-    return send_with_descriptor(link.descriptor(), write(socket_message), listening);
+    return send_with_descriptor(link.descriptor(), serialize(socket_message), listening);
 }
 
 void RestartChannel::on_line(Link& link, std::string_view line) {
     RestartMessage message;
-    const bool readable = read(line, message);
-    if (unidentified_links_.contains(&link)) return on_first_line(link, readable, message);
-    if (!readable || peer_.get() != &link) return link.disconnect();
+    const bool valid = parse(line, message);
+    if (unidentified_links_.contains(&link)) return on_first_line(link, valid, message);
+    if (!valid || peer_.get() != &link) return link.disconnect();
     switch (message.kind) {
         case RestartMessage::Kind::accepting:
             role_.on_new_process_accepts();
@@ -315,35 +316,36 @@
         case RestartMessage::Kind::extension_state:
             return host_.on_transferred_state(static_cast<std::size_t>(message.number),
                                               message.extension_state);
-        case RestartMessage::Kind::order:
-            return on_order(link, message);
-        case RestartMessage::Kind::order_result:
-            return on_order_result(message);
+        case RestartMessage::Kind::command:
+            return on_command(link, message);
+        case RestartMessage::Kind::command_result:
+            return on_command_result(message);
         default:
             return link.disconnect();
     }
 }
 
-void RestartChannel::on_first_line(Link& link, bool readable, const RestartMessage& message) {
-    if (readable && message.kind == RestartMessage::Kind::hello && message.listen == listen_)
+void RestartChannel::on_first_line(Link& link, bool valid, const RestartMessage& message) {
+    if (valid && message.kind == RestartMessage::Kind::hello && message.listen == listen_)
         return hand_over_to(link);
-    log_.write(Log::Level::warning, net::now(), "handover: a caller that can't be understood");
+    log_.write(Log::Level::warning, net::now(),
+               "hot restart: closed a connection without a valid hello message");
     link.disconnect();
 }
 
-void RestartChannel::on_order(Link& link, const RestartMessage& message) {
+void RestartChannel::on_command(Link& link, const RestartMessage& message) {
     RestartMessage result;
-    result.kind = RestartMessage::Kind::order_result;
+    result.kind = RestartMessage::Kind::command_result;
     result.number = message.number;
-    result.confirmed = host_.on_operator_order(message.order);
+    result.confirmed = host_.on_operator_command(message.command);
     link.send(result);
 }
 
-void RestartChannel::on_order_result(const RestartMessage& message) {
-    const auto at = pending_orders_.find(message.number);
-    if (at == pending_orders_.end()) return;
+void RestartChannel::on_command_result(const RestartMessage& message) {
+    const auto at = pending_commands_.find(message.number);
+    if (at == pending_commands_.end()) return;
     const auto done = std::move(at->second.done);
-    pending_orders_.erase(at);
+    pending_commands_.erase(at);
     done(message.confirmed);
 }
 
@@ -353,7 +355,7 @@
     peer_.reset();
     if (!role_.on_new_process_gone()) role_.on_old_process_gone();
     last_sent_use_ = {};
-    finish_all_orders(true);
+    finish_all_commands(true);
     apply_role();
     host_.on_peer_resource_use({});
 }
@@ -363,9 +365,9 @@
     applied_state_ = role_.state();
     // In the order of RestartRole::State.
     constexpr const char* kStateDescriptions[] = {
-        "alone", "a new process readies itself", "the new process accepts, this one leaves",
-        "readying itself", "this process accepts, the old one leaves"};
-    log_.write(Log::Level::info, net::now(), "handover: %s",
+        "alone", "a new process is preparing", "the new process accepts connections, this one drains",
+        "preparing to take over", "this process accepts connections, the old one drains"};
+    log_.write(Log::Level::info, net::now(), "hot restart: %s",
                kStateDescriptions[static_cast<std::size_t>(applied_state_)]);
     host_.on_role_changed();
     set_listening(role_.answers());
@@ -373,54 +375,54 @@
 }
 
 void RestartChannel::stop() {
-    role_.on_stop_requested();   // answers `busy` until the old process has the socket's file again
+    role_.on_stop_requested();   // answers `busy` until the old process has the socket file again
     if (!peer_ || role_.is_old_process()) return;
     RestartMessage stopping;
     stopping.kind = RestartMessage::Kind::stopping;
     peer_->send(stopping);
 }
 
-void RestartChannel::forward_order(const OperatorOrder& order, std::function<void(bool)> done) {
+void RestartChannel::forward_command(const OperatorCommand& command, std::function<void(bool)> done) {
     if (!peer_) return done(true);
     RestartMessage message;
-    message.kind = RestartMessage::Kind::order;
-    message.number = ++last_order_number_;
-    message.order = order;
+    message.kind = RestartMessage::Kind::command;
+    message.number = ++last_command_number_;
+    message.command = command;
     if (!peer_->send(message)) return done(true);
-    pending_orders_[message.number] = {net::now() + kOrderTimeoutS, std::move(done)};
-    log_.write(Log::Level::info, net::now(), "handover: %s %s goes to the other process",
-               order_name(order.kind), order.id.c_str());
+    pending_commands_[message.number] = {net::now() + kCommandTimeoutS, std::move(done)};
+    log_.write(Log::Level::info, net::now(), "hot restart: forwarded to the other process: %s %s",
+               command_name(command.kind), command.id.c_str());
 }
 
-void RestartChannel::transfer_state(std::size_t place, std::string_view what) {
+void RestartChannel::transfer_state(std::size_t extension_index, std::string_view state) {
     if (!peer_) return;
     RestartMessage message;
     message.kind = RestartMessage::Kind::extension_state;
-    message.number = place;
-    message.extension_state = what;
+    message.number = extension_index;
+    message.extension_state = state;
     peer_->send(message);
 }
 
-void RestartChannel::finish_all_orders(bool confirmed) {
-    for (auto all = std::move(pending_orders_); auto& [number, order] : all) order.done(confirmed);
+void RestartChannel::finish_all_commands(bool confirmed) {
+    for (auto all = std::move(pending_commands_); auto& [number, command] : all) command.done(confirmed);
 }
 
-void RestartChannel::expire_orders(double now) {
+void RestartChannel::expire_commands(double now) {
     std::vector<std::function<void(bool)>> expired;
-    for (auto at = pending_orders_.begin(); at != pending_orders_.end();) {
+    for (auto at = pending_commands_.begin(); at != pending_commands_.end();) {
         if (at->second.deadline > now) {
             ++at;
             continue;
         }
         expired.push_back(std::move(at->second.done));
-        at = pending_orders_.erase(at);
+        at = pending_commands_.erase(at);
     }
     for (const auto& done : expired) done(false);
 }
 
 void RestartChannel::on_tick() {
     const double now = net::now();
-    expire_orders(now);
+    expire_commands(now);
     if (!peer_) return;
     RestartMessage message;
     message.kind = RestartMessage::Kind::resource_use;
--- a/src/hot_restart/restart_message.cpp
+++ b/src/hot_restart/restart_message.cpp
@@ -9,27 +9,27 @@
 namespace slatejunction::hot_restart {
 namespace {
 
-// The words on the wire, in the order of RestartMessage::Kind and of OperatorOrder::Kind.
-constexpr std::array kKindWords{"hello", "busy", "socket", "state", "taken",
+// The names on the wire, in the order of RestartMessage::Kind and of OperatorCommand::Kind.
+constexpr std::array kKindNames{"hello", "busy", "socket", "state", "taken",
                                 "back",  "use",  "order",  "done",  "part"};
-constexpr std::array kOrderWords{"suspend", "resume", "drain", "activate"};
+constexpr std::array kCommandNames{"suspend", "resume", "drain", "activate"};
 
-// False: `word` is none of `words`.
-template <class Words, class Kind>
-bool find(const Words& words, std::string_view word, Kind& kind) {
-    for (std::size_t i = 0; i < words.size(); ++i)
-        if (word == words[i]) {
+// Returns false if `name` is none of `names`.
+template <class Names, class Kind>
+bool find_kind(const Names& names, std::string_view name, Kind& kind) {
+    for (std::size_t i = 0; i < names.size(); ++i)
+        if (name == names[i]) {
             kind = static_cast<Kind>(i);
             return true;
         }
     return false;
 }
 
-// Reads fields of an object. good() is false once one was missing or of another type.
-class Reader {
+// Reads the fields of an object. valid() is false once a field was missing or of the wrong type.
+class FieldReader {
   public:
-    explicit Reader(const rapidjson::Value& json) : json_(json) {}
-    bool good() const { return good_; }
+    explicit FieldReader(const rapidjson::Value& json) : json_(json) {}
+    bool valid() const { return valid_; }
     std::string text(const char* name) {
         const auto* value = find(name);
         if (!value || !value->IsString()) return fail<std::string>();
@@ -55,12 +55,12 @@
         std::vector<std::string> all;
         const auto* value = find(name);
         if (!value || !value->IsArray()) {
-            good_ = false;
+            valid_ = false;
             return all;
         }
         for (const auto& element : value->GetArray()) {
             if (!element.IsString()) {
-                good_ = false;
+                valid_ = false;
                 return all;
             }
             all.emplace_back(element.GetString(), element.GetStringLength());
@@ -71,7 +71,7 @@
   private:
     template <class T>
     T fail() {
-        good_ = false;
+        valid_ = false;
         return T();
     }
     const rapidjson::Value* find(const char* name) const {
@@ -79,16 +79,19 @@
         return at == json_.MemberEnd() ? nullptr : &at->value;
     }
     const rapidjson::Value& json_;
-    bool good_ = true;
+    bool valid_ = true;
 };
 
-constexpr std::array kPhases{"Ready", "Terminating"};   // of EndpointState serving and draining
+// The phases of EndpointState serving and draining.
+constexpr std::array kPhases{"Ready", "Terminating"};
 
 using Writer = rapidjson::Writer<rapidjson::StringBuffer>;
 
-constexpr std::size_t kReservedLineBytes = 1024;   // of a state line, for the fields of bounded length
+// The part of a state line that is reserved for its fields of bounded length.
+constexpr std::size_t kReservedLineBytes = 1024;
 
-// In the form of discovery's lists, with the start on the monotonic clock, which both processes share.
+// Writes the list in discovery's JSON format, with each start also on the monotonic clock, which both
+// processes share.
 void write_list(const discovery::EndpointList& list, Writer& json) {
     if (list.revision) {
         json.Key("revision");
@@ -121,7 +124,7 @@
     json.EndArray();
 }
 
-// False: an entry can't be read.
+// Returns false if an entry is malformed.
 bool read_list(const rapidjson::Value& json, discovery::EndpointList& list) {
     const auto members = json.FindMember("members");
     if (members == json.MemberEnd() || !members->value.IsArray()) return false;
@@ -129,7 +132,7 @@
         list.revision = at->value.GetInt64();
     for (const auto& member : members->value.GetArray()) {
         if (!member.IsObject()) return false;
-        Reader fields(member);
+        FieldReader fields(member);
         slatejunction::Endpoint entry;
         entry.backend = fields.text("id");
         const std::string address = fields.text("host_port");
@@ -142,7 +145,7 @@
         entry.capacity_hint = fields.real("size");
         entry.started_at_s = fields.real("born_s");
         const double up_since_ms = fields.real("up_since_ms");
-        if (!fields.good() || entry.backend.empty()) return false;
+        if (!fields.valid() || entry.backend.empty()) return false;
         list.update.endpoints.push_back(std::move(entry));
         list.addresses.push_back(address);
         list.up_since_ms.push_back(up_since_ms);
@@ -165,14 +168,14 @@
     json.Bool(value);
 }
 
-// As many as fit: `out`, to which `json` writes, stays below `max_bytes`.
+// Writes as many values as fit: `out`, to which `json` writes, stays below `max_bytes`.
 void write_texts(Writer& json, const rapidjson::StringBuffer& out, const char* name,
                  const std::vector<std::string>& values, std::size_t max_bytes) {
-    constexpr std::size_t kMaxEscapedLength = 6;   // of one byte in JSON
+    constexpr std::size_t kMaxEscapedBytes = 6;   // of one byte in JSON
     json.Key(name);
     json.StartArray();
     for (const std::string& value : values) {
-        if (out.GetSize() + kMaxEscapedLength * value.size() > max_bytes) break;
+        if (out.GetSize() + kMaxEscapedBytes * value.size() > max_bytes) break;
         json.String(value.data(), static_cast<rapidjson::SizeType>(value.size()));
     }
     json.EndArray();
@@ -186,7 +189,7 @@
     write_number(json, "provider_bytes", use.backend_bytes);
 }
 
-ResourceUse read_use(Reader& fields) {
+ResourceUse read_use(FieldReader& fields) {
     ResourceUse use;
     use.client_connections = fields.number("consumers");
     use.backend_connections = fields.number("calls");
@@ -196,7 +199,7 @@
     return use;
 }
 
-// Left out where the line would grow too long.
+// Leaves the list out if the line would be too long.
 void write_optional_list(Writer& json, const rapidjson::StringBuffer& out,
                          const discovery::EndpointList& list) {
     if (list.update.endpoints.empty()) return;
@@ -211,7 +214,7 @@
 }
 
 void write_state(Writer& json, const rapidjson::StringBuffer& out, const RestartMessage& message) {
-    // All suspensions: if they make the line too long to be read, nothing is taken over.
+    // All suspensions are written: a line that they make too long is rejected, and the takeover fails.
     write_texts(json, out, "suspended", message.suspended, ~std::size_t{0});
     write_optional_list(json, out, message.endpoint_list);
     write_texts(json, out, "listed", message.listed, kMaxLineBytes - kReservedLineBytes);
@@ -219,7 +222,7 @@
     write_use(json, message.resource_use);
 }
 
-void read_state(const rapidjson::Value& json, Reader& fields, RestartMessage& message) {
+void read_state(const rapidjson::Value& json, FieldReader& fields, RestartMessage& message) {
     message.suspended = fields.texts("suspended");
     message.listed = fields.texts("listed");
     message.drained = fields.flag("drained");
@@ -240,7 +243,7 @@
     return hex;
 }
 
-// False: `hex` is no such text.
+// Returns false if `hex` is not what to_hex() writes.
 bool from_hex(const std::string& hex, std::string& bytes) {
     if (hex.size() % 2 != 0 || hex.find_first_not_of("0123456789abcdef") != std::string::npos) return false;
     for (std::size_t i = 0; i < hex.size(); i += 2)
@@ -250,14 +253,16 @@
 
 }   // namespace
 
-const char* order_name(OperatorOrder::Kind kind) { return kOrderWords[static_cast<std::size_t>(kind)]; }
+const char* command_name(OperatorCommand::Kind kind) {
+    return kCommandNames[static_cast<std::size_t>(kind)];
+}
 
-std::string write(const RestartMessage& message) {
+std::string serialize(const RestartMessage& message) {
     rapidjson::StringBuffer out;
     Writer json(out);
     json.StartObject();
-    write_number(json, "v", kVersion);
-    write_text(json, "is", kKindWords[static_cast<std::size_t>(message.kind)]);
+    write_number(json, "v", kProtocolVersion);
+    write_text(json, "is", kKindNames[static_cast<std::size_t>(message.kind)]);
     switch (message.kind) {
         case RestartMessage::Kind::hello:
             write_text(json, "name", message.name);
@@ -269,16 +274,16 @@
         case RestartMessage::Kind::resource_use:
             write_use(json, message.resource_use);
             break;
-        case RestartMessage::Kind::order:
+        case RestartMessage::Kind::command:
             write_number(json, "number", message.number);
-            write_text(json, "order", order_name(message.order.kind));
-            write_text(json, "id", message.order.id);
+            write_text(json, "order", command_name(message.command.kind));
+            write_text(json, "id", message.command.id);
             break;
         case RestartMessage::Kind::extension_state:
             write_number(json, "number", message.number);
             write_text(json, "bytes", to_hex(message.extension_state));
             break;
-        case RestartMessage::Kind::order_result:
+        case RestartMessage::Kind::command_result:
             write_number(json, "number", message.number);
             write_flag(json, "yes", message.confirmed);
             break;
@@ -289,16 +294,16 @@
     return std::string(out.GetString(), out.GetSize()) + "\n";
 }
 
-bool read(std::string_view line, RestartMessage& message) {
+bool parse(std::string_view line, RestartMessage& message) {
     message = {};
     rapidjson::Document json;
-    // Iterative: the stack must not grow with what is nested.
+    // Parses iteratively, as the stack must not grow with the nesting.
     json.Parse<rapidjson::kParseIterativeFlag | rapidjson::kParseValidateEncodingFlag>(line.data(),
                                                                                        line.size());
     if (json.HasParseError() || !json.IsObject()) return false;
-    Reader fields(json);
-    if (fields.number("v") != kVersion || !fields.good()) return false;
-    if (!find(kKindWords, fields.text("is"), message.kind)) return false;
+    FieldReader fields(json);
+    if (fields.number("v") != kProtocolVersion || !fields.valid()) return false;
+    if (!find_kind(kKindNames, fields.text("is"), message.kind)) return false;
     switch (message.kind) {
         case RestartMessage::Kind::hello:
             message.name = fields.text("name");
@@ -310,23 +315,23 @@
         case RestartMessage::Kind::resource_use:
             message.resource_use = read_use(fields);
             break;
-        case RestartMessage::Kind::order:
+        case RestartMessage::Kind::command:
             message.number = fields.number("number");
-            if (!find(kOrderWords, fields.text("order"), message.order.kind)) return false;
-            message.order.id = fields.text("id");
+            if (!find_kind(kCommandNames, fields.text("order"), message.command.kind)) return false;
+            message.command.id = fields.text("id");
             break;
         case RestartMessage::Kind::extension_state:
             message.number = fields.number("number");
             if (!from_hex(fields.text("bytes"), message.extension_state)) return false;
             break;
-        case RestartMessage::Kind::order_result:
+        case RestartMessage::Kind::command_result:
             message.number = fields.number("number");
             message.confirmed = fields.flag("yes");
             break;
         default:
             break;
     }
-    return fields.good();
+    return fields.valid();
 }
 
 }   // namespace slatejunction::hot_restart
--- a/src/hot_restart/restart_role.hpp
+++ b/src/hot_restart/restart_role.hpp
@@ -1,14 +1,13 @@
-// Which of the old and the new process of one ingress accepts connections, which one drains, and which one
-// answers a further process that asks to take over.
+// The role of a process in a hot restart: which of the old and the new process of one ingress accepts
+// connections, which one drains, and which one answers a further process that asks to take over.
 //
-// Input: the events below. Output: state() and what it means. Pure: no I/O, no clock. Owned and called by
-// RestartChannel, which sends and receives the messages.
+// Input: the events below. Output: state(), and the predicates derived from it. Pure: no I/O, no clock.
+// Owned and called by RestartChannel, which sends and receives the messages.
 #pragma once
 
 namespace slatejunction::hot_restart {
 
-/// State machine of one process. Each event returns false, and changes nothing, where it does not fit the
-/// state.
+/// State machine of one process. An event that does not fit the state returns false and changes nothing.
 class RestartRole {
   public:
     enum class State {
@@ -21,22 +20,20 @@
 
     State state() const { return state_; }
     bool accepts() const { return state_ != State::handed_over && state_ != State::preparing; }
-    /// Clients are to disconnect, then the process ends.
+    /// This process closes its client connections, then exits.
     bool draining() const { return state_ == State::handed_over; }
-    /// It answers the next process that asks to take over.
-    bool answers() const { return accepts() && !gives_back_; }
+    /// This process answers the next one that asks to take over.
+    bool answers() const { return accepts() && !yields_; }
     bool paired() const { return state_ != State::alone; }
     bool is_old_process() const {
         return state_ == State::takeover_requested || state_ == State::handed_over;
     }
 
-    /// Old process: a new one asks to take over. False: the answer is "busy".
-    bool on_takeover_requested() {
-        return !gives_back_ && transition(State::alone, State::takeover_requested);
-    }
+    /// Old process: a new one asks to take over. Returns false if the answer is "busy".
+    bool on_takeover_requested() { return !yields_ && transition(State::alone, State::takeover_requested); }
     /// Old process: the new one accepts.
     bool on_new_process_accepts() { return transition(State::takeover_requested, State::handed_over); }
-    /// Old process: the new one stops, or has ended. This one accepts again.
+    /// Old process: the new one is stopping or has exited. This one accepts again.
     bool on_new_process_gone() {
         return transition(State::takeover_requested, State::alone) ||
                transition(State::handed_over, State::alone);
@@ -45,14 +42,14 @@
     bool on_state_received() { return transition(State::alone, State::preparing); }
     /// New process: it is ready to accept.
     bool on_prepared() { return transition(State::preparing, State::taken_over); }
-    /// New process: the old one has ended, so that this one has to accept, ready or not.
+    /// New process: the old one has exited, so that this one must accept, ready or not.
     bool on_old_process_gone() {
         return transition(State::preparing, State::alone) || transition(State::taken_over, State::alone);
     }
 
-    /// The process is to stop. A new one gives back to the old one, and answers no further process.
+    /// This process is to stop. A new process yields to the old one, and answers no further process.
     void on_stop_requested() {
-        gives_back_ = gives_back_ || state_ == State::preparing || state_ == State::taken_over;
+        yields_ = yields_ || state_ == State::preparing || state_ == State::taken_over;
     }
 
   private:
@@ -62,7 +59,7 @@
         return true;
     }
     State state_ = State::alone;
-    bool gives_back_ = false;
+    bool yields_ = false;   // a new process that is stopping
 };
 
 }   // namespace slatejunction::hot_restart
--- a/src/hot_restart/unix_socket.cpp
+++ b/src/hot_restart/unix_socket.cpp
@@ -12,23 +12,23 @@
 namespace slatejunction::hot_restart {
 namespace {
 
-// Null unless it listens.
-net::Ref<GSocket> listening_of(int fd) {
+// Null, and `fd` stays open, unless it is a listening socket.
+net::Ref<GSocket> adopt_listening_socket(int fd) {
     int listens = 0;
     socklen_t size = sizeof listens;
     if (::getsockopt(fd, SOL_SOCKET, SO_ACCEPTCONN, &listens, &size) != 0 || listens == 0) return nullptr;
     return net::Ref<GSocket>(g_socket_new_from_fd(fd, nullptr));
 }
 
-// Takes the first descriptor that listens, closes all others.
+// Takes the first listening socket, and closes all other descriptors.
 void take_descriptors(GSocketControlMessage* control, net::Ref<GSocket>& listening) {
     if (!G_IS_UNIX_FD_MESSAGE(control)) return;
     gint count = 0;
     gint* const all = g_unix_fd_message_steal_fds(G_UNIX_FD_MESSAGE(control), &count);
     for (gint i = 0; i < count; ++i) {
-        auto made = listening ? nullptr : listening_of(all[i]);
-        if (made)
-            listening = std::move(made);
+        auto adopted = listening ? nullptr : adopt_listening_socket(all[i]);
+        if (adopted)
+            listening = std::move(adopted);
         else
             ::close(all[i]);
     }
@@ -42,7 +42,7 @@
     std::replace_if(
         name.begin(), name.end(), [](char c) { return c == ':' || c == '/'; }, '_');
     std::string path = directory + "/slatejunction-" + name + ".sock";
-    // One more byte for the temporary name, one for the terminating zero.
+    // One byte for the suffix of the temporary name, one for the terminating zero.
     return path.size() + 2 < sizeof(sockaddr_un::sun_path) ? path : std::string();
 }
 
--- a/src/ingress/endpoint_updates.cpp
+++ b/src/ingress/endpoint_updates.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-// Between log lines of one fault of discovery, and of different ones: calls follow one another quickly
-// while discovery is away.
-constexpr double kSameFaultLogIntervalS = 5.0;
-constexpr double kNewFaultLogIntervalS = kSameFaultLogIntervalS / 5;
+// The shortest time between log lines of the same error of discovery, and of different ones: polls follow
+// one another quickly while discovery is unavailable.
+constexpr double kSameErrorLogIntervalS = 5.0;
+constexpr double kNewErrorLogIntervalS = kSameErrorLogIntervalS / 5;
 
 }   // namespace
 
@@ -24,8 +24,8 @@
         attach(stream, [this] { return stream.dial(address.get()); });
     }
     net::Address address;
-    // Before clients' connections: among hundreds that are ready a draining backend would go on getting
-    // requests.
+    // Has priority over client connections: behind hundreds of ready ones a list would be read late, and a
+    // draining backend would still get requests.
     net::Stream stream{*this, G_PRIORITY_HIGH};
 };
 
@@ -82,7 +82,7 @@
 double EndpointUpdates::last_answer_at() const { return watch_->last_answer_at(); }
 
 void EndpointUpdates::on_endpoint_list(discovery::EndpointList& list) {
-    overrides_.restore_unread(list);
+    overrides_.restore_unparsed(list);
     start_times_.resolve(list, net::now());
     overrides_.apply_to(list);
     const bool preparing = restart_channel_.role().state() == hot_restart::RestartRole::State::preparing;
@@ -90,14 +90,14 @@
     if (preparing) restart_channel_.ready_to_accept();
 }
 
-void EndpointUpdates::on_watch_lost(const char* why) {
+void EndpointUpdates::on_watch_lost(const char* error) {
     const double now = net::now();
     const double log_interval_s =
-        last_logged_fault_ == why ? kSameFaultLogIntervalS : kNewFaultLogIntervalS;
-    if (now - last_fault_logged_at_ >= log_interval_s) {
-        log_.write(Log::Level::warning, now, "directory: %s", why);
-        last_logged_fault_ = why;
-        last_fault_logged_at_ = now;
+        last_logged_error_ == error ? kSameErrorLogIntervalS : kNewErrorLogIntervalS;
+    if (now - last_error_logged_at_ >= log_interval_s) {
+        log_.write(Log::Level::warning, now, "discovery: %s", error);
+        last_logged_error_ = error;
+        last_error_logged_at_ = now;
     }
     dispatcher_.handle_event(
         slatejunction::EndpointUpdate{slatejunction::EndpointUpdateKind::watch_lost, {}});
@@ -107,7 +107,8 @@
     if (!change.update.endpoints.empty()) update_pool_and_gateway(change);
 }
 
-// The pool first: it closes connections to draining backends before the gateway starts any attempt.
+// Updates the pool first, so that it closes connections to draining backends before the gateway starts an
+// attempt.
 void EndpointUpdates::update_pool_and_gateway(discovery::EndpointList& list) {
     dispatcher_.pool().update(list);
     apply_filters(list.update);
--- a/src/ingress/extensions.hpp
+++ b/src/ingress/extensions.hpp
@@ -1,9 +1,10 @@
-// The interfaces by which a component extends the ingress: request filter, endpoint list filter, handler of
-// operators' calls, state transfer. A component implements only those that it needs, and registers them
-// with Ingress.
+// The interfaces by which a component extends the ingress: request filter, endpoint list filter, admin call
+// handler, state transfer. A component implements only those that it needs, and registers them with
+// Ingress.
 //
-// Ownership: the ingress owns no extension; each lives longer than the ingress serves. RequestFilter is
-// called by RequestDispatcher, EndpointListFilter by EndpointUpdates, the others by Ingress.
+// Ownership: the ingress owns no extension; each must live until the ingress has stopped serving.
+// RequestFilter is called by RequestDispatcher, EndpointListFilter by EndpointUpdates, the others by
+// Ingress.
 #pragma once
 
 #include <functional>
@@ -19,32 +20,32 @@
 
 inline constexpr std::size_t kMaxRequestFilters = 4;
 
-/// Base of what a filter remembers of one request. Owned by the filter, which knows the derived type.
+/// Base of a filter's state for one request. Owned by the filter, which knows the derived type.
 struct RequestFilterState {};
 
-/// A filter's state of one request: null until the filter sets it, passed to each of its calls for that
-/// request.
+/// A filter's state for one request: null until the filter sets it, then passed to each of its callbacks
+/// for that request.
 using FilterState = RequestFilterState*;
 
-/// Sees each request before the gateway does, and is notified of its progress.
+/// Processes each request before the gateway does, and is notified of its progress.
 class RequestFilter {
   public:
     virtual ~RequestFilter() = default;
     /// May set `request`'s subset and subset_fallback, and raise its rate_limit_retry_after_s (s).
     virtual void on_request(client::ClientRequest& client_request, slatejunction::Request& request,
                             FilterState& state) = 0;
-    /// The first attempt starts. `used_fallback`: outside of the subset.
+    /// The first attempt starts. `used_fallback`: at a backend outside the subset.
     virtual void on_first_attempt(const client::ClientRequest& client_request, FilterState& state,
                                   bool used_fallback) = 0;
-    /// The request is rejected for the rate limit that this filter has set. Returns the reason to be
-    /// counted.
+    /// The request is rejected because of the rate limit that this filter has set. Returns the reason to
+    /// count.
     virtual slatejunction::RejectReason on_rate_limited(FilterState state) = 0;
-    /// The last call for this request: it has been answered and its attempts have ended, or the ingress
-    /// ends.
+    /// The last callback for this request: it has been answered and its attempts have ended, or the ingress
+    /// is being destroyed.
     virtual void on_request_end(const client::ClientRequest& client_request, FilterState state) = 0;
-    /// The filter reads ClientRequest::headers.
+    /// The filter needs ClientRequest::headers.
     virtual bool wants_headers() const { return false; }
-    /// Tags of the request (number and value) for the observer.
+    /// The request's tags (index and value) for the observer.
     virtual std::span<const std::pair<std::size_t, std::string>> tags(FilterState) const { return {}; }
 };
 
@@ -56,23 +57,23 @@
     virtual void apply_to(double now, slatejunction::EndpointUpdate& list) = 0;
 };
 
-/// Gets operators' calls before the ingress does.
+/// Gets admin calls before the ingress does.
 class AdminCallExtension {
   public:
     virtual ~AdminCallExtension() = default;
-    /// False: the call is not for this extension. Else `reply` is called once, now or later.
+    /// Returns false if the call is not for this extension. Else `reply` is called once, now or later.
     virtual bool on_call(const admin::AdminCall& call, std::function<void(admin::AdminReply)>& reply) = 0;
 };
 
-/// Has state that passes from the old to the new process of a hot restart.
+/// Transfers state from the old to the new process of a hot restart.
 class StateTransfer {
   public:
     virtual ~StateTransfer() = default;
-    /// In the old process, when the new one accepts. Empty: there is nothing to transfer.
+    /// Called in the old process once the new one accepts. Empty: there is nothing to transfer.
     virtual std::string serialize_state() = 0;
-    /// In the new process: what the old one has serialized.
-    virtual void restore_state(std::string_view what) = 0;
-    /// This process ends, or has handed over.
+    /// Called in the new process with the state that the old one has serialized.
+    virtual void restore_state(std::string_view serialized) = 0;
+    /// This process stops or has handed over. Called by the extension itself, not by the ingress.
     virtual void on_process_leaving() = 0;
 };
 
--- a/src/ingress/ingress.cpp
+++ b/src/ingress/ingress.cpp
@@ -36,8 +36,8 @@
                                   shutdown_.rejects_new_requests());
 }
 
-void Ingress::on_accept_error(const char* why) {
-    log_.write(Log::Level::warning, net::now(), "accepting failed: %s", why);
+void Ingress::on_accept_error(const char* error) {
+    log_.write(Log::Level::warning, net::now(), "accepting a client connection failed: %s", error);
 }
 
 Gauges Ingress::gauges() const {
--- a/src/ingress/ingress.hpp
+++ b/src/ingress/ingress.hpp
@@ -1,15 +1,18 @@
-// One ingress process: puts its subsystems together, starts, reloads and stops them.
+// One ingress process: creates, starts, reloads and stops its subsystems.
 //
-// Input: the configuration, operators' calls, the other process of a hot restart, signals (by stop() and
-// reload()). Its subsystems: RequestDispatcher (requests, gateway, backends), EndpointUpdates (discovery),
-// client::Server, admin::Server, RestartChannel, GracefulShutdown. It takes no decision about a request or
-// a backend.
+// Input: the configuration, admin calls, messages of the other process of a hot restart, signals (as stop()
+// and reload()). Its subsystems are RequestDispatcher (requests, gateway, backends), EndpointUpdates
+// (discovery), client::Server, admin::Server, RestartChannel and GracefulShutdown. It makes no decision
+// about a request or a backend.
 //
-// Ownership: owns all of these; made and called by app/program on the GLib loop's one thread. Extensions
-// register here and live longer than the ingress serves.
+// Ownership: owns all of these. Created and called by app/program on the one thread of the GLib loop.
+// Extensions register here and must live until the ingress has stopped serving.
 //
-// Files: ingress.cpp (parts, sessions, gauges), ingress_lifecycle.cpp (start, reload, stop, periodic work),
-// ingress_hot_restart.cpp (the other process), ingress_admin.cpp (operators' calls).
+// Files:
+// - ingress.cpp: construction, client sessions, gauges.
+// - ingress_lifecycle.cpp: start, reload, stop and periodic work.
+// - ingress_hot_restart.cpp: the other process of a hot restart.
+// - ingress_admin.cpp: admin calls.
 #pragma once
 
 #include <functional>
@@ -33,38 +36,38 @@
 
 class Ingress final : client::SessionController, admin::AdminCallHandler, hot_restart::RestartHost {
   public:
-    /// `observer` (null: none) and all references live longer. `done` is called once, when the ingress has
-    /// stopped.
+    /// `observer` (null: none) and all references must outlive the ingress. `done` is called once, when the
+    /// ingress has stopped.
     Ingress(config::Config config, const discovery::UnixTimeConverter& clock, net::Timers& timers, Log& log,
             std::function<void()> done, RequestObserver* observer = nullptr);
     ~Ingress();
     Ingress(const Ingress&) = delete;
     Ingress& operator=(const Ingress&) = delete;
 
-    /// For so long (s) an address that can't be listened on is tried again; then the start has failed. Less
-    /// than the 30 s within which a process that was killed has to serve again.
+    /// How long (s) listening at an address is retried before the start fails. It is less than the 30 s
+    /// within which a process that was killed must serve again.
     static constexpr double listen_retry_bound_s() { return 15.0; }
-    /// `pause` waits so many seconds and returns false if the program is to stop. False: the start has
-    /// failed, `why` says why; empty where the program is to stop.
-    bool start(std::string& why, const std::function<bool(double)>& pause);
+    /// `pause` waits that many seconds, and returns false if the program is to stop. Returns false if the
+    /// start has failed, with the reason in `error`, or if the program is to stop, with an empty `error`.
+    bool start(std::string& error, const std::function<bool(double)>& pause);
     /// Finishes the open requests, then calls `done`; see lifecycle::GracefulShutdown.
     void stop();
-    /// When the process has to have ended (s, net::now()); infinite as long as it is not to stop.
+    /// The time by which the process must have exited (s, net::now()); infinite while it is not stopping.
     double ends_by() const { return shutdown_.ends_by(); }
-    /// Moves the discovery watch to the address in `fresh`. Other changes wait for the next start; the log
-    /// names them.
-    void reload(const config::Config& fresh);
+    /// Moves the discovery watch to the address in `new_config`. Other changes take effect at the next
+    /// start; the log names them.
+    void reload(const config::Config& new_config);
 
-    /// Extensions may register before the start or later; they are called in the order of registration.
+    /// Extensions may register before or after the start; they are called in the order of registration.
     void register_extension(RequestFilter& filter) { dispatcher_.register_filter(filter); }
     void register_extension(EndpointListFilter& filter) { endpoint_updates_.register_filter(filter); }
     void register_extension(AdminCallExtension& extension) { admin_extensions_.push_back(&extension); }
     void register_extension(StateTransfer& transfer) { state_transfers_.push_back(&transfer); }
-    /// Sends a list that an extension has made to the gateway. An empty one changes nothing.
+    /// Passes a list that an extension has made to the gateway. An empty one changes nothing.
     void update_endpoints(slatejunction::EndpointUpdate list) {
         endpoint_updates_.update_gateway(std::move(list));
     }
-    /// Handles an operator's call without asking the extensions. `reply` is called once, now or later.
+    /// Handles an admin call without passing it to the extensions. `reply` is called once, now or later.
     void handle_admin_call(const admin::AdminCall& call, std::function<void(admin::AdminReply)> reply);
     Gauges gauges() const;
 
@@ -75,7 +78,7 @@
     void on_client_disconnected(std::uint64_t number) override {
         dispatcher_.on_client_disconnected(number);
     }
-    // A process that has handed over is ready: the new one is, and the two are one ingress.
+    // A process that has handed over reports ready: the new one is, and both are one ingress.
     bool ready() const override {
         return (!shutdown_.stop_requested() || restart_channel_.role().draining()) &&
                !operator_overrides_.drained();
@@ -90,15 +93,15 @@
     }
     bool wants_headers() const override { return dispatcher_.wants_headers(); }
     http::ByteBudget& budget() override { return client_bytes_; }
-    void on_bad_request(int status, std::string_view why) override {
-        dispatcher_.on_bad_request(status, why);
+    void on_bad_request(int status, std::string_view error) override {
+        dispatcher_.on_bad_request(status, error);
     }
-    void on_accept_error(const char* why) override;
+    void on_accept_error(const char* error) override;
     void on_closed(client::Session& session) override { server_.forget(session); }
 
     // admin::AdminCallHandler
     void on_call(const admin::AdminCall& call, std::function<void(admin::AdminReply)> reply) override;
-    void on_admin_error(const char* why) override;
+    void on_admin_accept_error(const char* error) override;
 
     // hot_restart::RestartHost
     hot_restart::RestartMessage state() const override;
@@ -106,39 +109,39 @@
     hot_restart::ResourceUse resource_use() const override;
     void on_role_changed() override;
     void on_peer_resource_use(const hot_restart::ResourceUse& theirs) override;
-    bool on_operator_order(const hot_restart::OperatorOrder& order) override;
-    void on_transferred_state(std::size_t place, std::string_view what) override;
+    bool on_operator_command(const hot_restart::OperatorCommand& command) override;
+    void on_transferred_state(std::size_t extension_index, std::string_view state) override;
 
-    // Start. `listen` binds the addresses that are not bound yet.
-    bool listen(std::string& why);
-    bool listen_with_retries(std::string& why, const std::function<bool(double)>& pause);
-    void restore_state(hot_restart::RestartMessage& state);   // of the old process
+    // Start. `listen` binds those addresses that are not bound yet.
+    bool listen(std::string& error);
+    bool listen_with_retries(std::string& error, const std::function<bool(double)>& pause);
+    void restore_state(hot_restart::RestartMessage& state);   // that the old process has sent
     // Periodic work and stop.
     void sweep();
-    bool advance_shutdown(double now);   // true: the ingress has stopped
+    bool advance_shutdown(double now);   // returns true once the ingress has stopped
     void answer_unfinished_requests();
     // Hot restart.
     void apply_resource_limits();
     void hand_over();
-    // Operators.
+    // Admin calls.
     admin::AdminReply readiness() const;
-    admin::OverrideResult execute(const hot_restart::OperatorOrder& order, bool from_other_process);
+    admin::OverrideResult execute(const hot_restart::OperatorCommand& command, bool from_other_process);
 
     Log& log_;
     std::function<void()> done_;
     config::Config config_;
-    http::ByteBudget client_bytes_, backend_bytes_;   // live longer than all that holds bytes
+    http::ByteBudget client_bytes_, backend_bytes_;   // outlive all buffers that use them
     net::Timer sweep_timer_;
     RequestDispatcher dispatcher_;
     client::Server server_;
-    std::unique_ptr<admin::Server> admin_server_;   // null: operators have no address
+    std::unique_ptr<admin::Server> admin_server_;   // null: no admin address is configured
     admin::OperatorOverrides operator_overrides_;
-    double drained_at_ = 0;   // s, net::now(); by operators
+    double drained_at_ = 0;   // s, net::now(); when operators drained the ingress
     lifecycle::GracefulShutdown shutdown_;
     double last_request_at_ = 0;   // s, net::now()
     hot_restart::RestartChannel restart_channel_;
-    net::Timer preparation_timer_;        // bounds a new process's wait for a list before it accepts
-    hot_restart::ResourceUse peer_use_;   // what the other process reported
+    net::Timer preparation_timer_;   // bounds how long a new process waits for a list before it accepts
+    hot_restart::ResourceUse peer_use_;   // as reported by the other process
     EndpointUpdates endpoint_updates_;
     std::vector<AdminCallExtension*> admin_extensions_;
     std::vector<StateTransfer*> state_transfers_;
--- a/src/ingress/ingress_hot_restart.cpp
+++ b/src/ingress/ingress_hot_restart.cpp
@@ -1,4 +1,4 @@
-// Ingress: what it does for the other process of a hot restart.
+// Ingress: hot restart, as the host of RestartChannel.
 #include <algorithm>
 
 #include "ingress/ingress.hpp"
@@ -8,16 +8,16 @@
 
 namespace {
 
-// How long a process that has handed over keeps idle connections to backends.
-constexpr double kDrainingMaxIdleS = 0.3;
+// The longest idle time of backend connections in a process that has handed over.
+constexpr double kDrainingBackendMaxIdleS = 0.3;
 
 }   // namespace
 
 hot_restart::RestartMessage Ingress::state() const {
     hot_restart::RestartMessage message;
     message.kind = hot_restart::RestartMessage::Kind::state;
-    message.listed = operator_overrides_.ever_listed();
-    message.suspended = operator_overrides_.suspended();
+    message.listed = operator_overrides_.ever_listed_ids();
+    message.suspended = operator_overrides_.suspended_ids();
     message.drained = operator_overrides_.drained();
     message.resource_use = resource_use();
     message.endpoint_list = endpoint_updates_.stated_list();
@@ -32,7 +32,7 @@
         shutdown_.cancel_hand_over();
         server_.resume_accepting();
     }
-    dispatcher_.pool().set_max_idle_s(role.draining() ? kDrainingMaxIdleS : -1);
+    dispatcher_.pool().set_max_idle_s(role.draining() ? kDrainingBackendMaxIdleS : -1);
     apply_resource_limits();
 }
 
@@ -47,13 +47,13 @@
     }
 }
 
-void Ingress::on_transferred_state(std::size_t place, std::string_view what) {
-    if (place < state_transfers_.size()) state_transfers_[place]->restore_state(what);
+void Ingress::on_transferred_state(std::size_t extension_index, std::string_view state) {
+    if (extension_index < state_transfers_.size()) state_transfers_[extension_index]->restore_state(state);
 }
 
-// A backend that was never listed here is not suspended here, which is no failure.
-bool Ingress::on_operator_order(const hot_restart::OperatorOrder& order) {
-    return execute(order, true) != admin::OverrideResult::too_many;
+// Resuming a backend that was never listed here is no failure, as it is not suspended here.
+bool Ingress::on_operator_command(const hot_restart::OperatorCommand& command) {
+    return execute(command, true) != admin::OverrideResult::too_many;
 }
 
 void Ingress::on_peer_resource_use(const hot_restart::ResourceUse& theirs) {
--- a/src/ingress/observer.hpp
+++ b/src/ingress/observer.hpp
@@ -1,6 +1,6 @@
-// What the ingress reports to whoever counts and records requests (telemetry). Nothing comes back.
+// What the ingress reports to telemetry, which counts and records requests. No value is returned.
 //
-// RequestObserver is called by RequestDispatcher and lives longer; Gauges are returned by
+// RequestObserver is called by RequestDispatcher, and outlives it; Gauges are returned by
 // Ingress::gauges().
 #pragma once
 
@@ -15,30 +15,31 @@
 
 namespace slatejunction::ingress {
 
-/// The one final answer of a request, or that its client has disconnected. Valid during the call only.
+/// How a request ended: with its one final answer, or as its client disconnected. Valid only during the
+/// call.
 struct RequestSummary {
     enum class Result { served, rejected, failed };
     const client::ClientRequest& request;
     Result result = Result::served;
-    std::string_view reason;               // rejected: of metrics::kReasons; failed: what failed
+    std::string_view reason;               // rejected: one of metrics::kReasons; failed: what failed
     std::size_t reject_reason_index = 0;   // of `reason` in metrics::kReasons
-    std::string_view backend;              // of the latest attempt; empty: none
+    std::string_view backend;              // of the latest attempt; empty: there was none
     std::size_t attempts = 0;
     double seconds = 0;                                               // since the request's last byte
-    std::span<const std::pair<std::size_t, std::string>> tags = {};   // of the rules: number, value
+    std::span<const std::pair<std::size_t, std::string>> tags = {};   // of the rules: index and value
 };
 
 class RequestObserver {
   public:
     virtual ~RequestObserver() = default;
-    /// Before the answer is written; only of a request rejected at arrival after it.
+    /// Called before the answer is written, or after it if the request was rejected at arrival.
     virtual void on_request_end(const RequestSummary& summary) = 0;
     virtual void on_attempt_end(slatejunction::AttemptResult result) = 0;
-    /// An answer of a backend contained a customer's quota use.
+    /// The response of a backend contained a customer's quota use.
     virtual void on_quota_report() = 0;
-    /// Of the requests outside of subsets, 0 to 1.
+    /// The admitted fraction of the requests without a subset has changed (0.05 to 1).
     virtual void on_admitted_fraction(double fraction) = 0;
-    /// A request could not be read, or not by a backend.
+    /// A request was invalid, to the ingress or to a backend.
     virtual void on_bad_request() = 0;
 };
 
--- a/src/ingress/request_actions.cpp
+++ b/src/ingress/request_actions.cpp
@@ -1,4 +1,4 @@
-// RequestDispatcher's way of carrying out what the gateway decides.
+// RequestDispatcher: executes the gateway's actions.
 #include <algorithm>
 #include <cmath>
 #include <utility>
@@ -10,13 +10,13 @@
 
 namespace {
 
-// A request that fails so shortly before its deadline is answered 504, else 502.
+// A request that fails less than this before its deadline is answered 504, else 502.
 constexpr double kNearDeadlineS = 0.05;
 
 }   // namespace
 
-// An action may bring the next event at once, such as a connection that fails: it waits in events_, so that
-// the gateway gets one event at a time and its actions keep their order.
+// An action may cause the next event at once, for example if a connection fails. That event waits in
+// events_, so that the gateway gets one event at a time and its actions keep their order.
 void RequestDispatcher::handle_event(slatejunction::Event event) {
     events_.push_back(std::move(event));
     if (handling_event_) return;
@@ -52,7 +52,7 @@
                                           start.used_fallback);
     const double start_by = start.start_by_s > 0 ? start.start_by_s : backend::ConnectionPool::kNever;
     const auto connection = pool_.start_call(start.backend, tag, open->client_request, deadline, start_by);
-    open = find(tag.request);   // the attempt may have ended, and the request with it
+    open = find(tag.request);   // the attempt, and with it the request, may have ended
     if (open && connection) open->attempts[static_cast<std::size_t>(tag.attempt)] = connection;
 }
 
@@ -70,7 +70,8 @@
     if (!open) return;
     const std::uint64_t number = open->number;
     if (open->response_writer) {
-        // To the gateway every filter's limit is a rate limit; the filter knows what it counts as.
+        // The gateway reports a limit of any filter as a rate limit; the filter returns the reason to
+        // count.
         auto reason = reject.reason;
         if (reason == slatejunction::RejectReason::rate_limit && open->filters_applied > 0) {
             const std::size_t filter = open->rate_limiting_filter;
@@ -94,7 +95,7 @@
 }
 
 void RequestDispatcher::execute(const slatejunction::SetTimer& timer) {
-    // NaN has no place in the order: it would stay at the front and keep all other timers from firing.
+    // NaN has no place in the ordering: it would stay at the front and keep all other timers from firing.
     const double fire_at_s = std::isnan(timer.fire_at_s) ? net::now() : timer.fire_at_s;
     gateway_timers_.push({fire_at_s, timer.tag});
     if (gateway_timers_.top().fire_at_s >= fire_at_s) gateway_timer_.arm(fire_at_s);
@@ -110,7 +111,7 @@
 }
 
 void RequestDispatcher::execute(const slatejunction::LogMessage& message) {
-    log_.write(Log::Level::info, net::now(), "module: %s", message.text.c_str());
+    log_.write(Log::Level::info, net::now(), "gateway: %s", message.text.c_str());
 }
 
 void RequestDispatcher::execute(const slatejunction::AdmittedFraction& admitted) {
--- a/src/ingress/request_dispatcher.cpp
+++ b/src/ingress/request_dispatcher.cpp
@@ -1,5 +1,5 @@
-// Events: requests, disconnections, ends of attempts, timers. What the gateway answers:
-// request_actions.cpp.
+// RequestDispatcher: events (requests, disconnections, ended attempts, timers) and final answers. The
+// gateway's actions are in request_actions.cpp.
 #include "ingress/request_dispatcher.hpp"
 
 #include <algorithm>
@@ -14,7 +14,7 @@
 
 namespace {
 
-// Retry-After of a request whose body can't be sent again from here.
+// Retry-After of a request whose body can't be sent again by the ingress.
 constexpr double kLostBodyRetryAfterS = 0.5;
 
 bool may_have_run(AttemptResult result) {
@@ -68,7 +68,7 @@
             filters_[i]->on_request_end(*open.client_request, open.filter_states[i]);
 }
 
-// Arrival and departure of clients. ----------------------------------------------------------------------
+// Requests and disconnections. ---------------------------------------------------------------------------
 
 std::uint64_t RequestDispatcher::on_request(std::shared_ptr<client::ResponseWriter> response_writer,
                                             std::shared_ptr<client::ClientRequest> client_request,
@@ -141,7 +141,8 @@
     OpenRequest* const open = find(number);
     if (!open) return;
     const std::string id = open->id;
-    // An attempt that has not been written whole can't run, whether or not the settings allow cancellation.
+    // An attempt whose request has not been sent completely can't run, whether or not the settings allow
+    // cancellation.
     const auto attempts = open->attempts;
     for (const auto& attempt : attempts)
         if (attempt && !attempt->request_sent()) attempt->abandon(AttemptResult::not_started);
@@ -149,15 +150,15 @@
     handle_event(slatejunction::ClientDisconnected{id});
 }
 
-void RequestDispatcher::on_bad_request(int status, std::string_view why) {
+void RequestDispatcher::on_bad_request(int status, std::string_view error) {
     if (observer_) observer_->on_bad_request();
     log_.write(Log::Level::warning, net::now(), "bad request: %d, %.*s", status,
-               static_cast<int>(why.size()), why.data());
+               static_cast<int>(error.size()), error.data());
 }
 
-// Ends of attempts and health checks. --------------------------------------------------------------------
+// Ended attempts and health checks. ----------------------------------------------------------------------
 
-// All that the event says is read before the answer is given, as no reference into open_requests_ is valid
+// Reads everything from `open` before the answer is given, as references into open_requests_ are invalid
 // after answer().
 void RequestDispatcher::on_call_end(const backend::AttemptTag& tag, const backend::CallResult& end) {
     OpenRequest* const open = find(tag.request);
@@ -167,7 +168,7 @@
     const bool ran = may_have_run(end.result);
     open->attempt_may_have_run = open->attempt_may_have_run || ran;
     slatejunction::AttemptEnded event = attempt_ended(open->id, tag.attempt, end);
-    // A body that has been forwarded in part can't be sent again by a retry.
+    // A body that has been forwarded in part can't be sent again in a retry.
     const bool body_bytes_lost =
         open->client_request->body_streamed && end.result != AttemptResult::ok && !end.bad_request;
     if (observer_) {
@@ -185,10 +186,10 @@
     handle_event(std::move(event));
 }
 
-// A request that the backend can't use is the client's fault, and no failure of the backend.
+// A request that the backend rejects as invalid is an error of the client, not a failure of the backend.
 void RequestDispatcher::answer_ended_attempt(std::uint64_t number, const backend::CallResult& end, bool ran,
                                              bool body_bytes_lost) {
-    if (end.bad_request) on_bad_request(400, "a provider could not use it");
+    if (end.bad_request) on_bad_request(400, "a backend rejected it as invalid");
     if (end.result == AttemptResult::ok) {
         answer(number, {200, 0, end.content_type, end.body, end.rest, end.length},
                RequestSummary::Result::served, "");
@@ -206,8 +207,8 @@
 
 void RequestDispatcher::on_gateway_timer() {
     const double now = net::now();
-    // Only as many as there are now: timers that the gateway sets for the past wait for the loop's next
-    // round.
+    // Fires at most as many timers as exist now: those that the gateway sets for the past wait for the next
+    // iteration of the loop.
     std::size_t remaining = gateway_timers_.size();
     while (remaining > 0 && gateway_timers_.top().fire_at_s <= now) {
         const std::uint64_t tag = gateway_timers_.top().tag;
@@ -220,8 +221,8 @@
 
 // Answers. -----------------------------------------------------------------------------------------------
 
-// The observer is notified first, so that each answer that a client got has been counted, even if the
-// process is killed then.
+// Notifies the observer first, so that each answer that a client has got is counted, even if the process is
+// killed right after.
 void RequestDispatcher::answer(std::uint64_t number, const client::Response& response,
                                RequestSummary::Result result, std::string_view reason,
                                std::size_t reject_reason_index) {
--- a/src/ingress/request_dispatcher.hpp
+++ b/src/ingress/request_dispatcher.hpp
@@ -1,14 +1,15 @@
-// Takes each request from a client to the gateway's decision, to a backend, and its answer back.
+// Passes each client request to the gateway, executes the gateway's decisions, and returns the answer to
+// the client.
 //
-// Input: requests of client sessions, ends of attempts and health checks from the connection pool, and
-// events from the other modules of the ingress. Output: the actions that slatejunction::Gateway returns,
-// carried out; one final answer for each request. It takes no decision of its own.
+// Input: requests of client sessions, ended attempts and health checks of the connection pool, and events
+// of the other modules of the ingress. Output: executes the actions that slatejunction::Gateway returns,
+// and gives each request one final answer. It makes no decisions of its own.
 //
-// Order: the gateway gets one event at a time. An event that comes while actions are carried out waits in a
-// queue until all of them have been.
+// Order: the gateway gets one event at a time. An event that occurs while actions are executed is queued
+// until all of them are done.
 //
-// Ownership: owned by Ingress, lives longer than the client sessions. Owns the gateway, the connection pool
-// and the open requests. Called by Ingress and EndpointUpdates; calls RequestFilter, RequestObserver and
+// Ownership: owned by Ingress, and outlives the client sessions. Owns the gateway, the connection pool and
+// the open requests. Called by Ingress and EndpointUpdates; calls RequestFilter, RequestObserver and
 // ResponseWriter.
 #pragma once
 
@@ -35,32 +36,33 @@
 
 class RequestDispatcher final : backend::CallCallbacks {
   public:
-    /// `config`, `backend_bytes` and `observer` (null: none) live longer. `poll_endpoints` asks for the
-    /// endpoint list now.
+    /// `config`, `backend_bytes` and `observer` (null: none) must outlive the dispatcher. `poll_endpoints`
+    /// polls discovery for the endpoint list now.
     RequestDispatcher(const config::Config& config, net::Timers& timers, Log& log,
                       RequestObserver* observer, http::ByteBudget& backend_bytes,
                       std::function<void()> poll_endpoints);
 
-    /// Passes an event to the gateway once the actions of the events before it are carried out.
+    /// Passes an event to the gateway once the actions of all earlier events have been executed.
     void handle_event(slatejunction::Event event);
 
-    /// `response_writer` gets one final answer. `stopping`: the answer is 503 at once.
-    /// Returns the request's number, 0 where it has been answered already.
+    /// `response_writer` gets one final answer; if `stopping`, it is an immediate 503. Returns the
+    /// request's number; 0: it has been answered already.
     std::uint64_t on_request(std::shared_ptr<client::ResponseWriter> response_writer,
                              std::shared_ptr<client::ClientRequest> client_request, bool stopping);
-    /// The client has disconnected: it gets no answer any more.
+    /// The client has disconnected: the request gets no answer.
     void on_client_disconnected(std::uint64_t number);
-    void on_bad_request(int status, std::string_view why);
+    /// Counts and logs an invalid request, which is answered with `status`.
+    void on_bad_request(int status, std::string_view error);
 
-    /// Numbers of the requests that have no final answer yet.
+    /// The numbers of the requests that have no final answer yet.
     std::vector<std::uint64_t> unanswered_requests() const;
-    /// Answers those of `numbers` that are still unanswered: 504 where an attempt may have run, else 503.
+    /// Answers those of `numbers` that are still unanswered: 504 if an attempt may have run, else 503.
     void answer_unfinished(const std::vector<std::uint64_t>& numbers);
-    /// Calls RequestFilter::on_request_end for each request that is still open; the ingress is about to
-    /// end.
+    /// Calls RequestFilter::on_request_end for each request that is still open, before the ingress is
+    /// destroyed.
     void end_open_requests();
 
-    /// At most kMaxRequestFilters; asked in the order of registration.
+    /// At most kMaxRequestFilters can be registered; they are called in the order of registration.
     void register_filter(RequestFilter& filter) { filters_.push_back(&filter); }
     bool wants_headers() const;
     bool is_request_open(std::string_view request_id) const {
@@ -74,16 +76,16 @@
     // A request from its arrival until it has been answered and the last of its attempts has ended.
     struct OpenRequest {
         std::uint64_t number = 0;
-        std::string id;   // the gateway's name for it: short and, unlike the client's, never repeated
+        std::string id;   // for the gateway: short and, unlike the client's id, never reused
         std::shared_ptr<client::ClientRequest> client_request;
         std::shared_ptr<client::ResponseWriter> response_writer;      // null once it has been answered
         std::vector<std::shared_ptr<backend::Connection>> attempts;   // by attempt number; null once ended
         int attempts_in_flight = 0;
         std::string last_backend;   // of the latest attempt; only with an observer
         std::array<FilterState, kMaxRequestFilters> filter_states{};   // in the order of filters_
-        std::size_t filters_applied = 0;                               // so many of filters_ have a state
-        std::size_t rate_limiting_filter = 0;   // the one whose Retry-After the gateway got
-        bool attempt_may_have_run = false;      // of the attempts that have ended
+        std::size_t filters_applied = 0;        // how many were registered at its arrival
+        std::size_t rate_limiting_filter = 0;   // whose Retry-After the gateway got
+        bool attempt_may_have_run = false;      // one of those that have ended
     };
     struct GatewayTimer {
         double fire_at_s;
@@ -115,14 +117,14 @@
                            const client::ClientRequest& client_request, bool stopping);
     void answer_ended_attempt(std::uint64_t number, const backend::CallResult& end, bool ran,
                               bool body_bytes_lost);
-    // Gives the final answer, unless it has been given. It may bring the session's next request at once: no
-    // reference into open_requests_ is valid after it.
+    // Gives the final answer, unless it has been given. The session may pass its next request at once, so
+    // that references into open_requests_ are invalid afterwards.
     void answer(std::uint64_t number, const client::Response& response, RequestSummary::Result result,
                 std::string_view reason, std::size_t reject_reason_index = 0);
     void observe_end(const OpenRequest& open, RequestSummary::Result result, std::string_view reason,
                      std::size_t reject_reason_index = 0);
-    // The answer is not needed any more: ends the attempts that have not been written, tells the
-    // gateway.
+    // The answer is not needed any more: ends the attempts whose request has not been sent, and notifies
+    // the gateway.
     void abandon(std::uint64_t number);
     void erase_if_ended(std::uint64_t number);
 
@@ -132,13 +134,13 @@
     const std::function<void()> poll_endpoints_;
     net::Timer gateway_timer_;
     slatejunction::Gateway gateway_;
-    std::deque<slatejunction::Event> events_;   // wait for the gateway
+    std::deque<slatejunction::Event> events_;   // not yet passed to the gateway
     std::vector<slatejunction::Action> actions_;
     bool handling_event_ = false;
     std::priority_queue<GatewayTimer, std::vector<GatewayTimer>, std::greater<>> gateway_timers_;
     std::unordered_map<std::uint64_t, OpenRequest> open_requests_;   // by number
-    std::unordered_set<std::string_view>
-        open_request_ids_;   // clients' own; views into the requests' bytes
+    // The clients' request ids, as views into the requests' bytes.
+    std::unordered_set<std::string_view> open_request_ids_;
     std::uint64_t last_number_ = 0;
     std::vector<RequestFilter*> filters_;
     backend::ConnectionPool pool_;
--- a/src/ingress/resource_limits.cpp
+++ b/src/ingress/resource_limits.cpp
@@ -5,13 +5,13 @@
 namespace slatejunction::ingress {
 namespace {
 
-constexpr double kMemoryFraction =
-    0.2;   // of the memory, for the bytes of clients, and for those of backends
-constexpr double kMaxCountedMemoryMb = 1e9;   // beyond any machine; its bytes fit a size_t
+// The part of the memory for the buffered bytes of clients, and the same for those of backends.
+constexpr double kMemoryFraction = 0.2;
+constexpr double kMaxCountedMemoryMb = 1e9;   // more than any machine has; its bytes fit a size_t
 constexpr std::size_t kMaxAdminConnections = 48;
-constexpr std::size_t kAdminDescriptorPart = 12;   // operators get at most 1/12 of the descriptors
-constexpr std::size_t kNewProcessPart = 4;         // a new process finds at least 1/4 of the connections
-// Backend connections that a process may still open once it has handed over.
+constexpr std::size_t kAdminDescriptorPart = 12;   // admin connections get at most 1/12 of the descriptors
+constexpr std::size_t kNewProcessPart = 4;         // 1/4 of the connections is left to a new process
+// How many backend connections a process may open beyond its current ones once it has handed over.
 constexpr std::size_t kMaxNewConnectionsDraining = 4;
 
 std::size_t without_new_process_part(std::size_t all) { return all - all / kNewProcessPart; }
@@ -60,7 +60,7 @@
     limits.backend_connections = connection_pool_limits(config).max_connections;
     limits.client_bytes = max_buffered_bytes(config);
     limits.backend_bytes = limits.client_bytes;
-    // The other process has operators' connections of its own.
+    // The other process has admin connections of its own.
     if (role.paired()) limits.client_connections -= max_admin_connections(config);
     if (role.is_old_process()) {
         limits.client_connections = without_new_process_part(limits.client_connections);
--- a/src/ingress/resource_limits.hpp
+++ b/src/ingress/resource_limits.hpp
@@ -1,8 +1,9 @@
-// How the descriptors and the memory of one machine are divided: between clients, backends and operators of
+// Divides the descriptors and the memory of one machine between client, backend and admin connections of
 // one process and, during a hot restart, between the old and the new process.
 //
-// Input: the configuration (descriptors, memory in MB), the role in a hot restart, what the other process
-// uses. Output: upper limits in connections and bytes. Pure: no I/O, no clock, no state. Called by Ingress.
+// Input: the configuration (descriptors, memory in MB), the role in a hot restart, the resource use of the
+// other process. Output: limits in connections and bytes. Pure: no I/O, no clock, no state. Called by
+// Ingress.
 #pragma once
 
 #include <cstddef>
@@ -14,7 +15,8 @@
 
 namespace slatejunction::ingress {
 
-/// Descriptors that no connection may use: standard streams, listener, discovery, GLib's own.
+/// Descriptors that are reserved for other uses than these connections: standard streams, listening
+/// sockets, discovery, GLib.
 inline constexpr std::size_t kReservedDescriptors = 32;
 
 struct ResourceLimits {
@@ -22,23 +24,24 @@
     std::size_t client_bytes = 0, backend_bytes = 0;
 };
 
-/// The limits of the connection pool of a process that is alone.
+/// The limits of the connection pool outside a hot restart.
 backend::ConnectionPoolLimits connection_pool_limits(const config::Config& config);
-/// Operators' connections; 0 where they have no address.
+/// Admin connections; 0 if no admin address is configured.
 std::size_t max_admin_connections(const config::Config& config);
-/// Client connections of a process that is alone.
+/// Client connections outside a hot restart.
 std::size_t max_client_connections(const config::Config& config);
-/// Bytes for client connections; as many are for backend connections.
+/// Buffered bytes of client connections; backend connections have the same limit of their own.
 std::size_t max_buffered_bytes(const config::Config& config);
 
-/// What this process reports as used: until it hands over, at least what it may come to use, so that the
-/// new process stays inside the rest.
+/// The resource use that this process reports: before it hands over, at least the connections that it may
+/// open, so that the new process stays within the rest.
 hot_restart::ResourceUse reported_use(const config::Config& config, hot_restart::RestartRole::State state,
                                       hot_restart::ResourceUse actual);
 
-/// The limits of this process. The old process keeps all but 1/kNewProcessPart from the moment that a new
-/// one asks to take over, and what it has once the new one accepts; the new one gets what the old one
-/// leaves. `peer`: what the other process reported. `open_backend_connections`: of this process, now.
+/// The limits of this process. Once a new process asks to take over, the old one keeps all connections but
+/// 1/kNewProcessPart; once the new one accepts, the old one opens only few backend connections beyond those
+/// it has. The new process gets what the old one leaves. `peer` is the use that the other process reported,
+/// `open_backend_connections` the current number in this process.
 ResourceLimits resource_limits(const config::Config& config, const hot_restart::RestartRole& role,
                                const hot_restart::ResourceUse& peer, std::size_t open_backend_connections);
 
--- a/src/lifecycle/graceful_shutdown.cpp
+++ b/src/lifecycle/graceful_shutdown.cpp
@@ -7,10 +7,11 @@
 namespace slatejunction::lifecycle {
 
 static_assert(kKillDelayS - kKillMarginS - kComponentStopS - kForcedAnswersS >= kLateConnectionsS - 1e-9,
-              "a request on the last connection must have its whole deadline");
+              "a request on the last connection must have its full deadline");
 static_assert(kKillMarginS > kMaxSchedulingDelayS,
-              "SIGKILL must not come first if a signal is handled late");
-static_assert(kHandshakeDrainS < kLastRequestsS, "requests on the last connections need time");
+              "SIGKILL must not come before the exit if a signal is handled late");
+static_assert(kHandshakeDrainS < kLastRequestsS,
+              "requests on the last connections need time after the handshakes");
 
 double longest_deadline_s(const slatejunction::Settings& settings) {
     double longest = 0;
@@ -47,7 +48,7 @@
     if (state_ == State::serving) state_ = State::finishing;
 }
 
-// The listening socket was never closed, accepting was only paused.
+// The listening socket is still open: accepting was only paused.
 void GracefulShutdown::cancel_hand_over() {
     if (state_ == State::ended) return;
     handed_over_at_.reset();
@@ -66,10 +67,10 @@
     return std::nullopt;
 }
 
-// Health checks do not count: they never cease.
-bool GracefulShutdown::no_requests_arrive(const Facts& facts) const {
-    return facts.in_use == 0 && facts.now - facts.last_request_at > kMaxIdleS &&
-           facts.now - facts.last_unused_at > kMaxIdleS;
+// Health checks do not count, as they never cease.
+bool GracefulShutdown::no_requests_arrive(const Inputs& inputs) const {
+    return inputs.in_use == 0 && inputs.now - inputs.last_request_at > kMaxIdleS &&
+           inputs.now - inputs.last_unused_at > kMaxIdleS;
 }
 
 double GracefulShutdown::stop_listening_at() const {
@@ -92,36 +93,37 @@
     return action;
 }
 
-GracefulShutdown::Action GracefulShutdown::advance_finishing(const Facts& facts) {
-    const bool may_end = past_grace(facts.now);
-    if (facts.another_process_accepts) {
-        if (may_end && facts.connections == 0) return enter(State::ended, Action::end);
-        if (facts.now < force_answers_at()) return Action::none;
-        answers_forced_at_ = facts.now;
+GracefulShutdown::Action GracefulShutdown::advance_finishing(const Inputs& inputs) {
+    const bool grace_over = past_grace(inputs.now);
+    if (inputs.another_process_accepts) {
+        if (grace_over && inputs.connections == 0) return enter(State::ended, Action::end);
+        if (inputs.now < force_answers_at()) return Action::none;
+        answers_forced_at_ = inputs.now;
         return enter(State::forcing, Action::answer_open_requests);
     }
-    if (facts.now < stop_listening_at() && !(may_end && no_requests_arrive(facts))) return Action::none;
-    handshakes_refused_at_ = facts.now;
+    if (inputs.now < stop_listening_at() && !(grace_over && no_requests_arrive(inputs)))
+        return Action::none;
+    handshakes_refused_at_ = inputs.now;
     return enter(State::refusing, Action::refuse_handshakes);
 }
 
-GracefulShutdown::Action GracefulShutdown::advance(const Facts& facts) {
+GracefulShutdown::Action GracefulShutdown::advance(const Inputs& inputs) {
     switch (state_) {
         case State::serving:
         case State::ended:
             return Action::none;
         case State::finishing:
-            return advance_finishing(facts);
+            return advance_finishing(inputs);
         case State::refusing:
-            if (facts.now < handshakes_refused_at_ + kHandshakeDrainS) return Action::none;
+            if (inputs.now < handshakes_refused_at_ + kHandshakeDrainS) return Action::none;
             return enter(State::closed, Action::stop_listening);
         case State::closed:
-            if (facts.connections == 0) return enter(State::ended, Action::end);
-            if (facts.now < force_answers_at()) return Action::none;
-            answers_forced_at_ = facts.now;
+            if (inputs.connections == 0) return enter(State::ended, Action::end);
+            if (inputs.now < force_answers_at()) return Action::none;
+            answers_forced_at_ = inputs.now;
             return enter(State::forcing, Action::answer_open_requests);
         case State::forcing:
-            if (facts.connections > 0 && facts.now < answers_forced_at_ + kForcedAnswersS)
+            if (inputs.connections > 0 && inputs.now < answers_forced_at_ + kForcedAnswersS)
                 return Action::none;
             return enter(State::ended, Action::end);
     }
--- a/tests/hot_restart/upgrade_test.cpp
+++ b/tests/hot_restart/upgrade_test.cpp
@@ -175,7 +175,7 @@
     REQUIRE(ready(old_admin));
     SECTION("before it accepts") {
         site.start();
-        REQUIRE(site.says(0, "readies itself"));
+        REQUIRE(site.says(0, "a new process is preparing"));
         REQUIRE(site.all[1].end(SIGKILL) == 128 + SIGKILL);
     }
     SECTION("after it accepts") {
@@ -209,10 +209,10 @@
     Site site;
     REQUIRE(ready(site.start()));
     const int next = site.start();
-    SECTION("while the new one readies itself") { REQUIRE(site.says(0, "readies itself")); }
+    SECTION("while the new one readies itself") { REQUIRE(site.says(0, "a new process is preparing")); }
     SECTION("once the new one accepts") { REQUIRE(ready(next)); }
     SECTION("told to end while the new one readies itself") {
-        REQUIRE(site.says(0, "readies itself"));
+        REQUIRE(site.says(0, "a new process is preparing"));
         REQUIRE(site.all[0].end(SIGTERM) == 0);
     }
     site.all[0].signal(SIGKILL);
@@ -247,7 +247,7 @@
         const bool good = ready(site.start());
         peer.join();
         REQUIRE(good);
-        REQUIRE(site.says(0, "gave no answer"));
+        REQUIRE(site.says(0, "gave no valid answer"));
     }
     if (site.all.empty() || !site.all.back().running()) REQUIRE(ready(site.start()));
     REQUIRE(served(site.port, 1));
@@ -280,7 +280,7 @@
     const std::string where = GENERATE(std::string(), std::string(120, 'x'), std::string("/proc"));
     const std::string temporary = where.size() > 20 ? site.folder + "/" + where : where;
     REQUIRE(ready(site.start(temporary)));
-    REQUIRE(site.says(0, "handover: off"));
+    REQUIRE(site.says(0, "hot restart: disabled"));
     REQUIRE(ready(site.start(temporary)));
     REQUIRE(site.all[0].running());
     REQUIRE(site.all[0].end(SIGTERM) == 0);
--- a/tests/lifecycle/graceful_shutdown_test.cpp
+++ b/tests/lifecycle/graceful_shutdown_test.cpp
@@ -1,5 +1,5 @@
 // How a process ends: the bound, the order of its acts, and that health checks and silence do not prolong
-// it. Schedules are drawn by seed; the checker looks at the acts and the facts alone.
+// it. Schedules are drawn by seed; the checker looks at the acts and the inputs alone.
 #include "lifecycle/graceful_shutdown.hpp"
 
 #include <algorithm>
@@ -23,14 +23,14 @@
     Act act = Act::none;
 };
 
-// Runs it as the driver does, until it has ended, and for at most `most_s`. `facts`: from the time since it
-// began.
+// Runs it as the driver does, until it has ended, and for at most `most_s`. `inputs`: from the time since
+// it began.
 std::vector<Done> run(GracefulShutdown& shutdown,
-                      const std::function<GracefulShutdown::Facts(double)>& facts, double most_s = 200) {
+                      const std::function<GracefulShutdown::Inputs(double)>& inputs, double most_s = 200) {
     std::vector<Done> all;
     for (double now = kStart; now - kStart < most_s; now = shutdown.advance_again_at(now))
         for (;;) {
-            GracefulShutdown::Facts seen = facts(now - kStart);
+            GracefulShutdown::Inputs seen = inputs(now - kStart);
             seen.now = now;
             const Act act = shutdown.advance(seen);
             if (act != Act::none) all.push_back({now - kStart, act});
@@ -86,7 +86,7 @@
     REQUIRE(shutdown.advance({kStart}) == Act::none);
     shutdown.request_stop(kStart);
     REQUIRE(shutdown.ends_by() == Approx(kStart + op::stop_bound_s(12)));
-    const auto all = run(shutdown, [](double) { return GracefulShutdown::Facts{}; });
+    const auto all = run(shutdown, [](double) { return GracefulShutdown::Inputs{}; });
     REQUIRE(acts(all) == std::vector{Act::refuse_handshakes, Act::stop_listening, Act::end});
     REQUIRE(all.back().at > 0.6);
     REQUIRE(all.back().at < 0.75);
@@ -97,9 +97,9 @@
     shutdown.request_stop(kStart);
     // There is always one, and the listener's end leaves none.
     const auto all = run(shutdown, [&](double) {
-        GracefulShutdown::Facts facts;
-        facts.connections = shutdown.state() <= GracefulShutdown::State::refusing ? 4 : 0;
-        return facts;
+        GracefulShutdown::Inputs inputs;
+        inputs.connections = shutdown.state() <= GracefulShutdown::State::refusing ? 4 : 0;
+        return inputs;
     });
     REQUIRE(acts(all) == std::vector{Act::refuse_handshakes, Act::stop_listening, Act::end});
     REQUIRE(all.back().at < 0.75);
@@ -109,9 +109,9 @@
     GracefulShutdown shutdown(3);
     shutdown.request_stop(kStart);
     const auto all = run(shutdown, [](double since) {
-        GracefulShutdown::Facts facts;
-        facts.connections = facts.in_use = since < 2.5 ? 1 : 0;
-        return facts;
+        GracefulShutdown::Inputs inputs;
+        inputs.connections = inputs.in_use = since < 2.5 ? 1 : 0;
+        return inputs;
     });
     REQUIRE(acts(all) == std::vector{Act::refuse_handshakes, Act::stop_listening, Act::end});
     REQUIRE(all.back().at >= 2.5);
@@ -122,9 +122,9 @@
     GracefulShutdown shutdown(12);
     shutdown.request_stop(kStart);
     const auto all = run(shutdown, [](double since) {
-        GracefulShutdown::Facts facts;
-        facts.connections = facts.in_use = since < 11.5 ? 1 : 0;
-        return facts;
+        GracefulShutdown::Inputs inputs;
+        inputs.connections = inputs.in_use = since < 11.5 ? 1 : 0;
+        return inputs;
     });
     REQUIRE(acts(all) ==
             std::vector{Act::refuse_handshakes, Act::stop_listening, Act::answer_open_requests, Act::end});
@@ -138,12 +138,12 @@
     GracefulShutdown shutdown(deadline);
     shutdown.request_stop(kStart);
     const auto all = run(shutdown, [&](double since) {
-        GracefulShutdown::Facts facts;
-        facts.connections = 1;
-        if (kind == 0) facts.in_use = 1;                               // never done
-        if (kind == 1) facts.last_request_at = kStart + since - 0.1;   // new requests, each done at once
-        if (kind == 2) facts.last_unused_at = kStart + since - 0.1;    // new connections that say nothing
-        return facts;
+        GracefulShutdown::Inputs inputs;
+        inputs.connections = 1;
+        if (kind == 0) inputs.in_use = 1;                               // never done
+        if (kind == 1) inputs.last_request_at = kStart + since - 0.1;   // new requests, each done at once
+        if (kind == 2) inputs.last_unused_at = kStart + since - 0.1;    // new connections that say nothing
+        return inputs;
     });
     REQUIRE(acts(all) ==
             std::vector{Act::refuse_handshakes, Act::stop_listening, Act::answer_open_requests, Act::end});
@@ -165,18 +165,18 @@
 TEST_CASE("a process that stood still beyond its bound goes on in order", "[operations][shutdown]") {
     GracefulShutdown shutdown(3);
     shutdown.request_stop(kStart);
-    GracefulShutdown::Facts facts;
-    facts.now = kStart + 100;
-    facts.connections = facts.in_use = 1;
-    REQUIRE(shutdown.advance(facts) == Act::refuse_handshakes);
-    REQUIRE(shutdown.advance(facts) == Act::none);
-    facts.now = shutdown.advance_again_at(facts.now);
-    REQUIRE(shutdown.advance(facts) == Act::stop_listening);
-    REQUIRE(shutdown.advance(facts) == Act::answer_open_requests);
-    REQUIRE(shutdown.advance(facts) == Act::none);   // what it took at last is read meanwhile
-    facts.now = shutdown.advance_again_at(facts.now) + op::kForcedAnswersS;
-    REQUIRE(shutdown.advance(facts) == Act::end);
-    REQUIRE(shutdown.advance(facts) == Act::none);
+    GracefulShutdown::Inputs inputs;
+    inputs.now = kStart + 100;
+    inputs.connections = inputs.in_use = 1;
+    REQUIRE(shutdown.advance(inputs) == Act::refuse_handshakes);
+    REQUIRE(shutdown.advance(inputs) == Act::none);
+    inputs.now = shutdown.advance_again_at(inputs.now);
+    REQUIRE(shutdown.advance(inputs) == Act::stop_listening);
+    REQUIRE(shutdown.advance(inputs) == Act::answer_open_requests);
+    REQUIRE(shutdown.advance(inputs) == Act::none);   // what it took at last is read meanwhile
+    inputs.now = shutdown.advance_again_at(inputs.now) + op::kForcedAnswersS;
+    REQUIRE(shutdown.advance(inputs) == Act::end);
+    REQUIRE(shutdown.advance(inputs) == Act::none);
 }
 
 TEST_CASE("handed over: it listens on nothing and ends with its last connection",
@@ -186,21 +186,21 @@
     REQUIRE_FALSE(shutdown.stop_requested());
     SECTION("the last one goes") {
         const auto all = run(shutdown, [](double since) {
-            GracefulShutdown::Facts facts;
-            facts.another_process_accepts = true;
-            facts.connections = since < 3 ? 1 : 0;
-            facts.last_request_at = kStart + since;
-            return facts;
+            GracefulShutdown::Inputs inputs;
+            inputs.another_process_accepts = true;
+            inputs.connections = since < 3 ? 1 : 0;
+            inputs.last_request_at = kStart + since;
+            return inputs;
         });
         REQUIRE(acts(all) == std::vector{Act::end});
         REQUIRE(all.back().at < 3.1);
     }
     SECTION("one never goes") {
         const auto all = run(shutdown, [](double) {
-            GracefulShutdown::Facts facts;
-            facts.another_process_accepts = true;
-            facts.connections = facts.in_use = 1;
-            return facts;
+            GracefulShutdown::Inputs inputs;
+            inputs.another_process_accepts = true;
+            inputs.connections = inputs.in_use = 1;
+            return inputs;
         });
         REQUIRE(acts(all) == std::vector{Act::answer_open_requests, Act::end});
         REQUIRE(all.back().at <= 12 + 0.4 + op::kForcedAnswersS + op::kDrainingExtraS);
@@ -219,7 +219,7 @@
     SECTION("told beside, and the new process goes: it listens until it ends") {
         shutdown.request_stop(kStart);
         shutdown.cancel_hand_over();
-        REQUIRE(acts(run(shutdown, [](double) { return GracefulShutdown::Facts{}; })) ==
+        REQUIRE(acts(run(shutdown, [](double) { return GracefulShutdown::Inputs{}; })) ==
                 std::vector{Act::refuse_handshakes, Act::stop_listening, Act::end});
     }
 }
@@ -250,24 +250,24 @@
         double now = kStart;
         std::vector<Done> all;
         while (shutdown.state() != GracefulShutdown::State::ended && now < kStart + 100) {
-            GracefulShutdown::Facts facts;
+            GracefulShutdown::Inputs inputs;
             const double since = now - kStart;
-            facts.now = now;
-            facts.in_use = since < busy_until ? 1 : 0;
-            facts.connections = facts.in_use + (drawn(1) < 0.5 ? 1 : 0);
-            facts.last_request_at = kStart + std::min(since, asks_until) - drawn(0.1);
-            facts.last_unused_at = kStart + std::min(since, silence_until) - drawn(0.1);
-            const Act act = shutdown.advance(facts);
+            inputs.now = now;
+            inputs.in_use = since < busy_until ? 1 : 0;
+            inputs.connections = inputs.in_use + (drawn(1) < 0.5 ? 1 : 0);
+            inputs.last_request_at = kStart + std::min(since, asks_until) - drawn(0.1);
+            inputs.last_unused_at = kStart + std::min(since, silence_until) - drawn(0.1);
+            const Act act = shutdown.advance(inputs);
             if (act != Act::none) all.push_back({since, act});
             // Not too early: it listens on while anything is going on that is no health check.
             if (act == Act::refuse_handshakes && since < op::close_after_s(deadline) - 1e-9) {
                 REQUIRE(since > 0.6);
-                REQUIRE(facts.in_use == 0);
-                REQUIRE(now - facts.last_request_at > 0.15);
-                REQUIRE(now - facts.last_unused_at > 0.15);
+                REQUIRE(inputs.in_use == 0);
+                REQUIRE(now - inputs.last_request_at > 0.15);
+                REQUIRE(now - inputs.last_unused_at > 0.15);
             }
             if (act == Act::answer_open_requests) REQUIRE(since >= op::force_after_s(deadline) - 1e-9);
-            if (act == Act::end && facts.connections > 0) {
+            if (act == Act::end && inputs.connections > 0) {
                 REQUIRE(all.size() >= 3);
                 REQUIRE(all[all.size() - 2].act == Act::answer_open_requests);
             }
--- a/tests/lifecycle/stop_test.cpp
+++ b/tests/lifecycle/stop_test.cpp
@@ -312,5 +312,5 @@
         CHECK((answer.starts_with("HTTP/1.1 503") || answer.starts_with("HTTP/1.1 408")));
     }
     for (const Descriptor& one : silent) CHECK(read_to_end(one).empty());
-    CHECK(program.folder.read("log").find("the time is up") != std::string::npos);
+    CHECK(program.folder.read("log").find("time limit reached: answering ") != std::string::npos);
 }
--- a/tests/start/address_test.cpp
+++ b/tests/start/address_test.cpp
@@ -9,8 +9,8 @@
     const bool admin = GENERATE(false, true);
     std::optional<Taken> taken(std::in_place, admin ? start.admin : start.port);
     start.run();
-    REQUIRE(start.says(admin ? "warning: admin_addr can't be listened on: "
-                             : "warning: NODE_LISTEN can't be listened on: "));
+    REQUIRE(start.says(admin ? "warning: can't listen on admin_addr: "
+                             : "warning: can't listen on NODE_LISTEN: "));
     REQUIRE(start.alive());
     SECTION("free again") {
         taken.reset();
@@ -33,6 +33,6 @@
     taken.run(), elsewhere.run();
     for (Start* one : {&taken, &elsewhere}) {
         REQUIRE(one->status(Ingress::listen_retry_bound_s() + 10) == 2);
-        REQUIRE(one->says("error: NODE_LISTEN can't be listened on: "));
+        REQUIRE(one->says("error: can't listen on NODE_LISTEN: "));
     }
 }
--- a/tests/start/handover_test.cpp
+++ b/tests/start/handover_test.cpp
@@ -81,7 +81,8 @@
     const auto calls = fill(start.socket_path());
     start.run();
     REQUIRE(start.ready(kReady));
-    REQUIRE(start.says("handover: the process there gave no answer; this process listens by itself"));
+    REQUIRE(start.says(
+        "hot restart: the process at the socket gave no valid answer; this process listens by itself"));
 }
 
 TEST_CASE("a process that stands still with room for calls does not hold a start", "[start]") {
@@ -89,7 +90,8 @@
     const Owned still = listen_at(start.socket_path(), 8);
     start.run();
     REQUIRE(start.ready(kReady));
-    REQUIRE(start.says("handover: the process there gave no answer; this process listens by itself"));
+    REQUIRE(start.says(
+        "hot restart: the process at the socket gave no valid answer; this process listens by itself"));
 }
 
 TEST_CASE("one that is busy for ever, trickles or talks without end does not hold a start", "[start]") {
@@ -103,9 +105,9 @@
         double every_s;
         const char* told;
     };
-    const Case one =
-        GENERATE_COPY(Case{busy, 0.01, "another process is taking over"}, Case{"x", 0.02, "gave no answer"},
-                      Case{use + "\n", 0.001, "gave no answer"});
+    const Case one = GENERATE_COPY(Case{busy, 0.01, "another process is taking over"},
+                                   Case{"x", 0.02, "gave no valid answer"},
+                                   Case{use + "\n", 0.001, "gave no valid answer"});
     const Peer peer(start.socket_path(), one.line, one.every_s);
     start.run();
     REQUIRE(start.ready(kReady));
@@ -127,5 +129,5 @@
     { const Owned gone = listen_at(start.socket_path(), 8); }
     start.run();
     REQUIRE(start.ready());
-    REQUIRE(start.log().find("handover: the process there") == std::string::npos);
+    REQUIRE(start.log().find("hot restart: the process at the socket") == std::string::npos);
 }
