--- a/tests/lifecycle/stop_test.cpp
+++ b/tests/lifecycle/stop_test.cpp
@@ -1,6 +1,6 @@
-// A started program is told to stop while clients, the provider, discovery and the receiver do what would
-// keep it for ever: it exits with status 0 within its bound, and each request that it took has one final
-// answer.
+// A started program gets SIGTERM while clients, the backend, discovery and the remote-write receiver behave
+// so that it could wait for ever. It must exit with status 0 within its bound, and each accepted request
+// must get one final answer.
 #include <algorithm>
 #include <atomic>
 #include <catch2/catch.hpp>
@@ -14,17 +14,17 @@
 #include "lifecycle/graceful_shutdown.hpp"
 #include "process.hpp"
 
-namespace op = slatejunction::lifecycle;
+namespace lifecycle = slatejunction::lifecycle;
 
 namespace {
 
-constexpr double kGiveUpS = 20;   // a test's own end, which no stop reaches
+constexpr double kTestTimeoutS = 20;   // longer than any stop takes
 
 double now_s() {
     return std::chrono::duration<double>(std::chrono::steady_clock::now().time_since_epoch()).count();
 }
 
-// A descriptor of this test.
+// Owns a file descriptor.
 class Descriptor {
   public:
     explicit Descriptor(int fd = -1) : fd_(fd) {}
@@ -40,7 +40,7 @@
     int fd_;
 };
 
-// Takes connections, as the kernel does for it, and never says anything.
+// Its connections are accepted by the kernel, and never get a byte.
 struct SilentServer {
     SilentServer() : fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
         sockaddr_in at = loopback_of(0);
@@ -54,7 +54,7 @@
     int port = 0;
 };
 
-// Empty when nobody listens there.
+// Returns an empty Descriptor if nobody listens at the port.
 Descriptor dial(int port) {
     Descriptor fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
     const sockaddr_in at = loopback_of(port);
@@ -75,17 +75,17 @@
            "X-Call-Terms: units=1,spread=1,first=0\r\n\r\n";
 }
 
-// All until the peer ends the connection, or for the test's own time.
+// Reads until the peer closes the connection, or the test's timeout.
 std::string read_to_end(const Descriptor& fd) {
-    std::string all;
+    std::string received;
     char bytes[4096];
-    pollfd one{fd.get(), POLLIN, 0};
-    while (::poll(&one, 1, static_cast<int>(kGiveUpS * 1000)) == 1) {
+    pollfd event{fd.get(), POLLIN, 0};
+    while (::poll(&event, 1, static_cast<int>(kTestTimeoutS * 1000)) == 1) {
         const ::ssize_t size = ::recv(fd.get(), bytes, sizeof bytes, 0);
         if (size <= 0) break;
-        all.append(bytes, static_cast<std::size_t>(size));
+        received.append(bytes, static_cast<std::size_t>(size));
     }
-    return all;
+    return received;
 }
 
 std::size_t answers_in(const std::string& bytes) {
@@ -94,51 +94,53 @@
     return count;
 }
 
-// One answer, or what came of it until the connection ended.
+// Reads one response; returns an empty text if the connection ends before it is complete.
 std::string read_answer(const Descriptor& fd) {
-    std::string all;
+    std::string received;
     char bytes[4096];
-    pollfd one{fd.get(), POLLIN, 0};
+    pollfd event{fd.get(), POLLIN, 0};
     for (;;) {
-        const std::size_t head = all.find("\r\n\r\n"), length = all.find("Content-Length: ");
+        const std::size_t head = received.find("\r\n\r\n"), length = received.find("Content-Length: ");
         if (head != std::string::npos && length < head &&
-            all.size() >= head + 4 + std::stoul(all.substr(length + 16)))
-            return all;
-        if (::poll(&one, 1, static_cast<int>(kGiveUpS * 1000)) != 1) return {};
+            received.size() >= head + 4 + std::stoul(received.substr(length + 16)))
+            return received;
+        if (::poll(&event, 1, static_cast<int>(kTestTimeoutS * 1000)) != 1) return {};
         const ::ssize_t size = ::recv(fd.get(), bytes, sizeof bytes, 0);
         if (size <= 0) return {};
-        all.append(bytes, static_cast<std::size_t>(size));
+        received.append(bytes, static_cast<std::size_t>(size));
     }
 }
 
-// A client that sends its next request as soon as the last one is answered, on the connection that it has
-// as long as it may, else on the next one; until nobody listens any more.
+// A client that sends its next request as soon as the last one is answered, until nobody listens any more.
+// It keeps its connection until a response closes it, and then may open the next one.
 class Client {
   public:
     enum class Sends { health_checks, requests };
     enum class Reconnects { no, yes };
     Client(int port, std::string name, Sends sends, Reconnects reconnects)
         : thread_([this, port, name = std::move(name), sends, reconnects] {
-              const double until = now_s() + kGiveUpS;
-              for (Descriptor fd = dial(port); fd && !over_ && now_s() < until;) {
-                  if (talk(fd, name, sends)) continue;
+              const double until = now_s() + kTestTimeoutS;
+              for (Descriptor fd = dial(port); fd && !stopped_ && now_s() < until;) {
+                  if (send_one(fd, name, sends)) continue;
                   fd = reconnects == Reconnects::yes ? dial(port) : Descriptor();
               }
           }) {}
-    ~Client() { end(); }
+    ~Client() { stop(); }
     Client(const Client&) = delete;
     Client& operator=(const Client&) = delete;
-    void end() {
-        over_ = true;
+    void stop() {
+        stopped_ = true;
         if (thread_.joinable()) thread_.join();
     }
     int answered() const { return answered_; }
-    int lost() const { return lost_; }         // sent, and the connection ended without an answer
-    int doubled() const { return doubled_; }   // something more came behind the last answer of a connection
+    // Requests whose connection ended without a response.
+    int lost() const { return lost_; }
+    // Connections with further bytes after their last response.
+    int with_extra_bytes() const { return with_extra_bytes_; }
 
   private:
-    // False: the connection has ended, or was told to.
-    bool talk(const Descriptor& fd, const std::string& name, Sends sends) {
+    // Returns false if the connection has ended, or the response closes it.
+    bool send_one(const Descriptor& fd, const std::string& name, Sends sends) {
         const std::string text =
             sends == Sends::requests ? request(name + "-" + std::to_string(++number_)) : kHealthCheck;
         if (!send_all(fd, text)) return ++lost_, false;
@@ -146,23 +148,23 @@
         if (answer.empty()) return ++lost_, false;
         ++answered_;
         if (answer.find("Connection: close") == std::string::npos) return true;
-        if (!read_to_end(fd).empty()) ++doubled_;
+        if (!read_to_end(fd).empty()) ++with_extra_bytes_;
         return false;
     }
 
-    std::atomic<bool> over_ = false;
-    std::atomic<int> answered_ = 0, lost_ = 0, doubled_ = 0;
+    std::atomic<bool> stopped_ = false;
+    std::atomic<int> answered_ = 0, lost_ = 0, with_extra_bytes_ = 0;
     int number_ = 0;
-    std::thread thread_;   // last: it uses the others
+    std::thread thread_;   // the last member, as it uses the others
 };
 
 struct Program {
-    // Options are the operator's file; empty: none. `deadline`: of both classes, as the file has it.
-    explicit Program(int provider_port, const std::string& options = {},
+    // `options` is the operator's file; empty: none. `deadline` is that of both classes (s).
+    explicit Program(int backend_port, const std::string& options = {},
                      const std::string& deadline = "12") {
         std::ifstream in(std::string(EXCHANGES) + "/config.json");
         std::string config{std::istreambuf_iterator<char>(in), std::istreambuf_iterator<char>()};
-        change(config, "$PROVIDER", address_of(provider_port));
+        change(config, "$PROVIDER", address_of(backend_port));
         change(
             config, "\"listen\": \"127.0.0.1:1\"",
             "\"listen\": \"" + address_of(port) + "\", \"admin_addr\": \"" + address_of(admin_port) + "\"");
@@ -170,12 +172,13 @@
                "\"discovery\": \"" + address_of(discovery.port) + "\"");
         change(config, "\"DeadlineS\": 4", "\"DeadlineS\": " + deadline);
         change(config, "\"DeadlineS\": 12", "\"DeadlineS\": " + deadline);
-        std::vector<std::string> words{PROGRAM, "serve", "--config", folder.write("config.json", config)};
+        std::vector<std::string> arguments{PROGRAM, "serve", "--config",
+                                           folder.write("config.json", config)};
         if (!options.empty()) {
-            words.push_back("--operator");
-            words.push_back(folder.write("operator.ini", options));
+            arguments.push_back("--operator");
+            arguments.push_back(folder.write("operator.ini", options));
         }
-        process = Process(words, "", folder.file("log"));
+        process = Process(arguments, "", folder.file("log"));
         REQUIRE(wait_for([&] { return ask(port, "GET", "/health/ready").starts_with("HTTP/1.1 200"); }));
     }
     static void change(std::string& text, const std::string& from, const std::string& to) {
@@ -183,9 +186,9 @@
         REQUIRE(at != std::string::npos);
         text.replace(at, from.size(), to);
     }
-    // Tells it to end; when it has is looked at beside, whatever this test does meanwhile.
-    void tell() {
-        told_at = now_s();
+    // Sends SIGTERM. A thread of its own measures when the program exits, whatever the test does meanwhile.
+    void request_stop() {
+        stop_requested_at = now_s();
         exited_at = std::async(std::launch::async, [id = process.id()] {
             siginfo_t info{};
             ::waitid(P_PID, static_cast<id_t>(id), &info, WEXITED | WNOWAIT);
@@ -193,36 +196,35 @@
         });
         process.signal(SIGTERM);
     }
-    // Seconds from tell() until it exited with status 0, which must come.
+    // Seconds from request_stop() until the program has exited, which it must do with status 0.
     double exited_after() {
-        const auto most = std::chrono::duration<double>(kGiveUpS);
-        const bool exits = exited_at.wait_for(most) == std::future_status::ready;
+        const auto timeout = std::chrono::duration<double>(kTestTimeoutS);
+        const bool exits = exited_at.wait_for(timeout) == std::future_status::ready;
         INFO(folder.read("log"));
         REQUIRE(exits);
         REQUIRE(process.wait() == 0);
-        return exited_at.get() - told_at;
+        return exited_at.get() - stop_requested_at;
     }
     Folder folder;
     SilentServer discovery;
     const int port = free_port(), admin_port = free_port();
-    double told_at = 0;
+    double stop_requested_at = 0;
     std::future<double> exited_at;
-    Process process;   // last: its end is what the future waits for
+    Process process;   // the last member, as the future waits for its end
 };
 
-// The protocol page's, in figures of its own.
+// The platform's guarantee, independent of the program's constants.
 double earliest_kill_s(double deadline) { return std::min(deadline, 3.0) + 0.7; }
 
 }   // namespace
 
-TEST_CASE("health checks without pause and connections that say nothing do not prolong a stop",
-          "[operations][stop]") {
+TEST_CASE("continuous health checks and silent connections do not prolong a stop", "[operations][stop]") {
     const bool drained = GENERATE(false, true);
     Folder folder;
-    const int provider_port = free_port();
-    Process provider({FAKES, "backend", "--listen", address_of(provider_port), "--read-ms", "2"}, "",
-                     folder.file("provider.err"));
-    Program program(provider_port);
+    const int backend_port = free_port();
+    Process backend({FAKES, "backend", "--listen", address_of(backend_port), "--read-ms", "2"}, "",
+                    folder.file("backend.err"));
+    Program program(backend_port);
     if (drained) REQUIRE(ask(program.admin_port, "POST", "/v1/ingress/drain").starts_with("HTTP/1.1 200"));
     std::vector<std::unique_ptr<Client>> checks;
     for (int i = 0; i < 4; ++i)
@@ -232,85 +234,85 @@
                 drained ? Client::Reconnects::yes : Client::Reconnects::no);
     const Descriptor silent = dial(program.port);
     REQUIRE(wait_for([&] { return checks[0]->answered() > 20 && kept.answered() > 20; }));
-    program.tell();
-    if (drained) kept.end();   // on each connection it is told to go, before the stop as well
+    program.request_stop();
+    if (drained) kept.stop();   // a drained ingress closes its connections before the stop as well
     const double after = program.exited_after();
-    CHECK(after > op::GracefulShutdown::kIdleGraceS);
+    CHECK(after > lifecycle::GracefulShutdown::kIdleGraceS);
     CHECK(after < 2);   // the bound is 3.5 s
-    kept.end();
+    kept.stop();
     CHECK(kept.lost() == 0);
-    CHECK(kept.doubled() == 0);
-    for (auto& one : checks) {
-        one->end();
-        CHECK(one->answered() > 0);
-        CHECK(one->lost() == 0);
-        CHECK(one->doubled() == 0);
+    CHECK(kept.with_extra_bytes() == 0);
+    for (auto& client : checks) {
+        client->stop();
+        CHECK(client->answered() > 0);
+        CHECK(client->lost() == 0);
+        CHECK(client->with_extra_bytes() == 0);
     }
-    provider.end(SIGTERM);
+    backend.end(SIGTERM);
 }
 
-TEST_CASE("requests without pause, on new connections too, do not keep a stop beyond its bound",
+TEST_CASE("continuous requests, also on new connections, do not delay a stop beyond its bound",
           "[operations][stop]") {
     Folder folder;
-    const int provider_port = free_port();
-    Process provider({FAKES, "backend", "--listen", address_of(provider_port), "--read-ms", "5"}, "",
-                     folder.file("provider.err"));
-    Program program(provider_port, {}, "3");
+    const int backend_port = free_port();
+    Process backend({FAKES, "backend", "--listen", address_of(backend_port), "--read-ms", "5"}, "",
+                    folder.file("backend.err"));
+    Program program(backend_port, {}, "3");
     std::vector<std::unique_ptr<Client>> clients;
     for (int i = 0; i < 4; ++i)
         clients.push_back(std::make_unique<Client>(program.port, "c" + std::to_string(i),
                                                    Client::Sends::requests, Client::Reconnects::yes));
     clients.push_back(
         std::make_unique<Client>(program.port, "", Client::Sends::health_checks, Client::Reconnects::yes));
-    for (const auto& one : clients) REQUIRE(wait_for([&] { return one->answered() > 20; }));
-    program.tell();
+    for (const auto& client : clients) REQUIRE(wait_for([&] { return client->answered() > 20; }));
+    program.request_stop();
     const double after = program.exited_after();
-    CHECK(after > op::close_after_s(3));   // it went on as long as it could
+    CHECK(after > lifecycle::close_after_s(3));   // it served as long as allowed
     CHECK(after < earliest_kill_s(3));
-    for (auto& one : clients) {
-        one->end();
-        CHECK(one->lost() == 0);
-        CHECK(one->doubled() == 0);
+    for (auto& client : clients) {
+        client->stop();
+        CHECK(client->lost() == 0);
+        CHECK(client->with_extra_bytes() == 0);
     }
-    provider.end(SIGTERM);
+    backend.end(SIGTERM);
 }
 
-TEST_CASE("a provider, a receiver and clients that hang do not keep a stop beyond its bound",
+TEST_CASE("a hanging backend, receiver and clients do not delay a stop beyond its bound",
           "[operations][stop]") {
-    SilentServer provider, receiver;
+    SilentServer backend, receiver;
     Program program(
-        provider.port,
+        backend.port,
         "[remote_write]\nurl = http://" + address_of(receiver.port) + "/write\ninterval_s = 1\n", "3");
-    std::vector<Descriptor> asking, half, silent;
-    const auto knock = [&] {
-        Descriptor one = dial(program.port);
-        if (!one) return false;
-        REQUIRE(send_all(one, request("k" + std::to_string(asking.size()))));
-        asking.push_back(std::move(one));
-        if (one = dial(program.port); one && send_all(one, "GET /risk-read?cus"))
-            half.push_back(std::move(one));
-        if (one = dial(program.port); one) silent.push_back(std::move(one));
+    std::vector<Descriptor> complete, partial, silent;
+    const auto open_connections = [&] {
+        Descriptor fd = dial(program.port);
+        if (!fd) return false;
+        REQUIRE(send_all(fd, request("k" + std::to_string(complete.size()))));
+        complete.push_back(std::move(fd));
+        if (fd = dial(program.port); fd && send_all(fd, "GET /risk-read?cus"))
+            partial.push_back(std::move(fd));
+        if (fd = dial(program.port); fd) silent.push_back(std::move(fd));
         return true;
     };
-    REQUIRE(knock());
-    program.tell();
-    while (knock() && now_s() - program.told_at < kGiveUpS) sleep_s(0.1);
+    REQUIRE(open_connections());
+    program.request_stop();
+    while (open_connections() && now_s() - program.stop_requested_at < kTestTimeoutS) sleep_s(0.1);
     const double after = program.exited_after();
     CHECK(after < earliest_kill_s(3));
-    int cut = 0;
-    for (const Descriptor& one : asking) {
-        const std::string answer = read_to_end(one);
+    int unfinished = 0;
+    for (const Descriptor& fd : complete) {
+        const std::string answer = read_to_end(fd);
         INFO(answer);
         CHECK(answers_in(answer) == 1);
-        if (answer.starts_with("HTTP/1.1 504")) ++cut;
+        if (answer.starts_with("HTTP/1.1 504")) ++unfinished;
     }
-    CHECK(cut > 0);
-    for (const Descriptor& one : half) {
-        const std::string answer = read_to_end(one);
+    CHECK(unfinished > 0);
+    for (const Descriptor& fd : partial) {
+        const std::string answer = read_to_end(fd);
         INFO(answer);
         CHECK(answers_in(answer) == 1);
         CHECK((answer.starts_with("HTTP/1.1 503") || answer.starts_with("HTTP/1.1 408")));
     }
-    for (const Descriptor& one : silent) CHECK(read_to_end(one).empty());
+    for (const Descriptor& fd : silent) CHECK(read_to_end(fd).empty());
     CHECK(program.folder.read("log").find("time limit reached: answering ") != std::string::npos);
 }
