--- a/tests/ingress/exchange_test.cpp
+++ b/tests/ingress/exchange_test.cpp
@@ -1,4 +1,4 @@
-// Every file of exchanges/ is a test of its own, by its name.
+// Each recorded exchange in exchanges/ is a test case of its own, named after its file.
 #include <catch2/catch.hpp>
 #include <filesystem>
 #include <string>
@@ -10,13 +10,13 @@
 class Exchange final : public Catch::ITestInvoker {
   public:
     explicit Exchange(std::string file) : file_(std::move(file)) {}
-    void invoke() const override { play(file_); }
+    void invoke() const override { play_exchange(file_); }
 
   private:
     const std::string file_;
 };
 
-// Before main(), as TEST_CASE does. The invoker is Catch2's from here on.
+// Called before main(), as TEST_CASE does. Catch2 owns the invoker from here on.
 int register_exchanges() {
     int count = 0;
     for (const auto& entry : std::filesystem::directory_iterator(EXCHANGES)) {
--- a/tests/ingress/player.cpp
+++ b/tests/ingress/player.cpp
@@ -20,7 +20,7 @@
 
 namespace {
 
-constexpr int kPatienceMs = 10000;   // for the program to do anything: never reached unless it fails
+constexpr int kTimeoutMs = 10000;   // for each reaction of the program; reached only if it fails
 
 class Fd {
   public:
@@ -45,7 +45,7 @@
 }
 
 // A listening socket on a free port.
-std::pair<Fd, int> listening() {
+std::pair<Fd, int> listen_on_free_port() {
     Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
     sockaddr_in at = loopback(0);
     socklen_t size = sizeof at;
@@ -56,9 +56,9 @@
     return {std::move(fd), port};
 }
 
-bool readable(int fd, int patience_ms = kPatienceMs) {
-    pollfd one{fd, POLLIN, 0};
-    return ::poll(&one, 1, patience_ms) == 1;
+bool readable(int fd, int timeout_ms = kTimeoutMs) {
+    pollfd event{fd, POLLIN, 0};
+    return ::poll(&event, 1, timeout_ms) == 1;
 }
 
 bool matches(const std::string& pattern, const std::string& text) {
@@ -71,16 +71,16 @@
 
 struct Peer {
     Fd fd;
-    std::string got;
+    std::string received;
 };
 
 class Player {
   public:
     Player() {
-        std::tie(provider_, provider_port_) = listening();
-        std::tie(directory_, directory_port_) = listening();
-        std::tie(other_, other_port_) = listening();
-        port_ = listening().second;
+        std::tie(backend_, backend_port_) = listen_on_free_port();
+        std::tie(discovery_, discovery_port_) = listen_on_free_port();
+        std::tie(other_discovery_, other_discovery_port_) = listen_on_free_port();
+        port_ = listen_on_free_port().second;
         std::ifstream in(std::string(EXCHANGES) + "/config.json");
         std::stringstream text;
         text << in.rdbuf();
@@ -97,75 +97,75 @@
         std::string verb, name;
         words >> verb >> name;
         if (verb == "@set") {
-            const std::size_t mark = line.find(" => ");
-            return change(line.substr(5, mark - 5), line.substr(mark + 4));
+            const std::size_t separator = line.find(" => ");
+            return change(line.substr(5, separator - 5), line.substr(separator + 4));
         }
-        if (verb == "@patience") return void(patience_ms_ = std::stoi(name));
-        if (verb == "@files") return void(files_ = name);
-        if (verb == "@admin") return void(std::tie(std::ignore, admin_port_) = listening());
+        if (verb == "@patience") return void(timeout_ms_ = std::stoi(name));
+        if (verb == "@files") return void(max_descriptors_ = name);
+        if (verb == "@admin") return void(std::tie(std::ignore, admin_port_) = listen_on_free_port());
         if (pid_ == 0) start();
-        if (verb == "@consumer") return use("consumer " + name, [&] { return connect(port_); });
-        if (verb == "@operator") return use("operator " + name, [&] { return connect(admin_port_); });
+        if (verb == "@consumer") return select("consumer " + name, [&] { return connect(port_); });
+        if (verb == "@operator") return select("operator " + name, [&] { return connect(admin_port_); });
         if (verb == "@stalled" || verb == "@silent") {
             const int port = verb == "@stalled" ? admin_port_ : port_;
-            for (int i = 0; i < std::stoi(name); ++i) fillers_.push_back(connect(port));
+            for (int i = 0; i < std::stoi(name); ++i) silent_connections_.push_back(connect(port));
             return;
         }
-        if (verb == "@provider") return use("provider " + name, [&] { return accept(provider_); });
-        if (verb == "@directory") return use("directory " + name, [&] { return accept(directory_); });
+        if (verb == "@provider") return select("provider " + name, [&] { return accept(backend_); });
+        if (verb == "@directory") return select("directory " + name, [&] { return accept(discovery_); });
         if (verb == "@freeze") return void(::kill(pid_, SIGSTOP));
         if (verb == "@thaw")
             return ::usleep(1000 * static_cast<unsigned>(std::stoul(name))), void(::kill(pid_, SIGCONT));
         if (verb == "@reload") {
-            const std::size_t mark = line.find(" => ");
-            change(line.substr(8, mark - 8), line.substr(mark + 4));
+            const std::size_t separator = line.find(" => ");
+            change(line.substr(8, separator - 8), line.substr(separator + 4));
             if (config_.find("$OTHER") != std::string::npos)
-                change("$OTHER", "127.0.0.1:" + std::to_string(other_port_));
+                change("$OTHER", "127.0.0.1:" + std::to_string(other_discovery_port_));
             write_config();
             return void(::kill(pid_, SIGHUP));
         }
         if (verb == "@quiet") {
-            REQUIRE_FALSE(readable(directory_.get(), std::stoi(name)));
+            REQUIRE_FALSE(readable(discovery_.get(), std::stoi(name)));
             return;
         }
         if (verb == "@undialled") {
-            REQUIRE_FALSE(readable(provider_.get(), std::stoi(name)));
+            REQUIRE_FALSE(readable(backend_.get(), std::stoi(name)));
             return;
         }
-        if (verb == "@other") return use("other " + name, [&] { return accept(other_); });
+        if (verb == "@other") return select("other " + name, [&] { return accept(other_discovery_); });
         if (verb == "@term") return void(::kill(pid_, SIGTERM));
         if (verb == "@exit") return expect_exit(std::stoi(name));
-        if (verb == "@deaf") return fill();
-        if (verb == "@hear") return clear();
+        if (verb == "@deaf") return fill_backlog();
+        if (verb == "@hear") return clear_backlog();
         REQUIRE(peer_);
         if (verb == "+") {
-            held_ += line.substr(std::min<std::size_t>(2, line.size())) + "\r\n";
+            pending_ += line.substr(std::min<std::size_t>(2, line.size())) + "\r\n";
         } else if (verb == ">") {
             const bool open = line.back() == '\\';
-            send(std::exchange(held_, "") +
-                 named(line).substr(std::min<std::size_t>(2, line.size()),
-                                    open ? named(line).size() - 3 : std::string::npos) +
+            send(std::exchange(pending_, "") +
+                 with_address(line).substr(std::min<std::size_t>(2, line.size()),
+                                           open ? with_address(line).size() - 3 : std::string::npos) +
                  (open ? "" : "\r\n"));
         } else if (verb == "<") {
-            const std::string wanted = line.size() > 2 ? line.substr(2) : "";
+            const std::string expected = line.size() > 2 ? line.substr(2) : "";
             const std::string got = read_line();
-            INFO("wanted '" << wanted << "', got '" << got << "'");
-            REQUIRE(matches(wanted, got));
+            INFO("expected '" << expected << "', got '" << got << "'");
+            REQUIRE(matches(expected, got));
         } else if (verb == "@body") {
             send(std::string(std::stoul(name), 'x'));
         } else if (verb == "@expect-body") {
             const std::size_t size = std::stoul(name);
-            while (peer_->got.size() < size) REQUIRE(more());
-            REQUIRE(peer_->got.substr(0, size) == std::string(size, 'x'));
-            peer_->got.erase(0, size);
-        } else if (verb == "@chunks") {   // however they are cut
+            while (peer_->received.size() < size) REQUIRE(receive());
+            REQUIRE(peer_->received.substr(0, size) == std::string(size, 'x'));
+            peer_->received.erase(0, size);
+        } else if (verb == "@chunks") {   // of any size
             for (std::size_t left = std::stoul(name); left > 0;) {
                 const std::size_t size = std::stoul(read_line(), nullptr, 16);
                 REQUIRE(size > 0);
                 REQUIRE(size <= left);
-                while (peer_->got.size() < size + 2) REQUIRE(more());
-                REQUIRE(peer_->got.substr(0, size + 2) == std::string(size, 'x') + "\r\n");
-                peer_->got.erase(0, size + 2);
+                while (peer_->received.size() < size + 2) REQUIRE(receive());
+                REQUIRE(peer_->received.substr(0, size + 2) == std::string(size, 'x') + "\r\n");
+                peer_->received.erase(0, size + 2);
                 left -= size;
             }
         } else if (verb == "@end") {
@@ -175,11 +175,11 @@
             ::setsockopt(peer_->fd.get(), SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
             peer_->fd = Fd();
         } else if (verb == "@closed") {
-            while (more()) {
+            while (receive()) {
             }
-            REQUIRE(peer_->got == "");
+            REQUIRE(peer_->received == "");
         } else {
-            FAIL("an unknown line: " << line);
+            FAIL("unknown step: " << line);
         }
     }
 
@@ -190,10 +190,10 @@
         config_.replace(at, from.size(), to);
     }
 
-    // The provider's address in place of its name.
-    std::string named(std::string line) const {
+    // Replaces $PROVIDER by the backend's address.
+    std::string with_address(std::string line) const {
         if (const std::size_t at = line.find("$PROVIDER"); at != std::string::npos)
-            line.replace(at, 9, "127.0.0.1:" + std::to_string(provider_port_));
+            line.replace(at, 9, "127.0.0.1:" + std::to_string(backend_port_));
         return line;
     }
 
@@ -201,34 +201,34 @@
 
     void start() {
         if (config_.find("$PROVIDER") != std::string::npos)
-            change("$PROVIDER", "127.0.0.1:" + std::to_string(provider_port_));
+            change("$PROVIDER", "127.0.0.1:" + std::to_string(backend_port_));
         char path[] = "/tmp/slatejunction-XXXXXX";
         const Fd file(::mkstemp(path));
         config_path_ = path;
         write_config();
         ::setenv("NODE_CONFIG", path, 1);
         ::setenv("NODE_LISTEN", ("127.0.0.1:" + std::to_string(port_)).c_str(), 1);
-        ::setenv("NODE_DISCOVERY", ("127.0.0.1:" + std::to_string(directory_port_)).c_str(), 1);
+        ::setenv("NODE_DISCOVERY", ("127.0.0.1:" + std::to_string(discovery_port_)).c_str(), 1);
         if (admin_port_ > 0)
             ::setenv("NODE_ADMIN_ADDR", ("127.0.0.1:" + std::to_string(admin_port_)).c_str(), 1);
         else
             ::unsetenv("NODE_ADMIN_ADDR");
         std::string shell = "/bin/sh", flag = "-c";
         std::string command = "exec " PROGRAM;
-        if (!files_.empty()) command = "ulimit -n " + files_ + "; " + command;
+        if (!max_descriptors_.empty()) command = "ulimit -n " + max_descriptors_ + "; " + command;
         char* const argv[] = {shell.data(), flag.data(), command.data(), nullptr};
         REQUIRE(::posix_spawn(&pid_, argv[0], nullptr, nullptr, argv, environ) == 0);
     }
 
     template <class Make>
-    void use(const std::string& name, Make make) {
+    void select(const std::string& name, Make make) {
         auto at = peers_.find(name);
         if (at == peers_.end()) at = peers_.emplace(name, Peer{make(), ""}).first;
         peer_ = &at->second;
     }
     Fd connect(int port) {
         const sockaddr_in at = loopback(port);
-        for (int tries = 0; tries < kPatienceMs / 10; ++tries) {   // until the program has started
+        for (int tries = 0; tries < kTimeoutMs / 10; ++tries) {   // until the program has started
             Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
             if (::connect(fd.get(), reinterpret_cast<const sockaddr*>(&at), sizeof at) == 0) return fd;
             ::usleep(10000);
@@ -240,65 +240,66 @@
         REQUIRE(readable(listener.get()));
         return Fd(::accept4(listener.get(), nullptr, nullptr, SOCK_CLOEXEC));
     }
-    // With its backlog full the kernel drops what else comes: a dial sees neither an answer nor a refusal.
-    void fill() {
-        REQUIRE(::listen(provider_.get(), 0) == 0);
-        const sockaddr_in at = loopback(provider_port_);
+    // With a full backlog the kernel drops further handshakes: a dial is neither accepted nor refused.
+    void fill_backlog() {
+        REQUIRE(::listen(backend_.get(), 0) == 0);
+        const sockaddr_in at = loopback(backend_port_);
         for (int i = 0; i < 4; ++i) {
-            fillers_.emplace_back(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
-            ::connect(fillers_.back().get(), reinterpret_cast<const sockaddr*>(&at), sizeof at);
+            silent_connections_.emplace_back(
+                ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
+            ::connect(silent_connections_.back().get(), reinterpret_cast<const sockaddr*>(&at), sizeof at);
         }
     }
-    // Takes out of the backlog what filled it; dials that are under way come up when they knock again.
-    void clear() {
-        fillers_.clear();
-        REQUIRE(::listen(provider_.get(), 64) == 0);
-        while (readable(provider_.get(), 0)) {
-            const Fd one(::accept4(provider_.get(), nullptr, nullptr, SOCK_CLOEXEC));
+    // Empties the backlog. Dials in progress succeed when the kernel retransmits their handshake.
+    void clear_backlog() {
+        silent_connections_.clear();
+        REQUIRE(::listen(backend_.get(), 64) == 0);
+        while (readable(backend_.get(), 0)) {
+            const Fd connection(::accept4(backend_.get(), nullptr, nullptr, SOCK_CLOEXEC));
             char byte;
-            REQUIRE(::recv(one.get(), &byte, 1, 0) <= 0);   // a filler's, which is closed
+            REQUIRE(::recv(connection.get(), &byte, 1, 0) <= 0);   // fill_backlog() made it
         }
     }
     void send(const std::string& bytes) {
         REQUIRE(::send(peer_->fd.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL) ==
                 ::ssize_t(bytes.size()));
     }
-    bool more() {
+    bool receive() {
         char bytes[4096];
-        REQUIRE(readable(peer_->fd.get(), patience_ms_));
+        REQUIRE(readable(peer_->fd.get(), timeout_ms_));
         const ::ssize_t size = ::recv(peer_->fd.get(), bytes, sizeof bytes, 0);
-        if (size > 0) peer_->got.append(bytes, static_cast<std::size_t>(size));
+        if (size > 0) peer_->received.append(bytes, static_cast<std::size_t>(size));
         return size > 0;
     }
     std::string read_line() {
         std::size_t end;
-        while ((end = peer_->got.find("\r\n")) == std::string::npos)
-            if (!more()) return "(ended) " + peer_->got;
-        const std::string line = peer_->got.substr(0, end);
-        peer_->got.erase(0, end + 2);
+        while ((end = peer_->received.find("\r\n")) == std::string::npos)
+            if (!receive()) return "(ended) " + peer_->received;
+        const std::string line = peer_->received.substr(0, end);
+        peer_->received.erase(0, end + 2);
         return line;
     }
-    void expect_exit(int wanted) {
+    void expect_exit(int expected) {
         int status = 0;
         REQUIRE(::waitpid(std::exchange(pid_, -1), &status, 0) > 0);
         REQUIRE(WIFEXITED(status));
-        REQUIRE(WEXITSTATUS(status) == wanted);
+        REQUIRE(WEXITSTATUS(status) == expected);
     }
 
-    Fd provider_, directory_, other_;
-    std::vector<Fd> fillers_;
-    int provider_port_ = 0, directory_port_ = 0, other_port_ = 0, port_ = 0, admin_port_ = 0;
-    std::string config_, config_path_, files_;
+    Fd backend_, discovery_, other_discovery_;
+    std::vector<Fd> silent_connections_;
+    int backend_port_ = 0, discovery_port_ = 0, other_discovery_port_ = 0, port_ = 0, admin_port_ = 0;
+    std::string config_, config_path_, max_descriptors_;
     ::pid_t pid_ = 0;
-    int patience_ms_ = kPatienceMs;
-    std::string held_;
+    int timeout_ms_ = kTimeoutMs;
+    std::string pending_;   // to be sent with the next line
     std::map<std::string, Peer> peers_;
     Peer* peer_ = nullptr;
 };
 
 }   // namespace
 
-void play(const std::string& file) {
+void play_exchange(const std::string& file) {
     std::ifstream in(file);
     REQUIRE(in);
     Player player;
--- a/tests/ingress/player.hpp
+++ b/tests/ingress/player.hpp
@@ -1,34 +1,46 @@
-// Plays a recorded exchange against the program: the one helper of all exchange tests.
+// Plays a recorded exchange against the program.
 //
-// A file is read line by line:
-//   # text               a comment
-//   @set FROM => TO      before anything else: a change to the configuration's text
-//   @files N             likewise: the program may hold so many descriptors
-//   @admin               likewise: it has an address for operators
-//   @operator NAME       as @consumer, at that address; @stalled N: N connections there that say nothing
-//   @silent N            N connections of consumers that say nothing
-//   @consumer NAME       the lines that follow belong to this connection; made when first named
-//   @provider N          connection N (1, 2 ...) that the program opens to the provider
-//   @directory N         connection N that the program opens to the directory
-//   > text               bytes sent on it ($PROVIDER: the provider's address), ended by CR LF; `> text\`
-//   ends without
-//   + text               the same, but sent in one with the next line of `>`
-//   < text               a line that the program must send next; * stands for any bytes of it
-//   @body N              N bytes 'x' sent at once; @expect-body N the same, from the program
-//   @chunks N            N bytes 'x' from the program in chunks, however they are cut
-//   @end  @reset         ends its sending, or breaks the connection
-//   @closed              the program must end the connection, with nothing more sent
-//   @patience MS         from here on the program must do each thing within that time
-//   @freeze  @thaw N     the program stands still, and goes on after N ms
-//   @reload FROM => TO   the configuration's file changes likewise, and SIGHUP tells the program
-//   @other N             connection N that it opens to another directory, which TO may name as $OTHER
-//   @quiet MS            the program must not connect to the directory for so long
-//   @undialled MS        likewise to the provider
-//   @term  @exit N       SIGTERM to the program; it must exit with that status
-//   @deaf                the provider's machine takes no more connections: dials to it stay silent
-//   @hear                it takes them again
+// An exchange is a text file of one step per line. Before the program starts:
+// - @set FROM => TO: replaces a text in the configuration.
+// - @files N: limits the program to N descriptors.
+// - @admin: gives the program an admin address.
+//
+// Connections. The first step that names one makes or accepts it; the steps that follow use it:
+// - @consumer NAME: a client's connection to the program.
+// - @operator NAME: a connection to the admin address.
+// - @provider N: the connection N (1, 2 ...) that the program opens to the backend.
+// - @directory N: the connection N that the program opens to discovery.
+// - @other N: the connection N that the program opens to the discovery address that @reload names as
+// $OTHER.
+// - @silent N: N client connections that send nothing.
+// - @stalled N: N connections to the admin address that send nothing.
+//
+// Steps on the current connection:
+// - > TEXT: sends a line, with CR LF unless TEXT ends with a backslash. $PROVIDER is the backend's address.
+// - + TEXT: the same, but sent together with the next line of `>`.
+// - < TEXT: the program must send this line next; * stands for any bytes.
+// - @body N: sends N bytes 'x' at once.
+// - @expect-body N: the program must send N bytes 'x'.
+// - @chunks N: the program must send N bytes 'x' in chunks of any size.
+// - @end: closes the sending side.
+// - @reset: resets the connection.
+// - @closed: the program must close the connection without sending anything more.
+//
+// Steps for the program and its peers:
+// - @patience MS: the time within which the program must react from here on.
+// - @freeze: stops the program (SIGSTOP).
+// - @thaw MS: lets it run again after that time.
+// - @reload FROM => TO: replaces a text in the configuration file, and sends SIGHUP.
+// - @quiet MS: the program must not connect to discovery for that time.
+// - @undialled MS: the program must not connect to the backend for that time.
+// - @term: sends SIGTERM.
+// - @exit N: the program must exit with status N.
+// - @deaf: the backend accepts no connections any more: dials to it get no answer.
+// - @hear: the backend accepts connections again.
+//
+// A line that begins with # is a comment.
 #pragma once
 
 #include <string>
 
-void play(const std::string& file);
+void play_exchange(const std::string& file);
