--- a/src/ingress/ingress_admin.cpp
+++ b/src/ingress/ingress_admin.cpp
@@ -32,7 +32,7 @@
         case OperatorCommand::Kind::suspend:
             return "suspended";
         case OperatorCommand::Kind::resume:
-            return "resumed";
+            return "may serve again";
         case OperatorCommand::Kind::drain:
             return "drained";
         case OperatorCommand::Kind::activate:
@@ -79,8 +79,8 @@
 admin::AdminReply Ingress::readiness() const {
     if (restart_channel_.role().draining()) return {503, "handed over to a new process"};
     if (shutdown_.stop_requested()) return {503, "stopping"};
-    if (!restart_channel_.role().accepts()) return {503, "preparing to take over"};
-    return {200, operator_overrides_.drained() ? "ready, but drained" : "ready"};
+    if (!restart_channel_.role().accepts()) return {503, "taking over"};
+    return {200, operator_overrides_.drained() ? "ready, and drained" : "ready"};
 }
 
 // Applies the change to the pool and the gateway before the operator gets the reply, so that no attempt
