--- a/src/gateway/slow_start.hpp
+++ b/src/gateway/slow_start.hpp
@@ -43,18 +43,19 @@
     double capacity(double started_at_s, double now) const {
         if (started_at_s <= 0 || settings_.slow_start_window_s <= 0 || settings_.overload_window_s <= 0)
             return 1;
-        const double windows = std::max(0.0, now - started_at_s) / settings_.slow_start_window_s;
+        const double elapsed_windows = std::max(0.0, now - started_at_s) / settings_.slow_start_window_s;
         const double min_capacity = clamped(settings_.slow_start_min_capacity, kMinSlowStartCapacity, 1.0);
-        return windows >= 1 ? 1 : min_capacity + (1 - min_capacity) * windows;
+        return elapsed_windows >= 1 ? 1 : min_capacity + (1 - min_capacity) * elapsed_windows;
     }
 
     /// The probability with which a warming backend that was drawn may be chosen.
     double admission_probability(double started_at_s, double now) const {
-        const double windows =
+        const double elapsed_overload_windows =
             clamped((now - started_at_s) / std::max(settings_.overload_window_s, 1e-3), 0.0, 1.0);
         const double allowed = std::min(
             1.0, kSlowStartMarginFraction * settings_.overload_multiple * capacity(started_at_s, now));
-        return allowed * answered_fraction_ * (1 - kPropagationReserveFraction * (1 - windows));
+        return allowed * answered_fraction_ *
+               (1 - kPropagationReserveFraction * (1 - elapsed_overload_windows));
     }
 
   private:
