--- a/src/gateway/rejection_log.hpp
+++ b/src/gateway/rejection_log.hpp
@@ -5,8 +5,8 @@
 //   outliers; times in seconds.
 // - Output: the text of the line.
 // - Limits: it makes no decision on a request.
-// - Visible in: log line "rejected requests by reason: quota N, hard limit N, admitted fraction N,
-//   concurrency limit N, no backend N; current admitted fraction N%; outlier backends N".
+// - Visible in: log line "refused: share N, ceiling or cap N, fraction N, open work N, no server N;
+//   admitted fraction N%; suspect servers N".
 #pragma once
 
 #include <array>
@@ -31,16 +31,15 @@
 
     /// Starts the next interval. Returns the text of the line, empty if no line is needed.
     std::string close_interval(double admitted_fraction, std::ptrdiff_t outliers, double now) {
-        static const std::array<const char*, 5> kLabels{"quota ", ", hard limit ", ", admitted fraction ",
-                                                        ", concurrency limit ", ", no backend "};
+        static const std::array<const char*, 5> kLabels{"share ", ", ceiling or cap ", ", fraction ",
+                                                        ", open work ", ", no server "};
         std::string text;
         if (outliers > 0 || counts_ != Counts{}) {
-            text = "rejected requests by reason: ";
+            text = "refused: ";
             for (std::size_t i = 0; i < kLabels.size(); ++i)
                 text += kLabels[i] + std::to_string(counts_[i]);
-            text +=
-                "; current admitted fraction " + std::to_string(static_cast<int>(100 * admitted_fraction));
-            text += "%; outlier backends " + std::to_string(outliers);
+            text += "; admitted fraction " + std::to_string(static_cast<int>(100 * admitted_fraction));
+            text += "%; suspect servers " + std::to_string(outliers);
         }
         counts_ = {};
         last_line_at_s_ = now;
--- a/tests/gateway/request_table_test.cpp
+++ b/tests/gateway/request_table_test.cpp
@@ -97,10 +97,9 @@
     log.count(RejectReason::no_backend);
     log.count(RejectReason::no_backend);
     log.count(RejectReason::attempts_exhausted);
-    EXPECT_EQ(
-        log.close_interval(0.479, 3, 105.1),
-        "rejected requests by reason: quota 1, hard limit 0, admitted fraction 0, concurrency limit 0, "
-        "no backend 2; current admitted fraction 47%; outlier backends 3");
+    EXPECT_EQ(log.close_interval(0.479, 3, 105.1),
+              "refused: share 1, ceiling or cap 0, fraction 0, open work 0, no server 2; admitted fraction "
+              "47%; suspect servers 3");
     EXPECT_EQ(log.close_interval(0.5, 0, 111), "");
     EXPECT_NE(log.close_interval(1, 1, 117), "");
 }
