--- a/bench/scale/backends.cpp
+++ b/bench/scale/backends.cpp
@@ -38,9 +38,9 @@
         std::copy_n(message.data() + at, size, space.data());
         at += size;
         buffer.commit(size);
-        const http::Step step = parser.feed(buffer);
-        if (step == http::Step::done) return true;
-        if (step != http::Step::more) return false;
+        const http::ParseResult step = parser.feed(buffer);
+        if (step == http::ParseResult::done) return true;
+        if (step != http::ParseResult::need_more) return false;
     }
     return false;
 }
--- a/fakes/link.cpp
+++ b/fakes/link.cpp
@@ -68,7 +68,7 @@
             }
             const std::string_view part = bytes;
             if (!bytes.empty() && !to.stream.send({&part, 1})) return pair->close();
-            if (end) to.stream.finish();
+            if (end) to.stream.shutdown_send();
         });
     }
     void close() {
--- a/fakes/link.hpp
+++ b/fakes/link.hpp
@@ -21,10 +21,10 @@
 #include <unordered_set>
 #include <vector>
 
-#include "net/datagrams.hpp"
 #include "net/listener.hpp"
 #include "net/stream.hpp"
 #include "net/timers.hpp"
+#include "net/udp_socket.hpp"
 
 namespace fakes {
 
@@ -71,7 +71,7 @@
     const slatejunction::net::Sender target_;
     slatejunction::net::Sender user_;   // whose datagram came last
     std::mt19937_64 random_;
-    slatejunction::net::Datagrams datagrams_;
+    slatejunction::net::UdpSocket datagrams_;
     std::unique_ptr<slatejunction::net::Listener> listener_;
     std::unordered_set<std::shared_ptr<Pair>> pairs_;
     std::multimap<double, std::function<void()>> queue_;
--- a/fakes/load.cpp
+++ b/fakes/load.cpp
@@ -41,10 +41,10 @@
         const auto keep = shared_from_this();
         buffer_.commit(size);
         any_ = true;
-        const http::Step step = parser_.feed(buffer_);
-        if (step == http::Step::more) return;
-        const int status = step == http::Step::done ? parser_.head().status : 0;
-        const bool reusable = step == http::Step::done && parser_.head().keep_alive;
+        const http::ParseResult step = parser_.feed(buffer_);
+        if (step == http::ParseResult::need_more) return;
+        const int status = step == http::ParseResult::done ? parser_.head().status : 0;
+        const bool reusable = step == http::ParseResult::done && parser_.head().keep_alive;
         parser_.reset();
         buffer_.clear();
         used_ = true;
--- a/fakes/server.cpp
+++ b/fakes/server.cpp
@@ -96,11 +96,11 @@
 
 void Client::finish() {
     closing_ = true;
-    if (stream.open() && !stream.unsent()) stream.finish();
+    if (stream.open() && !stream.unsent()) stream.shutdown_send();
 }
 
 void Client::on_sent() {
-    if (closing_) stream.finish();
+    if (closing_) stream.shutdown_send();
 }
 
 void Client::reset() {
--- a/src/admin/server.cpp
+++ b/src/admin/server.cpp
@@ -67,7 +67,7 @@
 // a part of their call.
 bool Server::ensure_capacity() {
     if (sessions_.size() < max_sessions_) return true;
-    Session* evicted = net::evict_idle(sessions_, net::now());
+    Session* evicted = net::find_eviction_candidate(sessions_, net::now());
     if (evicted) evicted->end();
     return evicted != nullptr;
 }
@@ -98,24 +98,24 @@
 void Session::on_bytes(std::size_t size) {
     buffer_.commit(size);
     switch (parser_.feed(buffer_)) {
-        case http::Step::more:
+        case http::ParseResult::need_more:
             return;
-        case http::Step::done:
+        case http::ParseResult::done:
             return handle_call();
-        case http::Step::bad:
+        case http::ParseResult::malformed:
             return send_reply({400, "malformed or ambiguous request"});
-        case http::Step::over_budget:
+        case http::ParseResult::over_budget:
             return send_reply({503, "the admin connections together send too much"});
-        case http::Step::head_too_large:
+        case http::ParseResult::head_too_large:
             return send_reply({431, "request head too large"});
-        case http::Step::body_too_large:
-        case http::Step::rest_follows:   // not reached: the parser does not stream
+        case http::ParseResult::body_too_large:
+        case http::ParseResult::rest_follows:   // not reached: the parser does not stream
             return send_reply({413, "request body too large"});
     }
 }
 
 void Session::handle_call() {
-    call_ = read_call(parser_.head().first, parser_.head().second);
+    call_ = read_call(parser_.head().method, parser_.head().target);
     state_ = State::awaiting_reply;
     if (call_.kind == AdminCall::Kind::propose) call_.body = parser_.body();
     if (call_.error_status == 404) return send_reply({404, "no such path"});
@@ -148,12 +148,12 @@
         ""};
     if (!transport_->send(parts)) return end();
     // Closing with unread bytes would reset the connection, and the peer might lose the reply.
-    transport_->drop(kMaxDroppedBytes);
-    if (!transport_->unsent()) transport_->finish();
+    transport_->discard_input(kMaxDroppedBytes);
+    if (!transport_->unsent()) transport_->shutdown_send();
 }
 
 void Session::on_sent() {
-    if (state_ == State::closing) transport_->finish();
+    if (state_ == State::closing) transport_->shutdown_send();
 }
 
 void Session::on_end(bool) { end(); }
--- a/src/admin/server.hpp
+++ b/src/admin/server.hpp
@@ -82,7 +82,7 @@
 
     /// The session has exceeded the time limit of its state.
     bool expired(double now) const;
-    /// The rank for net::evict_idle(): the lowest is evicted first, below 0 never.
+    /// The rank for net::find_eviction_candidate(): the lowest is evicted first, below 0 never.
     int eviction_rank(double now) const;
     double since() const { return state_since_; }
     void end();
--- a/src/app/program.cpp
+++ b/src/app/program.cpp
@@ -400,7 +400,7 @@
     make(options);
     const storage::File signals(signalfd(-1, &signals_, SFD_CLOEXEC | SFD_NONBLOCK));
     if (!signals) return fail("no descriptor for signals: " + std::string(std::strerror(errno)));
-    const net::SourceWatch watch(timers_, signals.get(), [this, fd = signals.get()] { on_signal(fd); });
+    const net::FdWatch watch(timers_, signals.get(), [this, fd = signals.get()] { on_signal(fd); });
     std::string why;
     if (!ingress_->start(why, sleep_unless_signalled)) return why.empty() ? 0 : fail(why);
     for (std::size_t i = components_.size(); i-- > 0;) components_[i]->start();
--- a/src/backend/connection.cpp
+++ b/src/backend/connection.cpp
@@ -232,7 +232,7 @@
     if (!sink) return cancel();
     std::string_view in = buffer_.view(), part;
     while (streaming_response_ && !streaming_paused_ && !in.empty() &&
-           reader_.state() == http::BodyReader::State::more) {
+           reader_.state() == http::BodyReader::State::need_more) {
         reader_.feed(in, part);
         if (part.empty()) continue;
         const bool more = sink->write(part);
@@ -241,7 +241,7 @@
     }
     buffer_.consume(buffer_.view().size() - in.size());
     if (streaming_paused_) timer_.disarm();   // the client's connection bounds the time
-    if (reader_.state() != http::BodyReader::State::more)
+    if (reader_.state() != http::BodyReader::State::need_more)
         finish_streaming(reader_.state() == http::BodyReader::State::done);
 }
 
@@ -273,29 +273,30 @@
 }
 
 void Connection::parse_response(bool ended) {
-    const http::Step step = parser_.feed(buffer_, ended);
-    if (step == http::Step::rest_follows && parser_.head().status == 200 && !health_checking() && !ended)
+    const http::ParseResult step = parser_.feed(buffer_, ended);
+    if (step == http::ParseResult::rest_follows && parser_.head().status == 200 && !health_checking() &&
+        !ended)
         return begin_streaming();
     // Without a length the body ends with the connection (RFC 9112, section 6.3). Of any answer but a 200
     // the status is enough.
     const bool known =
         parser_.ends_with_connection() && (parser_.head().status != 200 || health_checking());
-    if (step != http::Step::more || known)
+    if (step != http::ParseResult::need_more || known)
         return finish_response(step, ended || parser_.ends_with_connection());
     if (ended || buffer_.view().empty()) return;   // only an interim answer
     if (!response_begun_) timer_.arm(std::min(deadline_, net::now() + kResponseTimeoutS));
     response_begun_ = true;
 }
 
-void Connection::finish_response(http::Step step, bool ended) {
+void Connection::finish_response(http::ParseResult step, bool ended) {
     CallResult end;
     // Also of an answer that can't be read: the attempt may have run.
     end.result = AttemptResult::error;
     bool reusable = false;
-    if (step == http::Step::done || parser_.ends_with_connection()) {
+    if (step == http::ParseResult::done || parser_.ends_with_connection()) {
         const http::Head& head = parser_.head();
         read_fields(end);
-        if (head.status == 200 && (step == http::Step::done || !parser_.ends_with_connection())) {
+        if (head.status == 200 && (step == http::ParseResult::done || !parser_.ends_with_connection())) {
             end.result = AttemptResult::ok;
             end.body = parser_.body();
         } else if (head.status == 503 || head.status == 504) {
--- a/src/backend/connection.hpp
+++ b/src/backend/connection.hpp
@@ -104,7 +104,7 @@
     void finish_streaming(bool whole);
     void on_timer();
     void parse_response(bool ended);
-    void finish_response(http::Step step, bool ended);
+    void finish_response(http::ParseResult step, bool ended);
     void end_unwritten();
     void end_call(CallResult& end);
     void fail_call(CallResult& end);
--- a/src/client/client_request.cpp
+++ b/src/client/client_request.cpp
@@ -66,7 +66,7 @@
     return writer && writer->client_disconnected();
 }
 
-std::string_view first_part(std::string_view target) {
+std::string_view first_path_segment(std::string_view target) {
     target.remove_prefix(1);
     return target.substr(0, target.find_first_of("/?"));
 }
@@ -80,8 +80,8 @@
 
 std::string_view read_request(const http::Head& head, const slatejunction::Settings& settings, double now,
                               ClientRequest& request) {
-    request.method = head.first;
-    request.target = head.second;
+    request.method = head.method;
+    request.target = head.target;
     bool repeated = false;
     const auto field = [&](std::string_view name) {
         const std::string_view* value = head.find(name, &repeated);
@@ -98,7 +98,7 @@
     double timeout_s = 0;
     if (repeated) return "a repeated field";
     if (request.request_id.empty()) return "X-Request-Id";
-    const slatejunction::ServiceClass* service = find_class(settings, first_part(request.target));
+    const slatejunction::ServiceClass* service = find_class(settings, first_path_segment(request.target));
     if (!service || request.service_class != service->name) return "X-Class";
     // The class determines the method.
     const bool repeatable = service->idempotency == slatejunction::Idempotency::idempotent;
--- a/src/client/client_request.hpp
+++ b/src/client/client_request.hpp
@@ -72,7 +72,7 @@
                                               std::string_view name);
 
 /// The first part of a target's path, which names the service class.
-std::string_view first_part(std::string_view target);
+std::string_view first_path_segment(std::string_view target);
 
 /// The final answer to a client.
 struct Response {
--- a/src/client/server.cpp
+++ b/src/client/server.cpp
@@ -36,7 +36,7 @@
 bool Server::ensure_capacity() { return sessions_.size() < max_sessions_ || evict_one(); }
 
 bool Server::evict_one() {
-    Session* evicted = net::evict_idle(sessions_, net::now());
+    Session* evicted = net::find_eviction_candidate(sessions_, net::now());
     if (!evicted) return false;
     evicted->end();
     return true;
--- a/src/client/session.cpp
+++ b/src/client/session.cpp
@@ -76,7 +76,7 @@
     // The time limit of a request starts with its first byte, on a new connection with the connection.
     if (request_received_ && !response_pending_ && buffer_.view().empty()) state_since_ = net::now();
     buffer_.commit(size);
-    arrivals_.add(size, net::now() - transport_->stalled_s());
+    arrivals_.add(size, net::now() - transport_->receive_delay_s());
     if (uploading_) {
         last_progress_at_ = net::now();
         return forward_upload();
@@ -95,8 +95,8 @@
     if (in_read_next_) return;   // a request has been answered at once: the loop below goes on
     in_read_next_ = true;
     while (!response_pending_ && !closing_ && !response_unread() && !buffer_.view().empty()) {
-        const http::Step step = parser_.feed(buffer_);
-        if (step == http::Step::more) {
+        const http::ParseResult step = parser_.feed(buffer_);
+        if (step == http::ParseResult::need_more) {
             send_continue_if_expected();
             break;
         }
@@ -105,17 +105,17 @@
     in_read_next_ = false;
 }
 
-void Session::on_parsed(http::Step step) {
+void Session::on_parsed(http::ParseResult step) {
     switch (step) {
-        case http::Step::done:
+        case http::ParseResult::done:
             return handle_request(false);
-        case http::Step::rest_follows:
+        case http::ParseResult::rest_follows:
             return handle_request(true);
-        case http::Step::bad:
+        case http::ParseResult::malformed:
             return reject(400, "malformed or ambiguous message");
-        case http::Step::over_budget:
+        case http::ParseResult::over_budget:
             return reject(503, "all consumers together send too much");
-        case http::Step::head_too_large:
+        case http::ParseResult::head_too_large:
             return reject(431, "message over the limits");
         default:
             return reject(413, "message over the limits");
@@ -149,7 +149,7 @@
     request_received_ = true;
     continue_sent_ = false;
     state_since_ = now;
-    const bool health_check = head.second.substr(0, head.second.find('?')) == "/health/ready";
+    const bool health_check = head.target.substr(0, head.target.find('?')) == "/health/ready";
     auto request = std::make_shared<ClientRequest>();
     if (health_check && rest_follows) return reject(413, "message over the limits");
     if (!health_check && !accept_request(*request, arrived_at_s, rest_follows)) return;
@@ -166,7 +166,7 @@
 // False: the request has been rejected.
 bool Session::accept_request(ClientRequest& request, double arrived_at_s, bool rest_follows) {
     const http::Head& head = parser_.head();
-    if (!find_class(controller_.settings(), first_part(head.second))) {
+    if (!find_class(controller_.settings(), first_path_segment(head.target))) {
         reject(404, "path");
         return false;
     }
@@ -181,7 +181,7 @@
         reject(409, "X-Request-Id of an open request");
         return false;
     }
-    if (head.first == "GET" && (rest_follows || !parser_.body().empty())) {
+    if (head.method == "GET" && (rest_follows || !parser_.body().empty())) {
         reject(400, "a body");
         return false;
     }
@@ -263,7 +263,7 @@
             if (!uploading_) return;
             upload_paused_ = upload_paused_ || !more;
         }
-        if (state == http::BodyReader::State::bad) {
+        if (state == http::BodyReader::State::malformed) {
             const std::uint64_t number = std::exchange(request_number_, 0);
             upload_sink_.reset();
             if (number != 0) controller_.on_client_disconnected(number);
@@ -376,14 +376,14 @@
     if (closing_) {
         parser_.reset();
         buffer_ = http::Buffer(&controller_.budget());
-        transport_->drop(kMaxDroppedBytes);
+        transport_->discard_input(kMaxDroppedBytes);
     } else {
         transport_->resume();
     }
     if (!transport_->unsent()) finish_answer();
 }
 
-void Session::on_dropped() { last_progress_at_ = net::now(); }
+void Session::on_input_discarded() { last_progress_at_ = net::now(); }
 
 void Session::on_sent() {
     last_progress_at_ = net::now();
@@ -395,7 +395,7 @@
     state_since_ = net::now();
     // Closing with unread bytes would reset the connection, and the peer might lose the answer: it closes
     // first, and what it sends until then is dropped.
-    if (closing_) return transport_->finish();
+    if (closing_) return transport_->shutdown_send();
     transport_->resume();
     read_next();
 }
--- a/src/client/session.hpp
+++ b/src/client/session.hpp
@@ -48,7 +48,7 @@
     void attach(net::Transport& transport) { transport_ = &transport; }
 
     void write_response(const Response& answer) override;
-    bool client_disconnected() const override { return ended_ || transport_->ended(); }
+    bool client_disconnected() const override { return ended_ || transport_->peer_closed(); }
     void stream_to(std::weak_ptr<BodySink> sink) override;
     void resume() override;
     void cancel() override {}
@@ -86,14 +86,14 @@
 
     std::span<char> receive_buffer() override;
     void on_bytes(std::size_t size) override;
-    void on_dropped() override;
+    void on_input_discarded() override;
     void on_sent() override;
     void on_end(bool clean) override;
-    bool ends_unread() const override { return response_pending_ || response_unread(); }
+    bool reports_end_while_paused() const override { return response_pending_ || response_unread(); }
 
   private:
     void read_next();
-    void on_parsed(http::Step step);
+    void on_parsed(http::ParseResult step);
     bool next_request_buffered() const;
     bool closes_after_response() const;
     bool response_unread()
--- a/src/discovery/endpoint_watch.cpp
+++ b/src/discovery/endpoint_watch.cpp
@@ -120,9 +120,9 @@
 void EndpointWatch::on_bytes(std::size_t size) {
     buffer_.commit(size);
     if (state_ != State::polling) return fail("an answer to no call");
-    const http::Step step = parser_.feed(buffer_);
-    if (step == http::Step::more) return;
-    if (step != http::Step::done) return fail("an answer that can't be read");
+    const http::ParseResult step = parser_.feed(buffer_);
+    if (step == http::ParseResult::need_more) return;
+    if (step != http::ParseResult::done) return fail("an answer that can't be read");
     handle_answer();
 }
 
@@ -191,7 +191,8 @@
 }
 
 void EndpointWatch::on_end(bool) {
-    if (state_ == State::polling && parser_.feed(buffer_, true) == http::Step::done) return handle_answer();
+    if (state_ == State::polling && parser_.feed(buffer_, true) == http::ParseResult::done)
+        return handle_answer();
     fail("the connection ended", state_ == State::dialling ? kMaxUnansweredBackoffS : kMaxBackoffS);
 }
 
--- a/src/http/body.cpp
+++ b/src/http/body.cpp
@@ -10,7 +10,7 @@
 BodyReader BodyReader::by_length(std::size_t left) {
     BodyReader reader;
     reader.left_ = left;
-    reader.state_ = left > 0 ? State::more : State::done;
+    reader.state_ = left > 0 ? State::need_more : State::done;
     return reader;
 }
 
@@ -19,7 +19,7 @@
     reader.chunked_ = true;
     reader.at_ = At::size;
     reader.total_ = had;
-    reader.state_ = State::more;
+    reader.state_ = State::need_more;
     return reader;
 }
 
@@ -27,7 +27,7 @@
     BodyReader reader;
     reader.by_end_ = true;
     reader.left_ = kMaxStreamedBodyBytes - std::min(kMaxStreamedBodyBytes, had);
-    reader.state_ = State::more;
+    reader.state_ = State::need_more;
     return reader;
 }
 
@@ -54,7 +54,7 @@
 
 BodyReader::State BodyReader::feed(std::string_view& in, std::string_view& part) {
     part = {};
-    if (state_ != State::more || in.empty()) return state_;
+    if (state_ != State::need_more || in.empty()) return state_;
     if (at_ == At::data) {
         part = take_data(in);
         return state_;
@@ -75,7 +75,7 @@
     left_ -= part.size();
     if (left_ > 0) return part;
     if (by_end_)
-        state_ = State::bad;   // longer than what is streamed
+        state_ = State::malformed;   // longer than what is streamed
     else if (chunked_)
         at_ = At::data_end;
     else
--- a/src/http/body.hpp
+++ b/src/http/body.hpp
@@ -11,7 +11,7 @@
 // Takes any split of the bytes. What it gives are views into what it was fed.
 class BodyReader {
   public:
-    enum class State { more, done, bad };
+    enum class State { need_more, done, malformed };
     BodyReader() = default;
     // `had`: bytes of the body that came before, for the bound on all of it.
     static BodyReader by_length(std::size_t left);
@@ -27,7 +27,7 @@
 
   private:
     enum class At { data, size, data_end, trailer };
-    void end_bad() { state_ = State::bad; }
+    void end_bad() { state_ = State::malformed; }
     std::string_view take_data(std::string_view& in);
     void on_data_end();
     void on_chunk_size();
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -102,7 +102,7 @@
 void Parser::reset() {
     have_head_ = false;
     scanned_bytes_ = body_at_ = body_size_ = used_ = chunk_at_ = max_message_bytes_ = 0;
-    head_.first = head_.second = body_ = {};
+    head_.method = head_.target = body_ = {};
     head_.count = 0;
 }
 
@@ -117,16 +117,16 @@
 
 // Guards against peers that promise more than they send: a Buffer grows as bytes come, not by the promise.
 // Framing that takes more space than there may be is as good as a body that is too large.
-Step Parser::feed(Buffer& buffer, bool ended) {
-    const Step step = parse(buffer, ended);
+ParseResult Parser::feed(Buffer& buffer, bool ended) {
+    const ParseResult step = parse(buffer, ended);
     const std::size_t capacity = buffer.capacity();
-    if (step != Step::more || !have_head_ || buffer.view().size() < capacity) return step;
+    if (step != ParseResult::need_more || !have_head_ || buffer.view().size() < capacity) return step;
     if (capacity >= max_message_bytes_) {
         if (streams_ && framing_ == Framing::chunked) return rest_follows(buffer, chunk_at_, body_size_);
-        return Step::body_too_large;
+        return ParseResult::body_too_large;
     }
     const std::size_t wanted = std::min(max_message_bytes_, std::max(2 * capacity, kMinGrowthBytes));
-    if (!buffer.may_hold(wanted)) return Step::over_budget;
+    if (!buffer.may_hold(wanted)) return ParseResult::over_budget;
     grow(buffer, wanted);
     return step;
 }
@@ -137,8 +137,8 @@
     const auto move = [&](std::string_view& view) {
         if (view.data()) view = {bigger.data() + (view.data() - from), view.size()};
     };
-    move(head_.first);
-    move(head_.second);
+    move(head_.method);
+    move(head_.target);
     for (std::size_t i = 0; i < head_.count; ++i) {
         move(head_.fields[i].name);
         move(head_.fields[i].value);
@@ -146,9 +146,9 @@
     buffer = std::move(bigger);
 }
 
-Step Parser::parse(Buffer& buffer, bool ended) {
+ParseResult Parser::parse(Buffer& buffer, bool ended) {
     while (!have_head_) {
-        if (const Step step = read_head(buffer); step != Step::done) return step;
+        if (const ParseResult step = read_head(buffer); step != ParseResult::done) return step;
         const bool interim = kind_ == Kind::response && head_.status < 200;
         if (interim) {   // the final response follows
             buffer.consume(body_at_);
@@ -161,12 +161,12 @@
         have_head_ = true;
         chunk_at_ = body_at_;
     }
-    if (const Step step = read_body(buffer, ended); step != Step::done) return step;
+    if (const ParseResult step = read_body(buffer, ended); step != ParseResult::done) return step;
     body_ = buffer.view().substr(body_at_, body_size_);
-    return Step::done;
+    return ParseResult::done;
 }
 
-Step Parser::read_head(Buffer& buffer) {
+ParseResult Parser::read_head(Buffer& buffer) {
     while (kind_ == Kind::request && buffer.view().starts_with("\r\n")) buffer.consume(2);
     const std::string_view text = buffer.view();
     const std::size_t from = scanned_bytes_ > 3 ? scanned_bytes_ - 3 : 0;
@@ -174,18 +174,19 @@
     scanned_bytes_ = text.size();
     // A head that never ends must not fill the memory.
     if (end == std::string_view::npos)
-        return text.size() > kMaxHeadBytes ? Step::head_too_large : Step::more;
-    if (end + 4 > kMaxHeadBytes) return Step::head_too_large;
+        return text.size() > kMaxHeadBytes ? ParseResult::head_too_large : ParseResult::need_more;
+    if (end + 4 > kMaxHeadBytes) return ParseResult::head_too_large;
     body_at_ = end + 4;
-    if (const Step step = parse_head(text.substr(0, end + 2)); step != Step::done) return step;
+    if (const ParseResult step = parse_head(text.substr(0, end + 2)); step != ParseResult::done)
+        return step;
     return parse_framing();
 }
 
-Step Parser::read_body(Buffer& buffer, bool ended) {
+ParseResult Parser::read_body(Buffer& buffer, bool ended) {
     switch (framing_) {
         case Framing::none:
             used_ = body_at_;
-            return Step::done;
+            return ParseResult::done;
         case Framing::length:
             return read_counted_body(buffer);
         case Framing::chunked:
@@ -193,28 +194,28 @@
         case Framing::until_end:
             return read_body_until_end(buffer, ended);
     }
-    return Step::bad;
+    return ParseResult::malformed;
 }
 
-Step Parser::read_counted_body(Buffer& buffer) {
+ParseResult Parser::read_counted_body(Buffer& buffer) {
     const std::size_t have = buffer.view().size() - body_at_;
     // A large response goes on at once; a large request once as much has come as may be tried again.
     const bool streamed =
         body_size_ > max_buffered_body_ && (kind_ == Kind::response || have >= max_buffered_body_);
     if (have < body_size_ && streamed) return rest_follows(buffer, body_at_ + have, have);
-    if (have < body_size_) return Step::more;
+    if (have < body_size_) return ParseResult::need_more;
     used_ = body_at_ + body_size_;
-    return Step::done;
+    return ParseResult::done;
 }
 
-Step Parser::read_body_until_end(Buffer& buffer, bool ended) {
+ParseResult Parser::read_body_until_end(Buffer& buffer, bool ended) {
     const std::size_t have = buffer.view().size() - body_at_;
-    if (have > max_buffered_body_ && !streams_) return Step::body_too_large;
+    if (have > max_buffered_body_ && !streams_) return ParseResult::body_too_large;
     if (!ended && have > max_buffered_body_) return rest_follows(buffer, body_at_ + have, have);
-    if (!ended) return Step::more;
+    if (!ended) return ParseResult::need_more;
     body_size_ = have;
     used_ = body_at_ + have;
-    return Step::done;
+    return ParseResult::done;
 }
 
 bool Parser::parse_start(std::string_view line) {
@@ -233,23 +234,23 @@
     }
     const std::size_t two = line.find(' ', one + 1);
     if (two == std::string_view::npos) return false;
-    head_.first = line.substr(0, one);
-    head_.second = line.substr(one + 1, two - one - 1);
+    head_.method = line.substr(0, one);
+    head_.target = line.substr(one + 1, two - one - 1);
     const std::string_view version = line.substr(two + 1);
     head_.keep_alive = head_.is_http_1_1 = version == "HTTP/1.1";
     // Absolute form (RFC 9112, 3.2.2), as to a proxy: the path is what counts.
-    if (equals_ignore_case(head_.second.substr(0, 7), "http://")) {
-        const std::size_t path = head_.second.find('/', 7);
-        head_.second =
-            path == std::string_view::npos ? head_.second.substr(6, 1) : head_.second.substr(path);
+    if (equals_ignore_case(head_.target.substr(0, 7), "http://")) {
+        const std::size_t path = head_.target.find('/', 7);
+        head_.target =
+            path == std::string_view::npos ? head_.target.substr(6, 1) : head_.target.substr(path);
     }
-    return is_token(head_.first) && head_.second.starts_with('/') &&
-           std::all_of(head_.second.begin(), head_.second.end(),
+    return is_token(head_.method) && head_.target.starts_with('/') &&
+           std::all_of(head_.target.begin(), head_.target.end(),
                        [](unsigned char c) { return c > 0x20 && c < 0x7f; }) &&
            (version == "HTTP/1.1" || version == "HTTP/1.0");
 }
 
-Step Parser::parse_head(std::string_view text) {
+ParseResult Parser::parse_head(std::string_view text) {
     head_.count = 0;
     bool start = true;
     while (!text.empty()) {
@@ -257,43 +258,44 @@
         const std::string_view line = text.substr(0, end);
         text.remove_prefix(end + 2);
         if (start) {
-            if (!parse_start(line)) return Step::bad;
+            if (!parse_start(line)) return ParseResult::malformed;
             start = false;
             continue;
         }
         const std::size_t colon = line.find(':');
-        if (colon == std::string_view::npos || !is_token(line.substr(0, colon))) return Step::bad;
-        if (head_.count == kMaxHeaderFields) return Step::head_too_large;
+        if (colon == std::string_view::npos || !is_token(line.substr(0, colon)))
+            return ParseResult::malformed;
+        if (head_.count == kMaxHeaderFields) return ParseResult::head_too_large;
         const std::string_view value = trimmed(line.substr(colon + 1));
-        if (!is_value(value)) return Step::bad;
+        if (!is_value(value)) return ParseResult::malformed;
         head_.fields[head_.count++] = {line.substr(0, colon), value};
     }
-    return start ? Step::bad : Step::done;
+    return start ? ParseResult::malformed : ParseResult::done;
 }
 
 // Guards against request smuggling: where two readers could see two lengths, there is none.
-Step Parser::parse_framing() {
+ParseResult Parser::parse_framing() {
     bool twice = false;
     const std::string_view* length = head_.find("content-length", &twice);
     const std::string_view* coding = head_.find("transfer-encoding", &twice);
-    if (twice || (length && coding)) return Step::bad;
+    if (twice || (length && coding)) return ParseResult::malformed;
     body_size_ = 0;
     framing_ = kind_ == Kind::request ? Framing::none : Framing::until_end;
     read_connection_options();
     if (coding) {
-        if (!equals_ignore_case(*coding, "chunked") || !head_.is_http_1_1) return Step::bad;
+        if (!equals_ignore_case(*coding, "chunked") || !head_.is_http_1_1) return ParseResult::malformed;
         framing_ = Framing::chunked;
     } else if (length) {
-        if (length->size() > 18 || !read_size(*length, 10, body_size_)) return Step::bad;
+        if (length->size() > 18 || !read_size(*length, 10, body_size_)) return ParseResult::malformed;
         if (body_size_ > (streams_ ? kMaxStreamedBodyBytes : max_buffered_body_))
-            return Step::body_too_large;
+            return ParseResult::body_too_large;
         framing_ = Framing::length;
     }
     if (kind_ == Kind::response && (head_.status == 204 || head_.status == 304 || head_.status < 200)) {
         framing_ = Framing::none;
         body_size_ = 0;
     }
-    return Step::done;
+    return ParseResult::done;
 }
 
 // `Connection: close` or `keep-alive` (RFC 9112, section 9.3); the last one counts.
@@ -310,50 +312,54 @@
     }
 }
 
-Step Parser::rest_follows(Buffer& buffer, std::size_t used, std::size_t body) {
+ParseResult Parser::rest_follows(Buffer& buffer, std::size_t used, std::size_t body) {
     used_ = used;
     body_ = buffer.view().substr(body_at_, body);
-    return Step::rest_follows;
+    return ParseResult::rest_follows;
 }
 
 // Joins the chunks in place: the body grows behind the head, the framing still to read lies after it.
-Step Parser::feed_chunks(Buffer& buffer) {
+ParseResult Parser::feed_chunks(Buffer& buffer) {
     for (;;) {
         const std::string_view text = buffer.view();
         const std::size_t line_end = text.find("\r\n", chunk_at_);
         if (line_end == std::string_view::npos)
-            return text.size() - chunk_at_ > kMaxChunkLineBytes ? Step::bad : Step::more;
+            return text.size() - chunk_at_ > kMaxChunkLineBytes ? ParseResult::malformed
+                                                                : ParseResult::need_more;
         std::size_t size = 0;
-        if (!read_chunk_size(text.substr(chunk_at_, line_end - chunk_at_), size)) return Step::bad;
+        if (!read_chunk_size(text.substr(chunk_at_, line_end - chunk_at_), size))
+            return ParseResult::malformed;
         if (body_size_ + size > max_buffered_body_) {
-            if (!streams_ || body_size_ + size > kMaxStreamedBodyBytes) return Step::body_too_large;
+            if (!streams_ || body_size_ + size > kMaxStreamedBodyBytes) return ParseResult::body_too_large;
             return rest_follows(buffer, chunk_at_, body_size_);
         }
         if (size == 0) return skip_trailers(text, line_end);
-        if (const Step step = append_chunk(buffer, line_end + 2, size); step != Step::done) return step;
+        if (const ParseResult step = append_chunk(buffer, line_end + 2, size); step != ParseResult::done)
+            return step;
     }
 }
 
 // The chunk's `size` bytes lie at `data`; done: they are part of the body now.
-Step Parser::append_chunk(Buffer& buffer, std::size_t data, std::size_t size) {
+ParseResult Parser::append_chunk(Buffer& buffer, std::size_t data, std::size_t size) {
     const std::string_view text = buffer.view();
-    if (text.size() < data + size + 2) return Step::more;
-    if (text.substr(data + size, 2) != "\r\n") return Step::bad;
+    if (text.size() < data + size + 2) return ParseResult::need_more;
+    if (text.substr(data + size, 2) != "\r\n") return ParseResult::malformed;
     std::memmove(buffer.data() + body_at_ + body_size_, buffer.data() + data, size);
     body_size_ += size;
     chunk_at_ = data + size + 2;
-    return Step::done;
+    return ParseResult::done;
 }
 
 // Trailers are dropped, up to an empty line.
-Step Parser::skip_trailers(std::string_view text, std::size_t line_end) {
+ParseResult Parser::skip_trailers(std::string_view text, std::size_t line_end) {
     for (std::size_t at = line_end + 2;;) {
         const std::size_t end = text.find("\r\n", at);
         if (end == std::string_view::npos || end + 2 - line_end > kMaxHeadBytes)
-            return text.size() - line_end > kMaxHeadBytes ? Step::head_too_large : Step::more;
+            return text.size() - line_end > kMaxHeadBytes ? ParseResult::head_too_large
+                                                          : ParseResult::need_more;
         if (end == at) {
             used_ = end + 2;
-            return Step::done;
+            return ParseResult::done;
         }
         at = end + 2;
     }
--- a/src/http/message.hpp
+++ b/src/http/message.hpp
@@ -77,7 +77,7 @@
 
 /// Start line and fields. For a request `first` is the method and `second` the target.
 struct Head {
-    std::string_view first, second;
+    std::string_view method, target;
     int status = 0;   // of a response
     bool keep_alive = true;
     bool is_http_1_1 = true;   // HTTP/1.1, not 1.0
@@ -90,7 +90,15 @@
 
 /// over_budget: well formed, but the ByteBudget is used up. rest_follows: the head and a part of the body
 /// are there, and the body is over kMaxBufferedBodyBytes: rest() reads on.
-enum class Step { more, done, bad, head_too_large, body_too_large, over_budget, rest_follows };
+enum class ParseResult {
+    need_more,
+    done,
+    malformed,
+    head_too_large,
+    body_too_large,
+    over_budget,
+    rest_follows
+};
 
 /// Parses one message after another out of one Buffer that begins with it.
 class Parser {
@@ -104,7 +112,7 @@
     // Where the next bytes go. Once the head is known only feed() grows the Buffer, as views point into it.
     std::span<char> receive_space(Buffer& buffer) const;
     // Looks at what has come. `ended`: no more will.
-    Step feed(Buffer& buffer, bool ended = false);
+    ParseResult feed(Buffer& buffer, bool ended = false);
     const Head& head() const { return head_; }
     bool has_head() const { return have_head_; }   // its body may still be coming
     // A response whose head is read and says nothing of its length: only a clean end of the connection ends
@@ -126,21 +134,21 @@
 
   private:
     enum class Framing { none, length, chunked, until_end };
-    Step parse(Buffer& buffer, bool ended);
-    Step read_head(Buffer& buffer);
-    Step read_body(Buffer& buffer, bool ended);
-    Step read_counted_body(Buffer& buffer);
-    Step read_body_until_end(Buffer& buffer, bool ended);
-    Step parse_head(std::string_view text);
+    ParseResult parse(Buffer& buffer, bool ended);
+    ParseResult read_head(Buffer& buffer);
+    ParseResult read_body(Buffer& buffer, bool ended);
+    ParseResult read_counted_body(Buffer& buffer);
+    ParseResult read_body_until_end(Buffer& buffer, bool ended);
+    ParseResult parse_head(std::string_view text);
     bool parse_start(std::string_view line);
-    Step parse_framing();
+    ParseResult parse_framing();
     void read_connection_options();
-    Step feed_chunks(Buffer& buffer);
-    Step append_chunk(Buffer& buffer, std::size_t data, std::size_t size);
-    Step skip_trailers(std::string_view text, std::size_t line_end);
+    ParseResult feed_chunks(Buffer& buffer);
+    ParseResult append_chunk(Buffer& buffer, std::size_t data, std::size_t size);
+    ParseResult skip_trailers(std::string_view text, std::size_t line_end);
     void grow(Buffer& buffer, std::size_t capacity);
 
-    Step rest_follows(Buffer& buffer, std::size_t used, std::size_t body);
+    ParseResult rest_follows(Buffer& buffer, std::size_t used, std::size_t body);
 
     Kind kind_;
     bool streams_;
--- a/src/lease/holder_webhook.cpp
+++ b/src/lease/holder_webhook.cpp
@@ -53,11 +53,12 @@
     void on_bytes(std::size_t size) override {
         const auto self = shared_from_this();
         buffer_.commit(size);
-        const http::Step step = parser_.feed(buffer_);
-        if (step == http::Step::more && !parser_.has_head()) return;
-        const bool is_response = step != http::Step::bad && awaiting_response;
+        const http::ParseResult step = parser_.feed(buffer_);
+        if (step == http::ParseResult::need_more && !parser_.has_head()) return;
+        const bool is_response = step != http::ParseResult::malformed && awaiting_response;
         const int status = is_response ? parser_.head().status : kNoResponse;
-        const bool reusable = step == http::Step::done && parser_.head().keep_alive && awaiting_response;
+        const bool reusable =
+            step == http::ParseResult::done && parser_.head().keep_alive && awaiting_response;
         awaiting_response = false;
         parser_.reset();
         buffer_.clear();
--- a/src/membership/gossip_transport.hpp
+++ b/src/membership/gossip_transport.hpp
@@ -17,9 +17,9 @@
 #include "log/log.hpp"
 #include "membership/settings.hpp"
 #include "membership/swim.hpp"
-#include "net/datagrams.hpp"
 #include "net/stream.hpp"
 #include "net/timers.hpp"
+#include "net/udp_socket.hpp"
 
 namespace slatejunction::membership {
 
@@ -79,7 +79,7 @@
     DatagramAuth auth_;
     Log& log_;
     net::Timer timer_, bind_timer_;
-    net::Datagrams socket_;
+    net::UdpSocket socket_;
     std::map<std::string, net::Address> addresses_;   // parsed, by text
     std::map<std::uint32_t, Listener> listeners_;
     std::vector<std::function<void(const MemberChange&)>> change_listeners_;
--- a/src/net/idle_eviction.hpp
+++ b/src/net/idle_eviction.hpp
@@ -7,7 +7,7 @@
 /// that is not below 0, among equals the oldest; null: none. Sessions with unread bytes are not evicted,
 /// except those of rank 0, whose bytes are dropped anyway.
 template <class Sessions>
-auto evict_idle(const Sessions& sessions, double now) -> typename Sessions::key_type {
+auto find_eviction_candidate(const Sessions& sessions, double now) -> typename Sessions::key_type {
     typename Sessions::key_type candidate = nullptr;
     int candidate_rank = 0;
     for (const auto& [session, connected] : sessions) {
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -75,7 +75,7 @@
     return socket_ && (g_socket_condition_check(socket_.get(), G_IO_IN) & (G_IO_IN | G_IO_HUP | G_IO_ERR));
 }
 
-bool Stream::ended() const {
+bool Stream::peer_closed() const {
     if (!socket_) return true;
     pollfd descriptor{g_socket_get_fd(socket_.get()), POLLRDHUP, 0};
     int ready = 0;
@@ -85,7 +85,7 @@
     return ready == 1 && (descriptor.revents & kPeerEndedEvents) != 0;
 }
 
-double Stream::stalled_s() const {
+double Stream::receive_delay_s() const {
     if (!socket_) return 0;
     tcp_info info{};
     socklen_t size = sizeof info;
@@ -97,7 +97,7 @@
 // A level-triggered source would spin on unread bytes. The peer's end is watched instead.
 void Stream::pause() {
     in_source_.reset();
-    if (!protocol_.ends_unread()) return;
+    if (!protocol_.reports_end_while_paused()) return;
     end_source_.reset(
         g_unix_fd_source_new(g_socket_get_fd(socket_.get()), static_cast<GIOCondition>(kPeerEndedEvents)));
     g_source_set_callback(end_source_.get(), G_SOURCE_FUNC(&Stream::on_unread_end), this, nullptr);
@@ -127,9 +127,9 @@
 }
 
 // Reads without copying, when the loop is idle, so that the peer gets to read the answer.
-void Stream::drop(std::size_t most) {
+void Stream::discard_input(std::size_t max_bytes) {
     dropping_input_ = true;
-    drop_remaining_bytes_ = most;
+    drop_remaining_bytes_ = max_bytes;
     end_source_.reset();
     if (socket_) watch(in_source_, G_IO_IN, &Stream::on_in);
 }
@@ -150,7 +150,7 @@
     protocol_.on_end(clean);
 }
 
-void Stream::finish() {
+void Stream::shutdown_send() {
     if (socket_) g_socket_shutdown(socket_.get(), FALSE, TRUE, nullptr);
     resume();
 }
@@ -178,7 +178,7 @@
         if (received == 0 || drop_remaining_bytes_ == 0) {
             end(received == 0);
         } else if (received > 0) {
-            protocol_.on_dropped();
+            protocol_.on_input_discarded();
         } else if (received < 0 && !g_error_matches(fault, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK)) {
             end(false);
         }
--- a/src/net/stream.hpp
+++ b/src/net/stream.hpp
@@ -18,14 +18,15 @@
     virtual ~Transport() = default;
     /// Takes all of the parts and buffers what can't be written now. False: the connection is broken.
     virtual bool send(std::span<const std::string_view> parts) = 0;
-    virtual bool unsent() const = 0;               // something is buffered
-    virtual void resume() = 0;                     // reads again after receive_buffer() was empty
-    virtual void finish() = 0;                     // closes the sending side
-    virtual void drop(std::size_t most) = 0;       // drops what comes; over `most` bytes it ends
-    virtual void close() = 0;                      // no callback follows
-    virtual bool ended() const { return false; }   // by the peer, even if bytes are unread
+    virtual bool unsent() const = 0;    // something is buffered
+    virtual void resume() = 0;          // reads again after receive_buffer() was empty
+    virtual void shutdown_send() = 0;   // closes the sending side
+    virtual void discard_input(
+        std::size_t max_bytes) = 0;                      // drops what comes; over `max_bytes` bytes it ends
+    virtual void close() = 0;                            // no callback follows
+    virtual bool peer_closed() const { return false; }   // by the peer, even if bytes are unread
     /// How long (s) the last of the bytes read had waited in the system; 0: not known.
-    virtual double stalled_s() const { return 0; }
+    virtual double receive_delay_s() const { return 0; }
 };
 
 /// The protocol of a connection, a state machine that gets its events from a Stream.
@@ -35,11 +36,11 @@
     virtual void on_open() {}                       // a dialled connection is up
     virtual std::span<char> receive_buffer() = 0;   // for the next bytes; empty: pause until resume()
     virtual void on_bytes(std::size_t size) = 0;
-    virtual void on_dropped() {}           // bytes have come and been dropped
+    virtual void on_input_discarded() {}   // bytes have come and been dropped
     virtual void on_sent() {}              // all that was buffered has been written
     virtual void on_end(bool clean) = 0;   // clean: closed by the peer; else broken, or never up
     /// on_end() comes also while reading is paused.
-    virtual bool ends_unread() const { return false; }
+    virtual bool reports_end_while_paused() const { return false; }
 };
 
 class Stream final : public Transport {
@@ -59,11 +60,11 @@
     void resume() override;
     bool send(std::span<const std::string_view> parts) override;
     bool unsent() const override { return !unsent_.empty(); }
-    void finish() override;
-    void drop(std::size_t most) override;
+    void shutdown_send() override;
+    void discard_input(std::size_t max_bytes) override;
     void close() override;
-    bool ended() const override;
-    double stalled_s() const override;
+    bool peer_closed() const override;
+    double receive_delay_s() const override;
 
   private:
     static gboolean on_unread_end(gint, GIOCondition, gpointer self);
--- a/src/net/timers.cpp
+++ b/src/net/timers.cpp
@@ -63,21 +63,21 @@
     attach(source_.get());
 }
 
-SourceWatch::SourceWatch(Timers& timers, int fd, std::function<void()> call)
+FdWatch::FdWatch(Timers& timers, int fd, std::function<void()> call)
     : timers_(timers),
       call_(std::move(call)),
       tag_(g_source_add_unix_fd(timers.source_.get(), fd, G_IO_IN)) {
     timers_.watches_.push_back(this);
 }
 
-SourceWatch::~SourceWatch() {
+FdWatch::~FdWatch() {
     std::erase(timers_.watches_, this);
     g_source_remove_unix_fd(timers_.source_.get(), tag_);
 }
 
 void Timers::dispatch_watches() {
-    const std::vector<SourceWatch*> all = watches_;   // a callback may destroy or add some
-    for (SourceWatch* watch : all)
+    const std::vector<FdWatch*> all = watches_;   // a callback may destroy or add some
+    for (FdWatch* watch : all)
         if (std::find(watches_.begin(), watches_.end(), watch) != watches_.end() &&
             g_source_query_unix_fd(source_.get(), watch->tag_) != 0)
             watch->call_();
--- a/src/net/timers.hpp
+++ b/src/net/timers.hpp
@@ -1,8 +1,8 @@
 // All timers of the program, and the descriptors that are seldom ready, on one GSource: each source of its
 // own would cost every round of the loop.
 //
-// Input: times in s (net::now()). Output: the callbacks of Timer and SourceWatch, in the order of time.
-// Owned by the program; lives longer than every Timer and SourceWatch.
+// Input: times in s (net::now()). Output: the callbacks of Timer and FdWatch, in the order of time.
+// Owned by the program; lives longer than every Timer and FdWatch.
 #pragma once
 
 #include <functional>
@@ -39,12 +39,12 @@
 };
 
 /// Calls back when the descriptor is readable, until it is destroyed. The descriptor lives longer.
-class SourceWatch {
+class FdWatch {
   public:
-    SourceWatch(Timers& timers, int fd, std::function<void()> call);
-    ~SourceWatch();
-    SourceWatch(const SourceWatch&) = delete;
-    SourceWatch& operator=(const SourceWatch&) = delete;
+    FdWatch(Timers& timers, int fd, std::function<void()> call);
+    ~FdWatch();
+    FdWatch(const FdWatch&) = delete;
+    FdWatch& operator=(const FdWatch&) = delete;
 
   private:
     friend class Timers;
@@ -59,14 +59,14 @@
 
   private:
     friend class Timer;
-    friend class SourceWatch;
+    friend class FdWatch;
     struct TimerSource {
         GSource base;
         Timers* self;
     };
     void fire_timers();
     void dispatch_watches();
-    std::vector<SourceWatch*> watches_;
+    std::vector<FdWatch*> watches_;
     std::multimap<double, Timer*> queue_;
     Source source_;
     static constexpr double kNever = std::numeric_limits<double>::infinity();   // s, as a time
--- a/src/net/datagrams.cpp
+++ b/src/net/udp_socket.cpp
@@ -1,4 +1,4 @@
-#include "net/datagrams.hpp"
+#include "net/udp_socket.hpp"
 
 #include <cstring>
 #include <memory>
@@ -17,7 +17,7 @@
     return sender;
 }
 
-bool Datagrams::start(GSocketAddress* address, std::string& why) {
+bool UdpSocket::start(GSocketAddress* address, std::string& why) {
     GError* fault = nullptr;
     Ref<GSocket> socket(g_socket_new(g_socket_address_get_family(address), G_SOCKET_TYPE_DATAGRAM,
                                      G_SOCKET_PROTOCOL_UDP, &fault));
@@ -35,13 +35,13 @@
     return true;
 }
 
-void Datagrams::stop() {
+void UdpSocket::stop() {
     watch_.reset();
     if (socket_) g_socket_close(socket_.get(), nullptr);
     socket_.reset();
 }
 
-bool Datagrams::send(GSocketAddress* to, std::string_view bytes) {
+bool UdpSocket::send(GSocketAddress* to, std::string_view bytes) {
     if (!socket_) return false;
     GError* fault = nullptr;
     const gssize sent = g_socket_send_to(socket_.get(), to, bytes.data(), bytes.size(), nullptr, &fault);
@@ -49,7 +49,7 @@
     return sent == static_cast<gssize>(bytes.size());
 }
 
-bool Datagrams::send(const Sender& to, std::string_view bytes) {
+bool UdpSocket::send(const Sender& to, std::string_view bytes) {
     if (!socket_ || to.size == 0) return false;
     const ssize_t sent = ::sendto(g_socket_get_fd(socket_.get()), bytes.data(), bytes.size(), MSG_DONTWAIT,
                                   reinterpret_cast<const sockaddr*>(&to.address), to.size);
@@ -57,7 +57,7 @@
 }
 
 // By recv itself: GIO reports "would block" by allocating.
-void Datagrams::read() {
+void UdpSocket::read() {
     Sender sender;
     for (int i = 0; i < kMaxReadsPerWakeup && socket_; ++i) {
         sender.size = sizeof sender.address;
--- a/src/net/datagrams.hpp
+++ b/src/net/udp_socket.hpp
@@ -25,13 +25,13 @@
 };
 Sender sender_of(GSocketAddress* address);
 
-class Datagrams {
+class UdpSocket {
   public:
     static constexpr int kMaxReadsPerWakeup = 32;
 
-    Datagrams(Timers& timers, std::function<void(std::string_view)> on_datagram)
+    UdpSocket(Timers& timers, std::function<void(std::string_view)> on_datagram)
         : timers_(timers), on_datagram_(std::move(on_datagram)) {}
-    Datagrams(Timers& timers, std::function<void(std::string_view, const Sender&)> on_datagram)
+    UdpSocket(Timers& timers, std::function<void(std::string_view, const Sender&)> on_datagram)
         : timers_(timers), on_datagram_from_(std::move(on_datagram)) {}
     bool start(GSocketAddress* address, std::string& why);
     void stop();
@@ -46,7 +46,7 @@
     std::function<void(std::string_view)> on_datagram_;
     std::function<void(std::string_view, const Sender&)> on_datagram_from_;   // one of the two is set
     Ref<GSocket> socket_;
-    std::optional<SourceWatch> watch_;
+    std::optional<FdWatch> watch_;
     char buffer_[2048];
 };
 
--- a/src/quota/counter_protocol.cpp
+++ b/src/quota/counter_protocol.cpp
@@ -61,12 +61,12 @@
     // Parses all complete responses in the buffer.
     ProtocolStatus parse_buffered(std::vector<Reply>& replies) {
         for (;;) {
-            const http::Step step = parser_.feed(buffer_);
-            if (step == http::Step::more) {
+            const http::ParseResult step = parser_.feed(buffer_);
+            if (step == http::ParseResult::need_more) {
                 // A counter's reply has a length. Without one it would extend to the end of the connection.
                 return parser_.ends_with_connection() ? ProtocolStatus::violated : ProtocolStatus::ok;
             }
-            if (step != http::Step::done) return ProtocolStatus::violated;
+            if (step != http::ParseResult::done) return ProtocolStatus::violated;
             const int status = parser_.head().status;
             if (status == 200)
                 replies.push_back({true, parse_number(parser_.body())});
--- a/src/remotewrite/driver.cpp
+++ b/src/remotewrite/driver.cpp
@@ -80,10 +80,10 @@
         if (was_busy) driver_.on_answer({Answer::How::broke, 0, -1, -1}, what);
     }
 
-    void on_response(http::Step step) {
-        if (step == http::Step::more && !parser_.has_head()) return;
+    void on_response(http::ParseResult step) {
+        if (step == http::ParseResult::need_more && !parser_.has_head()) return;
         const auto self = shared_from_this();
-        if (step == http::Step::bad || step == http::Step::head_too_large) {
+        if (step == http::ParseResult::malformed || step == http::ParseResult::head_too_large) {
             close();
             return driver_.on_answer({Answer::How::broke, 0, -1, -1}, "an answer that can't be read");
         }
@@ -101,7 +101,7 @@
             text = text.substr(0, text.find_first_of("\r\n"));
             if (!text.empty()) what += ": " + std::string(text);
         }
-        const bool reusable = step == http::Step::done && head.keep_alive && !stream.unsent() &&
+        const bool reusable = step == http::ParseResult::done && head.keep_alive && !stream.unsent() &&
                               parser_.used() == buffer_.view().size();
         busy = false;
         parser_.reset();
--- a/src/rollout/transport.hpp
+++ b/src/rollout/transport.hpp
@@ -16,9 +16,9 @@
 
 #include "log/log.hpp"
 #include "membership/datagram_auth.hpp"
-#include "net/datagrams.hpp"
 #include "net/stream.hpp"
 #include "net/timers.hpp"
+#include "net/udp_socket.hpp"
 #include "rollout/message.hpp"
 
 namespace slatejunction::rollout {
@@ -84,7 +84,7 @@
     Logger& log_;
     std::map<std::string, Parent> parents_;
     std::map<std::string, Child> children_;
-    net::Datagrams socket_;
+    net::UdpSocket socket_;
     net::Timer bind_timer_;
     bool bind_failure_logged_ = false;
     Counts counts_;
--- a/tests/fuzz/http_targets.hpp
+++ b/tests/fuzz/http_targets.hpp
@@ -28,28 +28,29 @@
     for (;;) {
         if (reading_rest) {
             std::string_view in = buffer.view(), part;
-            while (!in.empty() && rest.state() == BodyReader::State::more) {
+            while (!in.empty() && rest.state() == BodyReader::State::need_more) {
                 rest.feed(in, part);
                 body += part;
             }
             buffer.consume(buffer.view().size() - in.size());
-            if (rest.state() == BodyReader::State::bad) return over(" bad"), told;
+            if (rest.state() == BodyReader::State::malformed) return over(" bad"), told;
             if (rest.state() == BodyReader::State::done) {
                 reading_rest = false;
                 over(" whole");
                 continue;
             }
         } else if (!buffer.view().empty()) {
-            const Step step = parser.feed(buffer);
+            const ParseResult step = parser.feed(buffer);
             // A parser that has both may judge what is too large by what has come: bad is bad.
-            if (step != Step::more && step != Step::done && step != Step::rest_follows)
+            if (step != ParseResult::need_more && step != ParseResult::done &&
+                step != ParseResult::rest_follows)
                 return over(" bad"), told;
-            if (step != Step::more) {
+            if (step != ParseResult::need_more) {
                 const Head& head = parser.head();
-                told += std::string(head.first) + " " + std::string(head.second) + " " +
+                told += std::string(head.method) + " " + std::string(head.target) + " " +
                         std::to_string(head.status) + (head.keep_alive ? " + " : " - ");
                 body = parser.body();
-                reading_rest = step == Step::rest_follows;
+                reading_rest = step == ParseResult::rest_follows;
                 if (reading_rest) rest = parser.rest();
                 buffer.consume(parser.used());
                 parser.reset();
--- a/tests/http/body_test.cpp
+++ b/tests/http/body_test.cpp
@@ -12,23 +12,23 @@
 using slatejunction::http::BodyReader;
 using slatejunction::http::Buffer;
 using slatejunction::http::Parser;
-using slatejunction::http::Step;
+using slatejunction::http::ParseResult;
 
 namespace {
 
 struct Read {
     std::string body;
     std::size_t used = 0;
-    BodyReader::State state = BodyReader::State::more;
+    BodyReader::State state = BodyReader::State::need_more;
 };
 
 // `most`: bytes fed at once, drawn anew each time.
 Read read(BodyReader reader, std::string_view bytes, std::mt19937& random, std::size_t most) {
     Read got;
-    while (got.used < bytes.size() && reader.state() == BodyReader::State::more) {
+    while (got.used < bytes.size() && reader.state() == BodyReader::State::need_more) {
         const std::size_t size = std::min<std::size_t>(1 + random() % most, bytes.size() - got.used);
         std::string_view in = bytes.substr(got.used, size), part;
-        while (!in.empty() && reader.state() == BodyReader::State::more) {
+        while (!in.empty() && reader.state() == BodyReader::State::need_more) {
             reader.feed(in, part);
             got.body += part;
         }
@@ -78,14 +78,15 @@
                                     "123456789\r\n", "5_0\r\n", ";a\r\n", "2800001\r\n"})
         for (const std::size_t most : {std::size_t{1}, std::size_t{50}}) {
             INFO(bytes);
-            REQUIRE(read(BodyReader::by_chunks(0), bytes, random, most).state == BodyReader::State::bad);
+            REQUIRE(read(BodyReader::by_chunks(0), bytes, random, most).state ==
+                    BodyReader::State::malformed);
         }
     // Trailers and extensions without end must not fill the memory.
     REQUIRE(read(BodyReader::by_chunks(0), "5;" + std::string(20000, 'e'), random, 4000).state ==
-            BodyReader::State::bad);
+            BodyReader::State::malformed);
     std::string trailers = "0\r\n";
     for (int i = 0; i < 2000; ++i) trailers += "A: b\r\n";
-    REQUIRE(read(BodyReader::by_chunks(0), trailers, random, 4000).state == BodyReader::State::bad);
+    REQUIRE(read(BodyReader::by_chunks(0), trailers, random, 4000).state == BodyReader::State::malformed);
 }
 
 // The parser's part and the reader's together give what was written, wherever the one hands to the other.
@@ -101,8 +102,8 @@
         Parser parser(Parser::Kind::response, true);
         Buffer buffer;
         std::size_t at = 0;
-        Step step = Step::more;
-        while (step == Step::more && at < bytes.size()) {
+        ParseResult step = ParseResult::need_more;
+        while (step == ParseResult::need_more && at < bytes.size()) {
             const auto room = parser.receive_space(buffer);
             const std::size_t size = std::min({room.size(), 1 + random() % 3000, bytes.size() - at});
             bytes.copy(room.data(), size, at);
@@ -110,7 +111,7 @@
             at += size;
             step = parser.feed(buffer);
         }
-        REQUIRE(step == Step::rest_follows);
+        REQUIRE(step == ParseResult::rest_follows);
         REQUIRE(parser.length() == (chunks ? std::nullopt : std::optional(body.size())));
         std::string got(parser.body());
         const std::string rest = std::string(buffer.view().substr(parser.used())) + bytes.substr(at);
@@ -161,6 +162,6 @@
         bytes.copy(room.data(), bytes.size());
         buffer.commit(bytes.size());
         INFO(bytes);
-        REQUIRE(parser.feed(buffer) == Step::bad);
+        REQUIRE(parser.feed(buffer) == ParseResult::malformed);
     }
 }
--- a/tests/ingress/in_process_test.cpp
+++ b/tests/ingress/in_process_test.cpp
@@ -161,8 +161,8 @@
     }
     bool unsent() const override { return false; }
     void resume() override {}
-    void finish() override {}
-    void drop(std::size_t max_bytes) override { max_dropped_bytes = max_bytes; }
+    void shutdown_send() override {}
+    void discard_input(std::size_t max_bytes) override { max_dropped_bytes = max_bytes; }
     void close() override {}
     sj::Settings configured;
     http::ByteBudget bytes{32 << 20};
@@ -225,7 +225,7 @@
         text.copy(buffer.space(text.size()).data(), text.size());
         buffer.commit(text.size());
         http::Parser parser(http::Parser::Kind::request);
-        REQUIRE(parser.feed(buffer) == http::Step::done);
+        REQUIRE(parser.feed(buffer) == http::ParseResult::done);
         client::ClientRequest request;
         return std::string(client::read_request(parser.head(), settings, 0, request));
     };
@@ -254,8 +254,8 @@
     const auto step = [&](http::Buffer& buffer, http::Parser& parser, std::size_t body) {
         std::string text = "POST / HTTP/1.1\r\nConnection: close\r\nContent-Length: 60000\r\n\r\n";
         text += std::string(body, 'x');
-        http::Step step = http::Step::more;
-        for (std::string_view rest = text; !rest.empty() && step == http::Step::more;) {
+        http::ParseResult step = http::ParseResult::need_more;
+        for (std::string_view rest = text; !rest.empty() && step == http::ParseResult::need_more;) {
             const auto space = parser.receive_space(buffer);
             const std::size_t size = rest.copy(space.data(), space.size());
             buffer.commit(size);
@@ -267,11 +267,11 @@
     {
         http::Buffer one(&budget), two(&budget);
         http::Parser first(http::Parser::Kind::request), second(http::Parser::Kind::request);
-        CHECK(step(one, first, 10000) == http::Step::more);
+        CHECK(step(one, first, 10000) == http::ParseResult::need_more);
         CHECK(budget.used() < 20000);
         CHECK(first.head().fields[0].value == "close");   // the views are valid after the buffer has grown
         CHECK(!first.head().keep_alive);
-        CHECK(step(two, second, 60000) == http::Step::over_budget);
+        CHECK(step(two, second, 60000) == http::ParseResult::over_budget);
     }
     CHECK(budget.used() == 0);
 }
--- a/tests/ingress/reentrancy_test.cpp
+++ b/tests/ingress/reentrancy_test.cpp
@@ -33,8 +33,8 @@
     }
     bool unsent() const override { return full; }
     void resume() override {}
-    void finish() override {}
-    void drop(std::size_t) override {}
+    void shutdown_send() override {}
+    void discard_input(std::size_t) override {}
     void close() override { closed = true; }
     std::string sent;
     bool broken = false, slow = false, full = false, closed = false;
--- a/tests/terms/world.cpp
+++ b/tests/terms/world.cpp
@@ -130,7 +130,7 @@
 
 void Client::on_bytes(std::size_t size) {
     buffer_.commit(size);
-    while (open() && !buffer_.view().empty() && parser_.feed(buffer_) == http::Step::done) {
+    while (open() && !buffer_.view().empty() && parser_.feed(buffer_) == http::ParseResult::done) {
         ++answers_;
         const bool keeps = parser_.head().keep_alive;
         if (!queue_.empty()) take_answer();
