--- a/src/app/rules_component.cpp
+++ b/src/app/rules_component.cpp
@@ -18,7 +18,7 @@
     : facts_{config.name, config.settings.zone}, ingress_(ingress), log_(log) {
     ingress_.register_extension(static_cast<ingress::EndpointListFilter&>(*this));
     settings_ = options.rules;
-    if (settings_.any()) set(compile(options));
+    if (settings_.has_rules()) set(compile(options));
     if (telemetry) {
         shape_ = telemetry->shape();
         telemetry->join([this](metrics::Measures& measures) { count(measures); });
@@ -51,7 +51,7 @@
 }
 
 void RulesComponent::prepare(const operator_config::Options& fresh) {
-    prepared_ = fresh.rules.any() ? compile(fresh) : nullptr;
+    prepared_ = fresh.rules.has_rules() ? compile(fresh) : nullptr;
 }
 
 std::string RulesComponent::apply(const operator_config::Options& fresh) {
@@ -67,7 +67,7 @@
 }
 
 void RulesComponent::set(std::unique_ptr<rules::Rules> rules) {
-    if (rules && rules_) rules->adopt(*rules_);
+    if (rules && rules_) rules->inherit_state(*rules_);
     if (rules) rules->set_fleet_rate_limits(fleet_limits_);
     rules_ = std::move(rules);
     ++generation_;
@@ -180,7 +180,7 @@
         const std::size_t at = place(shape_.limits, settings.limits[i].name);
         if (at == shape_.limits.size()) continue;
         const rules::Limiter& limiter = rules_->limiter(i);
-        m.set(Id::limit_keys, static_cast<double>(limiter.keys()), at);
+        m.set(Id::limit_keys, static_cast<double>(limiter.tracked_keys()), at);
         add_increase(Id::limit_forgotten, at, limiter.lossy_evictions());
         add_increase(Id::limit_passed, at, limiter.untracked_requests());
     }
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -96,7 +96,7 @@
     action->add_flag("--json", expr.json, "one line of JSON");
     action->final_callback([&expr, name, text, file] {
         require_one(text, file);
-        expr.what = name;
+        expr.subcommand = name;
     });
 }
 
--- a/src/rules/command.cpp
+++ b/src/rules/command.cpp
@@ -86,10 +86,10 @@
         expr::LoadOptions options;
         if (command.max_cost) options.max_cost = command.max_cost;
         const expr::Program program = expr::compile(source, variables.environment(), options);
-        if (command.what == "explain")
+        if (command.subcommand == "explain")
             return std::fputs(explain(program, variables.environment()).c_str(), stdout) < 0;
-        if (command.what == "bench") return run_benchmark(program, variables, command.json);
-        if (command.what == "check") {
+        if (command.subcommand == "bench") return run_benchmark(program, variables, command.json);
+        if (command.subcommand == "check") {
             std::printf(command.json ? "{\"type\":\"%s\",\"bound\":%llu}\n" : "%s, at most %llu units\n",
                         program.type.name().c_str(), static_cast<unsigned long long>(program.bound));
             return 0;
--- a/src/rules/command.hpp
+++ b/src/rules/command.hpp
@@ -10,7 +10,7 @@
 
 /// The command line.
 struct ExprCommand {
-    std::string what;                     // check, eval, explain, bench
+    std::string subcommand;               // check, eval, explain, bench
     std::string text, file;               // the expression, or the file that holds it
     std::string request;                  // a JSON file, or empty
     std::vector<std::string> variables;   // NAME=TYPE=JSON
--- a/src/rules/limiter.cpp
+++ b/src/rules/limiter.cpp
@@ -34,7 +34,7 @@
     sketch_.resize(kSketchRows * sketch_width_);
 }
 
-std::size_t Limiter::bytes() const {
+std::size_t Limiter::memory_bytes() const {
     return slots_.size() * sizeof(Slot) + index_.size() * sizeof(std::uint32_t) + sketch_.size();
 }
 
--- a/src/rules/limiter.hpp
+++ b/src/rules/limiter.hpp
@@ -57,14 +57,14 @@
     void release(double now, Ticket& ticket);
 
     const Limits& limits() const { return limits_; }
-    std::size_t keys() const { return used_slots_; }
+    std::size_t tracked_keys() const { return used_slots_; }
     std::uint64_t lossy_evictions() const {
         return lossy_evictions_;
     }   ///< of a key whose bucket was not full
     std::uint64_t untracked_requests() const {
         return untracked_requests_;
-    }                            ///< of keys that are not tracked
-    std::size_t bytes() const;   ///< of memory
+    }   ///< of keys that are not tracked
+    std::size_t memory_bytes() const;
 
     /// A tracked key's bucket, for snapshots; it is full `full_in_s` from now.
     struct SavedBucket {
--- a/src/rules/rules.cpp
+++ b/src/rules/rules.cpp
@@ -23,7 +23,7 @@
       tag_index_({}),
       variables_(gateway_) {}
 
-void Rules::adopt(const Rules& other) {
+void Rules::inherit_state(const Rules& other) {
     for (std::size_t i = 0; i < limits_.size(); ++i)
         for (std::size_t k = 0; k < other.limits_.size(); ++k)
             if (settings_.limits[i] == other.settings_.limits[k])
--- a/src/rules/rules.hpp
+++ b/src/rules/rules.hpp
@@ -94,7 +94,7 @@
                                        std::vector<std::string>& faults, ErrorCallback on_error = {});
 
     /// Takes over the buckets of limits of the same definition, and the counts of rules of the same name.
-    void adopt(const Rules& other);
+    void inherit_state(const Rules& other);
 
     /// Where limits over the fleet are kept, outlives the rules; null: each is kept here alone.
     void set_fleet_rate_limits(FleetRateLimits* fleet_limits);
--- a/src/rules/settings.hpp
+++ b/src/rules/settings.hpp
@@ -68,7 +68,9 @@
     std::deque<TagSettings> tags;
     bool operator==(const Settings&) const = default;
 
-    bool any() const { return !subsets.empty() || !routes.empty() || !limits.empty() || !tags.empty(); }
+    bool has_rules() const {
+        return !subsets.empty() || !routes.empty() || !limits.empty() || !tags.empty();
+    }
     ini::Section section();
     std::vector<ini::Family> families();   ///< they write into this object, which outlives them
 };
--- a/tests/rules/limiter_test.cpp
+++ b/tests/rules/limiter_test.cpp
@@ -99,9 +99,9 @@
         CHECK(passed[i] <= kRate * now + kBurst + 1);
     }
     CHECK(fresh_passed == fresh);   // none of them is over its own limit
-    CHECK(limiter.keys() == 10'000);
+    CHECK(limiter.tracked_keys() == 10'000);
     CHECK(limiter.untracked_requests() > 0);
-    CHECK(limiter.bytes() / 10'000 < 80);
+    CHECK(limiter.memory_bytes() / 10'000 < 80);
 }
 
 TEST_CASE("at 10,000 keys under a skewed load every tracked key gets its rate, within 1%") {
@@ -160,7 +160,7 @@
         REQUIRE(limiter.retry_after_s(now, hash_key(key), 1, again) > 0);
         REQUIRE(again.slot == ticket.slot);
     }
-    CHECK(limiter.keys() == 64);
+    CHECK(limiter.tracked_keys() == 64);
     Limiter::Ticket still;
     limiter.retry_after_s(now, hash_key("open"), 1, still);
     CHECK(still.slot == open.slot);
--- a/tests/rules/routes_test.cpp
+++ b/tests/rules/routes_test.cpp
@@ -207,7 +207,7 @@
     const auto same = load(
         "[limit path]\nkey = request.path\nrate = 1\nburst = 2\n[limit all]\nkey = request.plan\nrate = "
         "1\n");
-    same->adopt(*rules);
+    same->inherit_state(*rules);
     facts.path = "/a";
     facts.units = 1;
     CHECK(same->evaluate(0, facts).rate_limit_retry_after_s == Approx(1));
