--- a/bench/peers-model.cpp
+++ b/bench/peers-model.cpp
@@ -4,11 +4,11 @@
 #include <cstdio>
 #include <cstdlib>
 
-#include "membership/network_model.hpp"
+#include "membership/simulation.hpp"
 
 namespace {
 
-using net_model::Net;
+using membership_simulation::Simulation;
 
 struct Row {
     std::vector<double> first, all;   // s from a death until the first and the last knew
@@ -19,19 +19,20 @@
 Row look(std::size_t members, double loss, bool starved, std::uint64_t seeds) {
     Row row;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-        net_model::Plan plan;
+        membership_simulation::Scenario plan;
         plan.members = members;
         plan.loss = loss;
-        Net net(plan, seed);
+        Simulation net(plan, seed);
         net.run_until(120, [&] { return net.all_alive(); });
         row.most_joined = std::max(row.most_joined, net.now());
         if (starved) net.starve(members - 1, 2.5);
-        const std::uint64_t bytes = net.bytes(), datagrams = net.datagrams(), wrong = net.false_deaths();
+        const std::uint64_t bytes = net.sent_bytes(), datagrams = net.sent_datagrams(),
+                            wrong = net.false_deaths();
         const double quiet = members > 100 ? 60 : 600, from = net.now();
         net.run(from + quiet);
-        row.bytes += static_cast<double>(net.bytes() - bytes) / quiet / static_cast<double>(members);
+        row.bytes += static_cast<double>(net.sent_bytes() - bytes) / quiet / static_cast<double>(members);
         row.datagrams +=
-            static_cast<double>(net.datagrams() - datagrams) / quiet / static_cast<double>(members);
+            static_cast<double>(net.sent_datagrams() - datagrams) / quiet / static_cast<double>(members);
         // A false death counts once, however many came to believe it.
         row.false_an_hour += static_cast<double>(net.false_deaths() - wrong) /
                              static_cast<double>(members - 1) * 3600 / quiet;
@@ -44,9 +45,9 @@
             double first = 0;
             const bool known = net.run_until(200, [&] {
                 for (std::size_t i = 0; i < members && first == 0; ++i)
-                    if (net.up(i) && net.has(i, who, slatejunction::membership::MemberState::gone))
+                    if (net.is_running(i) && net.sees(i, who, slatejunction::membership::MemberState::gone))
                         first = net.now() - at;
-                return net.all_have(who, slatejunction::membership::MemberState::gone);
+                return net.all_see(who, slatejunction::membership::MemberState::gone);
             });
             row.first.push_back(first);
             row.all.push_back(known ? net.now() - at : 200);
--- a/bench/scale/crowd.cpp
+++ b/bench/scale/crowd.cpp
@@ -50,7 +50,7 @@
     double cpu() const { return cpu_; }
     double most_cpu() const { return most_cpu_; }
     double most_bytes() const { return most_bytes_; }
-    std::size_t known() const { return member_.alive(); }
+    std::size_t known() const { return member_.alive_count(); }
     void forget_worst() { most_cpu_ = most_bytes_ = 0; }
     // Nothing is told any more: in that second it said what probes need.
     bool quiet() const { return last_datagrams_ < 8; }
--- a/bench/scale/fleet.cpp
+++ b/bench/scale/fleet.cpp
@@ -171,7 +171,8 @@
         bool fresh = true;
         if (node.seal) {
             const membership::OpenResult opened = node.seal->open(bytes, who, payload);
-            if (opened != membership::OpenResult::fresh && opened != membership::OpenResult::unknown_sender)
+            if (opened != membership::OpenResult::fresh &&
+                opened != membership::OpenResult::not_for_this_process)
                 return;
             fresh = opened == membership::OpenResult::fresh;
         }
@@ -287,7 +288,7 @@
                 const Booked booked(meter_, account(i, duty));
                 fleet_counters::Report report;
                 if (!fleet_counters::decode(body, report)) return;
-                if (report.cuts.empty())
+                if (report.period_counters.empty())
                     node.teller->acknowledge(report.process, report.acknowledged_period);
                 else
                     more = node.collector->on_report(now(), unix_s(), ingress_name(from), report);
@@ -459,7 +460,7 @@
         for (const fleet_counters::Row& row : rows) {
             ++rows_;
             row_delay_ = unix_s() - static_cast<double>(row.period) * plan_.period_s;
-            row_processes_ = row.processes;
+            row_processes_ = row.process_count;
             node.collector->on_rows_delivered(row.period);
         }
     }
@@ -621,13 +622,13 @@
     const std::size_t up = ups();
     if (up == 0) return false;
     for (const auto& one : nodes_)
-        if (one && one->members->alive() != up) return false;
+        if (one && one->members->alive_count() != up) return false;
     return true;
 }
 
 bool Fleet::all_agree(std::size_t inside) const {
     for (std::size_t i = 0; i < nodes_.size(); ++i)
-        if (nodes_[i] && nodes_[i]->members->alive() != (region(i) == 0 ? inside : ups() - inside))
+        if (nodes_[i] && nodes_[i]->members->alive_count() != (region(i) == 0 ? inside : ups() - inside))
             return false;
     return true;
 }
--- a/bench/scale/fleet.hpp
+++ b/bench/scale/fleet.hpp
@@ -134,7 +134,7 @@
         std::unique_ptr<fleet_counters::Aggregator> collector;
         std::deque<fleet_counters::Aggregator::Acknowledgement> answers;
         std::unique_ptr<fleet_rate_limit::RateLimitNode> limits;
-        fleet_counters::Values values{};
+        fleet_counters::CounterValues values{};
         std::uint64_t period = 0, told_holds = 0;
         std::array<double, kDuties> armed{};
         bool answering = false;
--- a/bench/scale/rollout_fleet.cpp
+++ b/bench/scale/rollout_fleet.cpp
@@ -283,7 +283,8 @@
         const Booked booked(meter_, account(to));
         std::uint64_t who = sender;
         const membership::OpenResult opened = nodes_[to].seal->open(bytes, who, payload);
-        if (opened != membership::OpenResult::fresh && opened != membership::OpenResult::unknown_sender)
+        if (opened != membership::OpenResult::fresh &&
+            opened != membership::OpenResult::not_for_this_process)
             return;
     }
     hear(from, to, sender, payload);
--- a/src/app/fleet_component.cpp
+++ b/src/app/fleet_component.cpp
@@ -27,9 +27,9 @@
     return keys;
 }
 
-fleet_counters::Values counter_values(const metrics::Measures& measures) {
+fleet_counters::CounterValues counter_values(const metrics::Measures& measures) {
     using metrics::Id;
-    fleet_counters::Values values{};
+    fleet_counters::CounterValues values{};
     for (std::size_t ending = 0; ending < metrics::kEndings.size(); ++ending)
         values[fleet_counters::served + ending] =
             static_cast<std::uint64_t>(measures.sum(Id::requests, metrics::kEndings.size(), ending));
@@ -108,13 +108,13 @@
 
 void FleetComponent::make_fleet_counters(const config::Config& config, net::Timers& timers) {
     fleet_counters::Driver::Callbacks callbacks;
-    callbacks.values = [this, before = counter_values(telemetry_->measures())] {
+    callbacks.counter_values = [this, before = counter_values(telemetry_->measures())] {
         auto now = counter_values(telemetry_->measures());
         for (std::size_t i = 0; i < now.size(); ++i) now[i] -= before[i];   // counted by an earlier process
         return now;
     };
     callbacks.holder = [this] { return leader_name(); };
-    callbacks.permit = [this] {
+    callbacks.may_write_rows = [this] {
         lease::Permit permit;
         return leader_may_act(permit);
     };
@@ -135,7 +135,7 @@
         fleet_counters_->on_report_message(message.from, message.body);
     });
     log_.write(Log::Level::info, net::now(), "%s",
-               fleet_counters::stated(options_.fleet_counters, options_.lease.times).c_str());
+               fleet_counters::describe_bounds(options_.fleet_counters, options_.lease.times).c_str());
 }
 
 void FleetComponent::start() {
@@ -330,7 +330,7 @@
     if (!prepared_keys_.empty()) peers_.set_keys(prepared_keys_);
     prepared_keys_.clear();
     auto comparable = fresh.membership;
-    comparable.via = options_.membership.via;
+    comparable.address_overrides = options_.membership.address_overrides;
     comparable.key_file = options_.membership.key_file;
     auto lease = fresh.lease;
     lease.acceptors = options_.lease.acceptors;
@@ -342,7 +342,7 @@
                                                                        peers_.members().self().site,
                                                                        SLATEJUNCTION_VERSION)
                                                    .address_overrides);
-    options_.membership.via = fresh.membership.via;
+    options_.membership.address_overrides = fresh.membership.address_overrides;
     if (leases_ && fresh.lease.on()) {
         leases_->set_acceptors(boot_clock_s(), lease::settings_of(fresh.lease, name_).acceptors);
         if (fleet_counters_) fleet_counters_->set_acceptors(leases_->settings().acceptors);
--- a/src/app/program.cpp
+++ b/src/app/program.cpp
@@ -73,7 +73,7 @@
             std::vector<membership::AuthKey> keys;
             const std::string why = membership::load_keys(options.membership, keys);
             if (!why.empty()) throw std::runtime_error(files.options + ": [peers] " + why);
-            for (auto& line : membership::stated(options.membership)) lines.push_back(line);
+            for (auto& line : membership::describe_bounds(options.membership)) lines.push_back(line);
         }
         if (options.has_fleet_rate_limits())
             for (auto& line :
@@ -85,7 +85,7 @@
             throw std::runtime_error(files.options + ": [rollout] " + why);
         for (auto& line : stated_of_rollout(options)) lines.push_back(line);
         if (options.fleet_counters.on())
-            lines.push_back(fleet_counters::stated(options.fleet_counters, options.lease.times));
+            lines.push_back(fleet_counters::describe_bounds(options.fleet_counters, options.lease.times));
         if (!options.quota.on()) return;
         quotas = quota::make_settings(options.quota, config.settings, fault);
         if (!fault.empty()) throw std::runtime_error(files.options + ": [quota] " + fault);
--- a/src/fleet_counters/aggregator.cpp
+++ b/src/fleet_counters/aggregator.cpp
@@ -13,17 +13,17 @@
 constexpr double kRegisterRetryMost = 1.2;   // jitter of RegisterClient's retry
 
 template <class Repeated>
-bool decode_values(const Repeated& from, Values& values) {
-    if (from.size() != static_cast<int>(kValues)) return false;
-    for (std::size_t i = 0; i < kValues; ++i) values[i] = from.Get(static_cast<int>(i));
+bool decode_values(const Repeated& from, CounterValues& values) {
+    if (from.size() != static_cast<int>(kCounterCount)) return false;
+    for (std::size_t i = 0; i < kCounterCount; ++i) values[i] = from.Get(static_cast<int>(i));
     return true;
 }
 
 // The values, then the number of processes.
 bool decode_row(const wire::Row& in, Row& row) {
-    if (in.value_size() != static_cast<int>(kValues) + 1) return false;
-    for (std::size_t i = 0; i < kValues; ++i) row.values[i] = in.value(static_cast<int>(i));
-    row.processes = in.value(static_cast<int>(kValues));
+    if (in.value_size() != static_cast<int>(kCounterCount) + 1) return false;
+    for (std::size_t i = 0; i < kCounterCount; ++i) row.values[i] = in.value(static_cast<int>(i));
+    row.process_count = in.value(static_cast<int>(kCounterCount));
     return true;
 }
 
@@ -83,13 +83,13 @@
 }
 
 bool Aggregator::on_report(double now, double unix_s, const std::string& from, const Report& report) {
-    if (!has_term() || report.cuts.empty()) return false;
-    const std::uint64_t last_period = report.cuts.back().period;
+    if (!has_term() || report.period_counters.empty()) return false;
+    const std::uint64_t last_period = report.period_counters.back().period;
     // A process that may have been forgotten since would be counted again.
     if (last_period + kForgetPeriods / 2 < last_ended_period(unix_s)) return false;
     const auto known = reports_.find(report.process);
     const bool is_overtaken =
-        known != reports_.end() && known->second.report.cuts.back().period > last_period;
+        known != reports_.end() && known->second.report.period_counters.back().period > last_period;
     if (is_overtaken) return true;
     reports_[report.process] = {from, report};
     // The reporter missed an acknowledgement. While a page is being written nobody knows if it will stand.
@@ -152,9 +152,9 @@
     Row row;
     row.period = last_committed_period() + 1;
     for (const Page& page : pages_) {
-        for (std::size_t i = 0; i < kValues; ++i) row.values[i] += page.values[i];
+        for (std::size_t i = 0; i < kCounterCount; ++i) row.values[i] += page.values[i];
         for (const auto& [process, counted_period] : page.entries)
-            if (counted_period == row.period) ++row.processes;
+            if (counted_period == row.period) ++row.process_count;
     }
     retained_rows_.push_back(row);
     if (retained_rows_.size() > kMaxRetainedRows) retained_rows_.pop_front();
@@ -170,7 +170,7 @@
     published_period_ = std::max(published_period_, last_committed_period());
     for (const auto& [process, received] : reports_) acknowledge(process, received);
     std::erase_if(reports_, [&](const auto& entry) {
-        return entry.second.report.cuts.back().period + kForgetPeriods < last_committed_period();
+        return entry.second.report.period_counters.back().period + kForgetPeriods < last_committed_period();
     });
 }
 
@@ -240,7 +240,7 @@
     page.period = period;
     std::erase_if(page.entries, [&](const auto& entry) { return entry.second + kForgetPeriods < period; });
     for (const auto& [process, received] : reports_) {
-        const auto& cuts = received.report.cuts;
+        const auto& cuts = received.report.period_counters;
         const bool is_old = cuts.back().period + kForgetPeriods / 2 < period;
         if (page_of(process) == index && !is_old) add_report(page, process, cuts);
     }
@@ -261,7 +261,7 @@
         ++rejected_reports_;
         return;
     }
-    for (std::size_t i = 0; i < kValues; ++i) page.values[i] += to->values[i] - from->values[i];
+    for (std::size_t i = 0; i < kCounterCount; ++i) page.values[i] += to->values[i] - from->values[i];
     page.entries[process] = to->period;
 }
 
@@ -283,7 +283,7 @@
     for (const Row& row : retained_rows_) {
         wire::Row& entry = *out.add_row();
         for (const std::uint64_t value : row.values) entry.add_value(value);
-        entry.add_value(row.processes);
+        entry.add_value(row.process_count);
     }
     return out.SerializeAsString();
 }
--- a/src/fleet_counters/aggregator.hpp
+++ b/src/fleet_counters/aggregator.hpp
@@ -50,8 +50,8 @@
 /// The fleet's counters at the end of a period.
 struct Row {
     std::uint64_t period = 0;
-    Values values{};
-    std::uint64_t processes = 0;   ///< counted up to this very period
+    CounterValues values{};
+    std::uint64_t process_count = 0;   ///< counted up to this very period
 };
 
 class Aggregator {
@@ -105,7 +105,7 @@
     // Processes are spread over pages, a register each.
     struct Page {
         std::uint64_t period = 0;
-        Values values{};                                  // sum of all that was ever counted
+        CounterValues values{};                           // sum of all that was ever counted
         std::map<std::uint64_t, std::uint64_t> entries;   // by process: its last counted period
     };
     struct ReceivedReport {
--- a/src/fleet_counters/driver.cpp
+++ b/src/fleet_counters/driver.cpp
@@ -26,7 +26,7 @@
 struct SeriesName {
     const char *name, *outcome, *help, *unit;
 };
-constexpr std::array<SeriesName, kValues> kSeries{{
+constexpr std::array<SeriesName, kCounterCount> kSeries{{
     {"slatejunction_fleet_requests_total", "served", "Finished requests of all ingresses.", "requests"},
     {"slatejunction_fleet_requests_total", "refused", "Finished requests of all ingresses.", "requests"},
     {"slatejunction_fleet_requests_total", "failed", "Finished requests of all ingresses.", "requests"},
@@ -93,7 +93,7 @@
     const auto period = static_cast<std::uint64_t>(std::floor(unix_now / options_.period_s));
     if (period > last_period_) {
         last_period_ = period;
-        reporter_.record_period(period, callbacks_.values());
+        reporter_.record_period(period, callbacks_.counter_values());
         // Spread, as all ingresses report now.
         report_timer_.arm(net::now() + options_.grace_s / 4 * draw(0, 1));
     }
@@ -119,7 +119,7 @@
 void Driver::stop() {
     if (std::exchange(stopped_, true)) return;
     const std::string holder = callbacks_.holder();
-    reporter_.record_period(last_period_ + 1, callbacks_.values());
+    reporter_.record_period(last_period_ + 1, callbacks_.counter_values());
     const auto report = reporter_.report();
     if (report && !holder.empty() && holder != name_)
         for (int i = 0; i < kFinalReportCopies; ++i) callbacks_.send_report(holder, encode(*report));
@@ -152,7 +152,7 @@
 void Driver::on_report_message(const std::string& from, std::string_view body) {
     Report report;
     if (!decode(body, report)) return;
-    if (report.cuts.empty())
+    if (report.period_counters.empty())
         reporter_.acknowledge(report.process, report.acknowledged_period);
     else if (aggregator_.on_report(lease::boot_clock_s(), unix_s(), from, report))
         flush();
@@ -201,7 +201,7 @@
 
 // A process that is stopped between the permit and the write writes what the next holder writes, too.
 void Driver::deliver_rows() {
-    while (writer_ && !pending_rows_.empty() && callbacks_.permit()) {
+    while (writer_ && !pending_rows_.empty() && callbacks_.may_write_rows()) {
         const Row row = pending_rows_.front();
         pending_rows_.pop_front();
         deliver_row(row);
@@ -214,18 +214,18 @@
     frame.at_ms = std::llround(period_end_s * 1e3);
     frame.layout = layout_;
     frame.keep = true;
-    for (std::size_t i = 0; i < kValues; ++i) {
+    for (std::size_t i = 0; i < kCounterCount; ++i) {
         const double scale = i >= weight_offered ? kWeightScale : 1;
         frame.values.push_back(static_cast<double>(row.values[i]) / scale);
     }
-    frame.values.push_back(static_cast<double>(row.processes));
+    frame.values.push_back(static_cast<double>(row.process_count));
     writer_->add(std::move(frame));
     last_delivered_period_ = row.period;
     ++delivered_rows_;
     const std::pair<std::string_view, std::string> fields[] = {
         {"period", std::to_string(row.period)},
         {"served", std::to_string(row.values[served])},
-        {"ingresses", std::to_string(row.processes)}};
+        {"ingresses", std::to_string(row.process_count)}};
     log_.event("row", fields);
 }
 
--- a/src/fleet_counters/driver.hpp
+++ b/src/fleet_counters/driver.hpp
@@ -29,9 +29,9 @@
 class Driver {
   public:
     struct Callbacks {
-        std::function<Values()> values;        ///< counters since the process began
-        std::function<std::string()> holder;   ///< name of the lease's holder; empty: none is known
-        std::function<bool()> permit;          ///< whether rows may be handed to the receiver now
+        std::function<CounterValues()> counter_values;   ///< counters since the process began
+        std::function<std::string()> holder;    ///< name of the lease's holder; empty: none is known
+        std::function<bool()> may_write_rows;   ///< whether rows may be handed to the receiver now
         std::function<void(const std::string&to, const std::string&body)> send_report,
             send_register_message;
     };
--- a/src/fleet_counters/reporter.hpp
+++ b/src/fleet_counters/reporter.hpp
@@ -24,26 +24,26 @@
 namespace slatejunction::fleet_counters {
 
 /// Counters since the process began. Weights are in millionths, so that sums are exact.
-enum Value : std::size_t { served, refused, failed, weight_offered, weight_served, kValues };
-using Values = std::array<std::uint64_t, kValues>;
+enum CounterIndex : std::size_t { served, refused, failed, weight_offered, weight_served, kCounterCount };
+using CounterValues = std::array<std::uint64_t, kCounterCount>;
 inline constexpr double kWeightScale = 1e6;
 
 /// Recorded periods that wait for a first report; older ones are merged into their successor.
-inline constexpr std::size_t kMaxUnreportedCuts = 8;
+inline constexpr std::size_t kMaxUnreportedPeriods = 8;
 /// Periods after which the aggregator forgets a process that does not report.
 inline constexpr std::uint64_t kForgetPeriods = 24;
 
 /// The counters as they stood at the end of a period.
 struct PeriodCounters {
     std::uint64_t period = 0;
-    Values values{};
+    CounterValues values{};
 };
 
 /// A report (with cuts), or an acknowledgement (without).
 struct Report {
     std::uint64_t process = 0;
-    std::uint64_t acknowledged_period = 0;   ///< the last one that is counted; 0: none yet
-    std::vector<PeriodCounters> cuts;        ///< rising periods; the first is acknowledged_period
+    std::uint64_t acknowledged_period = 0;         ///< the last one that is counted; 0: none yet
+    std::vector<PeriodCounters> period_counters;   ///< rising periods; the first is acknowledged_period
 };
 std::string encode(const Report& report);
 /// False: `bytes` are no valid report.
@@ -55,19 +55,19 @@
     explicit Reporter(std::uint64_t process) : process_(process) {}
 
     /// Records the counters at the end of `period`; without effect if it is not later than the last one.
-    void record_period(std::uint64_t period, const Values& values);
+    void record_period(std::uint64_t period, const CounterValues& values);
     /// What is not acknowledged yet; empty: nothing.
     std::optional<Report> report();
     /// Periods up to `period` are counted; ignored for another process.
     void acknowledge(std::uint64_t process, std::uint64_t period);
     std::uint64_t acknowledged_period() const { return base_.period; }
     /// Recorded periods that are not acknowledged.
-    std::size_t waiting() const { return cuts_.size(); }
+    std::size_t unacknowledged_periods() const { return cuts_.size(); }
     /// Requests that are in no row.
     std::uint64_t dropped_requests() const { return dropped_requests_; }
 
   private:
-    void drop_unacknowledged(const Values& values);
+    void drop_unacknowledged(const CounterValues& values);
 
     const std::uint64_t process_;
     PeriodCounters base_;               // acknowledged
--- a/src/fleet_counters/settings.cpp
+++ b/src/fleet_counters/settings.cpp
@@ -25,7 +25,7 @@
     return section;
 }
 
-std::string stated(const Options& options, const lease::LeaseTimes& times) {
+std::string describe_bounds(const Options& options, const lease::LeaseTimes& times) {
     char text[320];
     std::snprintf(
         text, sizeof text,
--- a/src/fleet_counters/settings.hpp
+++ b/src/fleet_counters/settings.hpp
@@ -21,6 +21,6 @@
 };
 
 /// The bounds that follow from the options, for check-config.
-std::string stated(const Options& options, const lease::LeaseTimes& times);
+std::string describe_bounds(const Options& options, const lease::LeaseTimes& times);
 
 }   // namespace slatejunction::fleet_counters
--- a/src/membership/datagram_auth.cpp
+++ b/src/membership/datagram_auth.cpp
@@ -60,7 +60,7 @@
 
 }   // namespace
 
-std::string read_keys(std::string_view text, std::vector<AuthKey>& keys) {
+std::string parse_keys(std::string_view text, std::vector<AuthKey>& keys) {
     std::vector<AuthKey> found;
     std::size_t line_number = 0;
     const auto fault = [&](const char* why) { return "line " + std::to_string(line_number) + why; };
@@ -122,7 +122,7 @@
     payload = bytes.substr(kHeaderBytes, bytes.size() - kAuthOverheadBytes);
     const bool is_own = from == process_;
     if (is_own || from == 0) return OpenResult::replayed;
-    if (read_u64(bytes, kToOffset) != process_) return OpenResult::unknown_sender;
+    if (read_u64(bytes, kToOffset) != process_) return OpenResult::not_for_this_process;
     const bool is_new = accept_sequence(from, read_u64(bytes, kSequenceOffset));
     return is_new ? OpenResult::fresh : OpenResult::replayed;
 }
--- a/src/membership/datagram_auth.hpp
+++ b/src/membership/datagram_auth.hpp
@@ -32,9 +32,9 @@
 
 /// Parses a key file: one key a line, 64 hexadecimal digits; '#' begins a comment. The first key signs,
 /// both verify. Returns what is wrong, "line N: why", and leaves `keys` as they were then.
-std::string read_keys(std::string_view text, std::vector<AuthKey>& keys);
+std::string parse_keys(std::string_view text, std::vector<AuthKey>& keys);
 
-enum class OpenResult { fresh, unknown_sender, bad_size, bad_version, bad_key, replayed };
+enum class OpenResult { fresh, not_for_this_process, bad_size, bad_version, bad_key, replayed };
 /// The measure's label.
 inline constexpr std::array<std::string_view, 6> kOpenResultNames{"fresh",   "stranger", "size",
                                                                   "version", "key",      "replayed"};
--- a/src/membership/settings.cpp
+++ b/src/membership/settings.cpp
@@ -63,10 +63,10 @@
 std::string check_section(const Options& options) {
     if (!options.on()) return {};
     std::map<std::string, std::string> pairs;
-    const std::string members_fault = read_pairs(options.members, pairs);
+    const std::string members_fault = read_pairs(options.static_members, pairs);
     if (!members_fault.empty()) return "members: " + members_fault;
     pairs.clear();
-    const std::string via_fault = read_pairs(options.via, pairs);
+    const std::string via_fault = read_pairs(options.address_overrides, pairs);
     if (!via_fault.empty()) return "via: " + via_fault;
     if (options.key_file.empty()) return "key_file: is wanted, what ingresses say is authenticated";
     return {};
@@ -82,9 +82,9 @@
     section.text("site", site, "where this ingress stands; empty: the platform's zone", check_site);
     section.text("seeds", seeds, "ADDRESS:PORT, by commas: members to join by; this one may be among them",
                  check_seeds);
-    section.lines("members", members, "NAME=ADDRESS:PORT, one a line: members that are known ahead");
+    section.lines("members", static_members, "NAME=ADDRESS:PORT, one a line: members that are known ahead");
     section.lines(
-        "via", via,
+        "via", address_overrides,
         "NAME=ADDRESS:PORT, one a line: where this ingress reaches a member, if not at its address");
     section.text("key_file", key_file,
                  "a file with one key, or two while one is replaced: 64 hexadecimal digits a line");
@@ -102,8 +102,8 @@
     settings.site = options.site.empty() ? zone : options.site;
     settings.version = version;
     settings.seeds = split(options.seeds, ',');
-    read_pairs(options.members, settings.static_members);
-    read_pairs(options.via, settings.address_overrides);
+    read_pairs(options.static_members, settings.static_members);
+    read_pairs(options.address_overrides, settings.address_overrides);
     settings.protocol_period_s = options.interval_s;
     return settings;
 }
@@ -113,11 +113,11 @@
     if (!in) return "key_file: '" + options.key_file + "' can't be read";
     std::string text((std::istreambuf_iterator<char>(in)), std::istreambuf_iterator<char>());
     if (text.size() > kMaxKeyFileBytes) return "key_file: is longer than 4096 bytes";
-    const std::string why = read_keys(text, keys);
+    const std::string why = parse_keys(text, keys);
     return why.empty() ? why : "key_file: " + options.key_file + ", " + why;
 }
 
-std::vector<std::string> stated(const Options& options) {
+std::vector<std::string> describe_bounds(const Options& options) {
     std::vector<std::string> all;
     for (const std::size_t members : {std::size_t{3}, std::size_t{30}, kMaxMembers}) {
         char text[200];
--- a/src/membership/settings.hpp
+++ b/src/membership/settings.hpp
@@ -12,11 +12,11 @@
 namespace slatejunction::membership {
 
 struct Options {
-    std::string listen;    ///< ADDRESS:PORT, UDP; empty: off
-    std::string site;      ///< empty: the platform's zone
-    std::string seeds;     ///< ADDRESS:PORT, separated by commas
-    std::string members;   ///< static members: NAME=ADDRESS:PORT, one a line
-    std::string via;       ///< address overrides: the same
+    std::string listen;              ///< ADDRESS:PORT, UDP; empty: off
+    std::string site;                ///< empty: the platform's zone
+    std::string seeds;               ///< ADDRESS:PORT, separated by commas
+    std::string static_members;      ///< static members: NAME=ADDRESS:PORT, one a line
+    std::string address_overrides;   ///< address overrides: the same
     std::string key_file;
     double interval_s = 1;   ///< the protocol period
     bool operator==(const Options&) const = default;
@@ -31,6 +31,6 @@
 /// Reads key_file. Returns what is wrong, "key_file: why"; empty: `keys` are set.
 std::string load_keys(const Options& options, std::vector<AuthKey>& keys);
 /// The bounds that follow from the options, a line each, for check-config.
-std::vector<std::string> stated(const Options& options);
+std::vector<std::string> describe_bounds(const Options& options);
 
 }   // namespace slatejunction::membership
--- a/src/membership/swim.hpp
+++ b/src/membership/swim.hpp
@@ -129,9 +129,9 @@
     const Member* find(const std::string& name) const;
     const Member& self() const { return self_; }
     /// Members that count as alive, this process among them.
-    std::size_t alive() const { return alive_; }
+    std::size_t alive_count() const { return alive_; }
     /// s by which this list may be out of date while links work.
-    double staleness_s() const { return detection_bound_s(alive(), settings_.protocol_period_s); }
+    double staleness_s() const { return detection_bound_s(alive_count(), settings_.protocol_period_s); }
     /// Another process holds the name; this one claims nothing until that is gone.
     bool awaiting_name() const { return awaiting_name_; }
     /// Lifeguard's score: 0 is healthy, kMaxLocalHealthScore the worst.
--- a/src/membership/swim_probing.cpp
+++ b/src/membership/swim_probing.cpp
@@ -88,7 +88,7 @@
     if (!is_new_accuser) return;
     const std::size_t confirmations = peer.accusers.size() - 1;
     if (confirmations > kConfirmations) return;
-    const double timeout_s = suspicion_timeout_s(alive(), confirmations, settings_.protocol_period_s);
+    const double timeout_s = suspicion_timeout_s(alive_count(), confirmations, settings_.protocol_period_s);
     peer.suspicion_deadline = peer.member.state_since + timeout_s;
     enqueue_update(peer.member.name);
 }
--- a/src/operator_config/options.cpp
+++ b/src/operator_config/options.cpp
@@ -64,7 +64,7 @@
     if (faults.empty() && !fresh.lease.announce_url.empty() && !fresh.lease.on())
         faults.push_back(path +
                          ": [announce] url: [lease] voters are wanted, only a holder announces itself");
-    if (faults.empty() && fresh.membership.members.empty())
+    if (faults.empty() && fresh.membership.static_members.empty())
         for (const auto& one : fresh.rules.limits)
             if (one.scope == 1)
                 faults.push_back(path + ": [limit " + one.name +
--- a/src/rollout/transport.cpp
+++ b/src/rollout/transport.cpp
@@ -113,7 +113,7 @@
     std::uint64_t process = 0;
     std::string_view payload;
     const membership::OpenResult opened = auth_.open(bytes, process, payload);
-    if (opened == membership::OpenResult::unknown_sender) {
+    if (opened == membership::OpenResult::not_for_this_process) {
         // Addressed to no process, or to an earlier one and possibly replayed: answered with the identity
         // only.
         const std::string answer = auth_.seal(process, encode_datagram(identity, {}));
--- a/tests/fleet_counters/fleet_counters_test.cpp
+++ b/tests/fleet_counters/fleet_counters_test.cpp
@@ -3,7 +3,7 @@
 #include <catch2/catch.hpp>
 
 #include "files.hpp"
-#include "fleet_counters/world.hpp"
+#include "fleet_counters/simulation.hpp"
 #include "lease/acceptor_storage.hpp"
 #include "operator_config/options.hpp"
 
@@ -15,8 +15,8 @@
 
 namespace {
 
-Values of(std::uint64_t value) {
-    Values values{};
+CounterValues of(std::uint64_t value) {
+    CounterValues values{};
     values[served] = value;
     return values;
 }
@@ -33,12 +33,14 @@
           "[sums]") {
     std::uint64_t rows = 0, again = 0, changes = 0;
     for (std::uint64_t seed = 1; seed <= 80; ++seed) {
-        const auto result = sums_world::World(sums_world::random_plan(seed), seed).run();
+        const auto result =
+            fleet_counters_simulation::Simulation(fleet_counters_simulation::random_scenario(seed), seed)
+                .run();
         INFO("seed " << seed << "; again: slatejunction-sums-model 1 " << seed);
-        REQUIRE(result.breach == "");
+        REQUIRE(result.violation == "");
         rows += result.rows;
-        again += result.again;
-        changes += result.changes;
+        again += result.duplicate_rows;
+        changes += result.terms;
     }
     CHECK(rows > 4000);
     CHECK(again > 50);   // some rows were written by two holders, to the bit the same
@@ -100,18 +102,18 @@
     reporter.record_period(11, of(5));
     auto report = reporter.report();
     REQUIRE(report);
-    REQUIRE(report->cuts.size() == 3);
-    CHECK(report->cuts[0].period == 0);
-    CHECK(report->cuts[1].values[served] == 3);
+    REQUIRE(report->period_counters.size() == 3);
+    CHECK(report->period_counters[0].period == 0);
+    CHECK(report->period_counters[1].values[served] == 3);
     Report back;
     REQUIRE(decode(encode(*report), back));
-    CHECK(back.cuts[2].values == report->cuts[2].values);
+    CHECK(back.period_counters[2].values == report->period_counters[2].values);
     reporter.acknowledge(8, 11);   // another process's
-    CHECK(reporter.waiting() == 2);
+    CHECK(reporter.unacknowledged_periods() == 2);
     reporter.acknowledge(9, 10);
     report = reporter.report();
-    REQUIRE(report->cuts.size() == 2);
-    CHECK(report->cuts[0].values[served] == 3);
+    REQUIRE(report->period_counters.size() == 2);
+    CHECK(report->period_counters[0].values[served] == 3);
     // Nobody answers any more: half of the time after which it is forgotten it leaves that out.
     for (std::uint64_t period = 12; period < 10 + kForgetPeriods / 2; ++period)
         reporter.record_period(period, of(6)), reporter.report();
@@ -119,7 +121,7 @@
     for (std::uint64_t period = 12; period <= 11 + kForgetPeriods; ++period)
         reporter.record_period(period, of(6));
     CHECK(reporter.dropped_requests() == 3);
-    CHECK(reporter.report()->cuts[0].values[served] == 6);
+    CHECK(reporter.report()->period_counters[0].values[served] == 6);
 }
 
 TEST_CASE("reports that can't be are not read", "[sums]") {
@@ -151,7 +153,7 @@
     };
     aggregator.begin_term(1000, 1000, 7);
     settle(1000);
-    Values values;
+    CounterValues values;
     values.fill(1'000'000'000'000'000);
     for (std::uint64_t process = 1; process <= 1000; ++process)
         aggregator.on_report(1000.5, 1000.5, "n", {process, 0, {{0, {}}, {1001, values}}});
--- a/tests/fleet_counters/world.hpp
+++ b/tests/fleet_counters/simulation.hpp
@@ -16,24 +16,24 @@
 #include "events.hpp"
 #include "fleet_counters/aggregator.hpp"
 
-namespace sums_world {
+namespace fleet_counters_simulation {
 
 using namespace slatejunction;
 
-struct Plan {
+struct Scenario {
     std::size_t processes = 5, acceptors = 3;
     double loss = 0, twice = 0, delay_most = 0.02, length = 30;
     double kill_every = 1e9, change_every = 1e9, stop_every = 1e9, cut_every = 1e9, behind_most = 0.2;
     bool remembers = true;   // acceptors have their memory after a kill
 };
 
-inline Plan random_plan(std::uint64_t seed) {
+inline Scenario random_scenario(std::uint64_t seed) {
     std::mt19937_64 random(seed * 7919 + 3);
     const auto draw = [&](double from, double to) {
         return std::uniform_real_distribution<double>(from, to)(random);
     };
     const auto one_of = [&](std::size_t n) { return random() % n == 0; };
-    Plan plan;
+    Scenario plan;
     plan.processes = 3 + random() % 6;
     plan.acceptors = one_of(3) ? 5 : 3;
     plan.acceptors = std::min(plan.acceptors, plan.processes);
@@ -50,13 +50,14 @@
 }
 
 struct Result {
-    std::string breach;
-    std::uint64_t rows = 0, again = 0, changes = 0, anew = 0, skipped = 0;
+    std::string violation;
+    std::uint64_t rows = 0, duplicate_rows = 0, terms = 0, resets = 0, skipped_periods = 0;
 };
 
-class World {
+class Simulation {
   public:
-    World(const Plan& plan, std::uint64_t seed) : plan_(plan), random_(seed), nodes_(plan.processes) {
+    Simulation(const Scenario& plan, std::uint64_t seed)
+        : plan_(plan), random_(seed), nodes_(plan.processes) {
         for (std::size_t v = 0; v < plan.acceptors; ++v) acceptors_.current.push_back(name(v));
         for (std::size_t i = 0; i < nodes_.size(); ++i) begin(i);
     }
@@ -96,7 +97,7 @@
         std::unique_ptr<fleet_counters::Aggregator> aggregator;
         std::unique_ptr<lease::RegisterAcceptor> acceptor;
         double votes_from = 0, stopped_until = 0;
-        fleet_counters::Values values{};
+        fleet_counters::CounterValues values{};
         std::uint64_t period = 0;
         std::deque<fleet_counters::Row> waiting;   // handed to a receiver that is behind
     };
@@ -146,7 +147,7 @@
         if (holder_ < nodes_.size()) return;
         holder_ = pick();
         nodes_[holder_].stopped_until = 0;
-        ++result_.changes;
+        ++result_.terms;
         nodes_[holder_].aggregator->begin_term(events_.now(), unix_s(), ++number_);
         pump(holder_);
     }
@@ -243,56 +244,57 @@
     }
     void take(const fleet_counters::Row& row) {
         const auto [at, made] = values_.emplace(row.period, row.values);
-        result_.again += !made;
-        if (!made && at->second != row.values && result_.breach.empty())
-            result_.breach = "period " + std::to_string(row.period) + " has two values";
+        result_.duplicate_rows += !made;
+        if (!made && at->second != row.values && result_.violation.empty())
+            result_.violation = "period " + std::to_string(row.period) + " has two values";
     }
     void count(const Node& node) {
-        result_.anew += node.aggregator->resets();
-        result_.skipped += node.aggregator->skipped_periods();
+        result_.resets += node.aggregator->resets();
+        result_.skipped_periods += node.aggregator->skipped_periods();
         left_out_ += node.reporter->dropped_requests();
     }
     void judge() {
         for (const Node& node : nodes_) count(node);
-        if (!result_.breach.empty()) return;
-        if (values_.empty()) return void(result_.breach = "no row");
+        if (!result_.violation.empty()) return;
+        if (values_.empty()) return void(result_.violation = "no row");
         const std::uint64_t first = values_.begin()->first, last = values_.rbegin()->first;
-        if (unix_s() - static_cast<double>(last) * kEvery > 6 * kEvery) result_.breach = "rows have ended";
+        if (unix_s() - static_cast<double>(last) * kEvery > 6 * kEvery)
+            result_.violation = "rows have ended";
         const std::uint64_t missing = last - first + 1 - values_.size();
-        if (missing > 0 && plan_.remembers && result_.skipped == 0)
-            result_.breach = std::to_string(missing) + " periods are missing";
+        if (missing > 0 && plan_.remembers && result_.skipped_periods == 0)
+            result_.violation = std::to_string(missing) + " periods are missing";
         // Sums never fall but where they began anew, and hold all that lives once, and of the dead no more
         // than they had.
-        fleet_counters::Values least{}, most{};
+        fleet_counters::CounterValues least{}, most{};
         for (const Node& node : nodes_)
-            for (std::size_t k = 0; k < fleet_counters::kValues; ++k) least[k] += node.values[k];
+            for (std::size_t k = 0; k < fleet_counters::kCounterCount; ++k) least[k] += node.values[k];
         most = least;
-        for (const fleet_counters::Values& one : gone_)
-            for (std::size_t k = 0; k < fleet_counters::kValues; ++k) most[k] += one[k];
-        const fleet_counters::Values* before = nullptr;
+        for (const fleet_counters::CounterValues& one : gone_)
+            for (std::size_t k = 0; k < fleet_counters::kCounterCount; ++k) most[k] += one[k];
+        const fleet_counters::CounterValues* before = nullptr;
         for (const auto& [period, values] : values_) {
-            for (std::size_t k = 0; before && k < fleet_counters::kValues; ++k)
-                if (values[k] < (*before)[k] && plan_.remembers) result_.breach = "a sum fell";
+            for (std::size_t k = 0; before && k < fleet_counters::kCounterCount; ++k)
+                if (values[k] < (*before)[k] && plan_.remembers) result_.violation = "a sum fell";
             before = &values;
         }
-        for (std::size_t k = 0; k < fleet_counters::kValues; ++k) {
-            if ((*before)[k] > most[k]) result_.breach = "something is counted twice";
+        for (std::size_t k = 0; k < fleet_counters::kCounterCount; ++k) {
+            if ((*before)[k] > most[k]) result_.violation = "something is counted twice";
             if (plan_.remembers && left_out_ == 0 && (*before)[k] < least[k])
-                result_.breach = "something is not counted: " + std::to_string(least[k] - (*before)[k]);
+                result_.violation = "something is not counted: " + std::to_string(least[k] - (*before)[k]);
         }
     }
 
-    Plan plan_;
+    Scenario plan_;
     std::mt19937_64 random_;
     lease::AcceptorSet acceptors_;
     std::vector<Node> nodes_;
     Events events_;
-    std::map<std::uint64_t, fleet_counters::Values> values_;   // what the receiver has, by period
-    std::vector<fleet_counters::Values> gone_;                 // of processes that were killed
+    std::map<std::uint64_t, fleet_counters::CounterValues> values_;   // what the receiver has, by period
+    std::vector<fleet_counters::CounterValues> gone_;                 // of processes that were killed
     std::size_t holder_ = nodes_.size(), cut_ = nodes_.size();
     std::uint64_t processes_ = 0, number_ = 0, left_out_ = 0;
     bool calm_ = false;
     Result result_;
 };
 
-}   // namespace sums_world
+}   // namespace fleet_counters_simulation
--- a/tests/membership/decision_digest_test.cpp
+++ b/tests/membership/decision_digest_test.cpp
@@ -4,17 +4,17 @@
 #include <array>
 #include <catch2/catch.hpp>
 
-#include "membership/network_model.hpp"
+#include "membership/simulation.hpp"
 
 namespace {
 
 // Two processes that have served apart from each other for long under one name meet.
-void claim_apart(net_model::Net& net, std::size_t who, std::size_t members) {
+void claim_apart(membership_simulation::Simulation& net, std::size_t who, std::size_t members) {
     const std::size_t other = (who + 1) % members;
     net.cut_off(other, true);
     net.kill(who);
     net.run(net.now() + 25);
-    net.start(who, net_model::Net::name(other), "elsewhere");
+    net.start(who, membership_simulation::Simulation::name(other), "elsewhere");
     net.run(net.now() + 40);
     net.cut_off(other, false);
     net.run(net.now() + 25);
@@ -25,11 +25,11 @@
 std::uint64_t play(std::uint64_t seed) {
     std::mt19937_64 random(seed * 7919 + 11);
     const auto upto = [&](std::size_t most) { return static_cast<std::size_t>(random() % (most + 1)); };
-    net_model::Plan plan;
+    membership_simulation::Scenario plan;
     plan.members = 3 + upto(9);
     plan.loss = upto(1) == 0 ? 0.02 * static_cast<double>(upto(15)) : 0;
     plan.delay_most = upto(2) == 0 ? 0.4 : 0.01;
-    net_model::Net net(plan, seed);
+    membership_simulation::Simulation net(plan, seed);
     net.run(20);
     for (int round = 0; round < 7; ++round) {
         const std::size_t who = upto(plan.members - 1), other = (who + 1) % plan.members;
@@ -38,16 +38,17 @@
         if (fault == 1) net.leave(who);
         if (fault == 2) net.cut_off(who, true);
         if (fault == 3) net.starve(who, 2.5);
-        if (fault == 4) net.kill(who), net.start(who, net_model::Net::name(other), "elsewhere");
-        if (net.up(other))
-            net.member(other).send(net.now(), net_model::Net::name(who), 7,
+        if (fault == 4)
+            net.kill(who), net.start(who, membership_simulation::Simulation::name(other), "elsewhere");
+        if (net.is_running(other))
+            net.member(other).send(net.now(), membership_simulation::Simulation::name(who), 7,
                                    "round " + std::to_string(round));
         net.settle(other);
         net.run(net.now() + 2 + static_cast<double>(upto(30)));
         net.cut_off(who, false);
         net.starve(who, 0);
         if (fault == 4) net.kill(who);
-        if (!net.up(who)) net.start(who);
+        if (!net.is_running(who)) net.start(who);
         net.run(net.now() + 1 + static_cast<double>(upto(20)));
     }
     claim_apart(net, upto(plan.members - 1), plan.members);
--- a/tests/membership/network_model.hpp
+++ b/tests/membership/simulation.hpp
@@ -17,18 +17,18 @@
 #include "membership/datagram_auth.hpp"
 #include "membership/swim.hpp"
 
-namespace net_model {
+namespace membership_simulation {
 
 using namespace slatejunction::membership;
 
-struct Plan {
+struct Scenario {
     std::size_t members = 5, sites = 3;
     double interval_s = 1, loss = 0, delay_least = 0.001, delay_most = 0.01;
 };
 
-class Net {
+class Simulation {
   public:
-    Net(const Plan& plan, std::uint64_t seed)
+    Simulation(const Scenario& plan, std::uint64_t seed)
         : plan_(plan), random_(seed), links_(random_, plan.loss, plan.delay_least, plan.delay_most) {
         nodes_.resize(plan.members);
         for (std::size_t i = 0; i < plan.members; ++i)
@@ -39,7 +39,7 @@
     static std::string address(std::size_t i) { return "a" + std::to_string(i); }
     double now() const { return events_.now(); }
     SwimMembership& member(std::size_t i) { return *nodes_[i].members; }
-    bool up(std::size_t i) const { return nodes_[i].members != nullptr; }
+    bool is_running(std::size_t i) const { return nodes_[i].members != nullptr; }
 
     // `other_address`: it claims the name from elsewhere.
     void start(std::size_t i, const std::string& claim = {}, const std::string& other_address = {}) {
@@ -87,27 +87,27 @@
         }
         return holds();
     }
-    bool has(std::size_t i, std::size_t j, MemberState state) const {
+    bool sees(std::size_t i, std::size_t j, MemberState state) const {
         const Member* const one = nodes_[i].members->find(name(j));
         return one && one->state == state;
     }
     // All that are up have j so.
-    bool all_have(std::size_t j, MemberState state) const {
+    bool all_see(std::size_t j, MemberState state) const {
         for (std::size_t i = 0; i < nodes_.size(); ++i)
-            if (i != j && up(i) && !has(i, j, state)) return false;
+            if (i != j && is_running(i) && !sees(i, j, state)) return false;
         return true;
     }
     bool all_alive() const {
         for (std::size_t j = 0; j < nodes_.size(); ++j)
-            if (!up(j) || !all_have(j, MemberState::alive)) return false;
+            if (!is_running(j) || !all_see(j, MemberState::alive)) return false;
         return true;
     }
-    std::uint64_t bytes() const { return bytes_; }
-    std::uint64_t datagrams() const { return datagrams_; }
-    std::size_t largest() const { return largest_; }
+    std::uint64_t sent_bytes() const { return bytes_; }
+    std::uint64_t sent_datagrams() const { return datagrams_; }
+    std::size_t largest_datagram_bytes() const { return largest_; }
     // Of members that were up: called gone by one that was up, without ever having been killed before.
     std::uint64_t false_deaths() const { return false_deaths_; }
-    std::uint64_t disputes() const { return disputes_; }
+    std::uint64_t name_conflicts() const { return disputes_; }
     const std::vector<ReceivedMessage>& messages(std::size_t i) const { return nodes_[i].messages; }
     // Of all that the members have put out so far: datagrams, changes, bodies for rooms above.
     std::uint64_t digest() const { return digest_.value(); }
@@ -130,7 +130,7 @@
                 false_deaths_ += other.members && other.process == one.member.process;
         }
         const double due = node.members->next_deadline();
-        digest_.add(due, node.members->alive(), node.members->local_health_score(),
+        digest_.add(due, node.members->alive_count(), node.members->local_health_score(),
                     node.members->awaiting_name());
         if (due > 1e17 || (due >= node.armed - 1e-9 && node.armed >= now())) return;
         node.armed = std::max(due, now());
@@ -177,7 +177,7 @@
         }
     }
 
-    Plan plan_;
+    Scenario plan_;
     std::mt19937_64 random_;
     std::vector<Node> nodes_;
     Links links_;
@@ -187,4 +187,4 @@
     Digest digest_;
 };
 
-}   // namespace net_model
+}   // namespace membership_simulation
--- a/tests/membership/swim_test.cpp
+++ b/tests/membership/swim_test.cpp
@@ -3,12 +3,12 @@
 
 #include "files.hpp"
 #include "ini/ini.hpp"
-#include "membership/network_model.hpp"
 #include "membership/settings.hpp"
+#include "membership/simulation.hpp"
 
 using namespace slatejunction;
 using namespace slatejunction::membership;
-using net_model::Net;
+using membership_simulation::Simulation;
 
 namespace {
 
@@ -19,49 +19,49 @@
 TEST_CASE("members find one another by a seed, and a death is known in the stated time", "[peers]") {
     for (const std::size_t members : {std::size_t{2}, std::size_t{5}, std::size_t{40}})
         for (std::uint64_t seed = 1; seed <= 3; ++seed) {
-            net_model::Plan plan;
+            membership_simulation::Scenario plan;
             plan.members = members;
             plan.loss = seed == 3 ? 0.05 : 0;
-            Net net(plan, seed);
+            Simulation net(plan, seed);
             INFO(members << " members, seed " << seed);
             REQUIRE(net.run_until(60, [&] { return net.all_alive(); }));
             net.run(net.now() + 60);
             CHECK(net.false_deaths() == 0);
             const double at = net.now();
             net.kill(1);
-            REQUIRE(net.run_until(200, [&] { return net.all_have(1, MemberState::gone); }));
+            REQUIRE(net.run_until(200, [&] { return net.all_see(1, MemberState::gone); }));
             CHECK(net.now() - at <= detection_bound_s(members, 1));
             // Anew, under the same name at the same address.
             net.start(1);
             REQUIRE(net.run_until(60, [&] { return net.all_alive(); }));
-            CHECK(net.disputes() == 0);
+            CHECK(net.name_conflicts() == 0);
         }
 }
 
 TEST_CASE("who leaves in order is known at once, and as left", "[peers]") {
-    Net net({}, 4);
+    Simulation net({}, 4);
     REQUIRE(net.run_until(60, [&] { return net.all_alive(); }));
     net.leave(2);
-    CHECK(net.run_until(3, [&] { return net.all_have(2, MemberState::departed); }));
+    CHECK(net.run_until(3, [&] { return net.all_see(2, MemberState::departed); }));
 }
 
 TEST_CASE("a split heals: both sides find each other again", "[peers]") {
-    Net net({}, 5);
+    Simulation net({}, 5);
     REQUIRE(net.run_until(60, [&] { return net.all_alive(); }));
     for (std::size_t i = 0; i < 2; ++i)
         for (std::size_t j = 2; j < 5; ++j) net.cut(i, j, true), net.cut(j, i, true);
     REQUIRE(net.run_until(
-        60, [&] { return net.has(0, 4, MemberState::gone) && net.has(4, 0, MemberState::gone); }));
-    CHECK(net.has(0, 1, MemberState::alive));
+        60, [&] { return net.sees(0, 4, MemberState::gone) && net.sees(4, 0, MemberState::gone); }));
+    CHECK(net.sees(0, 1, MemberState::alive));
     for (std::size_t i = 0; i < 2; ++i)
         for (std::size_t j = 2; j < 5; ++j) net.cut(i, j, false), net.cut(j, i, false);
     CHECK(net.run_until(90, [&] { return net.all_alive(); }));
 }
 
 TEST_CASE("one bad link makes nobody dead: others vouch", "[peers]") {
-    net_model::Plan plan;
+    membership_simulation::Scenario plan;
     plan.members = 6;
-    Net net(plan, 6);
+    Simulation net(plan, 6);
     REQUIRE(net.run_until(60, [&] { return net.all_alive(); }));
     net.cut(0, 1, true);
     net.cut(1, 0, true);
@@ -70,58 +70,60 @@
 }
 
 TEST_CASE("two processes that claim one name are reported, and the later one waits", "[peers]") {
-    net_model::Plan plan;
+    membership_simulation::Scenario plan;
     plan.members = 5;
-    Net net(plan, 7);
+    Simulation net(plan, 7);
     REQUIRE(net.run_until(60, [&] { return net.all_alive(); }));
     net.kill(4);
-    REQUIRE(net.run_until(60, [&] { return net.all_have(4, MemberState::gone); }));
-    net.start(4, Net::name(3), "elsewhere");
+    REQUIRE(net.run_until(60, [&] { return net.all_see(4, MemberState::gone); }));
+    net.start(4, Simulation::name(3), "elsewhere");
     REQUIRE(net.run_until(60, [&] { return net.member(4).awaiting_name(); }));
-    CHECK(net.has(0, 3, MemberState::alive));
-    CHECK(net.member(0).find(Net::name(3))->address == Net::address(3));
+    CHECK(net.sees(0, 3, MemberState::alive));
+    CHECK(net.member(0).find(Simulation::name(3))->address == Simulation::address(3));
     net.kill(3);
     CHECK(net.run_until(120, [&] { return !net.member(4).awaiting_name(); }));
-    CHECK(net.run_until(60, [&] { return net.member(0).find(Net::name(3))->address == "elsewhere"; }));
+    CHECK(
+        net.run_until(60, [&] { return net.member(0).find(Simulation::name(3))->address == "elsewhere"; }));
 }
 
 TEST_CASE("300 members of which a third vanish at once", "[peers]") {
-    net_model::Plan plan;
+    membership_simulation::Scenario plan;
     plan.members = 300;
-    Net net(plan, 8);
+    Simulation net(plan, 8);
     REQUIRE(net.run_until(120, [&] { return net.all_alive(); }));
-    const std::uint64_t datagrams = net.datagrams(), bytes = net.bytes();
+    const std::uint64_t datagrams = net.sent_datagrams(), bytes = net.sent_bytes();
     const double at = net.now();
     for (std::size_t i = 200; i < 300; ++i) net.kill(i);
     const bool known = net.run_until(150, [&] {
         for (std::size_t i = 200; i < 300; ++i)
-            if (!net.all_have(i, MemberState::gone)) return false;
+            if (!net.all_see(i, MemberState::gone)) return false;
         return true;
     });
     CHECK(known);
     CHECK(net.false_deaths() == 0);
     const double s = net.now() - at;
-    CHECK(static_cast<double>(net.datagrams() - datagrams) / s / 200 < kDatagramsPerPeriod);
-    CHECK(static_cast<double>(net.bytes() - bytes) / s / 200 < 12'000);
-    CHECK(net.largest() <= kMaxDatagramBytes);
+    CHECK(static_cast<double>(net.sent_datagrams() - datagrams) / s / 200 < kDatagramsPerPeriod);
+    CHECK(static_cast<double>(net.sent_bytes() - bytes) / s / 200 < 12'000);
+    CHECK(net.largest_datagram_bytes() <= kMaxDatagramBytes);
 }
 
 TEST_CASE("a user message arrives with its sender's process", "[peers]") {
-    Net net({}, 9);
+    Simulation net({}, 9);
     REQUIRE(net.run_until(60, [&] { return net.all_alive(); }));
-    REQUIRE(net.member(0).send(net.now(), Net::name(1), 7, "hello"));
+    REQUIRE(net.member(0).send(net.now(), Simulation::name(1), 7, "hello"));
     CHECK_FALSE(net.member(0).send(net.now(), "nobody", 7, "hello"));
-    CHECK_FALSE(net.member(0).send(net.now(), Net::name(1), 7, std::string(kMaxMessageBytes + 1, 'x')));
+    CHECK_FALSE(
+        net.member(0).send(net.now(), Simulation::name(1), 7, std::string(kMaxMessageBytes + 1, 'x')));
     net.settle(0);
     net.run(net.now() + 1);
     REQUIRE(net.messages(1).size() == 1);
-    CHECK(net.messages(1)[0].from == Net::name(0));
+    CHECK(net.messages(1)[0].from == Simulation::name(0));
     CHECK(net.messages(1)[0].body == "hello");
     CHECK(net.messages(1)[0].channel == 7);
 }
 
 TEST_CASE("noise that was sealed right still spoils nothing", "[peers]") {
-    Net net({}, 10);
+    Simulation net({}, 10);
     REQUIRE(net.run_until(60, [&] { return net.all_alive(); }));
     std::mt19937_64 random(3);
     for (int i = 0; i < 20'000; ++i) {
@@ -147,8 +149,8 @@
     CHECK(later.open(sealed, from, payload) == OpenResult::fresh);   // the old key still opens
     CHECK(c.open(sealed, from, payload) == OpenResult::bad_key);
     CHECK(DatagramAuth({kKey}, 44).open(sealed, from, payload) ==
-          OpenResult::unknown_sender);   // started since
-    CHECK(b.open(a.seal(0, "hello"), from, payload) == OpenResult::unknown_sender);
+          OpenResult::not_for_this_process);   // started since
+    CHECK(b.open(a.seal(0, "hello"), from, payload) == OpenResult::not_for_this_process);
     for (std::size_t i = 0; i < sealed.size(); ++i) {
         std::string spoilt = a.seal(22, "words");
         spoilt[i] ^= 4;
@@ -167,10 +169,10 @@
 
 TEST_CASE("faults of [peers] and of its key file are told", "[peers]") {
     std::vector<AuthKey> keys;
-    CHECK(read_keys("# a\n" + std::string(64, '0') + "\n", keys) == "");
+    CHECK(parse_keys("# a\n" + std::string(64, '0') + "\n", keys) == "");
     CHECK(keys.size() == 1);
-    CHECK(read_keys("00\n", keys) == "line 1: a key is 64 hexadecimal digits");
-    CHECK(read_keys("\n# nothing\n", keys) == "line 1: there is no key");
+    CHECK(parse_keys("00\n", keys) == "line 1: a key is 64 hexadecimal digits");
+    CHECK(parse_keys("\n# nothing\n", keys) == "line 1: there is no key");
     CHECK(keys.size() == 1);
     const auto fault = [](const std::string& text) {
         Folder folder;
