--- a/src/app/fleet_component.cpp
+++ b/src/app/fleet_component.cpp
@@ -30,9 +30,9 @@
 fleet_counters::CounterValues counter_values(const metrics::Measures& measures) {
     using metrics::Id;
     fleet_counters::CounterValues values{};
-    for (std::size_t ending = 0; ending < metrics::kEndings.size(); ++ending)
+    for (std::size_t ending = 0; ending < metrics::kRequestResults.size(); ++ending)
         values[fleet_counters::served + ending] =
-            static_cast<std::uint64_t>(measures.sum(Id::requests, metrics::kEndings.size(), ending));
+            static_cast<std::uint64_t>(measures.sum(Id::requests, metrics::kRequestResults.size(), ending));
     values[fleet_counters::weight_offered] = static_cast<std::uint64_t>(
         std::llround(measures.sum(Id::worth_offered) * fleet_counters::kWeightScale));
     values[fleet_counters::weight_served] = static_cast<std::uint64_t>(
@@ -56,7 +56,7 @@
       timer_(timers, [this] { on_timer(); }) {
     ingress_.register_extension(static_cast<ingress::AdminCallExtension&>(*this));
     ingress_.register_extension(static_cast<ingress::StateTransfer&>(*this));
-    if (telemetry) telemetry->join([this](metrics::Measures& measures) { count(measures); });
+    if (telemetry) telemetry->add_collector([this](metrics::Measures& measures) { count(measures); });
     if (!options.lease.on()) return;
     make_leases(config, timers);
     if (leases_->settings().acceptors.members().contains(config.name)) make_registers();
--- a/src/app/fleet_component_measures.cpp
+++ b/src/app/fleet_component_measures.cpp
@@ -21,7 +21,7 @@
 void FleetComponent::count(metrics::Measures& m) {
     using metrics::Id;
     const auto set = [&](Id id, double value, std::size_t label = 0) { m.set(id, value, label); };
-    std::array<double, metrics::kMembers.size()> states{};
+    std::array<double, metrics::kMemberStates.size()> states{};
     double disputed = 0;
     for (const membership::Member& one : peers_.members().list()) {
         ++states[static_cast<std::size_t>(one.state)];
@@ -35,7 +35,7 @@
     constexpr std::size_t kRead = 2;   // kinds of opened datagrams that are read
     for (std::size_t i = kRead; i < membership::kOpenResultNames.size(); ++i)
         add_increase(m, Id::peers_dropped, peers_.auth().counts()[i], i - kRead);
-    add_increase(m, Id::peers_dropped, tally.rate_limited, metrics::kNotRead.size() - 1);
+    add_increase(m, Id::peers_dropped, tally.rate_limited, metrics::kPeerDropReasons.size() - 1);
     if (leases_) count_leases(m);
 }
 
--- a/src/app/quota_component.cpp
+++ b/src/app/quota_component.cpp
@@ -24,7 +24,7 @@
     for (const std::string& line : quota::error_bound_lines(settings))
         log.write(Log::Level::info, net::now(), "%s", line.c_str());
     if (telemetry)
-        telemetry->join([this](metrics::Measures& measures) {
+        telemetry->add_collector([this](metrics::Measures& measures) {
             const std::uint64_t now = driver_.shared_quota().counter_losses();
             measures.add(metrics::Id::counter_losses, 0,
                          static_cast<double>(now - std::exchange(losses_counted_, now)));
--- a/src/app/rollout_component.cpp
+++ b/src/app/rollout_component.cpp
@@ -136,7 +136,7 @@
                }},
               timers, log) {
     ingress.register_extension(static_cast<ingress::AdminCallExtension&>(*this));
-    if (telemetry) telemetry->join([this](metrics::Measures& measures) { count(measures); });
+    if (telemetry) telemetry->add_collector([this](metrics::Measures& measures) { count(measures); });
     for (const std::string& line : stated_of_rollout(options))
         log.write(Log::Level::info, net::now(), "%s", line.c_str());
     if (!fleet_ || !options_.is_control_machine()) return;
--- a/src/app/rules_component.cpp
+++ b/src/app/rules_component.cpp
@@ -21,7 +21,7 @@
     if (settings_.has_rules()) set(compile(options));
     if (telemetry) {
         shape_ = telemetry->shape();
-        telemetry->join([this](metrics::Measures& measures) { count(measures); });
+        telemetry->add_collector([this](metrics::Measures& measures) { count(measures); });
     }
     if (settings_.limits.empty() || options.metrics.directory.empty()) return;
     if (!options.collects()) state_.emplace(options.metrics.directory);
--- a/src/ingress/observer.hpp
+++ b/src/ingress/observer.hpp
@@ -21,8 +21,8 @@
     enum class Result { served, rejected, failed };
     const client::ClientRequest& request;
     Result result = Result::served;
-    std::string_view reason;               // rejected: one of metrics::kReasons; failed: what failed
-    std::size_t reject_reason_index = 0;   // of `reason` in metrics::kReasons
+    std::string_view reason;               // rejected: one of metrics::kRejectReasons; failed: what failed
+    std::size_t reject_reason_index = 0;   // of `reason` in metrics::kRejectReasons
     std::string_view backend;              // of the latest attempt; empty: there was none
     std::size_t attempts = 0;
     double seconds = 0;                                               // since the request's last byte
--- a/src/ingress/request_actions.cpp
+++ b/src/ingress/request_actions.cpp
@@ -79,7 +79,7 @@
         }
         const auto reason_index = static_cast<std::size_t>(reason);
         answer(number, {503, reject.retry_after_s, {}, {}}, RequestSummary::Result::rejected,
-               metrics::kReasons[reason_index], reason_index);
+               metrics::kRejectReasons[reason_index], reason_index);
     }
     erase_if_ended(number);
 }
--- a/src/ingress/request_dispatcher.cpp
+++ b/src/ingress/request_dispatcher.cpp
@@ -93,8 +93,8 @@
     if (!observer_) return;
     observer_->on_request_end({client_request,
                                stopping ? RequestSummary::Result::failed : RequestSummary::Result::rejected,
-                               stopping ? "stopped" : metrics::kReasons[metrics::kOpenLimit],
-                               stopping ? 0 : metrics::kOpenLimit,
+                               stopping ? "stopped" : metrics::kRejectReasons[metrics::kOpenLimitReason],
+                               stopping ? 0 : metrics::kOpenLimitReason,
                                {},
                                0,
                                net::now() - client_request.arrived_at_s});
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -173,7 +173,7 @@
 void Log::configure(const logging::Settings& settings) {
     records_ = settings.records();
     events_ = settings.events == 1;
-    json_ = settings.as() == logging::Format::json;
+    json_ = settings.line_format() == logging::Format::json;
     sink_->set_max_buffered(static_cast<std::size_t>(settings.buffer_kb) * 1024);
     least_ = static_cast<Level>(settings.level);   // by put(): records have a switch of their own
     // Text lines are `LEVEL: TEXT`, as they always were; a JSON line is made whole before it comes here.
--- a/src/log/settings.hpp
+++ b/src/log/settings.hpp
@@ -14,7 +14,7 @@
     int requests = 0;   // Requests: which finished requests get a record of their own
     int events = 0;     // of the fleet's parts, as JSON records
     std::int64_t buffer_kb = 256;
-    Format as() const { return static_cast<Format>(format); }
+    Format line_format() const { return static_cast<Format>(format); }
     Requests records() const { return static_cast<Requests>(requests); }
 
     ini::Section section() {
--- a/src/metrics/measures.cpp
+++ b/src/metrics/measures.cpp
@@ -36,12 +36,12 @@
 
 std::vector<Label> labels_of(Id id, const Measures::Shape& shape, const std::vector<std::string>& classes,
                              const std::vector<std::string>& plans) {
-    const Label service{"class", classes}, plan{"plan", plans}, ending{"outcome", all(kEndings)};
+    const Label service{"class", classes}, plan{"plan", plans}, ending{"outcome", all(kRequestResults)};
     switch (id) {
         case Id::requests:
             return {service, plan, ending};
         case Id::refusals:
-            return {service, plan, {"reason", all(kReasons)}};
+            return {service, plan, {"reason", all(kRejectReasons)}};
         case Id::worth_offered:
         case Id::worth_served:
         case Id::worth_lost:
@@ -71,9 +71,9 @@
         case Id::backends:
             return {{"state", all(kStates)}};
         case Id::peers_members:
-            return {{"state", all(kMembers)}};
+            return {{"state", all(kMemberStates)}};
         case Id::peers_dropped:
-            return {{"reason", all(kNotRead)}};
+            return {{"reason", all(kPeerDropReasons)}};
         case Id::lease_changes:
             return {{"what", all(kChanges)}};
         case Id::lease_acts:
@@ -207,11 +207,11 @@
     set(Id::counters_created, static_cast<double>(cells_.created_ms()) / 1e3);
 }
 
-double Measures::finished(const FinishedRequest& r) {
+double Measures::count_request(const FinishedRequest& r) {
     const ServiceClass& service = shape_.classes[r.service_class];
     const double price = shape_.plans.empty() ? 1 : shape_.plans[r.plan].plan_weight;
     // What is beyond its quota is asked of nobody: it is neither offered nor lost.
-    const bool surplus = r.result == RequestResult::rejected && r.reason == kQuota;
+    const bool surplus = r.result == RequestResult::rejected && r.reason == kQuotaReason;
     const double offered = surplus ? 0 : service.priority_weight * price * r.units;
     const bool late = service.latency_objective_s > 0 && r.seconds > service.latency_objective_s;
     const double served = r.result != RequestResult::served ? 0
@@ -221,14 +221,16 @@
     const auto ending = static_cast<std::size_t>(r.result);
     const auto bound = static_cast<std::size_t>(
         std::lower_bound(bounds_.begin(), bounds_.end(), r.seconds) - bounds_.begin());
-    const std::size_t histogram = (r.service_class * kEndings.size() + ending) * (bounds_.size() + 2);
+    const std::size_t histogram =
+        (r.service_class * kRequestResults.size() + ending) * (bounds_.size() + 2);
     std::array<storage::PersistentCounters::Change, 7> changes;
     std::size_t count = 0;
     const auto change = [&](Id id, std::size_t label, double by) {
         if (by != 0) changes[count++] = {static_cast<std::uint32_t>(at(id, label)), by};
     };
-    change(Id::requests, pair * kEndings.size() + ending, 1);
-    if (r.result == RequestResult::rejected) change(Id::refusals, pair * kReasons.size() + r.reason, 1);
+    change(Id::requests, pair * kRequestResults.size() + ending, 1);
+    if (r.result == RequestResult::rejected)
+        change(Id::refusals, pair * kRejectReasons.size() + r.reason, 1);
     change(Id::worth_offered, pair, offered);
     change(Id::worth_served, pair, served);
     change(Id::worth_lost, pair, offered - served);
@@ -284,7 +286,7 @@
     return static_cast<std::int64_t>(cells_.get(last_sample_));
 }
 
-void Measures::sampled(std::int64_t at_ms) {
+void Measures::set_last_sample_ms(std::int64_t at_ms) {
     cells_.set(static_cast<std::uint32_t>(last_sample_), static_cast<double>(at_ms));
 }
 
--- a/src/metrics/measures.hpp
+++ b/src/metrics/measures.hpp
@@ -26,7 +26,7 @@
 };
 
 enum class RequestResult { served = 0, rejected = 1, failed = 2 };
-inline constexpr std::array<std::string_view, 3> kEndings{"served", "refused", "failed"};
+inline constexpr std::array<std::string_view, 3> kRequestResults{"served", "refused", "failed"};
 
 // By slatejunction::Outcome.
 inline constexpr std::array<std::string_view, 8> kOutcomes{
@@ -34,9 +34,9 @@
 inline constexpr std::array<std::string_view, 2> kSides{"consumer", "provider"};
 inline constexpr std::array<std::string_view, 2> kStates{"ready", "draining"};
 inline constexpr std::array<std::string_view, 2> kLeftOut{"rate", "reader"};
-inline constexpr std::array<std::string_view, 4> kMembers{"alive", "suspected", "gone", "left"};
-inline constexpr std::array<std::string_view, 5> kNotRead{"size", "version", "key", "replayed",
-                                                          "held_back"};
+inline constexpr std::array<std::string_view, 4> kMemberStates{"alive", "suspected", "gone", "left"};
+inline constexpr std::array<std::string_view, 5> kPeerDropReasons{"size", "version", "key", "replayed",
+                                                                  "held_back"};
 inline constexpr std::array<std::string_view, 2> kChanges{"gained", "lost"};
 inline constexpr std::array<std::string_view, 3> kActs{"taken", "turned_down", "failed"};
 inline constexpr std::array<std::string_view, 3> kRolloutFaults{"disk", "diverged", "refused"};
@@ -47,7 +47,7 @@
 struct FinishedRequest {
     std::size_t service_class = 0, plan = 0;   // numbers in the settings; plan 0 where there are none
     RequestResult result = RequestResult::served;
-    std::size_t reason = 0;   // of kReasons; of a refusal only
+    std::size_t reason = 0;   // of kRejectReasons; of a refusal only
     double seconds = 0;
     double units = 1;
 };
@@ -67,7 +67,7 @@
     Measures(Shape shape, std::int64_t now_ms, const std::string& path = {});
 
     // All figures of one finished request, as one update. Returns the worth earned.
-    double finished(const FinishedRequest& request);
+    double count_request(const FinishedRequest& request);
     void add(Id id, std::size_t label = 0, double by = 1);   // a counter without or with one fixed label
     void set(Id id, double value, std::size_t label = 0);    // a gauge
     double get(Id id, std::size_t label = 0) const;
@@ -77,11 +77,11 @@
     const std::vector<Series>& series() const { return series_; }
     // One figure for each of series(), in that order; buckets are cumulative.
     void sample(std::vector<double>& values) const;
-    const storage::PersistentCounters& cells() const { return cells_; }
+    const storage::PersistentCounters& counters() const { return cells_; }
     // The time of the newest sample ever taken, Unix ms: kept with the counters, so that times don't run
     // back over a restart either.
     std::int64_t last_sample_ms() const;
-    void sampled(std::int64_t at_ms);
+    void set_last_sample_ms(std::int64_t at_ms);
     std::size_t find_class(std::string_view name) const;
     std::size_t find_plan(std::string_view name) const;
 
--- a/src/remotewrite/backlog.cpp
+++ b/src/remotewrite/backlog.cpp
@@ -151,7 +151,7 @@
         all = follow();
     } while (!all && !failing_);
     if (all)
-        for (const std::uint64_t number : old) segments_->drop(number);
+        for (const std::uint64_t number : old) segments_->remove_segment(number);
 }
 
 bool Backlog::failed() {
@@ -191,7 +191,7 @@
     for (const auto& [number, frames] : segment_frames_)
         if (number != segments_->newest() && frames.last < done) finished.push_back(number);
     for (const std::uint64_t number : finished) {
-        segments_->drop(number);
+        segments_->remove_segment(number);
         segment_frames_.erase(number);
     }
     return true;
@@ -209,7 +209,7 @@
 
 // Layout and finished number are repeated in each segment, as older ones may be removed.
 bool Backlog::begin_segment() {
-    if (!segments_->begin()) return false;
+    if (!segments_->begin_segment()) return false;
     layout_.reset();
     segment_frames_[segments_->newest()] = {};
     Out out;
@@ -245,8 +245,8 @@
         layout = frame.layout;
         records.push_back({kFrame, bytes_of(frame)});
     }
-    if (!records.empty()) return segments_->replace(best, records);
-    segments_->drop(best);
+    if (!records.empty()) return segments_->replace_segment(best, records);
+    segments_->remove_segment(best);
     segment_frames_.erase(best);
     return true;
 }
--- a/src/remotewrite/sender.cpp
+++ b/src/remotewrite/sender.cpp
@@ -13,7 +13,9 @@
 }   // namespace
 
 Sender::Sender(const Settings& settings, std::uint64_t seed)
-    : configured_protocol_(settings.as()), protocol_(settings.as()), random_(seed) {
+    : configured_protocol_(settings.protocol_version()),
+      protocol_(settings.protocol_version()),
+      random_(seed) {
     configure(settings);
 }
 
@@ -21,8 +23,8 @@
     limit_ = static_cast<std::size_t>(settings.backlog_mb) * 1024 * 1024;
     batch_samples_ = static_cast<std::size_t>(settings.batch_samples);
     catch_up_samples_per_s_ = static_cast<double>(settings.catch_up_samples_per_s);
-    if (settings.as() != configured_protocol_) {
-        configured_protocol_ = settings.as();
+    if (settings.protocol_version() != configured_protocol_) {
+        configured_protocol_ = settings.protocol_version();
         protocol_ = configured_protocol_;
     }
     enforce_limit();
--- a/src/remotewrite/settings.hpp
+++ b/src/remotewrite/settings.hpp
@@ -21,7 +21,7 @@
     std::string basic_file, bearer_file;
     bool operator==(const Settings&) const = default;
 
-    Protocol as() const { return static_cast<Protocol>(protocol); }
+    Protocol protocol_version() const { return static_cast<Protocol>(protocol); }
     ini::Section section();
 };
 
--- a/src/rollout/file_storage.cpp
+++ b/src/rollout/file_storage.cpp
@@ -114,7 +114,7 @@
 bool LogFile::ensure_segment() {
     if (segments_->open()) return true;
     const storage::File directory(::open(directory_.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
-    if (segments_->begin() && directory && ::fsync(directory.get()) == 0) return true;
+    if (segments_->begin_segment() && directory && ::fsync(directory.get()) == 0) return true;
     last_error_ = segments_->last_error();
     return false;
 }
@@ -142,7 +142,7 @@
 // Begins the new segment before it writes the snapshot. After a crash in between, the old snapshot with all
 // segments yields the same log as the new snapshot with the segments from its own on.
 bool LogFile::replace(const Log& log, std::uint64_t committed) {
-    if (!segments_->begin()) {
+    if (!segments_->begin_segment()) {
         last_error_ = segments_->last_error();
         return false;
     }
@@ -164,7 +164,7 @@
         return false;
     has_snapshot_ = true;
     while (segments_->segments().begin()->first < segments_->newest())
-        segments_->drop(segments_->segments().begin()->first);
+        segments_->remove_segment(segments_->segments().begin()->first);
     return true;
 }
 
--- a/src/rules/bucket_storage.cpp
+++ b/src/rules/bucket_storage.cpp
@@ -139,7 +139,7 @@
         if (std::find(previous_segments_.begin(), previous_segments_.end(), number) ==
             previous_segments_.end())
             previous_segments_.push_back(number);
-    writing_ = log_file_->begin();
+    writing_ = log_file_->begin_segment();
     return writing_;
 }
 
@@ -148,7 +148,7 @@
     Rules* const rules = rules_();
     const std::size_t count = rules ? rules->settings().limits.size() : 0;
     if (next_limit_ >= count) {
-        for (const std::uint64_t number : previous_segments_) log_file_->drop(number);
+        for (const std::uint64_t number : previous_segments_) log_file_->remove_segment(number);
         previous_segments_.clear();
         writing_ = false;
         return false;
--- a/src/storage/segmented_log.cpp
+++ b/src/storage/segmented_log.cpp
@@ -128,7 +128,7 @@
     return true;
 }
 
-bool SegmentedLog::begin() {
+bool SegmentedLog::begin_segment() {
     const std::uint64_t number = newest_ + 1;
     File file(::open(path_of(number).c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_APPEND | O_CLOEXEC, 0600));
     if (!file) {
@@ -161,7 +161,7 @@
     return true;
 }
 
-bool SegmentedLog::replace(std::uint64_t number, const std::vector<Record>& records) {
+bool SegmentedLog::replace_segment(std::uint64_t number, const std::vector<Record>& records) {
     if (number == newest_ || !segments_.contains(number)) return false;
     std::string bytes = header();
     for (const Record& record : records) append_frame(bytes, number, record.type, record.payload);
@@ -177,7 +177,7 @@
     return true;
 }
 
-void SegmentedLog::drop(std::uint64_t number) {
+void SegmentedLog::remove_segment(std::uint64_t number) {
     if (number == newest_ && file_) file_ = File();
     ::unlink(path_of(number).c_str());
     segments_.erase(number);
--- a/src/storage/segmented_log.hpp
+++ b/src/storage/segmented_log.hpp
@@ -47,11 +47,11 @@
     /// False: the disk is full or failing. Nothing of the record is left, and the call may be repeated.
     bool append(std::uint32_t type, std::string_view payload);
     /// Begins a new segment for the following appends. False as above.
-    bool begin();
+    bool begin_segment();
     /// Replaces the records of an older segment; false: it is unchanged.
-    bool replace(std::uint64_t number, const std::vector<Record>& records);
+    bool replace_segment(std::uint64_t number, const std::vector<Record>& records);
     /// Removes a segment.
-    void drop(std::uint64_t number);
+    void remove_segment(std::uint64_t number);
 
     bool open() const { return static_cast<bool>(file_); }   // a segment is open for appends
     bool full() const { return newest_size_ >= segment_bytes_; }
--- a/src/telemetry/telemetry.cpp
+++ b/src/telemetry/telemetry.cpp
@@ -65,14 +65,14 @@
     }
     shape_ = shape_of(config, options_.rules);
     measures_.emplace(shape_, unix_ms(), path);
-    if (!measures_->cells().broken().empty())
+    if (!measures_->counters().broken().empty())
         log_.write(Log::Level::error, started_,
                    "state: a broken file was put aside as %s; counters begin at 0",
-                   measures_->cells().broken().c_str());
-    if (measures_->cells().dropped() > 0)
+                   measures_->counters().broken().c_str());
+    if (measures_->counters().dropped() > 0)
         log_.write(Log::Level::warning, started_,
                    "state: %zu counters of classes or plans that are gone were left",
-                   measures_->cells().dropped());
+                   measures_->counters().dropped());
     measures_->add(Id::starts);
     measures_->set(Id::start_time, static_cast<double>(unix_ms()) / 1e3);
     measures_->set(Id::admitted_fraction, 1);
@@ -96,7 +96,7 @@
     otherwise("job", "slatejunction");
     otherwise("instance", name_);
     auto layout = std::make_shared<remotewrite::Layout>();
-    layout->created_ms = measures_->cells().created_ms();
+    layout->created_ms = measures_->counters().created_ms();
     for (const metrics::Series& one : measures_->series()) {
         const metrics::Family& family = metrics::family(one.family);
         using Type = remotewrite::Layout::Type;
@@ -147,7 +147,7 @@
     set(Id::descriptors_limit, g.descriptors_limit);
     set(Id::resident, resident_bytes());
     count_senders();
-    for (const auto& counts : counts_) counts(m);
+    for (const auto& counts : collectors_) counts(m);
     std::vector<double> values;
     m.sample(values);
     push(std::move(values), false);
@@ -191,7 +191,7 @@
     frame.layout = layout_;
     frame.values = std::move(values);
     frame.keep = keep;
-    measures_->sampled(last_ms_);
+    measures_->set_last_sample_ms(last_ms_);
     driver_->add(std::move(frame));
 }
 
@@ -243,14 +243,14 @@
     finished.reason = f.reject_reason_index;
     finished.seconds = f.seconds;
     finished.units = i.units;
-    const double worth = measures_->finished(finished);
+    const double worth = measures_->count_request(finished);
     for (const auto& [number, value] : f.tags) count_tag(number, value);
     if (!log_.wants_record(f.result == ingress::RequestSummary::Result::served)) return;
     RequestRecord record;
     record.id = i.request_id;
     record.service_class = i.service_class;
     record.plan = i.plan;
-    record.result = metrics::kEndings[static_cast<std::size_t>(f.result)];
+    record.result = metrics::kRequestResults[static_cast<std::size_t>(f.result)];
     record.reason = f.reason;
     record.backend = f.backend;
     record.customer = i.customer;
--- a/src/telemetry/telemetry.hpp
+++ b/src/telemetry/telemetry.hpp
@@ -30,7 +30,9 @@
     // Where the gauges come from: called at each sample, until stop().
     void start(std::function<ingress::Gauges()> gauges);
     // A part that counts for itself brings its figures with each sample.
-    void join(std::function<void(metrics::Measures&)> counts) { counts_.push_back(std::move(counts)); }
+    void add_collector(std::function<void(metrics::Measures&)> counts) {
+        collectors_.push_back(std::move(counts));
+    }
     // Takes new options. What waits for the next start is named in the log.
     void reload(const operator_config::Options& options);
     // Rules that are in force from now on, whose tags are counted.
@@ -67,7 +69,7 @@
     std::shared_ptr<const remotewrite::Layout> layout_;
     remotewrite::Tally tally_;   // as far as it has been counted
     std::uint64_t suppressed_ = 0, lost_ = 0;
-    std::vector<std::function<void(metrics::Measures&)>> counts_;
+    std::vector<std::function<void(metrics::Measures&)>> collectors_;
     metrics::Measures::Shape shape_;
     std::function<ingress::Gauges()> gauges_;
     std::int64_t last_ms_ = 0;
--- a/tests/ini/ini_test.cpp
+++ b/tests/ini/ini_test.cpp
@@ -79,7 +79,7 @@
     Options options;
     REQUIRE(load(folder, "[log]\nformat = json\n", options).empty());
     REQUIRE(load(folder, "[log]\nformat = text\n[remote_write]\ninterval_s = -1\n", options).size() == 1);
-    CHECK(options.log.as() == slatejunction::logging::Format::json);
+    CHECK(options.log.line_format() == slatejunction::logging::Format::json);
 }
 
 TEST_CASE("credentials come from a file's first line") {
--- a/tests/metrics/measures_test.cpp
+++ b/tests/metrics/measures_test.cpp
@@ -56,11 +56,12 @@
 
 TEST_CASE("a finished request moves its count, worth and duration") {
     Measures measures(shape(), 1000);
-    const double served = measures.finished({0, 1, RequestResult::served, 0, 0.3, 2});
+    const double served = measures.count_request({0, 1, RequestResult::served, 0, 0.3, 2});
     CHECK(served == Approx(2 * 1.2 * 2));
-    CHECK(measures.finished({1, 0, RequestResult::served, 0, 6, 1}) == Approx(6 * 0.8 * 0.1));   // late
-    CHECK(measures.finished({1, 0, RequestResult::rejected, 3, 0.001, 1}) == 0);
-    CHECK(measures.finished({1, 0, RequestResult::failed, 0, 1.5, 1}) == 0);
+    CHECK(measures.count_request({1, 0, RequestResult::served, 0, 6, 1}) ==
+          Approx(6 * 0.8 * 0.1));   // late
+    CHECK(measures.count_request({1, 0, RequestResult::rejected, 3, 0.001, 1}) == 0);
+    CHECK(measures.count_request({1, 0, RequestResult::failed, 0, 1.5, 1}) == 0);
     auto all = sampled(measures);
     CHECK(all["slatejunction_requests_total class=risk-read plan=plus outcome=served"] == 1);
     CHECK(all["slatejunction_requests_total class=warn-send plan=basis outcome=refused"] == 1);
@@ -80,8 +81,8 @@
     Measures measures(shape(), 1000);
     std::mt19937 random(7);
     for (int i = 0; i < 5000; ++i)
-        measures.finished({random() % 2, random() % 2, static_cast<RequestResult>(random() % 3),
-                           random() % 8, 1e-3 * (random() % 20000), 1.0 + random() % 3});
+        measures.count_request({random() % 2, random() % 2, static_cast<RequestResult>(random() % 3),
+                                random() % 8, 1e-3 * (random() % 20000), 1.0 + random() % 3});
     double requests = 0, refused = 0, refusals = 0, counts = 0, infinite = 0;
     double offered = 0, earned = 0;
     for (const auto& [name, value] : sampled(measures)) {
@@ -106,8 +107,8 @@
     const Folder folder;
     {
         Measures measures(shape(), 1000, folder.file("counters"));
-        measures.finished({0, 1, RequestResult::served, 0, 0.3, 1});
-        measures.sampled(5000);
+        measures.count_request({0, 1, RequestResult::served, 0, 0.3, 1});
+        measures.set_last_sample_ms(5000);
     }
     Measures::Shape other = shape();
     other.plans.erase(other.plans.begin());   // plus is now the first
@@ -115,7 +116,7 @@
     Measures measures(other, 9000, folder.file("counters"));
     auto all = sampled(measures);
     CHECK(all["slatejunction_requests_total class=risk-read plan=plus outcome=served"] == 1);
-    CHECK(measures.cells().dropped() > 0);
-    CHECK(measures.cells().created_ms() == 1000);
+    CHECK(measures.counters().dropped() > 0);
+    CHECK(measures.counters().created_ms() == 1000);
     CHECK(measures.last_sample_ms() == 5000);
 }
--- a/tests/state/generate_state.cpp
+++ b/tests/state/generate_state.cpp
@@ -48,11 +48,11 @@
     metrics::Measures measures(state::shape(), 1'700'000'000'000, folder + "/counters");
     using metrics::Id;
     using metrics::RequestResult;
-    for (int i = 0; i < 3; ++i) measures.finished({0, 1, RequestResult::served, 0, 0.25, 1});
-    measures.finished({0, 1, RequestResult::served, 0, 2, 4});   // late
-    measures.finished({0, 0, RequestResult::rejected, metrics::kQuota, 0.125, 1});
-    measures.finished({0, 0, RequestResult::rejected, metrics::kOpenLimit, 0.125, 2});
-    measures.finished({0, 0, RequestResult::failed, 0, 3.5, 1});
+    for (int i = 0; i < 3; ++i) measures.count_request({0, 1, RequestResult::served, 0, 0.25, 1});
+    measures.count_request({0, 1, RequestResult::served, 0, 2, 4});   // late
+    measures.count_request({0, 0, RequestResult::rejected, metrics::kQuotaReason, 0.125, 1});
+    measures.count_request({0, 0, RequestResult::rejected, metrics::kOpenLimitReason, 0.125, 2});
+    measures.count_request({0, 0, RequestResult::failed, 0, 3.5, 1});
     measures.add(Id::attempts, 0, 123456789);
     measures.add(Id::attempts, 7, 2);
     measures.add(Id::bad_requests, 0, 17);
@@ -60,7 +60,7 @@
     measures.add(Id::rw_dropped, 1, 0.5);
     measures.add(Id::limit_refusals, 0, 5);
     measures.add(Id::tagged, 1, 6);
-    measures.sampled(1'700'000'123'456);
+    measures.set_last_sample_ms(1'700'000'123'456);
 }
 
 // As a process that was killed after it had armed an update and before it wrote the first figure.
@@ -88,19 +88,19 @@
     storage::SegmentedLog::Found found;
     storage::SegmentedLog journal(
         folder, "records", 100, [](auto&&...) {}, found);
-    REQUIRE(journal.begin());
+    REQUIRE(journal.begin_segment());
     REQUIRE(journal.append(1, "first"));
     REQUIRE(journal.append(4'000'000'000U, std::string("\0\xff\n", 3)));
-    REQUIRE(journal.begin());
+    REQUIRE(journal.begin_segment());
     REQUIRE(journal.append(2, "of a segment that is dropped"));
-    REQUIRE(journal.begin());
+    REQUIRE(journal.begin_segment());
     REQUIRE(journal.append(3, "of a segment that is replaced"));
-    REQUIRE(journal.begin());
+    REQUIRE(journal.begin_segment());
     REQUIRE(journal.append(5, ""));
     REQUIRE(journal.append(6, std::string(300, 'x')));
     REQUIRE(journal.append(7, "cut by a kill"));
-    journal.drop(2);
-    REQUIRE(journal.replace(3, {{8, "replaced"}, {9, "and more"}}));
+    journal.remove_segment(2);
+    REQUIRE(journal.replace_segment(3, {{8, "replaced"}, {9, "and more"}}));
     const std::string newest = folder + "/records-4";
     std::filesystem::resize_file(newest, std::filesystem::file_size(newest) - 5);
 }
--- a/tests/state/old_state_test.cpp
+++ b/tests/state/old_state_test.cpp
@@ -125,12 +125,12 @@
           25);
     CHECK(stored.back() == std::pair<std::string, double>{"last sample ms", 1'700'000'123'456});
     metrics::Measures measures(state::shape(), 1'800'000'000'000, path);
-    CHECK(measures.cells().broken().empty());
-    CHECK(measures.cells().dropped() == 0);   // each name of then is one of now
-    CHECK(measures.cells().created_ms() == 1'700'000'000'000);
+    CHECK(measures.counters().broken().empty());
+    CHECK(measures.counters().dropped() == 0);   // each name of then is one of now
+    CHECK(measures.counters().created_ms() == 1'700'000'000'000);
     CHECK(measures.last_sample_ms() == 1'700'000'123'456);
     check_same(sampled(measures), counts_expected());
-    measures.finished({0, 1, metrics::RequestResult::served, 0, 0.25, 1});
+    measures.count_request({0, 1, metrics::RequestResult::served, 0, 0.25, 1});
     CHECK(sampled(measures)["slatejunction_requests_total class=read plan=plus outcome=served"] == 5);
     CHECK_FALSE(folder.broken());
 }
@@ -248,7 +248,7 @@
     storage::SegmentedLog::Found found;
     storage::SegmentedLog journal(
         folder, "limits", 1 << 20, [](auto&&...) {}, found);
-    REQUIRE(journal.begin());
+    REQUIRE(journal.begin_segment());
     for (const StoredLimit& one : limits) {
         std::string record;
         put(record, static_cast<std::uint32_t>(one.definition.size()));
--- a/tests/storage/segmented_log_test.cpp
+++ b/tests/storage/segmented_log_test.cpp
@@ -35,19 +35,19 @@
         const auto journal = open(folder, read);
         CHECK_FALSE(journal->append(1, "no segment yet"));
         for (int i = 0; i < 9; ++i) {
-            if (!journal->open() || journal->full()) REQUIRE(journal->begin());
+            if (!journal->open() || journal->full()) REQUIRE(journal->begin_segment());
             REQUIRE(journal->append(7, "record " + std::to_string(i)));
         }
         REQUIRE(journal->segments().size() == 5);
-        journal->drop(2);
-        REQUIRE(journal->replace(3, {{8, "instead"}}));
-        CHECK_FALSE(journal->replace(5, {}));   // the newest is appended to
+        journal->remove_segment(2);
+        REQUIRE(journal->replace_segment(3, {{8, "instead"}}));
+        CHECK_FALSE(journal->replace_segment(5, {}));   // the newest is appended to
     }
     const auto journal = open(folder, read);
     CHECK(read.payloads == std::vector<std::string>{"7record 0", "7record 1", "8instead", "7record 6",
                                                     "7record 7", "7record 8"});
     CHECK(read.found.cut_bytes == 0);
-    CHECK(journal->begin());
+    CHECK(journal->begin_segment());
     CHECK(journal->newest() == 6);
 }
 
@@ -56,7 +56,7 @@
     Read first;
     {
         const auto journal = open(folder, first);
-        REQUIRE(journal->begin());
+        REQUIRE(journal->begin_segment());
         for (const char* text : {"a", "bb", "ccc"}) REQUIRE(journal->append(1, text));
     }
     const std::string whole = folder.read("j-1");
@@ -80,7 +80,7 @@
     Read first;
     {
         const auto journal = open(folder, first);
-        REQUIRE(journal->begin());
+        REQUIRE(journal->begin_segment());
         for (const char* text : {"a", "bb", "ccc"}) REQUIRE(journal->append(1, text));
     }
     const std::string whole = folder.read("j-1");
@@ -110,11 +110,11 @@
     Read read;
     {
         const auto journal = open(folder, read, writer);
-        REQUIRE(journal->begin());
+        REQUIRE(journal->begin_segment());
         REQUIRE(journal->append(1, "first"));
         CHECK_FALSE(journal->append(1, "a record longer than the room"));
         CHECK(journal->last_error() == "No space left on device");
-        CHECK_FALSE(journal->begin());
+        CHECK_FALSE(journal->begin_segment());
         room = 1000;
         REQUIRE(journal->append(1, "second"));
     }
