--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -22,7 +22,7 @@
 namespace slatejunction {
 namespace {
 
-// A pipe that polls as writable takes this much without waiting (POSIX: PIPE_BUF).
+// A pipe that polls as writable accepts this many bytes without blocking (POSIX: PIPE_BUF).
 constexpr std::size_t kMaxWriteBytes = 4096;
 
 const char* name_of(Log::Level level) {
@@ -40,21 +40,22 @@
 void put_text(Json& json, const char* key, std::string_view text) {
     json.Key(key);
     if (text.empty()) return void(json.String(""));
-    // Clients may send any bytes; JSON may not hold all of them.
+    // Clients may send arbitrary bytes, but JSON text has to be valid UTF-8.
     const std::unique_ptr<char, decltype(&g_free)> valid(
         g_utf8_make_valid(text.data(), static_cast<gssize>(text.size())), &g_free);
     json.String(valid.get());
 }
 
-// Words stay as they are; what holds blanks, quotes or bytes that are no text is quoted and escaped.
-void put_word(std::string& line, const char* key, std::string_view text) {
+// Appends KEY=VALUE. A value with blanks, quotes, backslashes, '=' or bytes outside of printable ASCII is
+// quoted and escaped, and so is an empty one.
+void append_field(std::string& line, const char* key, std::string_view text) {
     line += ' ';
     line += key;
     line += '=';
-    const bool word = !text.empty() && std::all_of(text.begin(), text.end(), [](unsigned char c) {
+    const bool plain = !text.empty() && std::all_of(text.begin(), text.end(), [](unsigned char c) {
         return c > 0x20 && c < 0x7f && c != '"' && c != '\\' && c != '=';
     });
-    if (word) {
+    if (plain) {
         line += text;
         return;
     }
@@ -78,8 +79,9 @@
 
 }   // namespace
 
-// Guards against a log reader that stalls: a write that would wait is not begun. What can't be written is
-// kept up to a bound, in order; beyond it lines are counted, and reported once there is space.
+// Protects the program from a stalled reader of the log: a write that would block is not started. Lines
+// that can't be written are buffered in order up to a limit; beyond it lines are dropped and counted, and
+// the count is logged once the buffer is empty again.
 class Log::Sink final : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
   public:
     explicit Sink(int fd)
@@ -115,7 +117,7 @@
         formatter_->format(message, line);
         if (lost_ > reported_lost_ && drain()) {
             const std::string text = "warning: " + std::to_string(lost_ - reported_lost_) +
-                                     " log lines left out: their reader was too slow\n";
+                                     " log lines dropped: the reader of the log was too slow\n";
             reported_lost_ = lost_;
             put(text.data(), text.size());
         }
@@ -124,9 +126,10 @@
     void flush_() override { drain(); }
 
   private:
-    // Guards against a pipe that other programs write to as well: one of them may fill it between the poll
-    // and the write, which would wait then. Opened anew it does not wait, and they keep their own way;
-    // below 0 where it is no pipe.
+    // Another program that writes to the same pipe may fill it between poll() and write(), which would then
+    // block. Reopening the pipe gives a separate open file description with O_NONBLOCK, so that the other
+    // programs' descriptors keep their mode. Returns a negative value if `fd` is not a pipe or can't be
+    // reopened.
     static int reopen_nonblocking(int fd) {
         struct stat file {};
         if (::fstat(fd, &file) != 0 || !S_ISFIFO(file.st_mode)) return -1;
@@ -134,8 +137,8 @@
         return ::open(path.c_str(), O_WRONLY | O_NONBLOCK | O_CLOEXEC);
     }
     ssize_t write_some(const char* data, std::size_t size, int wait_ms) {
-        pollfd one{fd_, POLLOUT, 0};
-        if (::poll(&one, 1, wait_ms) != 1 || !(one.revents & POLLOUT)) return 0;
+        pollfd poll_fd{fd_, POLLOUT, 0};
+        if (::poll(&poll_fd, 1, wait_ms) != 1 || !(poll_fd.revents & POLLOUT)) return 0;
         return ::write(fd_, data, size);
     }
     void put(const char* data, std::size_t size) {
@@ -148,15 +151,16 @@
             }
         }
         if (done == size) return;
-        // A line begun is kept whole whatever the bound: half a line would spoil the next one too.
+        // A partly written line is buffered even above the limit: a truncated line would corrupt the next
+        // one.
         if (done == 0 && buffered_.size() - written_ + size > max_buffered_)
             ++lost_;
         else
             buffered_.append(data + done, size - done);
     }
 
-    const int reopened_fd_;   // closed with this
-    const int fd_;
+    const int reopened_fd_;   // owned; negative: none
+    const int fd_;            // not owned unless it is reopened_fd_
     std::size_t max_buffered_ = std::size_t{256} * 1024;
     std::string buffered_;
     std::size_t written_ = 0;
@@ -175,8 +179,9 @@
     events_ = settings.events == 1;
     json_ = settings.line_format() == logging::Format::json;
     sink_->set_max_buffered(static_cast<std::size_t>(settings.buffer_kb) * 1024);
-    least_ = static_cast<Level>(settings.level);   // by put(): records have a switch of their own
-    // Text lines are `LEVEL: TEXT`, as they always were; a JSON line is made whole before it comes here.
+    // Applied by put(); records have a setting of their own.
+    min_level_ = static_cast<Level>(settings.level);
+    // A text line is `LEVEL: TEXT`; a JSON line arrives here completely formatted.
     logger_->set_formatter(std::make_unique<spdlog::pattern_formatter>(
         json_ ? "%v" : "%l: %v", spdlog::pattern_time_type::local, "\n"));
 }
@@ -184,14 +189,14 @@
 std::uint64_t Log::lost() const { return sink_->lost(); }
 void Log::drain() { sink_->drain(); }
 
-void Log::flush(double most_s) {
-    const auto until = std::chrono::steady_clock::now() + std::chrono::duration<double>(most_s);
+void Log::flush(double max_wait_s) {
+    const auto until = std::chrono::steady_clock::now() + std::chrono::duration<double>(max_wait_s);
     while (!sink_->drain(20) && std::chrono::steady_clock::now() < until) {
     }
 }
 
 void Log::put(Level level, std::string_view text) {
-    if (level < least_) return;
+    if (level < min_level_) return;
     if (!json_) {
         logger_->log(level_of(level), spdlog::string_view_t(text.data(), text.size()));
         return;
@@ -208,10 +213,10 @@
 }
 
 void Log::write(Level level, double now, const char* format, ...) {
-    tokens_ = std::min(kBurst, tokens_ + std::max(0.0, now - at_) * kPerSecond);
-    at_ = std::max(at_, now);
+    tokens_ = std::min(kBurstLines, tokens_ + std::max(0.0, now - refilled_at_) * kLinesPerS);
+    refilled_at_ = std::max(refilled_at_, now);
     if (tokens_ < 1) {
-        ++suppressed_, ++suppressed_all_;
+        ++suppressed_, ++suppressed_total_;
         return;
     }
     tokens_ -= 1;
@@ -227,7 +232,7 @@
     put(level, line);
 }
 
-void Log::event(std::string_view what, std::span<const std::pair<std::string_view, std::string>> fields) {
+void Log::event(std::string_view name, std::span<const std::pair<std::string_view, std::string>> fields) {
     if (!events_) return;
     timespec at{};
     clock_gettime(CLOCK_MONOTONIC_RAW, &at);
@@ -236,8 +241,8 @@
     json.StartObject();
     json.Key("at_ns");
     json.Int64(static_cast<std::int64_t>(at.tv_sec) * 1'000'000'000 + at.tv_nsec);
-    put_text(json, "event", what);
-    for (const auto& [name, value] : fields) put_text(json, std::string(name).c_str(), value);
+    put_text(json, "event", name);
+    for (const auto& [field, value] : fields) put_text(json, std::string(field).c_str(), value);
     json.EndObject();
     logger_->log(spdlog::level::info, spdlog::string_view_t(line.GetString(), line.GetSize()));
 }
@@ -273,18 +278,19 @@
         return;
     }
     std::string line = "request";
-    put_word(line, "id", r.id);
-    put_word(line, "class", r.service_class);
-    put_word(line, "plan", r.plan);
-    put_word(line, "customer", customer);
-    put_word(line, "outcome", r.result);
-    put_word(line, "reason", r.reason);
-    put_word(line, "provider", r.backend);
-    char figures[96];
-    std::snprintf(figures, sizeof figures, " attempts=%llu seconds=%.6f worth=%.6f",
+    append_field(line, "id", r.id);
+    append_field(line, "class", r.service_class);
+    append_field(line, "plan", r.plan);
+    append_field(line, "customer", customer);
+    append_field(line, "outcome", r.result);
+    append_field(line, "reason", r.reason);
+    append_field(line, "provider", r.backend);
+    char numbers[96];
+    std::snprintf(numbers, sizeof numbers, " attempts=%llu seconds=%.6f worth=%.6f",
                   static_cast<unsigned long long>(r.attempts), r.seconds, r.earned_weight);
-    line += figures;
-    for (const auto& [name, value] : r.tags) put_word(line, ("tag_" + std::string(name)).c_str(), value);
+    line += numbers;
+    for (const auto& [name, value] : r.tags)
+        append_field(line, ("tag_" + std::string(name)).c_str(), value);
     logger_->log(spdlog::level::info, spdlog::string_view_t(line.data(), line.size()));
 }
 
--- a/src/log/settings.hpp
+++ b/src/log/settings.hpp
@@ -10,9 +10,9 @@
 
 struct Settings {
     int format = 0;     // Format
-    int level = 0;      // Log::Level: lines under it are left out
-    int requests = 0;   // Requests: which finished requests get a record of their own
-    int events = 0;     // of the fleet's parts, as JSON records
+    int level = 0;      // Log::Level: lines below it are not written
+    int requests = 0;   // Requests: which finished requests are recorded
+    int events = 0;     // 1: write event records of fleet components
     std::int64_t buffer_kb = 256;
     Format line_format() const { return static_cast<Format>(format); }
     Requests records() const { return static_cast<Requests>(requests); }
--- a/src/metrics/measures.cpp
+++ b/src/metrics/measures.cpp
@@ -8,10 +8,10 @@
 namespace slatejunction::metrics {
 namespace {
 
-// s; log-linear steps beside the classes' own aims and deadlines
-constexpr std::array<double, 10> kBounds{0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 10};
+// Bounds of the buckets of durations (s), in addition to the classes' latency objectives and deadlines.
+constexpr std::array<double, 10> kBucketBoundsS{0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 10};
 
-std::string number(double value) {
+std::string format_number(double value) {
     char text[32];
     std::snprintf(text, sizeof text, "%.10g", value);
     return text;
@@ -23,39 +23,40 @@
     return key;
 }
 
-// The labels of a family, with all of their values.
+// A label of a family, with all of its values.
 struct Label {
     std::string name;
     std::vector<std::string> values;
 };
 
-template <class Words>
-std::vector<std::string> all(const Words& words) {
-    return {words.begin(), words.end()};
+template <class Names>
+std::vector<std::string> all(const Names& names) {
+    return {names.begin(), names.end()};
 }
 
 std::vector<Label> labels_of(Id id, const Measures::Shape& shape, const std::vector<std::string>& classes,
                              const std::vector<std::string>& plans) {
-    const Label service{"class", classes}, plan{"plan", plans}, ending{"outcome", all(kRequestResults)};
+    const Label service_class{"class", classes}, plan{"plan", plans},
+        result{"outcome", all(kRequestResults)};
     switch (id) {
         case Id::requests:
-            return {service, plan, ending};
+            return {service_class, plan, result};
         case Id::refusals:
-            return {service, plan, {"reason", all(kRejectReasons)}};
+            return {service_class, plan, {"reason", all(kRejectReasons)}};
         case Id::worth_offered:
         case Id::worth_served:
         case Id::worth_lost:
-            return {service, plan};
+            return {service_class, plan};
         case Id::duration:
-            return {service, ending};
+            return {service_class, result};
         case Id::attempts:
-            return {{"outcome", all(kOutcomes)}};
+            return {{"outcome", all(kAttemptResults)}};
         case Id::log_left_out:
-            return {{"reason", all(kLeftOut)}};
+            return {{"reason", all(kLogDropReasons)}};
         case Id::rw_dropped:
-            return {{"reason", all(kDropped)}};
+            return {{"reason", all(kSampleDropReasons)}};
         case Id::rw_batches:
-            return {{"result", all(kBatches)}};
+            return {{"result", all(kBatchResults)}};
         case Id::rule_matches:
         case Id::rule_errors:
             return {{"rule", shape.rules}};
@@ -69,27 +70,27 @@
         case Id::subset_backends:
             return {{"subset", shape.subsets}};
         case Id::backends:
-            return {{"state", all(kStates)}};
+            return {{"state", all(kBackendStates)}};
         case Id::peers_members:
             return {{"state", all(kMemberStates)}};
         case Id::peers_dropped:
             return {{"reason", all(kPeerDropReasons)}};
         case Id::lease_changes:
-            return {{"what", all(kChanges)}};
+            return {{"what", all(kLeaseChanges)}};
         case Id::lease_acts:
-            return {{"result", all(kActs)}};
+            return {{"result", all(kLeaseActionResults)}};
         case Id::rollout_faults:
             return {{"trouble", all(kRolloutFaults)}};
         case Id::connections:
         case Id::bytes_held:
         case Id::bytes_budget:
-            return {{"side", all(kSides)}};
+            return {{"side", all(kConnectionSides)}};
         default:
             return {};
     }
 }
 
-// Each combination of the labels' values, the last label running fastest.
+// All combinations of the labels' values; the last label varies fastest.
 std::vector<Labels> combinations(const std::vector<Label>& labels) {
     std::vector<Labels> rows(1);
     for (const Label& label : labels) {
@@ -104,7 +105,7 @@
     return rows;
 }
 
-// The tags' values are not the same for each, so no combinations.
+// The label sets of a family. Each tag has values of its own, so tags are not combined with all values.
 std::vector<Labels> rows_of(Id id, const Measures::Shape& shape, const std::vector<std::string>& classes,
                             const std::vector<std::string>& plans) {
     if (id != Id::tagged) return combinations(labels_of(id, shape, classes, plans));
@@ -129,18 +130,18 @@
 
 struct Measures::Layout {
     std::vector<double> bounds;
-    std::vector<Place> places;
+    std::vector<FamilyRange> ranges;
     std::vector<Series> series;
     std::vector<std::uint32_t> sources;
-    std::vector<std::string> names;   // of the cells
+    std::vector<std::string> names;   // of the counters
     std::size_t gauges = 0;
 
     void add_series(Id id, std::string name, const Labels& labels, std::size_t source) {
         series.push_back({id, std::move(name), labels});
         sources.push_back(static_cast<std::uint32_t>(source));
     }
-    // A series with a cell of its own.
-    void add_cell(Id id, std::string name, const Labels& labels) {
+    // Adds a series with a counter of its own.
+    void add_counter(Id id, std::string name, const Labels& labels) {
         add_series(id, std::move(name), labels, names.size());
         names.push_back(key_of(series.back()));
     }
@@ -149,7 +150,7 @@
         if (family.type == Type::gauge) {
             add_series(id, name, labels, gauges++);
         } else if (family.type == Type::counter) {
-            add_cell(id, name, labels);
+            add_counter(id, name, labels);
         } else {
             add_histogram(id, name, labels);
         }
@@ -157,20 +158,21 @@
     void add_histogram(Id id, const std::string& name, const Labels& labels) {
         for (std::size_t i = 0; i <= bounds.size(); ++i) {
             Labels with_bound = labels;
-            with_bound.emplace_back("le", i < bounds.size() ? number(bounds[i]) : "+Inf");
-            add_cell(id, name + "_bucket", with_bound);
+            with_bound.emplace_back("le", i < bounds.size() ? format_number(bounds[i]) : "+Inf");
+            add_counter(id, name + "_bucket", with_bound);
         }
-        add_cell(id, name + "_sum", labels);
-        add_series(id, name + "_count", labels, 0);   // the same as the last bucket
+        add_counter(id, name + "_sum", labels);
+        // The count has no counter of its own: sample() takes the value of the last bucket.
+        add_series(id, name + "_count", labels, 0);
     }
 };
 
-// A histogram's cells for each combination of labels: its buckets (not cumulative, +Inf last), then its
-// sum.
-Measures::Layout Measures::lay_out(const Shape& shape) {
+// A histogram has, for each combination of labels, the counters of its buckets (not cumulative, +Inf last)
+// and then its sum.
+Measures::Layout Measures::build_layout(const Shape& shape) {
     Layout layout;
     std::vector<std::string> classes, plans;
-    std::set<double> bounds(kBounds.begin(), kBounds.end());
+    std::set<double> bounds(kBucketBoundsS.begin(), kBucketBoundsS.end());
     for (const ServiceClass& one : shape.classes) {
         classes.push_back(one.name);
         for (const double bound : {one.latency_objective_s, one.deadline_s})
@@ -183,7 +185,7 @@
         const Id id = static_cast<Id>(family);
         const bool gauge = kFamilies[family].type == Type::gauge;
         const auto rows = rows_of(id, shape, classes, plans);
-        layout.places.push_back({gauge ? layout.gauges : layout.names.size(), gauge, rows.size()});
+        layout.ranges.push_back({gauge ? layout.gauges : layout.names.size(), gauge, rows.size()});
         for (const Labels& labels : rows) layout.add_row(id, kFamilies[family], labels);
     }
     layout.names.push_back("last sample ms");
@@ -191,69 +193,71 @@
 }
 
 Measures::Measures(Shape shape, std::int64_t now_ms, const std::string& path)
-    : Measures(shape, now_ms, path, lay_out(shape)) {}
+    : Measures(shape, now_ms, path, build_layout(shape)) {}
 
 Measures::Measures(Shape shape, std::int64_t now_ms, const std::string& path, Layout layout)
     : shape_(std::move(shape)),
       bounds_(std::move(layout.bounds)),
-      places_(std::move(layout.places)),
+      ranges_(std::move(layout.ranges)),
       series_(std::move(layout.series)),
       sources_(std::move(layout.sources)),
-      plans_(std::max<std::size_t>(1, shape_.plans.size())),
-      last_sample_(layout.names.size() - 1),
-      cells_(path.empty() ? storage::PersistentCounters(layout.names.size(), now_ms)
-                          : storage::PersistentCounters(path, layout.names, now_ms)),
+      plan_count_(std::max<std::size_t>(1, shape_.plans.size())),
+      last_sample_index_(layout.names.size() - 1),
+      counters_(path.empty() ? storage::PersistentCounters(layout.names.size(), now_ms)
+                             : storage::PersistentCounters(path, layout.names, now_ms)),
       gauges_(layout.gauges) {
-    set(Id::counters_created, static_cast<double>(cells_.created_ms()) / 1e3);
+    set(Id::counters_created, static_cast<double>(counters_.created_ms()) / 1e3);
 }
 
 double Measures::count_request(const FinishedRequest& r) {
-    const ServiceClass& service = shape_.classes[r.service_class];
+    const ServiceClass& service_class = shape_.classes[r.service_class];
     const double price = shape_.plans.empty() ? 1 : shape_.plans[r.plan].plan_weight;
-    // What is beyond its quota is asked of nobody: it is neither offered nor lost.
-    const bool surplus = r.result == RequestResult::rejected && r.reason == kQuotaReason;
-    const double offered = surplus ? 0 : service.priority_weight * price * r.units;
-    const bool late = service.latency_objective_s > 0 && r.seconds > service.latency_objective_s;
+    // A request beyond its quota is not sent to any backend: it counts neither as offered nor as lost.
+    const bool over_quota = r.result == RequestResult::rejected && r.reason == kQuotaReason;
+    const double offered = over_quota ? 0 : service_class.priority_weight * price * r.units;
+    const bool late =
+        service_class.latency_objective_s > 0 && r.seconds > service_class.latency_objective_s;
     const double served = r.result != RequestResult::served ? 0
-                          : late                            ? offered * service.late_priority_weight
+                          : late                            ? offered * service_class.late_priority_weight
                                                             : offered;
-    const std::size_t pair = r.service_class * plans_ + r.plan;
-    const auto ending = static_cast<std::size_t>(r.result);
+    const std::size_t class_and_plan = r.service_class * plan_count_ + r.plan;
+    const auto result = static_cast<std::size_t>(r.result);
     const auto bound = static_cast<std::size_t>(
         std::lower_bound(bounds_.begin(), bounds_.end(), r.seconds) - bounds_.begin());
     const std::size_t histogram =
-        (r.service_class * kRequestResults.size() + ending) * (bounds_.size() + 2);
+        (r.service_class * kRequestResults.size() + result) * (bounds_.size() + 2);
     std::array<storage::PersistentCounters::Change, 7> changes;
     std::size_t count = 0;
     const auto change = [&](Id id, std::size_t label, double by) {
-        if (by != 0) changes[count++] = {static_cast<std::uint32_t>(at(id, label)), by};
+        if (by != 0) changes[count++] = {static_cast<std::uint32_t>(index_of(id, label)), by};
     };
-    change(Id::requests, pair * kRequestResults.size() + ending, 1);
+    change(Id::requests, class_and_plan * kRequestResults.size() + result, 1);
     if (r.result == RequestResult::rejected)
-        change(Id::refusals, pair * kRejectReasons.size() + r.reason, 1);
-    change(Id::worth_offered, pair, offered);
-    change(Id::worth_served, pair, served);
-    change(Id::worth_lost, pair, offered - served);
+        change(Id::refusals, class_and_plan * kRejectReasons.size() + r.reason, 1);
+    change(Id::worth_offered, class_and_plan, offered);
+    change(Id::worth_served, class_and_plan, served);
+    change(Id::worth_lost, class_and_plan, offered - served);
     change(Id::duration, histogram + bound, 1);
     change(Id::duration, histogram + bounds_.size() + 1, r.seconds);
-    cells_.apply({changes.data(), count});
+    counters_.apply({changes.data(), count});
     return served;
 }
 
 void Measures::add(Id id, std::size_t label, double by) {
-    const storage::PersistentCounters::Change change{static_cast<std::uint32_t>(at(id, label)), by};
-    cells_.apply({&change, 1});
+    const storage::PersistentCounters::Change change{static_cast<std::uint32_t>(index_of(id, label)), by};
+    counters_.apply({&change, 1});
 }
 
-void Measures::set(Id id, double value, std::size_t label) { gauges_[at(id, label)] = value; }
+void Measures::set(Id id, double value, std::size_t label) { gauges_[index_of(id, label)] = value; }
 
 double Measures::get(Id id, std::size_t label) const {
-    return places_[static_cast<std::size_t>(id)].gauge ? gauges_[at(id, label)] : cells_.get(at(id, label));
+    return ranges_[static_cast<std::size_t>(id)].gauge ? gauges_[index_of(id, label)]
+                                                       : counters_.get(index_of(id, label));
 }
 
 double Measures::sum(Id id, std::size_t step, std::size_t first) const {
     double all = 0;
-    for (std::size_t i = first; i < places_[static_cast<std::size_t>(id)].count; i += step)
+    for (std::size_t i = first; i < ranges_[static_cast<std::size_t>(id)].count; i += step)
         all += get(id, i);
     return all;
 }
@@ -266,14 +270,14 @@
         if (type == Type::gauge) {
             values[i] = gauges_[sources_[i]];
         } else if (type == Type::counter) {
-            values[i] = cells_.get(sources_[i]);
+            values[i] = counters_.get(sources_[i]);
         } else {
             const std::string& name = series_[i].name;
             if (name.ends_with("_bucket")) {
-                bucket += cells_.get(sources_[i]);
+                bucket += counters_.get(sources_[i]);
                 values[i] = bucket;
             } else if (name.ends_with("_sum")) {
-                values[i] = cells_.get(sources_[i]);
+                values[i] = counters_.get(sources_[i]);
             } else {
                 values[i] = bucket;
                 bucket = 0;
@@ -283,11 +287,11 @@
 }
 
 std::int64_t Measures::last_sample_ms() const {
-    return static_cast<std::int64_t>(cells_.get(last_sample_));
+    return static_cast<std::int64_t>(counters_.get(last_sample_index_));
 }
 
 void Measures::set_last_sample_ms(std::int64_t at_ms) {
-    cells_.set(static_cast<std::uint32_t>(last_sample_), static_cast<double>(at_ms));
+    counters_.set(static_cast<std::uint32_t>(last_sample_index_), static_cast<double>(at_ms));
 }
 
 std::size_t Measures::find_class(std::string_view name) const {
--- a/src/metrics/settings.hpp
+++ b/src/metrics/settings.hpp
@@ -8,8 +8,8 @@
 namespace slatejunction::metrics {
 
 struct Settings {
-    int collect = 0;         // 0: only where something needs them; 1: always
-    std::string directory;   // [state]; empty: counters begin at 0 with each start
+    int collect = 0;         // 0: only when remote write is on; 1: always
+    std::string directory;   // [state]; empty: counters start at 0 with each process
 
     ini::Section section() {
         ini::Section metrics("metrics",
--- a/src/metrics/table.hpp
+++ b/src/metrics/table.hpp
@@ -1,5 +1,5 @@
-// All measures of the program, named once: from here come the series that are kept and sent, what
-// `slatejunction metrics` prints, and what docs/metrics.md is checked against.
+// The table of all metric families: the single source of the series that are kept and sent, of the output
+// of `slatejunction metrics`, and of the table that docs/metrics.md is checked against.
 #pragma once
 
 #include <array>
@@ -13,12 +13,12 @@
 struct Family {
     std::string_view name;
     Type type;
-    std::string_view unit;     // of the figures; a count where it is empty
-    std::string_view labels;   // names, by commas
+    std::string_view unit;     // of the values; empty: none
+    std::string_view labels;   // label names, separated by commas
     std::string_view help;
 };
 
-// The order is that of the table below.
+// Index of a family in kFamilies; the order is that of the table.
 enum class Id : std::size_t {
     requests,
     refusals,
@@ -240,7 +240,7 @@
     return type == Type::counter ? "counter" : type == Type::gauge ? "gauge" : "histogram";
 }
 
-// One row a family, as docs/metrics.md holds them.
+// The families as a Markdown table, one row for each, as in docs/metrics.md.
 std::string markdown();
 
 }   // namespace slatejunction::metrics
--- a/tests/log/log_test.cpp
+++ b/tests/log/log_test.cpp
@@ -1,4 +1,5 @@
-// The log: its form, and that nobody waits for who reads it.
+// The log: the format of lines and records, the rate limit, and that a stalled reader never blocks a
+// writer.
 #include "log/log.hpp"
 
 #include <fcntl.h>
@@ -33,17 +34,17 @@
 };
 
 RequestRecord record(std::string_view id) {
-    RequestRecord one;
-    one.id = id;
-    one.service_class = "risk-read";
-    one.plan = "plus";
-    one.result = "served";
-    one.backend = "s-1";
-    one.customer = 0xb4d65521;
-    one.attempts = 2;
-    one.seconds = 0.25;
-    one.earned_weight = 2.4;
-    return one;
+    RequestRecord result;
+    result.id = id;
+    result.service_class = "risk-read";
+    result.plan = "plus";
+    result.result = "served";
+    result.backend = "s-1";
+    result.customer = 0xb4d65521;
+    result.attempts = 2;
+    result.seconds = 0.25;
+    result.earned_weight = 2.4;
+    return result;
 }
 
 std::size_t count_of(const std::string& text, const std::string& what) {
@@ -54,7 +55,7 @@
 
 }   // namespace
 
-TEST_CASE("a line of text is its level, a colon and the text") {
+TEST_CASE("a text line is its level, a colon and the text") {
     Pipe pipe;
     Log log({}, pipe.ends[1]);
     log.write(Log::Level::info, 1, "serving: %s", "n0");
@@ -63,11 +64,12 @@
     CHECK(pipe.read() == "info: serving: n0\nwarning: 100% {} odd\nerror: bad\n");
 }
 
-TEST_CASE("lines over the rate are counted, told with the next one and kept out of the way of records") {
+TEST_CASE(
+    "lines over the rate limit are counted and reported with the next line; records are not limited") {
     Pipe pipe;
     slatejunction::logging::Settings settings;
     settings.requests = 2;
-    settings.level = 2;   // records have a switch of their own
+    settings.level = 2;   // does not apply to records
     Log log(settings, pipe.ends[1]);
     for (int i = 0; i < 100; ++i) log.write(Log::Level::error, 1, "line %d", i);
     for (int i = 0; i < 100; ++i) log.record(record("r" + std::to_string(i)));
@@ -81,7 +83,7 @@
     CHECK(pipe.read() == "warning: 60 log lines suppressed\ninfo: again\n");
 }
 
-TEST_CASE("a reader that stalls stops nobody, what had no room is counted and told") {
+TEST_CASE("a stalled reader does not block the writer, and dropped lines are counted and reported") {
     Pipe pipe;
     ::fcntl(pipe.ends[1], F_SETPIPE_SZ, 4096);
     slatejunction::logging::Settings settings;
@@ -97,16 +99,16 @@
     log.write(Log::Level::info, 1, "again");
     for (int i = 0; i < 10; ++i) log.drain(), text += pipe.read();
     CHECK(count_of(text, "info: request id=") == 5000 - log.lost());
-    CHECK(text.find("warning: " + std::to_string(log.lost()) + " log lines left out") != std::string::npos);
+    CHECK(text.find("warning: " + std::to_string(log.lost()) + " log lines dropped") != std::string::npos);
     CHECK(text.ends_with("info: again\n"));
-    // In order and whole.
+    // The records are in order and complete.
     std::istringstream lines(text);
     int number = 0;
     for (std::string line; std::getline(lines, line) && line.starts_with("info: request"); ++number)
         REQUIRE(line.starts_with("info: request id=r" + std::to_string(number) + " class=risk-read "));
 }
 
-TEST_CASE("records are JSON that parses, whatever bytes a consumer sent") {
+TEST_CASE("records are valid JSON for arbitrary bytes from a client") {
     Pipe pipe;
     slatejunction::logging::Settings settings;
     settings.format = 1;
@@ -133,7 +135,7 @@
     CHECK(std::string(json["text"].GetString()) == "a \"line\"");
 }
 
-TEST_CASE("text records quote what is no word") {
+TEST_CASE("text records quote and escape values that are not plain words") {
     Pipe pipe;
     slatejunction::logging::Settings settings;
     settings.requests = 2;
