--- a/src/storage/segmented_log.cpp
+++ b/src/storage/segmented_log.cpp
@@ -18,7 +18,7 @@
 
 constexpr std::uint64_t kMagic = 0x4c4e524a4c4a4c53ULL;   // "SLJLJRNL"
 constexpr std::uint64_t kVersion = 1;
-constexpr std::size_t kMaxRecordBytes = 16 << 20;   // a larger size is damage
+constexpr std::size_t kMaxRecordBytes = 16 << 20;   // a larger size is treated as damage
 
 constexpr std::size_t kCheckedHeaderBytes = 16;   // magic and version
 
@@ -26,14 +26,14 @@
     std::uint64_t magic, version, check;   // check: of the two before it
 };
 
-struct Frame {
+struct RecordHeader {
     std::uint32_t size, type;
     std::uint64_t check;   // of size, type and payload, seeded with the segment's number
 };
 
 std::uint64_t record_checksum(std::uint64_t number, std::uint32_t type, std::string_view payload) {
-    const std::uint32_t both[2] = {static_cast<std::uint32_t>(payload.size()), type};
-    return checksum(payload.data(), payload.size(), checksum(both, sizeof both, number));
+    const std::uint32_t size_and_type[2] = {static_cast<std::uint32_t>(payload.size()), type};
+    return checksum(payload.data(), payload.size(), checksum(size_and_type, sizeof size_and_type, number));
 }
 
 }   // namespace
@@ -53,15 +53,15 @@
 }
 
 void SegmentedLog::find_segments() {
-    const std::unique_ptr<DIR, int (*)(DIR*)> folder(::opendir(path_.c_str()), ::closedir);
-    if (!folder) throw Error(path_ + " can't be read: " + std::strerror(errno));
-    while (const dirent* entry = ::readdir(folder.get())) {
+    const std::unique_ptr<DIR, int (*)(DIR*)> directory(::opendir(path_.c_str()), ::closedir);
+    if (!directory) throw Error(path_ + " can't be read: " + std::strerror(errno));
+    while (const dirent* entry = ::readdir(directory.get())) {
         const std::string_view file = entry->d_name;
         if (!file.starts_with(name_ + "-")) continue;
         const std::string_view digits = file.substr(name_.size() + 1);
         std::uint64_t number = 0;
-        const auto [end, fault] = std::from_chars(digits.data(), digits.data() + digits.size(), number);
-        if (fault == std::errc() && end == digits.data() + digits.size()) segments_[number] = 0;
+        const auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), number);
+        if (error == std::errc() && end == digits.data() + digits.size()) segments_[number] = 0;
     }
 }
 
@@ -79,19 +79,21 @@
     }
     if (header.version != kVersion)
         throw Error(path_of(number) + " has version " + std::to_string(header.version) +
-                    "; this program knows " + std::to_string(kVersion));
-    std::size_t place = sizeof header;
-    Frame frame{};
-    while (bytes.size() - place >= sizeof frame) {
-        std::memcpy(&frame, bytes.data() + place, sizeof frame);
-        if (frame.size > kMaxRecordBytes || bytes.size() - place - sizeof frame < frame.size) break;
-        const std::string_view payload(bytes.data() + place + sizeof frame, frame.size);
-        if (frame.check != record_checksum(number, frame.type, payload)) break;
-        visit(number, frame.type, payload);
+                    "; this program supports " + std::to_string(kVersion));
+    std::size_t offset = sizeof header;
+    RecordHeader record_header{};
+    while (bytes.size() - offset >= sizeof record_header) {
+        std::memcpy(&record_header, bytes.data() + offset, sizeof record_header);
+        if (record_header.size > kMaxRecordBytes ||
+            bytes.size() - offset - sizeof record_header < record_header.size)
+            break;
+        const std::string_view payload(bytes.data() + offset + sizeof record_header, record_header.size);
+        if (record_header.check != record_checksum(number, record_header.type, payload)) break;
+        visit(number, record_header.type, payload);
         ++found.records;
-        place += sizeof frame + frame.size;
+        offset += sizeof record_header + record_header.size;
     }
-    found.cut_bytes += bytes.size() - place;
+    found.cut_bytes += bytes.size() - offset;
     segments_[number] = bytes.size();
     return true;
 }
@@ -106,24 +108,24 @@
     return {reinterpret_cast<const char*>(&header), sizeof header};
 }
 
-void SegmentedLog::append_frame(std::string& out, std::uint64_t number, std::uint32_t type,
-                                std::string_view payload) {
-    const Frame frame{static_cast<std::uint32_t>(payload.size()), type,
-                      record_checksum(number, type, payload)};
-    out.append(reinterpret_cast<const char*>(&frame), sizeof frame);
+void SegmentedLog::append_record(std::string& out, std::uint64_t number, std::uint32_t type,
+                                 std::string_view payload) {
+    const RecordHeader record_header{static_cast<std::uint32_t>(payload.size()), type,
+                                     record_checksum(number, type, payload)};
+    out.append(reinterpret_cast<const char*>(&record_header), sizeof record_header);
     out += payload;
 }
 
 bool SegmentedLog::write_all(int fd, std::string_view bytes) {
     while (!bytes.empty()) {
-        const std::int64_t done =
+        const std::int64_t written =
             writer_ ? writer_(fd, bytes.data(), bytes.size()) : ::write(fd, bytes.data(), bytes.size());
-        if (done < 0 && errno == EINTR) continue;
-        if (done <= 0) {
-            last_error_ = std::strerror(done < 0 ? errno : ENOSPC);
+        if (written < 0 && errno == EINTR) continue;
+        if (written <= 0) {
+            last_error_ = std::strerror(written < 0 ? errno : ENOSPC);
             return false;
         }
-        bytes.remove_prefix(static_cast<std::size_t>(done));
+        bytes.remove_prefix(static_cast<std::size_t>(written));
     }
     return true;
 }
@@ -150,9 +152,9 @@
 bool SegmentedLog::append(std::uint32_t type, std::string_view payload) {
     if (!file_) return false;
     std::string bytes;
-    append_frame(bytes, newest_, type, payload);
+    append_record(bytes, newest_, type, payload);
     if (!write_all(file_.get(), bytes)) {
-        // An incomplete record would hide all that follow.
+        // An incomplete record would make all later records unreadable.
         if (::ftruncate(file_.get(), static_cast<off_t>(newest_size_)) != 0) file_ = File();
         return false;
     }
@@ -164,13 +166,13 @@
 bool SegmentedLog::replace_segment(std::uint64_t number, const std::vector<Record>& records) {
     if (number == newest_ || !segments_.contains(number)) return false;
     std::string bytes = header();
-    for (const Record& record : records) append_frame(bytes, number, record.type, record.payload);
-    const std::string fresh = path_of(number) + ".new";
-    File file(::open(fresh.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600));
+    for (const Record& record : records) append_record(bytes, number, record.type, record.payload);
+    const std::string new_path = path_of(number) + ".new";
+    File file(::open(new_path.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600));
     if (!file) last_error_ = std::strerror(errno);
     if (!file || !write_all(file.get(), bytes) ||
-        std::rename(fresh.c_str(), path_of(number).c_str()) != 0) {
-        ::unlink(fresh.c_str());
+        std::rename(new_path.c_str(), path_of(number).c_str()) != 0) {
+        ::unlink(new_path.c_str());
         return false;
     }
     segments_[number] = bytes.size();
--- a/src/storage/segmented_log.hpp
+++ b/src/storage/segmented_log.hpp
@@ -1,13 +1,11 @@
-// Records in order, in a few files (segments) of a directory: appended, read at the start, removed by
-// segment.
+// An append-only log of records in a few files (segments) of a directory. All records are read at the
+// start; records are removed by whole segments.
 //
-// Inputs: records (type and payload, bytes), the maximum size of a segment in bytes. Output: at the start
-// every record, oldest first; afterwards only success or failure of writes. Invariants:
-//  1. Each record carries a checksum; a record that a killed process left incomplete ends the segment.
-//  2. A failed append leaves nothing of its record.
-//  3. Nothing is synced to the disk unless the Writer does: a killed process loses nothing that was
-//  appended, power
-//     loss may lose the newest seconds.
+// Invariants:
+// - Each record has a checksum; a record that a killed process left incomplete ends its segment.
+// - A failed append leaves nothing of its record.
+// - Nothing is synced to the disk unless the Writer does so: a killed process loses nothing that was
+//   appended, but a power loss may lose the newest seconds.
 // Used by rollout::LogFile, remotewrite::Backlog and rules::BucketStorage, which own their instance.
 #pragma once
 
@@ -30,27 +28,30 @@
 
 class SegmentedLog {
   public:
-    /// As ::write; replaced for durable writes and in tests of a full disk.
+    /// Has the contract of ::write; replaced for durable writes and in tests of a full disk.
     using Writer = std::function<std::int64_t(int fd, const void* data, std::size_t size)>;
+    /// What the constructor found in the directory.
     struct Found {
-        std::size_t records = 0, cut_bytes = 0;   // cut_bytes: after the last complete record
-        std::vector<std::string> broken;          // new paths of segments set aside
+        std::size_t records = 0;
+        std::size_t cut_bytes = 0;         // after the last intact record of each segment
+        std::vector<std::string> broken;   // new paths of damaged segments that were set aside
     };
 
-    /// Segments NAME-NUMBER in the directory `path`. `visit` is called for each complete record, oldest
-    /// first, with the number of its segment. Throws Error for a directory that can't be read and for
-    /// another version.
+    /// Reads the segments NAME-NUMBER of the directory `path`. A segment of at least `segment_bytes` is
+    /// full(). `visit` is called for each intact record, oldest first, with its segment's
+    /// number, type and payload. Throws Error for a directory that can't be read and for another version of
+    /// a segment.
     SegmentedLog(std::string path, std::string name, std::size_t segment_bytes,
                  const std::function<void(std::uint64_t, std::uint32_t, std::string_view)>& visit,
                  Found& found, Writer writer = {});
 
-    /// False: the disk is full or failing. Nothing of the record is left, and the call may be repeated.
+    /// Appends to the newest segment. False: no segment is open, or the write failed; nothing of the record
+    /// is left, and the call may be repeated.
     bool append(std::uint32_t type, std::string_view payload);
-    /// Begins a new segment for the following appends. False as above.
+    /// Begins a new segment for the following appends; false if its file can't be written.
     bool begin_segment();
-    /// Replaces the records of an older segment; false: it is unchanged.
+    /// Replaces the records of an older segment; false if the segment is unchanged.
     bool replace_segment(std::uint64_t number, const std::vector<Record>& records);
-    /// Removes a segment.
     void remove_segment(std::uint64_t number);
 
     bool open() const { return static_cast<bool>(file_); }   // a segment is open for appends
@@ -64,12 +65,12 @@
     std::string path_of(std::uint64_t number) const;
     void find_segments();
     using Visitor = std::function<void(std::uint64_t, std::uint32_t, std::string_view)>;
-    // False: the segment was damaged at its header and set aside.
+    // Returns false if the header of the segment was damaged and the segment was set aside.
     bool read_segment(std::uint64_t number, const Visitor& visit, Found& found);
     bool write_all(int fd, std::string_view bytes);
     static std::string header();
-    static void append_frame(std::string& out, std::uint64_t number, std::uint32_t type,
-                             std::string_view payload);
+    static void append_record(std::string& out, std::uint64_t number, std::uint32_t type,
+                              std::string_view payload);
 
     const std::string path_, name_;
     const std::size_t segment_bytes_;
--- a/src/storage/state_directory.cpp
+++ b/src/storage/state_directory.cpp
@@ -37,25 +37,25 @@
 }   // namespace
 
 bool write_checked_file(const std::string& directory, const std::string& name, const char* magic,
-                        const std::string& body, std::string& why) {
-    const std::string path = directory + "/" + name, fresh = path + "~";
+                        const std::string& body, std::string& error) {
+    const std::string path = directory + "/" + name, temporary_path = path + "~";
     std::string bytes(magic, kMagicBytes);
-    const std::uint64_t check = checksum(body.data(), body.size());
-    bytes.append(reinterpret_cast<const char*>(&check), sizeof check);
+    const std::uint64_t stored_checksum = checksum(body.data(), body.size());
+    bytes.append(reinterpret_cast<const char*>(&stored_checksum), sizeof stored_checksum);
     bytes += body;
-    const File file(::open(fresh.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600));
-    const File folder(::open(directory.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
+    const File file(::open(temporary_path.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600));
+    const File directory_file(::open(directory.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
     const bool written =
-        file && folder &&
+        file && directory_file &&
         ::write(file.get(), bytes.data(), bytes.size()) == static_cast<ssize_t>(bytes.size()) &&
-        ::fdatasync(file.get()) == 0 && std::rename(fresh.c_str(), path.c_str()) == 0 &&
-        ::fsync(folder.get()) == 0;
-    if (!written) why = path + ": " + std::strerror(errno);
+        ::fdatasync(file.get()) == 0 && std::rename(temporary_path.c_str(), path.c_str()) == 0 &&
+        ::fsync(directory_file.get()) == 0;
+    if (!written) error = path + ": " + std::strerror(errno);
     return written;
 }
 
 std::optional<std::string> read_checked_file(const std::string& directory, const std::string& name,
-                                             const char* magic, std::string& broken) {
+                                             const char* magic, std::string& set_aside_path) {
     const std::string path = directory + "/" + name;
     std::ifstream in(path, std::ios::binary);
     if (!in) {
@@ -63,11 +63,12 @@
         return {};
     }
     const std::string bytes((std::istreambuf_iterator<char>(in)), std::istreambuf_iterator<char>());
-    std::uint64_t check = 0;
-    if (bytes.size() >= kHeaderBytes) std::memcpy(&check, bytes.data() + kMagicBytes, sizeof check);
+    std::uint64_t stored_checksum = 0;
+    if (bytes.size() >= kHeaderBytes)
+        std::memcpy(&stored_checksum, bytes.data() + kMagicBytes, sizeof stored_checksum);
     if (bytes.size() < kHeaderBytes || std::memcmp(bytes.data(), magic, kMagicBytes) != 0 ||
-        check != checksum(bytes.data() + kHeaderBytes, bytes.size() - kHeaderBytes)) {
-        broken = set_aside(path);
+        stored_checksum != checksum(bytes.data() + kHeaderBytes, bytes.size() - kHeaderBytes)) {
+        set_aside_path = set_aside(path);
         return {};
     }
     return bytes.substr(kHeaderBytes);
@@ -75,11 +76,11 @@
 
 std::string set_aside(const std::string& path) {
     for (int number = 1;; ++number) {
-        std::string other = path + ".broken-" + std::to_string(number);
-        if (::access(other.c_str(), F_OK) == 0) continue;
-        if (std::rename(path.c_str(), other.c_str()) != 0)
-            throw Error(path + " is broken and can't be renamed: " + std::strerror(errno));
-        return other;
+        std::string new_path = path + ".broken-" + std::to_string(number);
+        if (::access(new_path.c_str(), F_OK) == 0) continue;
+        if (std::rename(path.c_str(), new_path.c_str()) != 0)
+            throw Error(path + " is damaged and can't be renamed: " + std::strerror(errno));
+        return new_path;
     }
 }
 
--- a/src/storage/state_directory.hpp
+++ b/src/storage/state_directory.hpp
@@ -1,6 +1,6 @@
-// The state directory, which one process owns, and small checked files in it. Below every module that
-// stores state. Errors for the operator are exceptions (Error); a failed write is a result. No threads, no
-// clock.
+// The state directory, which one process at a time owns, and small checksummed files in it. Used by every
+// module that stores state; it depends on none of them. Errors that the operator has to resolve are
+// exceptions (Error); a failed write is a return value. Uses no threads and no clock.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +10,7 @@
 
 namespace slatejunction::storage {
 
-/// The operator has to act: the text names the path. Nothing was changed.
+/// An error that the operator has to resolve; the text names the path. The stored state is unchanged.
 struct Error : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
@@ -45,14 +45,14 @@
 };
 
 /// Writes a small file atomically: `magic` (8 bytes, with the version), a checksum of the body, the body.
-/// Leaves the old file or the new one, also on power loss. False: the old file is unchanged, `why` has the
-/// error.
+/// Leaves either the old file or the new one, also after a power loss. On failure returns false and sets
+/// `error`.
 bool write_checked_file(const std::string& directory, const std::string& name, const char* magic,
-                        const std::string& body, std::string& why);
-/// The body of such a file; nullopt: no file. Throws Error when it can't be read. A damaged file is set
-/// aside, and `broken` receives its new path.
+                        const std::string& body, std::string& error);
+/// Returns the body of such a file; nullopt if there is none or it is damaged. A damaged file is set aside,
+/// and `set_aside_path` receives its new path. Throws Error when the file can't be read.
 std::optional<std::string> read_checked_file(const std::string& directory, const std::string& name,
-                                             const char* magic, std::string& broken);
+                                             const char* magic, std::string& set_aside_path);
 
 /// Renames a damaged file to "NAME.broken-N" with the first free N and returns the new path. Throws Error.
 std::string set_aside(const std::string& path);
