--- a/src/remotewrite/backlog.hpp
+++ b/src/remotewrite/backlog.hpp
@@ -1,9 +1,8 @@
 // Stores the sender's waiting frames in a directory, so that the next process sends what this one did not.
 //
-// Rule: each frame and each finished number is appended once (storage::SegmentedLog), a few frames per
-// call. Input: the sender's waiting frames. Output: at the start, the frames of an earlier process,
-// restored into the sender. Never blocks on the disk beyond a write. Used and owned by Driver; the sender
-// must outlive it.
+// Each frame is appended once to a storage::SegmentedLog, a few frames per call, and so is the number below
+// which all frames are finished. At the start the frames of an earlier process are restored into the
+// sender. Nothing is synced to the disk. Owned by Driver; the sender must outlive it.
 #pragma once
 
 #include <memory>
@@ -18,43 +17,44 @@
 
 class Backlog {
   public:
-    static constexpr std::size_t kSegment = std::size_t{128} * 1024;   // bytes
-    static constexpr std::size_t kFramesAtOnce = 16;                   // written in one call of follow()
-    // In times of the sender's limit: above it segments are compacted.
+    static constexpr std::size_t kSegmentBytes = std::size_t{128} * 1024;
+    static constexpr std::size_t kMaxFramesPerCall = 16;   // written in one call of follow()
+    // Segments are compacted if they take more than this many times the sender's limit plus a segment.
     static constexpr std::size_t kMaxSizeFactor = 2;
 
     /// Opens the directory and restores the frames of an earlier process into the sender. Throws
     /// storage::Error for a directory that can't be used or is locked by another process.
     Backlog(const std::string& path, Sender& sender, storage::SegmentedLog::Writer writer = {});
 
-    /// Writes the next few frames. True: all waiting frames are stored.
+    /// Stores the next few frames. Returns whether all waiting frames are stored.
     bool follow();
-    /// The directory can't be written: frames wait in memory only. The caller reports it.
+    /// Whether the directory can't be written, so that frames wait in memory only. The caller reports it.
     bool failing() const { return failing_; }
-    const std::string& why() const { return segments_->last_error(); }
+    const std::string& last_error() const { return segments_->last_error(); }
     std::size_t bytes() const { return segments_->bytes(); }
     std::size_t restored() const { return restored_; }
     const storage::SegmentedLog::Found& found() const { return found_; }
 
   private:
-    enum Type : std::uint32_t { kLayout = 1, kFrame = 2, kDone = 3 };
+    enum RecordType : std::uint32_t { kLayout = 1, kFrame = 2, kFinished = 3 };
     struct Segment {
-        std::uint64_t first = 0, last = 0;   // numbers of frames; 0: none
+        std::uint64_t first = 0, last = 0;   // numbers of its frames; 0: none
     };
     bool write_finished();
     bool write_frame(std::uint64_t number, const Frame& frame);
     bool begin_segment();
     bool write_layout(const std::shared_ptr<const Layout>& layout);
     bool compact();
-    bool failed();
+    bool mark_failing();
 
     storage::StateDirectory directory_;
     Sender& sender_;
     storage::SegmentedLog::Found found_;
     std::unique_ptr<storage::SegmentedLog> segments_;
     std::unordered_map<std::uint64_t, Segment> segment_frames_;
-    std::shared_ptr<const Layout> layout_;   // the last one in the newest segment
-    std::uint64_t written_ = 0, done_ = 0;   // frames below written_ are stored
+    std::shared_ptr<const Layout> layout_;   // the last layout in the newest segment
+    // Frames with a smaller number are stored, or recorded as finished.
+    std::uint64_t stored_before_ = 0, finished_before_ = 0;
     std::size_t restored_ = 0;
     bool failing_ = false;
 };
--- a/src/remotewrite/driver.cpp
+++ b/src/remotewrite/driver.cpp
@@ -14,13 +14,13 @@
 namespace {
 
 template <class T>
-bool read(std::string_view text, T& value) {
-    const auto [end, fault] = std::from_chars(text.data(), text.data() + text.size(), value);
-    return !text.empty() && fault == std::errc() && end == text.data() + text.size();
+bool parse_number(std::string_view text, T& value) {
+    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
+    return !text.empty() && error == std::errc() && end == text.data() + text.size();
 }
 
-// An idle connection is closed for a longer interval between batches: every open one is polled in each
-// iteration.
+// Between batches that are further apart, the idle connection is closed, as each iteration of the event
+// loop polls every open connection.
 constexpr double kMaxIdleS = 2;
 
 double unix_s() {
@@ -29,18 +29,19 @@
 
 }   // namespace
 
-// One connection. The head decides about an answer; its body is used only as far as it arrived with the
-// head, so that an endless or slow body costs nothing. Such a connection is not reused.
+// One connection. The response's head decides about the batch; the body is used only as far as it arrived
+// with the head, so that an endless or slow body delays nothing. A connection with an incomplete response
+// is not reused.
 struct Driver::Connection final : net::Protocol {
     explicit Connection(Driver& driver) : driver_(driver), parser_(http::Parser::Kind::response) {}
 
     void write(const Batch& batch) {
         char length[48];
-        const std::string_view sized(
+        const std::string_view content_length(
             length, static_cast<std::size_t>(std::snprintf(
                         length, sizeof length, "Content-Length: %zu\r\n\r\n", batch.body.size())));
         const bool v2 = batch.protocol == remotewrite::Protocol::v2;
-        const bool known = !driver_.authorization_.empty();
+        const bool authorized = !driver_.authorization_.empty();
         const std::array<std::string_view, 13> parts{
             "POST ",
             driver_.url_.path,
@@ -52,10 +53,10 @@
             v2 ? "application/x-protobuf;proto=io.prometheus.write.v2.Request" : "application/x-protobuf",
             v2 ? "\r\nX-Prometheus-Remote-Write-Version: 2.0.0\r\n"
                : "\r\nX-Prometheus-Remote-Write-Version: 0.1.0\r\n",
-            known ? "Authorization: " : "",
+            authorized ? "Authorization: " : "",
             driver_.authorization_,
-            known ? "\r\n" : "",
-            sized};
+            authorized ? "\r\n" : "",
+            content_length};
         busy = true;
         if (!stream.send(parts)) return on_end(false);
         const std::string_view body = batch.body;
@@ -69,39 +70,40 @@
     std::span<char> receive_buffer() override { return parser_.receive_space(buffer_); }
     void on_bytes(std::size_t size) override {
         buffer_.commit(size);
-        if (!busy) return close();   // unsolicited
+        if (!busy) return close();   // unsolicited bytes
         on_response(parser_.feed(buffer_));
     }
     void on_end(bool) override {
         const bool was_busy = busy || connecting;
-        const char* what = connecting ? "no connection" : "the connection broke";
+        const char* what = connecting ? "connection failed" : "connection closed before the response";
         const auto self = shared_from_this();
         close();
-        if (was_busy) driver_.on_answer({Answer::How::broke, 0, -1, -1}, what);
+        if (was_busy) driver_.on_answer({Answer::How::failed, 0, -1, -1}, what);
     }
 
-    void on_response(http::ParseResult step) {
-        if (step == http::ParseResult::need_more && !parser_.has_head()) return;
+    void on_response(http::ParseResult result) {
+        if (result == http::ParseResult::need_more && !parser_.has_head()) return;
         const auto self = shared_from_this();
-        if (step == http::ParseResult::malformed || step == http::ParseResult::head_too_large) {
+        if (result == http::ParseResult::malformed || result == http::ParseResult::head_too_large) {
             close();
-            return driver_.on_answer({Answer::How::broke, 0, -1, -1}, "an answer that can't be read");
+            return driver_.on_answer({Answer::How::failed, 0, -1, -1}, "malformed response");
         }
         Answer answer;
         const http::Head& head = parser_.head();
         answer.status = head.status;
-        if (const auto* wait = head.find("retry-after"))
-            if (double seconds = 0; read(*wait, seconds) && std::isfinite(seconds) && seconds >= 0)
+        if (const auto* retry_after = head.find("retry-after"))
+            if (double seconds = 0;
+                parse_number(*retry_after, seconds) && std::isfinite(seconds) && seconds >= 0)
                 answer.retry_after_s = seconds;
         if (const auto* written = head.find("x-prometheus-remote-write-samples-written"))
-            if (std::int64_t count = 0; read(*written, count) && count >= 0) answer.written = count;
+            if (std::int64_t count = 0; parse_number(*written, count) && count >= 0) answer.written = count;
         std::string what = "status " + std::to_string(head.status);
         if (head.status / 100 != 2) {
             std::string_view text = parser_.body().substr(0, 120);
             text = text.substr(0, text.find_first_of("\r\n"));
             if (!text.empty()) what += ": " + std::string(text);
         }
-        const bool reusable = step == http::ParseResult::done && head.keep_alive && !stream.unsent() &&
+        const bool reusable = result == http::ParseResult::done && head.keep_alive && !stream.unsent() &&
                               parser_.used() == buffer_.view().size();
         busy = false;
         parser_.reset();
@@ -134,35 +136,37 @@
       timers_(timers),
       timer_(timers, [this] { on_timer(); }),
       store_timer_(timers, [this] { store_frames(); }) {
-    last_success_ = unix_s();
+    last_success_unix_s_ = unix_s();
     configure(settings);
     if (settings.backlog_directory.empty()) return;
     backlog_ = std::make_unique<Backlog>(settings.backlog_directory, sender_);
     const auto& found = backlog_->found();
     const double now = net::now();
     if (backlog_->restored() > 0)
-        log_.write(Log::Level::info, now, "remote write: %zu frames of an earlier process wait",
+        log_.write(Log::Level::info, now, "remote write: restored %zu unsent frames of an earlier process",
                    backlog_->restored());
     for (const std::string& path : found.broken)
-        log_.write(Log::Level::error, now, "remote write: a broken backlog was put aside as %s",
+        log_.write(Log::Level::error, now, "remote write: a damaged backlog file was set aside as %s",
                    path.c_str());
     if (found.cut_bytes > 0)
         log_.write(Log::Level::warning, now,
-                   "remote write: %zu bytes of the backlog were cut off and are lost", found.cut_bytes);
+                   "remote write: ignored %zu incomplete or damaged bytes of the backlog", found.cut_bytes);
     store_frames();
 }
 
-// Stores new frames in the backlog, a few at a time.
+// Stores new frames in the backlog, a few per call; a timer continues with the others.
 void Driver::store_frames() {
     if (!backlog_) return;
     const bool all = backlog_->follow();
     const bool failing = backlog_->failing();
     if (failing && !backlog_failure_logged_)
-        log_.write(Log::Level::error, net::now(),
-                   "remote write: the backlog's folder can't be written, samples wait in memory alone: %s",
-                   backlog_->why().c_str());
+        log_.write(
+            Log::Level::error, net::now(),
+            "remote write: cannot write to the backlog directory, samples are kept in memory only: %s",
+            backlog_->last_error().c_str());
     if (!failing && backlog_failure_logged_)
-        log_.write(Log::Level::info, net::now(), "remote write: the backlog's folder is written again");
+        log_.write(Log::Level::info, net::now(),
+                   "remote write: the backlog directory can be written again");
     backlog_failure_logged_ = failing;
     if (!all && !failing) store_timer_.arm(net::now());
 }
@@ -172,9 +176,9 @@
 }
 
 void Driver::configure(const Settings& settings) {
-    std::string why = read_url(settings.url, url_);
-    const std::string authorization = remotewrite::authorization(settings, why);
-    if (!why.empty()) throw std::runtime_error("remote_write: " + why);
+    std::string error = read_url(settings.url, url_);
+    const std::string authorization = remotewrite::authorization(settings, error);
+    if (!error.empty()) throw std::runtime_error("remote_write: " + error);
     const bool receiver_changed = settings.url != settings_.url || authorization != authorization_;
     settings_ = settings;
     authorization_ = authorization;
@@ -192,8 +196,8 @@
     pump();
 }
 
-void Driver::finish(double most_s, std::function<void()> done) {
-    finish_by_ = net::now() + most_s;
+void Driver::finish(double max_wait_s, std::function<void()> done) {
+    finish_by_ = net::now() + max_wait_s;
     done_ = std::move(done);
     pump();
 }
@@ -204,13 +208,13 @@
         while (backlog_ && !backlog_->follow() && !backlog_->failing()) {
         }
         if (!sender_.empty())
-            log_.write(Log::Level::warning, now, "remote write: stopping with %zu frames not sent%s",
+            log_.write(Log::Level::warning, now, "remote write: stopping with %zu unsent frames%s",
                        sender_.frames(),
-                       backlog_ && !backlog_->failing() ? ", kept for the next start" : "");
+                       backlog_ && !backlog_->failing() ? ", stored for the next start" : "");
         if (connection_) connection_->close();
         backlog_.reset();
         store_timer_.disarm();
-        sender_.give_up();
+        sender_.drop_all();
         timer_.disarm();
         return std::exchange(done_, {})();
     }
@@ -232,7 +236,7 @@
 
 void Driver::send(const Batch& batch) {
     if (connection_ && connection_->stream.readable())
-        connection_->close();   // closed by the receiver meanwhile
+        connection_->close();   // the receiver closed it in the meantime
     if (connection_) return connection_->write(batch);
     connection_ = std::make_shared<Connection>(*this);
     const auto self = connection_;
@@ -244,7 +248,7 @@
 void Driver::on_timer() {
     if (sender_.in_flight() && net::now() >= batch_timeout_at_) {
         if (const auto connection = connection_) connection->close();
-        return on_answer({Answer::How::timed_out, 0, -1, -1}, "no answer in time");
+        return on_answer({Answer::How::timed_out, 0, -1, -1}, "timed out without a response");
     }
     pump();
 }
@@ -257,16 +261,17 @@
     store_frames();
     if (accepted && sender_.empty() && settings_.interval_s > kMaxIdleS && connection_)
         connection_->close();
-    if (accepted) last_success_ = unix_s();
+    if (accepted) last_success_unix_s_ = unix_s();
     if (sender_.tally().rejected != rejected)
-        log_.write(Log::Level::error, now, "remote write: %llu samples turned down: %s",
+        log_.write(Log::Level::error, now, "remote write: receiver rejected %llu samples: %s",
                    static_cast<unsigned long long>(sender_.tally().rejected - rejected), what.c_str());
     else if (!accepted && !std::exchange(failure_logged_, true))
-        log_.write(Log::Level::warning, now, "remote write: %s; it is tried again", what.c_str());
+        log_.write(Log::Level::warning, now, "remote write: %s; retrying", what.c_str());
     else if (accepted && std::exchange(failure_logged_, false))
-        log_.write(Log::Level::info, now, "remote write: the receiver takes samples again, %zu frames wait",
+        log_.write(Log::Level::info, now,
+                   "remote write: the receiver accepts samples again, %zu frames waiting",
                    sender_.frames());
-    // The next batch is sent by the timer: sent from here it could fail at once, in an endless recursion.
+    // The timer sends the next batch: if sent from here, it could fail immediately and recurse without end.
     const double at = sender_.next_deadline();
     if (done_)
         timer_.arm(std::min(at, std::min(finish_by_, sender_.empty() ? now : finish_by_)));
--- a/src/remotewrite/driver.hpp
+++ b/src/remotewrite/driver.hpp
@@ -1,6 +1,6 @@
-// Sends the batches of a Sender to its receiver: one connection, one timer, HTTP/1.1. Decides nothing of
-// its own. Owns the sender and its backlog. Owned by telemetry::Telemetry and fleet_counters::Driver. Times
-// in s of net::now(). Seen in: the log lines "remote write: ...".
+// Sends the batches of a Sender to its receiver with HTTP/1.1 on one connection; the Sender makes all
+// decisions. Owns the sender and its backlog. Owned by telemetry::Telemetry and fleet_counters::Driver.
+// Times are in s of net::now(). Observability: the log lines "remote write: ...".
 #pragma once
 
 #include <functional>
@@ -17,24 +17,26 @@
 
 class Driver {
   public:
-    /// `version`: of the program, for the User-Agent field. Throws std::runtime_error for settings that
-    /// can't be used, and storage::Error for the backlog's directory.
+    /// `version` is that of the program, for the User-Agent field. Throws std::runtime_error for settings
+    /// that can't be used, and storage::Error for the backlog's directory.
     Driver(const Settings& settings, std::uint64_t seed, std::string version, net::Timers& timers,
            Log& log);
     ~Driver();
     Driver(const Driver&) = delete;
     Driver& operator=(const Driver&) = delete;
 
-    /// Applies new settings; waiting frames go to the receiver that they name.
+    /// Applies new settings; waiting frames go to the receiver of the new settings. Throws
+    /// std::runtime_error for settings that can't be used.
     void configure(const Settings& settings);
     void add(Frame frame);
-    /// Calls `done` once all frames were sent, or after `most_s` (s). No frames may be added afterwards.
-    void finish(double most_s, std::function<void()> done);
+    /// Calls `done` once all frames are sent or dropped, after `max_wait_s` (s) at the latest. No frames
+    /// may be added afterwards.
+    void finish(double max_wait_s, std::function<void()> done);
 
     Sender& sender() { return sender_; }
     const Sender& sender() const { return sender_; }
-    bool durable() const { return backlog_ != nullptr; }   // waiting frames survive the process
-    double last_success_unix_s() const { return last_success_; }
+    bool durable() const { return backlog_ != nullptr; }   // frames are also stored on disk
+    double last_success_unix_s() const { return last_success_unix_s_; }
 
   private:
     struct Connection;
@@ -57,9 +59,9 @@
     net::Timers& timers_;
     net::Timer timer_, store_timer_;
     std::shared_ptr<Connection> connection_;
-    double batch_timeout_at_ = 0;   // s; timeout of the batch in flight
-    double last_success_ = 0;
-    bool failure_logged_ = false;   // logged that the receiver rejects batches
+    double batch_timeout_at_ = 0;   // s; when the batch in flight times out
+    double last_success_unix_s_ = 0;
+    bool failure_logged_ = false;   // the current failure of the receiver was logged
     std::function<void()> done_;
     double finish_by_ = 0;
 };
--- a/src/remotewrite/encode.cpp
+++ b/src/remotewrite/encode.cpp
@@ -18,13 +18,13 @@
 using google::protobuf::Arena;
 
 std::string valid_utf8(const std::string& text) {
-    const std::unique_ptr<char, decltype(&g_free)> made(
+    const std::unique_ptr<char, decltype(&g_free)> valid(
         g_utf8_make_valid(text.data(), static_cast<gssize>(text.size())), &g_free);
-    return made.get();
+    return valid.get();
 }
 
 template <class Request>
-void put_samples(Request& request, std::span<const Frame* const> frames, std::size_t first) {
+void add_samples(Request& request, std::span<const Frame* const> frames, std::size_t first) {
     for (int i = 0; i < request.timeseries_size(); ++i) {
         auto& series = *request.mutable_timeseries(i);
         series.clear_samples();
@@ -36,7 +36,7 @@
     }
 }
 
-void put_series(v1::WriteRequest& request, const Layout& layout, std::size_t first, std::size_t last) {
+void add_series(v1::WriteRequest& request, const Layout& layout, std::size_t first, std::size_t last) {
     std::string_view family;
     for (std::size_t i = first; i < last; ++i) {
         const Layout::Series& one = layout.series[i];
@@ -56,11 +56,11 @@
     }
 }
 
-void put_series(v2::Request& request, const Layout& layout, std::size_t first, std::size_t last) {
-    std::unordered_map<std::string_view, std::uint32_t> places;
+void add_series(v2::Request& request, const Layout& layout, std::size_t first, std::size_t last) {
+    std::unordered_map<std::string_view, std::uint32_t> symbol_refs;
     const auto symbol = [&](std::string_view text) {
-        const auto [at, fresh] = places.emplace(text, places.size());
-        if (fresh) request.add_symbols(text.data(), text.size());
+        const auto [at, inserted] = symbol_refs.emplace(text, symbol_refs.size());
+        if (inserted) request.add_symbols(text.data(), text.size());
         return at->second;
     };
     symbol("");
@@ -81,17 +81,18 @@
 
 }   // namespace
 
-void Layout::add(std::string name, std::vector<std::pair<std::string, std::string>> own,
-                 const std::vector<std::pair<std::string, std::string>>& more, Type type,
+void Layout::add(std::string name, std::vector<std::pair<std::string, std::string>> labels,
+                 const std::vector<std::pair<std::string, std::string>>& external_labels, Type type,
                  std::string family, std::string help, std::string unit) {
-    for (const auto& one : more)
-        if (std::none_of(own.begin(), own.end(), [&](const auto& each) { return each.first == one.first; }))
-            own.push_back(one);
-    own.emplace_back("__name__", std::move(name));
-    std::erase_if(own, [](const auto& one) { return one.second.empty(); });
-    for (auto& [label, value] : own) value = valid_utf8(value);
-    std::sort(own.begin(), own.end());
-    series.push_back({std::move(own), type, std::move(family), std::move(help), std::move(unit)});
+    for (const auto& one : external_labels)
+        if (std::none_of(labels.begin(), labels.end(),
+                         [&](const auto& each) { return each.first == one.first; }))
+            labels.push_back(one);
+    labels.emplace_back("__name__", std::move(name));
+    std::erase_if(labels, [](const auto& one) { return one.second.empty(); });
+    for (auto& [label, value] : labels) value = valid_utf8(value);
+    std::sort(labels.begin(), labels.end());
+    series.push_back({std::move(labels), type, std::move(family), std::move(help), std::move(unit)});
 }
 
 double stale_marker() { return std::bit_cast<double>(std::uint64_t{0x7ff0000000000002}); }
@@ -101,8 +102,8 @@
     std::shared_ptr<const Layout> layout;
     std::size_t first = 0, last = 0;
     Protocol protocol = Protocol::v2;
-    v1::WriteRequest* one = nullptr;
-    v2::Request* two = nullptr;
+    v1::WriteRequest* v1_request = nullptr;
+    v2::Request* v2_request = nullptr;
     std::string uncompressed;
 };
 
@@ -122,19 +123,19 @@
         cache_->last = last;
         cache_->protocol = protocol;
         if (protocol == Protocol::v1) {
-            cache_->one = Arena::CreateMessage<v1::WriteRequest>(&cache_->arena);
-            put_series(*cache_->one, *layout, first, last);
+            cache_->v1_request = Arena::CreateMessage<v1::WriteRequest>(&cache_->arena);
+            add_series(*cache_->v1_request, *layout, first, last);
         } else {
-            cache_->two = Arena::CreateMessage<v2::Request>(&cache_->arena);
-            put_series(*cache_->two, *layout, first, last);
+            cache_->v2_request = Arena::CreateMessage<v2::Request>(&cache_->arena);
+            add_series(*cache_->v2_request, *layout, first, last);
         }
     }
-    if (cache_->one) {
-        put_samples(*cache_->one, frames, first);
-        cache_->one->SerializeToString(&cache_->uncompressed);
+    if (cache_->v1_request) {
+        add_samples(*cache_->v1_request, frames, first);
+        cache_->v1_request->SerializeToString(&cache_->uncompressed);
     } else {
-        put_samples(*cache_->two, frames, first);
-        cache_->two->SerializeToString(&cache_->uncompressed);
+        add_samples(*cache_->v2_request, frames, first);
+        cache_->v2_request->SerializeToString(&cache_->uncompressed);
     }
     std::string compressed;
     snappy::Compress(cache_->uncompressed.data(), cache_->uncompressed.size(), &compressed);
--- a/src/remotewrite/encode.hpp
+++ b/src/remotewrite/encode.hpp
@@ -14,9 +14,9 @@
 
 namespace slatejunction::remotewrite {
 
-/// The series that frames have values of. Immutable once it is shared.
+/// The series of a frame's values. Immutable once it is shared.
 struct Layout {
-    enum class Type { counter = 1, gauge = 2, histogram = 3 };   // numbers of both protocols
+    enum class Type { counter = 1, gauge = 2, histogram = 3 };   // numbers in both protocols
     struct Series {
         std::vector<std::pair<std::string, std::string>> labels;   // sorted, __name__ among them
         Type type = Type::gauge;
@@ -25,11 +25,11 @@
     std::vector<Series> series;
     std::int64_t created_ms = 0;   // Unix time at which counters were 0
 
-    /// Adds a series: merges and sorts its labels, drops empty values, makes values valid UTF-8. `own`
-    /// takes precedence over `more`.
-    void add(std::string name, std::vector<std::pair<std::string, std::string>> own,
-             const std::vector<std::pair<std::string, std::string>>& more, Type type, std::string family,
-             std::string help, std::string unit);
+    /// Adds a series: merges and sorts its labels, drops empty values, makes values valid UTF-8. A label
+    /// in `labels` takes precedence over one of the same name in `external_labels`.
+    void add(std::string name, std::vector<std::pair<std::string, std::string>> labels,
+             const std::vector<std::pair<std::string, std::string>>& external_labels, Type type,
+             std::string family, std::string help, std::string unit);
 };
 
 /// One value for each series of its layout, at one time.
@@ -37,8 +37,8 @@
     std::int64_t at_ms = 0;   // Unix time
     std::shared_ptr<const Layout> layout;
     std::vector<double> values;
-    int level = 0;              // times thinned: it covers up to 2^level intervals
-    bool keep = false;          // never thinned: the last of its layout, or an end of series
+    int level = 0;              // thinning level: the frame covers up to 2^level intervals
+    bool keep = false;          // never thinned: the last frame of its layout, or stale markers
     std::uint64_t number = 0;   // sequence number
     std::size_t bytes() const { return sizeof(Frame) + values.size() * sizeof(double); }
 };
@@ -46,7 +46,7 @@
 /// The value that marks the end of a series (a NaN of the specification's bit pattern).
 double stale_marker();
 
-/// Encodes requests; caches labels, symbols and help texts of the last one, which are most of the work.
+/// Encodes requests. Caches labels, symbols and help texts of the last one, which are most of the work.
 class Encoder {
   public:
     Encoder();
@@ -55,7 +55,7 @@
     Encoder& operator=(const Encoder&) = delete;
     Encoder(Encoder&&) noexcept;
     Encoder& operator=(Encoder&&) noexcept;
-    /// Samples of the series [first, last) of all frames, which share one layout.
+    /// Encodes the samples of the series [first, last) of all frames, which share one layout.
     std::string encode(std::span<const Frame* const> frames, std::size_t first, std::size_t last,
                        Protocol protocol);
 
@@ -64,7 +64,7 @@
     std::unique_ptr<Cache> cache_;
 };
 
-/// The same without a cache.
+/// As Encoder::encode(), without a cache.
 std::string encode(std::span<const Frame* const> frames, std::size_t first, std::size_t last,
                    Protocol protocol);
 
--- a/src/remotewrite/sender.cpp
+++ b/src/remotewrite/sender.cpp
@@ -6,8 +6,8 @@
 
 namespace slatejunction::remotewrite {
 namespace {
-constexpr double kJitter =
-    0.3;   // fraction of a wait, to either side: desynchronises the retries of ingresses
+// Fraction of a backoff that is randomly added or subtracted, so that ingresses do not retry in step.
+constexpr double kJitterFraction = 0.3;
 constexpr int kMaxDoublings = 16;   // of the backoff
 constexpr double kNever = std::numeric_limits<double>::infinity();
 }   // namespace
@@ -15,7 +15,7 @@
 Sender::Sender(const Settings& settings, std::uint64_t seed)
     : configured_protocol_(settings.protocol_version()),
       protocol_(settings.protocol_version()),
-      random_(seed) {
+      random_state_(seed) {
     configure(settings);
 }
 
@@ -30,23 +30,23 @@
     enforce_limit();
 }
 
-// splitmix64 in [0, 1): the same on every platform.
+// Returns a random number in [0, 1) by splitmix64, which is the same on every platform.
 double Sender::uniform() {
-    random_ += 0x9e3779b97f4a7c15ULL;
-    std::uint64_t z = random_;
+    random_state_ += 0x9e3779b97f4a7c15ULL;
+    std::uint64_t z = random_state_;
     z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9ULL;
     z = (z ^ (z >> 27)) * 0x94d049bb133111ebULL;
     return static_cast<double>((z ^ (z >> 31)) >> 11) * 0x1.0p-53;
 }
 
 void Sender::insert(Frame frame) {
-    // The last frame of a layout ends its series: it must not be thinned.
+    // The last frame of a layout has the last values of its series, so it must not be thinned.
     if (!frames_.empty() && frames_.rbegin()->second.layout != frame.layout) {
         Frame& last = frames_.rbegin()->second;
         last.keep = true;
         levels_[static_cast<std::size_t>(last.level)].erase(last.number);
     }
-    frame.level = std::clamp(frame.level, 0, kThinMost);
+    frame.level = std::clamp(frame.level, 0, kMaxThinningLevel);
     bytes_ += frame.bytes();
     if (!frame.keep) levels_[static_cast<std::size_t>(frame.level)].insert(frame.number);
     const std::uint64_t number = frame.number;
@@ -72,8 +72,8 @@
     frames_.erase(at);
 }
 
-// Keeps waiting frames within the limit while the receiver is away. Frames of the batch are not touched.
-// Each step removes one frame, so that a full backlog costs each new frame only a few steps.
+// Keeps waiting frames within the limit while the receiver is unavailable. Frames of the current batch
+// stay. Each step removes one frame, so that with a full backlog each new frame costs only a few steps.
 void Sender::enforce_limit() {
     while (bytes_ > limit_ && thin_one()) {
     }
@@ -87,20 +87,21 @@
     }
 }
 
-// Removes the oldest frame of the largest level; the frame after it then covers both intervals and rises a
-// level. The levels converge to equal sizes: the older, the coarser, with all of the time covered. The
-// newest frame, ends of series and frames of the batch stay. Returns whether a frame was removed.
+// Removes the oldest frame of the largest level; the next frame of that level then covers both intervals
+// and moves up a level. The levels converge to equal sizes, so that older data is coarser and the whole
+// time stays covered. The newest frame, frames to keep and frames of the current batch stay. Returns
+// whether a frame was removed.
 bool Sender::thin_one() {
-    std::size_t best = kThinMost;
-    std::size_t most = 1;
+    std::size_t best = kMaxThinningLevel;
+    std::size_t largest_size = 1;
     const std::uint64_t from =
         std::max(batch_end_, first_unsent_series_ > 0 ? frames_.begin()->first + 1 : 0);
-    for (std::size_t level = 0; level < kThinMost; ++level)
-        if (levels_[level].size() > most) {
+    for (std::size_t level = 0; level < kMaxThinningLevel; ++level)
+        if (levels_[level].size() > largest_size) {
             best = level;
-            most = levels_[level].size();
+            largest_size = levels_[level].size();
         }
-    if (best == kThinMost) return false;
+    if (best == kMaxThinningLevel) return false;
     auto& numbers = levels_[best];
     const auto first = numbers.lower_bound(from);
     if (first == numbers.end() || std::next(first) == numbers.end()) return false;
@@ -170,14 +171,14 @@
     const std::size_t samples = batch_->samples;
     const bool answered = answer.how == Answer::How::answered;
     if (answered && answer.status / 100 == 2) {
-        // A 2.0 receiver may write a part; the rest was rejected and would be again.
+        // A 2.0 receiver may write only some samples; it rejected the others and would reject them again.
         const std::uint64_t written =
             answer.written < 0
                 ? samples
                 : std::min<std::uint64_t>(samples, static_cast<std::uint64_t>(answer.written));
         tally_.sent += written;
         tally_.rejected += samples - written;
-        ++tally_.taken;
+        ++tally_.accepted_batches;
         failures_ = 0;
         finish_batch();
         next_deadline_ =
@@ -185,14 +186,14 @@
         return;
     }
     if (answered && answer.status == 415 && batch_->protocol == Protocol::v2) {
-        ++tally_.fallen_back;
+        ++tally_.protocol_fallbacks;
         protocol_ = Protocol::v1;
         drop_batch();
         next_deadline_ = now;
         return;
     }
     if (answered && answer.status != 429 && answer.status / 100 == 4) {
-        ++tally_.turned_down;
+        ++tally_.rejected_batches;
         tally_.rejected += samples;
         failures_ = 0;
         finish_batch();
@@ -200,12 +201,14 @@
             frames_.empty() ? kNever : now + static_cast<double>(samples) / catch_up_samples_per_s_;
         return;
     }
-    ++(answered ? tally_.put_off : answer.how == Answer::How::broke ? tally_.broken : tally_.timed_out);
+    ++(answered                            ? tally_.deferred_batches
+       : answer.how == Answer::How::failed ? tally_.failed_batches
+                                           : tally_.timed_out_batches);
     const double backoff =
-        std::min(kBackoffMost, kBackoffFirst * std::exp2(std::min(failures_, kMaxDoublings)));
+        std::min(kMaxBackoffS, kInitialBackoffS * std::exp2(std::min(failures_, kMaxDoublings)));
     ++failures_;
-    const double jittered = backoff * (1 - kJitter + 2 * kJitter * uniform());
-    next_deadline_ = now + std::max(jittered, std::min(answer.retry_after_s, kRetryAfterMost));
+    const double jittered = backoff * (1 - kJitterFraction + 2 * kJitterFraction * uniform());
+    next_deadline_ = now + std::max(jittered, std::min(answer.retry_after_s, kMaxRetryAfterS));
     enforce_limit();
 }
 
@@ -217,7 +220,7 @@
     next_deadline_ = frames_.empty() ? kNever : now;
 }
 
-void Sender::give_up() {
+void Sender::drop_all() {
     for (const auto& [number, frame] : frames_) tally_.stopped += frame.values.size();
     tally_.stopped -= first_unsent_series_;
     frames_.clear();
--- a/src/remotewrite/settings.cpp
+++ b/src/remotewrite/settings.cpp
@@ -11,17 +11,18 @@
 namespace slatejunction::remotewrite {
 namespace {
 
-// The data model's form of a label's name; those that begin with two underscores are the server's own.
+// Checks a label name against the data model of Prometheus; names that begin with two underscores are
+// reserved. Returns an error text; empty: none.
 std::string check_label(const std::string& name) {
     const auto letter = [](char c) { return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || c == '_'; };
     if (name.empty() || !letter(name[0]) ||
         !std::all_of(name.begin(), name.end(), [&](char c) { return letter(c) || (c >= '0' && c <= '9'); }))
-        return "'" + name + "' is no name of a label";
-    if (name.starts_with("__")) return "'" + name + "' is kept for the server";
+        return "'" + name + "' is not a valid label name";
+    if (name.starts_with("__")) return "'" + name + "' is reserved for the receiver";
     return "";
 }
 
-bool read_line(const std::string& path, std::string& line) {
+bool read_first_line(const std::string& path, std::string& line) {
     std::ifstream in(path);
     return static_cast<bool>(std::getline(in, line)) && !line.empty() &&
            std::all_of(line.begin(), line.end(), [](unsigned char c) { return c >= 0x20 && c < 0x7f; });
@@ -30,7 +31,7 @@
 }   // namespace
 
 std::string read_url(const std::string& text, Url& url) {
-    if (text.starts_with("https:")) return "https is not spoken; use http to a proxy on this machine";
+    if (text.starts_with("https:")) return "https is not supported; use http to a proxy on this machine";
     if (!text.starts_with("http://")) return "'" + text + "' is not http://HOST:PORT/PATH";
     const std::string rest = text.substr(7);
     const std::size_t slash = std::min(rest.find('/'), rest.size());
@@ -38,9 +39,10 @@
     url.path = slash == rest.size() ? "/" : rest.substr(slash);
     if (!std::all_of(url.path.begin(), url.path.end(),
                      [](unsigned char c) { return c > 0x20 && c < 0x7f; }))
-        return "a blank or an odd byte in the path of '" + text + "'";
+        return "the path of '" + text + "' has a blank or a byte outside of printable ASCII";
     if (!net::parse_address(url.host_port))
-        return "'" + url.host_port + "' is no address and port (a number of IPv4 or [IPv6], no name)";
+        return "'" + url.host_port +
+               "' is not ADDRESS:PORT with an IPv4 or [IPv6] address (host names are not supported)";
     return "";
 }
 
@@ -68,31 +70,32 @@
     section.text("basic_file", basic_file, "a file that holds USER:PASSWORD in its first line");
     section.text("bearer_file", bearer_file, "a file that holds a token in its first line");
     section.whole([this]() -> std::string {
-        std::string why;
-        if (!basic_file.empty() && !bearer_file.empty()) return "bearer_file: basic_file is set too";
-        authorization(*this, why);
-        if (!why.empty()) return (basic_file.empty() ? "bearer_file: " : "basic_file: ") + why;
+        std::string error;
+        if (!basic_file.empty() && !bearer_file.empty())
+            return "bearer_file: can't be used together with basic_file";
+        authorization(*this, error);
+        if (!error.empty()) return (basic_file.empty() ? "bearer_file: " : "basic_file: ") + error;
         return "";
     });
     return section;
 }
 
-std::string authorization(const Settings& settings, std::string& why) {
+std::string authorization(const Settings& settings, std::string& error) {
     const std::string& path = settings.basic_file.empty() ? settings.bearer_file : settings.basic_file;
     std::string line;
     if (path.empty()) return "";
-    if (!read_line(path, line)) {
-        why = "'" + path + "' has no readable first line";
+    if (!read_first_line(path, line)) {
+        error = "'" + path + "' has no readable first line";
         return "";
     }
     if (settings.basic_file.empty()) return "Bearer " + line;
     if (line.find(':') == std::string::npos) {
-        why = "'" + path + "' does not hold USER:PASSWORD";
+        error = "'" + path + "' does not hold USER:PASSWORD";
         return "";
     }
-    const std::unique_ptr<char, decltype(&g_free)> coded(
+    const std::unique_ptr<char, decltype(&g_free)> encoded(
         g_base64_encode(reinterpret_cast<const guchar*>(line.data()), line.size()), &g_free);
-    return std::string("Basic ") + coded.get();
+    return std::string("Basic ") + encoded.get();
 }
 
 }   // namespace slatejunction::remotewrite
--- a/src/remotewrite/settings.hpp
+++ b/src/remotewrite/settings.hpp
@@ -30,11 +30,11 @@
 struct Url {
     std::string host_port, path;
 };
-/// Returns the fault; empty: none.
+/// Parses a URL. Returns an error text; empty: none.
 std::string read_url(const std::string& text, Url& url);
 
-/// The value of the Authorization field, from the files of the settings; empty without one. `why` receives
-/// the fault of a file.
-std::string authorization(const Settings& settings, std::string& why);
+/// Returns the value of the Authorization field from the files that the settings name; empty if they name
+/// none. Sets `error` if a file can't be used.
+std::string authorization(const Settings& settings, std::string& error);
 
 }   // namespace slatejunction::remotewrite
--- a/src/telemetry/telemetry.cpp
+++ b/src/telemetry/telemetry.cpp
@@ -12,7 +12,8 @@
 
 namespace {
 
-constexpr double kStopMost = 1.0;   // s; for the last samples: the platform ends what stays longer
+// Time for sending the last samples; the platform kills a process that takes longer to stop.
+constexpr double kMaxStopS = 1.0;
 
 std::int64_t unix_ms() {
     return std::chrono::duration_cast<std::chrono::milliseconds>(
@@ -56,7 +57,7 @@
       seed_(config.seed),
       log_(log),
       timers_(timers),
-      timer_(timers_, [this] { tick(); }) {
+      timer_(timers_, [this] { on_timer(); }) {
     started_ = quota_report_at_ = net::now();
     std::string path;
     if (options_.collects() && !options_.metrics.directory.empty()) {
@@ -67,34 +68,35 @@
     measures_.emplace(shape_, unix_ms(), path);
     if (!measures_->counters().broken().empty())
         log_.write(Log::Level::error, started_,
-                   "state: a broken file was put aside as %s; counters begin at 0",
+                   "state: a damaged file was set aside as %s; counters start at 0",
                    measures_->counters().broken().c_str());
     if (measures_->counters().dropped() > 0)
         log_.write(Log::Level::warning, started_,
-                   "state: %zu counters of classes or plans that are gone were left",
+                   "state: dropped %zu counters of classes or plans that no longer exist",
                    measures_->counters().dropped());
     measures_->add(Id::starts);
     measures_->set(Id::start_time, static_cast<double>(unix_ms()) / 1e3);
     measures_->set(Id::admitted_fraction, 1);
     measures_->set(Id::memory_limit, config.memory_mb * 1024 * 1024);
-    last_ms_ = measures_->last_sample_ms();
+    last_sample_ms_ = measures_->last_sample_ms();
     if (!options_.remote_write.url.empty())
         driver_ =
             std::make_unique<remotewrite::Driver>(options_.remote_write, seed_, version_, timers_, log_);
-    if (driver_ && !driver_->sender().empty()) last_ms_ = std::max(last_ms_, driver_->sender().newest_ms());
-    lay_out();
+    if (driver_ && !driver_->sender().empty())
+        last_sample_ms_ = std::max(last_sample_ms_, driver_->sender().newest_ms());
+    build_layout();
 }
 
 Telemetry::~Telemetry() = default;
 
-void Telemetry::lay_out() {
+void Telemetry::build_layout() {
     auto labels = options_.remote_write.labels;
-    const auto otherwise = [&](const char* name, const std::string& value) {
+    const auto add_default = [&](const char* name, const std::string& value) {
         if (std::none_of(labels.begin(), labels.end(), [&](const auto& one) { return one.first == name; }))
             labels.emplace_back(name, value);
     };
-    otherwise("job", "slatejunction");
-    otherwise("instance", name_);
+    add_default("job", "slatejunction");
+    add_default("instance", name_);
     auto layout = std::make_shared<remotewrite::Layout>();
     layout->created_ms = measures_->counters().created_ms();
     for (const metrics::Series& one : measures_->series()) {
@@ -111,18 +113,18 @@
 
 void Telemetry::start(std::function<ingress::Gauges()> gauges) {
     gauges_ = std::move(gauges);
-    next_ = net::now();
-    tick();
+    next_sample_at_ = net::now();
+    on_timer();
 }
 
-void Telemetry::tick() {
+void Telemetry::on_timer() {
     const double now = net::now();
-    if (driver_ && now >= next_) {
+    if (driver_ && now >= next_sample_at_) {
         sample();
-        // Missed intervals are not made up for: the figures are sums.
-        next_ = std::max(next_ + options_.remote_write.interval_s, now);
+        // Missed intervals are skipped, as counters are cumulative.
+        next_sample_at_ = std::max(next_sample_at_ + options_.remote_write.interval_s, now);
     }
-    if (driver_) timer_.arm(next_);
+    if (driver_) timer_.arm(next_sample_at_);
 }
 
 void Telemetry::sample() {
@@ -146,36 +148,36 @@
     set(Id::descriptors, g.descriptors);
     set(Id::descriptors_limit, g.descriptors_limit);
     set(Id::resident, resident_bytes());
-    count_senders();
-    for (const auto& counts : collectors_) counts(m);
+    update_delivery_metrics();
+    for (const auto& collector : collectors_) collector(m);
     std::vector<double> values;
     m.sample(values);
-    push(std::move(values), false);
+    add_frame(std::move(values), false);
 }
 
-// Also what the log and the sender count for themselves: by how much they have moved since the last time.
-void Telemetry::count_senders() {
+// Adds the increases of the counts that the log and the sender keep, and sets the gauges of the backlog.
+void Telemetry::update_delivery_metrics() {
     auto& m = *measures_;
-    const auto moved = [&](Id id, std::size_t label, std::uint64_t& seen, std::uint64_t now) {
+    const auto add_increase = [&](Id id, std::size_t label, std::uint64_t& seen, std::uint64_t now) {
         if (now != seen) m.add(id, label, static_cast<double>(now - std::exchange(seen, now)));
     };
-    moved(Id::log_left_out, 0, suppressed_, log_.suppressed());
-    moved(Id::log_left_out, 1, lost_, log_.lost());
+    add_increase(Id::log_left_out, 0, suppressed_, log_.suppressed());
+    add_increase(Id::log_left_out, 1, lost_, log_.lost());
     if (!driver_) return;
     const remotewrite::Sender& sender = driver_->sender();
     const remotewrite::Tally& t = sender.tally();
-    moved(Id::rw_sent, 0, tally_.sent, t.sent);
-    moved(Id::rw_retried, 0, tally_.retried, t.retried);
-    moved(Id::rw_dropped, 0, tally_.thinned, t.thinned);
-    moved(Id::rw_dropped, 1, tally_.backlog_full, t.backlog_full);
-    moved(Id::rw_dropped, 2, tally_.rejected, t.rejected);
-    moved(Id::rw_dropped, 3, tally_.stopped, t.stopped);
-    moved(Id::rw_batches, 0, tally_.taken, t.taken);
-    moved(Id::rw_batches, 1, tally_.put_off, t.put_off);
-    moved(Id::rw_batches, 2, tally_.turned_down, t.turned_down);
-    moved(Id::rw_batches, 3, tally_.broken, t.broken);
-    moved(Id::rw_batches, 4, tally_.timed_out, t.timed_out);
-    moved(Id::rw_batches, 5, tally_.fallen_back, t.fallen_back);
+    add_increase(Id::rw_sent, 0, tally_.sent, t.sent);
+    add_increase(Id::rw_retried, 0, tally_.retried, t.retried);
+    add_increase(Id::rw_dropped, 0, tally_.thinned, t.thinned);
+    add_increase(Id::rw_dropped, 1, tally_.backlog_full, t.backlog_full);
+    add_increase(Id::rw_dropped, 2, tally_.rejected, t.rejected);
+    add_increase(Id::rw_dropped, 3, tally_.stopped, t.stopped);
+    add_increase(Id::rw_batches, 0, tally_.accepted_batches, t.accepted_batches);
+    add_increase(Id::rw_batches, 1, tally_.deferred_batches, t.deferred_batches);
+    add_increase(Id::rw_batches, 2, tally_.rejected_batches, t.rejected_batches);
+    add_increase(Id::rw_batches, 3, tally_.failed_batches, t.failed_batches);
+    add_increase(Id::rw_batches, 4, tally_.timed_out_batches, t.timed_out_batches);
+    add_increase(Id::rw_batches, 5, tally_.protocol_fallbacks, t.protocol_fallbacks);
     m.set(Id::rw_backlog_bytes, static_cast<double>(sender.bytes()));
     m.set(Id::rw_backlog_limit, static_cast<double>(sender.limit()));
     m.set(Id::rw_backlog_age,
@@ -183,92 +185,93 @@
     m.set(Id::rw_last_success, driver_->last_success_unix_s());
 }
 
-// Guards against a clock that steps back, and against a second sample in one millisecond: times of one
-// series only go up, also over a restart where there is a state directory.
-void Telemetry::push(std::vector<double> values, bool keep) {
+// The times of a series strictly increase, even if the clock steps back or two samples are taken within one
+// millisecond; with a state directory this also holds across a restart.
+void Telemetry::add_frame(std::vector<double> values, bool keep) {
     remotewrite::Frame frame;
-    frame.at_ms = last_ms_ = std::max(unix_ms(), last_ms_ + 1);
+    frame.at_ms = last_sample_ms_ = std::max(unix_ms(), last_sample_ms_ + 1);
     frame.layout = layout_;
     frame.values = std::move(values);
     frame.keep = keep;
-    measures_->set_last_sample_ms(last_ms_);
+    measures_->set_last_sample_ms(last_sample_ms_);
     driver_->add(std::move(frame));
 }
 
 void Telemetry::reload(const operator_config::Options& options) {
-    std::string later;
-    const auto waits = [&](bool changed, const char* field) {
-        if (changed) later += std::string(later.empty() ? "" : ", ") + field;
+    std::string after_restart;
+    const auto add_pending = [&](bool changed, const char* field) {
+        if (changed) after_restart += std::string(after_restart.empty() ? "" : ", ") + field;
     };
-    waits(options.metrics.directory != options_.metrics.directory, "state.directory");
-    waits(options.collects() != options_.collects(), "metrics.collect");
-    waits(options.remote_write.backlog_directory != options_.remote_write.backlog_directory,
-          "remote_write.backlog_directory");
-    waits(options.remote_write.url.empty() != options_.remote_write.url.empty(), "remote_write.url");
+    add_pending(options.metrics.directory != options_.metrics.directory, "state.directory");
+    add_pending(options.collects() != options_.collects(), "metrics.collect");
+    add_pending(options.remote_write.backlog_directory != options_.remote_write.backlog_directory,
+                "remote_write.backlog_directory");
+    add_pending(options.remote_write.url.empty() != options_.remote_write.url.empty(), "remote_write.url");
     log_.configure(options.log);
-    const bool relabelled = options.remote_write.labels != options_.remote_write.labels;
+    const bool labels_changed = options.remote_write.labels != options_.remote_write.labels;
     auto remote_write = options.remote_write;
     if (remote_write.url.empty()) remote_write.url = options_.remote_write.url;
     const bool sending = driver_ != nullptr;
-    if (sending && relabelled && gauges_)   // the series of the old labels end here
-        push(std::vector<double>(layout_->series.size(), remotewrite::stale_marker()), true);
+    if (sending && labels_changed && gauges_)   // marks the series of the old labels as ended
+        add_frame(std::vector<double>(layout_->series.size(), remotewrite::stale_marker()), true);
     if (sending) {
         options_.remote_write = remote_write;
-        lay_out();
+        build_layout();
         driver_->configure(remote_write);
-        next_ = std::min(next_, net::now() + remote_write.interval_s);
-        tick();
+        next_sample_at_ = std::min(next_sample_at_, net::now() + remote_write.interval_s);
+        on_timer();
     }
     options_.log = options.log;
     options_.rules = options.rules;
     log_.write(Log::Level::info, net::now(), "reloaded: the operator's file%s%s",
-               later.empty() ? "" : "; after the next start: ", later.c_str());
+               after_restart.empty() ? "" : "; after a restart: ", after_restart.c_str());
 }
 
-void Telemetry::stop(double most_s, std::function<void()> done) {
+void Telemetry::stop(double max_wait_s, std::function<void()> done) {
     timer_.disarm();
     if (!driver_ || !gauges_) return done();
     sample();
-    // Without a home the counters end here, and what comes after a start is another series' begin.
-    if (!directory_) push(std::vector<double>(layout_->series.size(), remotewrite::stale_marker()), true);
-    driver_->finish(std::min(kStopMost, most_s), std::move(done));
+    // Without a state directory the counters do not survive the process, so their series end here.
+    if (!directory_)
+        add_frame(std::vector<double>(layout_->series.size(), remotewrite::stale_marker()), true);
+    driver_->finish(std::min(kMaxStopS, max_wait_s), std::move(done));
 }
 
-void Telemetry::on_request_end(const ingress::RequestSummary& f) {
-    const client::ClientRequest& i = f.request;
+void Telemetry::on_request_end(const ingress::RequestSummary& summary) {
+    const client::ClientRequest& request = summary.request;
     metrics::FinishedRequest finished;
-    finished.service_class = measures_->find_class(i.service_class);
-    finished.plan = measures_->find_plan(i.plan);
-    finished.result = static_cast<metrics::RequestResult>(f.result);
-    finished.reason = f.reject_reason_index;
-    finished.seconds = f.seconds;
-    finished.units = i.units;
-    const double worth = measures_->count_request(finished);
-    for (const auto& [number, value] : f.tags) count_tag(number, value);
-    if (!log_.wants_record(f.result == ingress::RequestSummary::Result::served)) return;
+    finished.service_class = measures_->find_class(request.service_class);
+    finished.plan = measures_->find_plan(request.plan);
+    finished.result = static_cast<metrics::RequestResult>(summary.result);
+    finished.reason = summary.reject_reason_index;
+    finished.seconds = summary.seconds;
+    finished.units = request.units;
+    const double earned_weight = measures_->count_request(finished);
+    for (const auto& [index, value] : summary.tags) count_tag(index, value);
+    if (!log_.wants_record(summary.result == ingress::RequestSummary::Result::served)) return;
     RequestRecord record;
-    record.id = i.request_id;
-    record.service_class = i.service_class;
-    record.plan = i.plan;
-    record.result = metrics::kRequestResults[static_cast<std::size_t>(f.result)];
-    record.reason = f.reason;
-    record.backend = f.backend;
-    record.customer = i.customer;
-    record.attempts = f.attempts;
-    record.seconds = f.seconds;
-    record.earned_weight = worth;
+    record.id = request.request_id;
+    record.service_class = request.service_class;
+    record.plan = request.plan;
+    record.result = metrics::kRequestResults[static_cast<std::size_t>(summary.result)];
+    record.reason = summary.reason;
+    record.backend = summary.backend;
+    record.customer = request.customer;
+    record.attempts = summary.attempts;
+    record.seconds = summary.seconds;
+    record.earned_weight = earned_weight;
     std::vector<std::pair<std::string_view, std::string_view>> tags;
-    for (const auto& [number, value] : f.tags)
-        if (number < options_.rules.tags.size()) tags.emplace_back(options_.rules.tags[number].name, value);
+    for (const auto& [index, value] : summary.tags)
+        if (index < options_.rules.tags.size()) tags.emplace_back(options_.rules.tags[index].name, value);
     record.tags = tags;
     log_.record(record);
 }
 
-void Telemetry::count_tag(std::size_t number, std::string_view value) {
-    if (number >= options_.rules.tags.size()) return;
+void Telemetry::count_tag(std::size_t index, std::string_view value) {
+    if (index >= options_.rules.tags.size()) return;
     std::size_t label = 0;
     for (const auto& [name, values] : shape_.tags) {
-        if (name != options_.rules.tags[number].name) {
+        if (name != options_.rules.tags[index].name) {
             label += values.size() + 1;
             continue;
         }
@@ -277,8 +280,8 @@
     }
 }
 
-void Telemetry::on_attempt_end(slatejunction::AttemptResult outcome) {
-    measures_->add(Id::attempts, static_cast<std::size_t>(outcome));
+void Telemetry::on_attempt_end(slatejunction::AttemptResult result) {
+    measures_->add(Id::attempts, static_cast<std::size_t>(result));
 }
 void Telemetry::on_quota_report() { quota_report_at_ = net::now(); }
 void Telemetry::on_admitted_fraction(double fraction) { measures_->set(Id::admitted_fraction, fraction); }
--- a/src/telemetry/telemetry.hpp
+++ b/src/telemetry/telemetry.hpp
@@ -1,4 +1,6 @@
-// Counts and records what the ingress tells, samples it at each interval and hands it to remote write.
+// Updates metrics and writes request records from the ingress's events, samples all metrics at each
+// interval and passes the samples to remote write. Observability: the log lines "state: ..." and "reloaded:
+// ...".
 #pragma once
 
 #include <functional>
@@ -20,28 +22,29 @@
 
 class Telemetry final : public ingress::RequestObserver {
   public:
-    // Throws storage::Error when the state directory can't be used.
+    /// Throws storage::Error when the state directory can't be used, and as remotewrite::Driver.
     Telemetry(const operator_config::Options& options, const config::Config& config, std::string version,
               net::Timers& timers, Log& log);
     ~Telemetry() override;
     Telemetry(const Telemetry&) = delete;
     Telemetry& operator=(const Telemetry&) = delete;
 
-    // Where the gauges come from: called at each sample, until stop().
+    /// Starts sampling. `gauges` is called at each sample, until stop().
     void start(std::function<ingress::Gauges()> gauges);
-    // A part that counts for itself brings its figures with each sample.
-    void add_collector(std::function<void(metrics::Measures&)> counts) {
-        collectors_.push_back(std::move(counts));
+    /// Adds a collector, which updates the metrics of another component before each sample.
+    void add_collector(std::function<void(metrics::Measures&)> collector) {
+        collectors_.push_back(std::move(collector));
     }
-    // Takes new options. What waits for the next start is named in the log.
+    /// Applies new options. Options that apply only after a restart are named in the log.
     void reload(const operator_config::Options& options);
-    // Rules that are in force from now on, whose tags are counted.
+    /// Sets the rules in force, which name the tags of requests.
     void set_rules(const rules::Settings& rules) { options_.rules = rules; }
-    // The last samples: calls `done` once they have been taken, after `most_s` or kStopMost at the latest.
-    void stop(double most_s, std::function<void()> done);
+    /// Takes the last sample and calls `done` once all samples are sent, after `max_wait_s` or kMaxStopS
+    /// (s) at the latest.
+    void stop(double max_wait_s, std::function<void()> done);
 
-    void on_request_end(const ingress::RequestSummary& finish) override;
-    void on_attempt_end(slatejunction::AttemptResult outcome) override;
+    void on_request_end(const ingress::RequestSummary& summary) override;
+    void on_attempt_end(slatejunction::AttemptResult result) override;
     void on_quota_report() override;
     void on_admitted_fraction(double fraction) override;
     void on_bad_request() override;
@@ -51,11 +54,11 @@
 
   private:
     void sample();
-    void tick();
-    void push(std::vector<double> values, bool keep);
-    void count_senders();
-    void count_tag(std::size_t number, std::string_view value);
-    void lay_out();
+    void on_timer();
+    void add_frame(std::vector<double> values, bool keep);
+    void update_delivery_metrics();
+    void count_tag(std::size_t index, std::string_view value);
+    void build_layout();
 
     operator_config::Options options_;
     const std::string name_, version_;
@@ -67,14 +70,14 @@
     net::Timer timer_;
     std::unique_ptr<remotewrite::Driver> driver_;
     std::shared_ptr<const remotewrite::Layout> layout_;
-    remotewrite::Tally tally_;   // as far as it has been counted
-    std::uint64_t suppressed_ = 0, lost_ = 0;
+    remotewrite::Tally tally_;                  // the counts already added to the metrics
+    std::uint64_t suppressed_ = 0, lost_ = 0;   // log lines already added to the metrics
     std::vector<std::function<void(metrics::Measures&)>> collectors_;
     metrics::Measures::Shape shape_;
     std::function<ingress::Gauges()> gauges_;
-    std::int64_t last_ms_ = 0;
+    std::int64_t last_sample_ms_ = 0;   // Unix time
     double started_ = 0, quota_report_at_ = 0;
-    double next_ = 0;
+    double next_sample_at_ = 0;   // s of net::now(), as the times above
 };
 
 }   // namespace slatejunction::telemetry
--- a/tests/ini/ini_test.cpp
+++ b/tests/ini/ini_test.cpp
@@ -55,14 +55,14 @@
     CHECK(load(folder, "[remote_write]\ninterval_s = inf\n", options) ==
           Faults{"[remote_write] interval_s: not a number: 'inf'"});
     CHECK(load(folder, "[remote_write]\nurl = https://10.0.0.1:9090/api\n", options) ==
-          Faults{"[remote_write] url: https is not spoken; use http to a proxy on this machine"});
+          Faults{"[remote_write] url: https is not supported; use http to a proxy on this machine"});
     CHECK(load(folder, "[remote_write]\nurl = http://metrics.example.org/api\n", options).size() == 1);
     CHECK(load(folder, "[remote_write]\nlabels = zone=a, zone=b\n", options) ==
           Faults{"[remote_write] labels: 'zone' twice"});
     CHECK(load(folder, "[remote_write]\nlabels = __name__=a\n", options) ==
-          Faults{"[remote_write] labels: '__name__' is kept for the server"});
+          Faults{"[remote_write] labels: '__name__' is reserved for the receiver"});
     CHECK(load(folder, "[remote_write]\nlabels = 1a=b\n", options) ==
-          Faults{"[remote_write] labels: '1a' is no name of a label"});
+          Faults{"[remote_write] labels: '1a' is not a valid label name"});
     CHECK(load(folder, "[remote_write]\nbearer_file = " + folder.file("none") + "\n", options).size() == 1);
     CHECK(load(folder, "[state]\ndirectory = /a\n[remote_write]\nbacklog_directory = /a\n", options) ==
           Faults{"[remote_write] backlog_directory: is [state] directory too; each has its own"});
--- a/tests/remotewrite/backlog_test.cpp
+++ b/tests/remotewrite/backlog_test.cpp
@@ -1,5 +1,5 @@
-// The backlog in a folder: what an earlier process left is sent once more or for the first time, in order;
-// the folder stays bounded through a long outage; a disk that is full costs nothing but durability.
+// The stored backlog: frames that an earlier process left are restored in order; the directory stays
+// bounded during a long outage; a full disk costs only durability.
 #include "remotewrite/backlog.hpp"
 
 #include <catch2/catch.hpp>
@@ -30,7 +30,7 @@
     return frame;
 }
 
-Settings small() {
+Settings small_limits() {
     Settings settings;
     settings.backlog_mb = 1;
     settings.batch_samples = 100;
@@ -45,7 +45,7 @@
 
 }   // namespace
 
-TEST_CASE("a process that comes back has what waited, at any point where it was killed") {
+TEST_CASE("a restarted process has all waiting frames, at any point where it was killed") {
     for (std::uint32_t seed = 1; seed <= 10; ++seed) {
         INFO("seed " << seed);
         const Folder folder;
@@ -54,12 +54,12 @@
         double now = 0;
         std::vector<std::int64_t> waiting;
         std::uint64_t newest = 0;
-        for (int life = 0; life < 6; ++life) {
-            Sender sender(small(), seed);
+        for (int process = 0; process < 6; ++process) {
+            Sender sender(small_limits(), seed);
             Backlog backlog(folder.path(), sender);
             REQUIRE(times_of(sender) == waiting);
             REQUIRE(backlog.found().broken.empty());
-            const auto layout = layout_of(10 + random() % 20, "zone " + std::to_string(life));
+            const auto layout = layout_of(10 + random() % 20, "zone " + std::to_string(process));
             for (int step = 0; step < 120; ++step) {
                 if (random() % 3) {
                     sender.add(frame_of(layout, ++at));
@@ -71,17 +71,17 @@
                     sender.on_answer(now, {Answer::How::answered, random() % 3 ? 204 : 500, -1, -1});
                 while (!backlog.follow()) REQUIRE_FALSE(backlog.failing());
             }
-            waiting = times_of(sender);   // the process ends here, without a word
+            waiting = times_of(sender);   // the process is killed here
         }
         CHECK(at > 300);
     }
 }
 
-TEST_CASE("the layout and every figure come back as they were") {
+TEST_CASE("the layout and all values are restored unchanged") {
     const Folder folder;
     const auto layout = layout_of(3);
     {
-        Sender sender(small(), 1);
+        Sender sender(small_limits(), 1);
         Backlog backlog(folder.path(), sender);
         Frame frame = frame_of(layout, 5);
         frame.values = {0.1, stale_marker(), -3};
@@ -89,7 +89,7 @@
         sender.add(frame);
         REQUIRE(backlog.follow());
     }
-    Sender sender(small(), 1);
+    Sender sender(small_limits(), 1);
     Backlog backlog(folder.path(), sender);
     REQUIRE(sender.frames() == 1);
     const Frame& frame = sender.waiting().begin()->second;
@@ -102,13 +102,13 @@
     CHECK(backlog.restored() == 1);
 }
 
-TEST_CASE("through a long outage the folder stays bounded, and after it it is empty but for one segment") {
+TEST_CASE("the directory stays bounded during a long outage and shrinks to about a segment after it") {
     const Folder folder;
-    Sender sender(small(), 1);
+    Sender sender(small_limits(), 1);
     Backlog backlog(folder.path(), sender);
     const auto layout = layout_of(100);
     std::size_t most = 0;
-    for (int i = 1; i <= 12000; ++i) {   // ten times what there is room for in memory
+    for (int i = 1; i <= 12000; ++i) {   // ten times as many as fit in memory
         sender.add(frame_of(layout, i));
         while (!backlog.follow()) REQUIRE_FALSE(backlog.failing());
         most = std::max(most, backlog.bytes());
@@ -122,10 +122,10 @@
         now += 10;
         while (!backlog.follow()) REQUIRE_FALSE(backlog.failing());
     }
-    CHECK(backlog.bytes() < 2 * Backlog::kSegment);
+    CHECK(backlog.bytes() < 2 * Backlog::kSegmentBytes);
 }
 
-TEST_CASE("a disk that fills costs durability alone, and what waits is written once there is room") {
+TEST_CASE("a full disk costs only durability, and waiting frames are stored once there is space") {
     const Folder folder;
     bool full = false;
     const auto writer = [&](int fd, const void* data, std::size_t size) -> std::int64_t {
@@ -134,7 +134,7 @@
     const auto layout = layout_of(10);
     std::vector<std::int64_t> waiting;
     {
-        Sender sender(small(), 1);
+        Sender sender(small_limits(), 1);
         Backlog backlog(folder.path(), sender, writer);
         for (int i = 1; i <= 100; ++i) {
             full = i > 20 && i < 80;
@@ -147,14 +147,14 @@
         waiting = times_of(sender);
         REQUIRE(waiting.size() == 100);
     }
-    Sender sender(small(), 1);
+    Sender sender(small_limits(), 1);
     Backlog backlog(folder.path(), sender);
     CHECK(times_of(sender) == waiting);
 }
 
-TEST_CASE("a backlog's folder has one owner") {
+TEST_CASE("a backlog directory has one owner") {
     const Folder folder;
-    Sender a(small(), 1), b(small(), 1);
+    Sender a(small_limits(), 1), b(small_limits(), 1);
     Backlog backlog(folder.path(), a);
     CHECK_THROWS_AS(Backlog(folder.path(), b), slatejunction::storage::Error);
 }
--- a/tests/remotewrite/sender_test.cpp
+++ b/tests/remotewrite/sender_test.cpp
@@ -1,5 +1,5 @@
-// The sender's decisions against the stand-in receiver's checks, without a socket: seeded random schedules
-// of answers that are lost, put off, turned down and late, and a backlog that runs full.
+// The sender's decisions against the checks of the fake receiver, without sockets: seeded random schedules
+// of lost, deferred, rejected and late answers, and a full backlog.
 #include "remotewrite/sender.hpp"
 
 #include <catch2/catch.hpp>
@@ -47,7 +47,7 @@
 
 Answer status(int code, double wait = -1) { return {Answer::How::answered, code, wait, -1}; }
 
-Settings small() {
+Settings small_limits() {
     Settings settings;
     settings.batch_samples = 10;
     settings.backlog_mb = 1;
@@ -56,9 +56,9 @@
 
 }   // namespace
 
-TEST_CASE("both protocols carry the same samples, by the receiver's own reading") {
+TEST_CASE("the receiver reads the same samples from both protocol versions") {
     for (const Protocol protocol : {Protocol::v1, Protocol::v2}) {
-        Settings settings = small();
+        Settings settings = small_limits();
         settings.protocol = static_cast<int>(protocol);
         settings.batch_samples = 1000;
         Sender sender(settings, 1);
@@ -83,7 +83,7 @@
     }
 }
 
-TEST_CASE("labels are sorted, never empty, valid UTF-8, and a series' own go before external ones") {
+TEST_CASE("labels are sorted, not empty and valid UTF-8, and a series' own precede external ones") {
     Layout layout;
     layout.add("m", {{"z", "1"}, {"a", std::string("\xff\x00x", 3)}, {"empty", ""}},
                {{"a", "external"}, {"Z", "\xc3\x28"}, {"none", ""}}, Layout::Type::gauge, "m", "", "");
@@ -101,7 +101,7 @@
     }
 }
 
-TEST_CASE("what an encoder keeps from the last request never shows in the next") {
+TEST_CASE("the encoder's cache does not change the bytes of the next request") {
     std::mt19937 random(3);
     Encoder encoder;
     const std::vector layouts{layout_of(5), layout_of(5, "b"), layout_of(9)};
@@ -119,8 +119,8 @@
     }
 }
 
-TEST_CASE("what had no answer is sent again as the same bytes, after a growing wait") {
-    Sender sender(small(), 3);
+TEST_CASE("an unanswered batch is retried with the same bytes and exponential backoff") {
+    Sender sender(small_limits(), 3);
     const auto layout = layout_of(4);
     sender.add(frame_of(layout, 1, 1));
     const std::string body = sender.next(0)->body;
@@ -128,7 +128,7 @@
     for (int i = 0; i < 12; ++i) {
         sender.add(frame_of(layout, 2 + i, 1));
         CHECK(sender.next(now) == nullptr);   // one at a time
-        sender.on_answer(now, {i % 2 ? Answer::How::broke : Answer::How::timed_out, 0, -1, -1});
+        sender.on_answer(now, {i % 2 ? Answer::How::failed : Answer::How::timed_out, 0, -1, -1});
         const double wait = sender.next_deadline() - now;
         CHECK(wait >= 0.7 * std::min(30.0, 0.5 * std::exp2(i)) - 1e-9);
         CHECK(wait <= 1.3 * std::min(30.0, 0.5 * std::exp2(i)) + 1e-9);
@@ -149,16 +149,16 @@
     }());
 }
 
-TEST_CASE("answers decide: 429 and 5xx wait as told, 4xx drops, 415 falls back, a part is counted") {
-    Sender sender(small(), 3);
+TEST_CASE("429 and 5xx honor Retry-After, 4xx drops, 415 falls back, partial writes are counted") {
+    Sender sender(small_limits(), 3);
     const auto layout = layout_of(4);
     for (int i = 1; i <= 8; ++i) sender.add(frame_of(layout, i, 1));
-    REQUIRE(sender.next(0)->samples == 8);   // two rows of four fit ten
+    REQUIRE(sender.next(0)->samples == 8);   // two frames of four samples fit into ten
     sender.on_answer(0, status(429, 7));
     CHECK(sender.next_deadline() == 7);
     REQUIRE(sender.next(7));
     sender.on_answer(7, status(503, 1e9));
-    CHECK(sender.next_deadline() == 7 + Sender::kRetryAfterMost);
+    CHECK(sender.next_deadline() == 7 + Sender::kMaxRetryAfterS);
     double now = sender.next_deadline();
     REQUIRE(sender.next(now)->protocol == Protocol::v2);
     sender.on_answer(now, status(415));
@@ -173,12 +173,12 @@
     CHECK(sender.tally().rejected == 11);
     CHECK(sender.tally().sent == 5);
     CHECK(sender.frames() == 4);
-    CHECK(sender.tally().fallen_back == 1);
-    CHECK(sender.tally().put_off == 2);
+    CHECK(sender.tally().protocol_fallbacks == 1);
+    CHECK(sender.tally().deferred_batches == 2);
 }
 
-TEST_CASE("a backlog is worked off at the pace that is set") {
-    Settings settings = small();
+TEST_CASE("a backlog is sent at the configured rate") {
+    Settings settings = small_limits();
     settings.catch_up_samples_per_s = 100;
     Sender sender(settings, 1);
     const auto layout = layout_of(5);
@@ -192,8 +192,8 @@
     CHECK(now == Approx(500 / 100.0).margin(0.11));
 }
 
-TEST_CASE("a row wider than a batch goes in parts, in order") {
-    Settings settings = small();
+TEST_CASE("a frame larger than a batch is sent in parts, in order") {
+    Settings settings = small_limits();
     settings.batch_samples = 3;
     Sender sender(settings, 1);
     const auto layout = layout_of(8);
@@ -215,12 +215,12 @@
     CHECK(receiver.series().size() == 8);
 }
 
-TEST_CASE("a full backlog is thinned from its old end, keeps its bound, its ends and the newest") {
-    Settings settings = small();
+TEST_CASE("a full backlog stays within its limit, covers all of the time and keeps the newest frame") {
+    Settings settings = small_limits();
     Sender sender(settings, 1);
     const auto layout = layout_of(200);
     REQUIRE(frame_of(layout, 1, 1).bytes() > 1600);
-    const int rows = 3000;   // five times what there is room for
+    const int rows = 3000;   // five times as many as fit
     for (int i = 1; i <= rows; ++i) {
         sender.add(frame_of(layout, 1000 * i, i));
         REQUIRE(sender.bytes() <= sender.limit());
@@ -230,17 +230,17 @@
     CHECK(sender.newest_ms() == 1000 * rows);
     CHECK(sender.oldest_ms() < 1000 * 64);   // all of the time is still covered
     std::int64_t before = 0;
-    int level = Sender::kThinMost;
+    int level = Sender::kMaxThinningLevel;
     for (const auto& [number, frame] : sender.waiting()) {
         REQUIRE(frame.at_ms > before);
-        REQUIRE(frame.level <= level);   // coarser the older
+        REQUIRE(frame.level <= level);   // older frames are coarser
         level = frame.level;
         before = frame.at_ms;
     }
 }
 
-TEST_CASE("an end of series is kept when all round it is thinned") {
-    Sender sender(small(), 1);
+TEST_CASE("stale markers are kept while the frames around them are thinned") {
+    Sender sender(small_limits(), 1);
     const auto layout = layout_of(200), other = layout_of(200, "b");
     for (int i = 1; i <= 300; ++i) sender.add(frame_of(layout, i, i));
     Frame end = frame_of(layout, 301, 0);
@@ -253,27 +253,27 @@
     CHECK(ends == 1);
 }
 
-// The real receiver's rules hold on any schedule, and what arrives in the end is right: every series ends
-// with the newest figure, nothing is out of order, and each sample is sent, thinned or turned down.
-TEST_CASE("random schedules of faults keep the protocol, and lose nothing that is not counted") {
+// On any schedule the fake receiver sees no protocol violation, every series ends with its newest value,
+// and each sample is counted as sent, thinned, rejected or dropped from the full backlog.
+TEST_CASE("random fault schedules violate no protocol rule and lose no uncounted sample") {
     for (std::uint32_t seed = 1; seed <= 24; ++seed) {
         INFO("seed " << seed);
         std::mt19937 random(seed);
-        Settings settings = small();
+        Settings settings = small_limits();
         settings.batch_samples = 5 + random() % 60;
         settings.protocol = static_cast<int>(random() % 2);
         Sender sender(settings, seed);
-        Receiver receiver(seed % 4 == 0);   // one in four knows 1.0 only
+        Receiver receiver(seed % 4 == 0);   // one in four supports only 1.0
         auto layout = layout_of(1 + random() % 40);
         std::uint64_t offered = 0;
         std::int64_t at = 0;
         double now = 0, value = 0;
-        bool healed = false;
+        bool recovered = false;
         for (int step = 0; step < 1200; ++step) {
-            healed = step > 1000;
+            recovered = step > 1000;
             now += 0.05 * (random() % 20);
-            if (!healed && random() % 3 == 0) {
-                if (random() % 60 == 0) {   // labels change: the old series end
+            if (!recovered && random() % 3 == 0) {
+                if (random() % 60 == 0) {   // the labels change, and the old series end
                     Frame end = frame_of(layout, at += 1 + random() % 500, 0);
                     end.values.assign(layout->series.size(), stale_marker());
                     end.keep = true;
@@ -284,15 +284,15 @@
                 sender.add(frame_of(layout, at += 1 + random() % 500, value += random() % 9));
                 offered += layout->series.size();
             }
-            if (!healed && random() % 200 == 0) sender.on_receiver_changed(now);
+            if (!recovered && random() % 200 == 0) sender.on_receiver_changed(now);
             const Batch* batch = sender.next(now);
             if (!batch) continue;
-            switch (healed ? 0 : random() % 8) {
+            switch (recovered ? 0 : random() % 8) {
                 case 1:
-                    sender.on_answer(now, {Answer::How::broke, 0, -1, -1});
+                    sender.on_answer(now, {Answer::How::failed, 0, -1, -1});
                     break;
                 case 2:
-                    receiver.take(request_of(*batch));   // taken, and its answer lost
+                    receiver.take(request_of(*batch));   // received, but its answer is lost
                     sender.on_answer(now, {Answer::How::timed_out, 0, -1, -1});
                     break;
                 case 3:
@@ -330,9 +330,9 @@
     }
 }
 
-TEST_CASE("equal seeds and calls give equal waits, other seeds do not come back in step") {
+TEST_CASE("equal seeds and calls give equal backoffs, and other seeds differ") {
     const auto wait = [](std::uint64_t seed) {
-        Sender sender(small(), seed);
+        Sender sender(small_limits(), seed);
         sender.add(frame_of(layout_of(1), 1, 1));
         sender.next(0);
         sender.on_answer(0, status(500));
--- a/tests/telemetry/site.hpp
+++ b/tests/telemetry/site.hpp
@@ -1,4 +1,5 @@
-// A whole site on loopback: the program, its directory, providers and receiver, each a process.
+// A site on loopback: the program, a discovery service, backends and a remote-write receiver, each a
+// process.
 #pragma once
 
 #include <string>
@@ -13,17 +14,17 @@
   public:
     explicit Site(const std::string& more = "", bool v1_only = false) {
         write_options(more);
-        std::vector<std::string> words{FAKES, "discovery", "--seconds",
-                                       "300", "--listen",  address_of(directory_port)};
+        std::vector<std::string> arguments{FAKES, "discovery", "--seconds",
+                                           "300", "--listen",  address_of(discovery_port)};
         for (int i = 0; i < 2; ++i) {
             const std::string id = "s-" + std::to_string(i), at = address_of(free_port());
-            providers_.push_back(
+            backends_.push_back(
                 Process({FAKES, "backend", "--id", id, "--listen", at, "--read-ms", "3", "--write-ms", "6",
                          "--used", "40", "--queue", "20", "--seconds", "300"},
                         "", ""));
-            words.insert(words.end(), {"--member", id + "=" + at});
+            arguments.insert(arguments.end(), {"--member", id + "=" + at});
         }
-        directory_ = Process(words, "", "");
+        discovery_ = Process(arguments, "", "");
         std::vector<std::string> receiver{FAKES,       "remote-write",
                                           "--seconds", "300",
                                           "--listen",  address_of(receiver_port),
@@ -40,7 +41,7 @@
             config.replace(at, from.size(), to);
         };
         change("\"listen\": \"127.0.0.1:1\"", "\"listen\": \"" + address_of(port) + "\"");
-        change("\"discovery\": \"127.0.0.1:1\"", "\"discovery\": \"" + address_of(directory_port) + "\"");
+        change("\"discovery\": \"127.0.0.1:1\"", "\"discovery\": \"" + address_of(discovery_port) + "\"");
         change("$PROVIDER", address_of(1));
         change("{\"Name\": \"plus\"",
                "{\"Name\": \"pro\", \"UnitsPerS\": 9, \"Depth\": 20, \"Price\": 2}, "
@@ -63,7 +64,7 @@
         ingress = Process(command(), "", folder.file("log"));
         REQUIRE(wait_for([&] { return ask(port, "GET", "/health/ready").starts_with("HTTP/1.1 200"); }));
     }
-    // Starts a load that ends by itself.
+    // Starts a load generator that ends by itself after `seconds`.
     Process load(double rate, double seconds, const std::string& prefix) const {
         return Process({FAKES, "load", "--target", address_of(port), "--config", folder.file("config.json"),
                         "--rate", std::to_string(rate), "--duration", std::to_string(seconds), "--progress",
@@ -83,18 +84,18 @@
         return fakes::read_recording(folder.file("samples"));
     }
     fakes::Sums logged() const { return fakes::logged(folder.file("log")); }
-    void no_breaches() {
+    void expect_no_violations() {
         const std::string text = ask(control_port, "GET", "/stats");
         INFO(text);
         CHECK(text.find("\"breaches\":0") != std::string::npos);
     }
 
     Folder folder;
-    const int port = free_port(), directory_port = free_port(), receiver_port = free_port(),
+    const int port = free_port(), discovery_port = free_port(), receiver_port = free_port(),
               control_port = free_port();
     Process ingress;
 
   private:
-    std::vector<Process> providers_;
-    Process directory_, receiver_;
+    std::vector<Process> backends_;
+    Process discovery_, receiver_;
 };
--- a/tests/telemetry/telemetry_test.cpp
+++ b/tests/telemetry/telemetry_test.cpp
@@ -1,5 +1,6 @@
-// The program beside a receiver that fails in each of its ways, under load: what arrives in the end is what
-// the log says, the protocol is kept, and requests are served all the while.
+// The program under load with a remote-write receiver that fails in each of its ways: the samples that
+// arrive agree with the request records of the log, the protocol is not violated, and requests are served
+// throughout.
 #include <catch2/catch.hpp>
 #include <filesystem>
 #include <random>
@@ -18,7 +19,7 @@
 
 }   // namespace
 
-TEST_CASE("the sums at the receiver are the log's, through each fault of the receiver") {
+TEST_CASE("the receiver's totals agree with the log after each fault of the receiver") {
     const bool v1 = GENERATE(false, true);
     Site site("catch_up_samples_per_s = 100000\n", v1);
     Process load = site.load(60, 8, v1 ? "a" : "b");
@@ -36,12 +37,12 @@
     const auto logged = site.logged();
     CHECK(served(logged) > 300);
     CHECK(fakes::counted(site.samples()) == logged);
-    site.no_breaches();
-    // Without a state directory all series end with the stop.
+    site.expect_no_violations();
+    // Without a state directory all series are marked as ended at the stop.
     for (const auto& [key, points] : site.samples()) REQUIRE(fakes::is_stale(points.back().value));
 }
 
-TEST_CASE("counters go on over kills and planned restarts, neither reset nor doubled") {
+TEST_CASE("counters continue across kills and graceful restarts without a reset or double count") {
     Site site;
     const std::string more = "[state]\ndirectory = " + site.folder.file("state") + "\n";
     std::filesystem::create_directory(site.folder.file("state"));
@@ -69,7 +70,7 @@
     const auto logged = site.logged();
     const auto samples = site.samples();
     auto counted = fakes::counted(samples);
-    // The figure moves before the log's line is written: a kill between the two leaves it one ahead.
+    // A counter is updated before its log record is written: a kill in between leaves it one ahead.
     double ahead = 0;
     for (const auto& [key, count] : counted) {
         const auto at = logged.find(key);
@@ -80,13 +81,13 @@
     CHECK(ahead <= 2 * kills);
     CHECK(served(logged) > 100);
     for (const auto& [key, count] : logged) REQUIRE(counted[key] >= count);
-    site.no_breaches();
-    // No counter ever ran back, and none of these series ended.
+    site.expect_no_violations();
+    // No counter decreased, and the series ended only with the first process.
     for (const auto& [key, points] : samples) {
         const std::string name = std::map<std::string, std::string>(key.begin(), key.end())["__name__"];
         if (!name.ends_with("_total") || points.empty()) continue;
         if (name != "slatejunction_requests_total" && name != "slatejunction_starts_total") continue;
-        bool ended = false;   // the first process, which had no directory
+        bool ended = false;   // by the first process, which had no state directory
         double value = 0;
         for (const fakes::Point& point : points) {
             if (fakes::is_stale(point.value)) {
@@ -101,11 +102,11 @@
     }
 }
 
-TEST_CASE("SIGHUP moves url, labels and interval under load, and nothing of a bad file is taken") {
+TEST_CASE("SIGHUP applies url, labels and interval under load, and nothing of an invalid file") {
     Site site;
     Process load = site.load(60, 4, "h");
     sleep_s(0.5);
-    // A file with a fault: told, and all stays as it is.
+    // An invalid file is reported, and the settings stay.
     site.folder.write("operator.ini", "[remote_write]\nurl = nowhere\ninterval_s = 0.1\nx = 1\n");
     site.ingress.signal(SIGHUP);
     REQUIRE(wait_for([&] {
@@ -136,21 +137,21 @@
     }));
     REQUIRE(load.wait() == 0);
     REQUIRE(site.ingress.end(SIGTERM) == 0);
-    site.no_breaches();
+    site.expect_no_violations();
     CHECK(ask(control, "GET", "/stats").find("\"breaches\":0") != std::string::npos);
-    // The series of the old labels have ended; those of the new ones stand beside them.
-    bool old_ended = true, fresh = false;
+    // The series of the old labels have ended, and there are series of the new ones.
+    bool old_ended = true, new_found = false;
     for (const auto& [key, points] : site.samples()) {
         const std::map<std::string, std::string> labels(key.begin(), key.end());
-        if (labels.at("instance") == "other") fresh = true;
+        if (labels.at("instance") == "other") new_found = true;
         if (labels.at("instance") == "n0") old_ended = old_ended && fakes::is_stale(points.back().value);
     }
     CHECK(old_ended);
-    CHECK(fresh);
+    CHECK(new_found);
     CHECK(served(site.logged()) > 200);
 }
 
-TEST_CASE("a receiver that wants credentials has them from the file, and wrong ones drop the batch") {
+TEST_CASE("credentials are sent from the file, and a batch with wrong ones is dropped") {
     Site site;
     const int port = free_port(), control = free_port();
     const auto receiver = [&](const std::string& wants) {
@@ -158,10 +159,10 @@
                         "--control", address_of(control), "--authorization", wants},
                        "", "");
     };
-    const auto told = [&](const std::string& what) {
+    const auto wait_until_gone = [&](const std::string& what) {
         return wait_for([&] { return ask(control, "GET", "/stats").find(what) == std::string::npos; });
     };
-    const auto use = [&](const std::string& key, const std::string& secret) {
+    const auto reload_with = [&](const std::string& key, const std::string& secret) {
         const std::string file = site.folder.write("secret", secret + "\n");
         site.folder.write("operator.ini", "[remote_write]\nurl = http://" + address_of(port) +
                                               "/\ninterval_s = 0.1\n" + key + " = " + file + "\n");
@@ -169,23 +170,23 @@
     };
     {
         const Process one = receiver("Basic ZHV0eTpkZXNr");   // base64 of duty:desk
-        use("basic_file", "duty:desk");
-        REQUIRE(told("\"batches\":0,"));
+        reload_with("basic_file", "duty:desk");
+        REQUIRE(wait_until_gone("\"batches\":0,"));
     }
     const Process two = receiver("Bearer tok-1");
-    use("bearer_file", "tok-2");
+    reload_with("bearer_file", "tok-2");
     REQUIRE(wait_for([&] { return site.folder.read("log").find("401") != std::string::npos; }));
     CHECK(ask(control, "GET", "/stats").find("\"batches\":0,") != std::string::npos);
-    use("bearer_file", "tok-1");
-    REQUIRE(told("\"batches\":0,"));
+    reload_with("bearer_file", "tok-1");
+    REQUIRE(wait_until_gone("\"batches\":0,"));
     CHECK(site.ingress.end(SIGTERM) == 0);
     CHECK(site.folder.read("log").find("tok-") == std::string::npos);   // no secret in the log
 }
 
-TEST_CASE("a state directory that can't be used ends the start with status 2 and one line") {
+TEST_CASE("a state directory that can't be used ends the start with status 2 and an error") {
     Site site;
     std::filesystem::create_directory(site.folder.file("state"));
-    const auto refused = [&](const std::string& more, const std::string& why) {
+    const auto expect_start_error = [&](const std::string& more, const std::string& why) {
         site.write_options(more);
         site.folder.write("err", "");
         Process second(site.command(), "", site.folder.file("err"));
@@ -193,16 +194,18 @@
         CHECK(second.wait() == 2);
         CHECK(site.folder.read("err").find(why) != std::string::npos);
     };
-    refused("[state]\ndirectory = " + site.folder.file("absent") + "\n", "absent can't be written");
+    expect_start_error("[state]\ndirectory = " + site.folder.file("absent") + "\n",
+                       "absent can't be written");
     site.ingress.end(SIGTERM);
     site.write_options("[state]\ndirectory = " + site.folder.file("state") + "\n");
     site.start();
-    refused("[state]\ndirectory = " + site.folder.file("state") + "\n", "is in use by another process");
-    refused("[statee]\ndirectory = x\n[log]\nlevel = loud\n", "[statee]: unknown section");
+    expect_start_error("[state]\ndirectory = " + site.folder.file("state") + "\n",
+                       "is in use by another process");
+    expect_start_error("[statee]\ndirectory = x\n[log]\nlevel = loud\n", "[statee]: unknown section");
     CHECK(site.folder.read("err").find("[log]") != std::string::npos);
 }
 
-TEST_CASE("a state file that was cut is set aside, told, and counters begin at 0") {
+TEST_CASE("a damaged state file is set aside and reported, and counters start at 0") {
     Site site;
     std::filesystem::create_directory(site.folder.file("state"));
     site.ingress.end(SIGTERM);
@@ -210,7 +213,7 @@
     site.folder.write("log", "");
     site.write_options("[state]\ndirectory = " + site.folder.file("state") + "\n");
     site.start();
-    CHECK(site.folder.read("log").find("a broken file was put aside as") != std::string::npos);
+    CHECK(site.folder.read("log").find("a damaged file was set aside as") != std::string::npos);
     CHECK(site.folder.read("state/counters.broken-1") == "not figures");
     site.ingress.end(SIGKILL);
     Process reader({PROGRAM, "counters", site.folder.file("state")}, site.folder.file("out"), "");
@@ -218,8 +221,8 @@
     CHECK(site.folder.read("out").find("slatejunction_starts_total 1\n") != std::string::npos);
 }
 
-// The counters' file says that samples were taken an hour ahead of the clock.
-TEST_CASE("a clock that has stepped back gives no sample a time that was passed") {
+// The stored time of the last sample is an hour ahead of the clock.
+TEST_CASE("after a step back of the clock sample times still increase") {
     Site site;
     std::filesystem::create_directory(site.folder.file("state"));
     site.ingress.end(SIGTERM);
@@ -233,7 +236,7 @@
     site.start();
     const std::size_t before = site.stat("batches");
     REQUIRE(wait_for([&] { return site.stat("batches") > before + 5; }));
-    site.no_breaches();
+    site.expect_no_violations();
     std::int64_t newest = 0;
     for (const auto& [key, points] : site.samples()) newest = std::max(newest, points.back().at_ms);
     CHECK(newest > ahead);
