--- a/tests/gateway/sampling_test.cpp
+++ b/tests/gateway/sampling_test.cpp
@@ -8,7 +8,7 @@
 namespace slatejunction::gateway {
 namespace {
 
-TEST(SystematicSampler, AdmitsAsManyAsTheProbabilitiesAddUpToEvenlySpaced) {
+TEST(SystematicSampler, AdmitsTheSumOfTheProbabilitiesEvenlySpaced) {
     SystematicSampler sampler;
     int admitted = 0;
     for (int i = 1; i <= 400; ++i) {
@@ -24,7 +24,7 @@
     EXPECT_NEAR(admitted, 300, 1);
 }
 
-TEST(SystematicSampler, CreditAdmitsEarlierButNotMore) {
+TEST(SystematicSampler, CreditAdmitsEarlierButNotMoreRequests) {
     SystematicSampler sampler;
     EXPECT_TRUE(sampler.sample(0.25, 0.75));
     int admitted = 1;
@@ -41,9 +41,9 @@
 
 TEST(PriorityMean, IsRelativeToTheMeanThatIncludesTheRequest) {
     PriorityMean mean;
-    EXPECT_DOUBLE_EQ(mean.relative(0), 1);   // no mean yet
-    EXPECT_DOUBLE_EQ(mean.relative(2), 1);   // the first weight is the mean
-    EXPECT_DOUBLE_EQ(mean.relative(4), 4 / (2 + 0.05 * 2));
+    EXPECT_DOUBLE_EQ(mean.observe(0), 1);   // no mean yet
+    EXPECT_DOUBLE_EQ(mean.observe(2), 1);   // the first weight is the mean
+    EXPECT_DOUBLE_EQ(mean.observe(4), 4 / (2 + 0.05 * 2));
 }
 
 TEST(Random, IsSplitmix64) {
