--- a/src/fleet_counters/aggregator.cpp
+++ b/src/fleet_counters/aggregator.cpp
@@ -8,9 +8,9 @@
 namespace slatejunction::fleet_counters {
 namespace {
 
-constexpr double kNever = 1e18;              // s
-constexpr double kRegisterRounds = 3;        // pages, totals, and one after a change of holder
-constexpr double kRegisterRetryMost = 1.2;   // jitter of RegisterClient's retry
+constexpr double kNever = 1e18;                 // s
+constexpr double kRegisterRounds = 3;           // pages, totals, and one more after a change of holder
+constexpr double kMaxRetryJitterFactor = 1.2;   // of the retry interval of RegisterClient
 
 template <class Repeated>
 bool decode_values(const Repeated& from, CounterValues& values) {
@@ -19,7 +19,7 @@
     return true;
 }
 
-// The values, then the number of processes.
+// Decodes a row: the counter values, followed by the number of processes.
 bool decode_row(const wire::Row& in, Row& row) {
     if (in.value_size() != static_cast<int>(kCounterCount) + 1) return false;
     for (std::size_t i = 0; i < kCounterCount; ++i) row.values[i] = in.value(static_cast<int>(i));
@@ -30,7 +30,7 @@
 }   // namespace
 
 double row_delay_bound_s(const Settings& settings, const lease::LeaseTimes& times, double round_trip_s) {
-    const double round_s = round_trip_s + kRegisterRetryMost * lease::request_timeout_s(times);
+    const double round_s = round_trip_s + kMaxRetryJitterFactor * lease::request_timeout_s(times);
     return settings.grace_s + kRegisterRounds * round_s;
 }
 
@@ -54,8 +54,8 @@
     return static_cast<std::uint64_t>(std::max(0.0, std::floor(unix_s / settings_.period_s)));
 }
 
-// The grace after the next period's end, but not before the grace after the term's begin: until then not
-// everybody has reported to the new holder.
+// The next period is due a grace time after its end, but not before a grace time after the start of the
+// term: the ingresses need that time to report to a new holder.
 double Aggregator::next_period_due_at_unix_s() const {
     const double ends = static_cast<double>(last_committed_period() + 1) * settings_.period_s;
     return std::max(ends + settings_.grace_s, term_began_unix_s_ + settings_.grace_s);
@@ -85,14 +85,15 @@
 bool Aggregator::on_report(double now, double unix_s, const std::string& from, const Report& report) {
     if (!has_term() || report.period_counters.empty()) return false;
     const std::uint64_t last_period = report.period_counters.back().period;
-    // A process that may have been forgotten since would be counted again.
+    // The process of an old report may have been forgotten by now, and would be counted a second time.
     if (last_period + kForgetPeriods / 2 < last_ended_period(unix_s)) return false;
-    const auto known = reports_.find(report.process);
-    const bool is_overtaken =
-        known != reports_.end() && known->second.report.period_counters.back().period > last_period;
-    if (is_overtaken) return true;
+    const auto previous = reports_.find(report.process);
+    const bool is_outdated =
+        previous != reports_.end() && previous->second.report.period_counters.back().period > last_period;
+    if (is_outdated) return true;
     reports_[report.process] = {from, report};
-    // The reporter missed an acknowledgement. While a page is being written nobody knows if it will stand.
+    // Repeats an acknowledgement that the reporter may have missed, but not while pages are being written:
+    // it is not yet known whether they will be committed.
     if (stage_ == Stage::idle) acknowledge(report.process, reports_[report.process]);
     advance(now, unix_s);
     return true;
@@ -125,11 +126,12 @@
     if (stage_ == Stage::writing_pages && all_committed()) write_totals(now);
     if (stage_ == Stage::writing_totals && all_committed()) {
         publish_rows();
-        advance(now, unix_s);   // several periods may be due
+        advance(now, unix_s);   // more periods may be due
     }
 }
 
-// What was read may be with a minority only: it counts once a majority has it under this term's token.
+// Writes the values that were read back under the token of this term: a minority of the acceptors may be
+// all that stores them, and they are committed only when a majority does.
 void Aggregator::adopt_registers(double now, double unix_s) {
     load_registers(unix_s);
     stage_ = Stage::adopting;
@@ -142,7 +144,7 @@
     const std::uint64_t period = last_committed_period() + 1;
     stage_ = Stage::writing_pages;
     for (std::size_t i = 0; i < kPageCount; ++i) {
-        if (pages_[i].period >= period) continue;   // written by the previous holder
+        if (pages_[i].period >= period) continue;   // already written by the previous holder
         add_reports(i, period);
         registers_.write(now, page_name(i), encode_page(pages_[i]));
     }
@@ -162,7 +164,8 @@
     registers_.write(now, kTotalsRegister, encode_totals());
 }
 
-// A majority has the totals: their rows may be written, and the reports in them are acknowledged.
+// Hands out the new rows and acknowledges the reports in them. Requires that a majority of the acceptors
+// has stored the totals.
 void Aggregator::publish_rows() {
     stage_ = Stage::idle;
     for (const Row& row : retained_rows_)
@@ -174,7 +177,8 @@
     });
 }
 
-// Continues what the previous holder left.
+// Continues from the state that the previous holder has stored, or resets the counters if that state is
+// lost or invalid.
 void Aggregator::load_registers(double unix_s) {
     for (Page& page : pages_) page = {};
     retained_rows_.clear();
@@ -188,7 +192,7 @@
         if (first_row > delivered_period + 1) skipped_periods_ += first_row - delivered_period - 1;
         return;
     }
-    // Nobody knows which rows were written outside: the next whole period is the first one again.
+    // It is not known which rows the receiver has, so the counters restart with the next whole period.
     const std::uint64_t first_period = last_ended_period(unix_s) + 1;
     if (is_valid && first_period > last_committed_period())
         skipped_periods_ += first_period - last_committed_period();
@@ -230,33 +234,38 @@
         const std::uint64_t behind = std::min<std::uint64_t>(in.behind(i), page.period);
         page.entries[in.process(i)] = page.period - behind;
     }
-    // A page may be one period ahead: its holder ended before the totals had it.
+    // A page may be one period ahead of the totals: the previous holder's term ended in between.
     return page.period >= last_committed_period() && page.period <= last_committed_period() + 1;
 }
 
-// Adds what the page's processes have reported up to `period` and is not counted yet.
+// Adds the increments up to `period` that the processes of the page have reported and that are not counted
+// yet.
 void Aggregator::add_reports(std::size_t index, std::uint64_t period) {
     Page& page = pages_[index];
     page.period = period;
     std::erase_if(page.entries, [&](const auto& entry) { return entry.second + kForgetPeriods < period; });
     for (const auto& [process, received] : reports_) {
-        const auto& cuts = received.report.period_counters;
-        const bool is_old = cuts.back().period + kForgetPeriods / 2 < period;
-        if (page_of(process) == index && !is_old) add_report(page, process, cuts);
+        const auto& reported = received.report.period_counters;
+        const bool is_old = reported.back().period + kForgetPeriods / 2 < period;
+        if (page_of(process) == index && !is_old) add_report(page, process, reported);
     }
 }
 
-void Aggregator::add_report(Page& page, std::uint64_t process, const std::vector<PeriodCounters>& cuts) {
+void Aggregator::add_report(Page& page, std::uint64_t process,
+                            const std::vector<PeriodCounters>& reported) {
     const auto entry = page.entries.find(process);
     const bool is_known = entry != page.entries.end();
-    // An unknown process was never counted, or by a holder whose registers are lost.
-    const std::uint64_t counted = std::max(is_known ? entry->second : 0, cuts.front().period);
-    const auto from = std::find_if(cuts.begin(), cuts.end(),
-                                   [&](const PeriodCounters& cut) { return cut.period == counted; });
-    const auto to = std::find_if(cuts.rbegin(), cuts.rend(),
-                                 [&](const PeriodCounters& cut) { return cut.period <= page.period; });
-    // The report may begin after what is counted: the next one begins at the acknowledgement of this one.
-    if (from == cuts.end() || to == cuts.rend() || to->period <= counted) return;
+    // A process without an entry was never counted, or it was counted by a holder whose registers are lost.
+    const std::uint64_t counted = std::max(is_known ? entry->second : 0, reported.front().period);
+    const auto from = std::find_if(reported.begin(), reported.end(), [&](const PeriodCounters& counters) {
+        return counters.period == counted;
+    });
+    const auto to = std::find_if(reported.rbegin(), reported.rend(), [&](const PeriodCounters& counters) {
+        return counters.period <= page.period;
+    });
+    // A report without the last counted period is not added. It is acknowledged up to that period, and the
+    // next report begins at that acknowledgement.
+    if (from == reported.end() || to == reported.rend() || to->period <= counted) return;
     if (!is_known && page.entries.size() >= kMaxPageEntries) {
         ++rejected_reports_;
         return;
--- a/src/fleet_counters/aggregator.hpp
+++ b/src/fleet_counters/aggregator.hpp
@@ -1,19 +1,23 @@
-// Sums the fleet's counters period by period, for the holder of the lease.
+// Sums the counters of all ingresses, one row per period. Runs on the ingress that holds the lease.
 //
-// Rule: at the end of a period and a grace the reports received are added to the pages; once a
-// majority of the acceptors has all pages, the period's row is added to the totals; once it has the
-// totals, the row is published and the reports in it are acknowledged.
-// Inputs: reports, register messages, `now` in s (boot_clock.hpp), `unix_s` of the wall clock.
-// Output: rows to write, acknowledgements, register messages.
-// Invariants: each period has one row, and it is written outside only after a majority of the
-// acceptors has it; a later holder continues from there. So a row may be written twice (by the old
-// holder and the new one, bit for bit the same), and none is missing. Where a majority of the
-// acceptors lost its state (RegisterClient::lost) the rows between are skipped and the counters begin
-// at 0.
-// Reason: a counter must not run back or count an increment twice when the holder changes.
-// From: RAMBO for the registers (lease/replicated_register.hpp); docs/design/fleet.md.
-// Seen in: skipped_periods() as a measure; a reset in the log line "fleet_sums: a majority ...".
-// Never does: I/O, reading a clock. Driver owns it.
+// A period is summed in steps: once the period and a grace time have passed, the received reports are added
+// to the pages; once a majority of the acceptors has stored all pages, the row of the period is added to
+// the totals; once a majority has stored the totals, the row is published and the reports in it are
+// acknowledged. Pages and totals are replicated registers (lease/replicated_register.hpp).
+//
+// - Inputs: reports, register messages, `now` in s (boot_clock.hpp), and `unix_s` of the wall clock.
+// - Outputs: rows to be written, acknowledgements, register messages.
+// - Observability: skipped_periods() as a metric, and a reset in the log line "fleet_sums: a majority ...".
+//
+// Invariants:
+// - Each period has one row, which is published only after a majority of the acceptors has stored it. A
+//   later holder continues from the stored state, so a row may be written by two holders, with identical
+//   values, and no row is missing.
+// - If a majority of the acceptors has lost its state (RegisterClient::may_have_lost_values), the periods
+//   in between are skipped and the counters restart at 0.
+// Without these a change of holder could make a counter fall or count an increment twice.
+//
+// The code does no I/O and reads no clock. Driver owns it. See docs/design/fleet.md.
 #pragma once
 
 #include <cstdint>
@@ -30,28 +34,31 @@
 
 namespace slatejunction::fleet_counters {
 
-inline constexpr std::size_t kPageCount = 10;   ///< registers of entries: enough for 300 processes twice
-inline constexpr std::size_t kMaxRetainedRows = 14;   ///< in the totals: what the receiver may be behind
-inline constexpr std::size_t kMaxPageEntries = 85;    ///< so that a page fits into one register
+/// Number of registers with entries: room for twice 300 processes.
+inline constexpr std::size_t kPageCount = 10;
+/// Rows kept in the totals: a new holder skips the periods by which the receiver is further behind.
+inline constexpr std::size_t kMaxRetainedRows = 14;
+/// Entries of a page, so that it fits into one register.
+inline constexpr std::size_t kMaxPageEntries = 85;
 
 struct Settings {
     double period_s = 0;
-    double grace_s = 1;   ///< after a period's end, until the reports received are summed
+    double grace_s = 1;   ///< from the end of a period until the received reports are summed
 };
 
-/// Longest delay in s from a period's end until its row is handed to the receiver, while a majority of the
-/// acceptors and the holder hear one another: the grace, then three register rounds (pages, totals; one
-/// more after a change of holder).
+/// Returns the longest time in s from the end of a period until its row is handed to the receiver, while
+/// the holder and a majority of the acceptors can communicate: the grace time and three register rounds
+/// (pages, totals, and one more after a change of holder).
 double row_delay_bound_s(const Settings& settings, const lease::LeaseTimes& times, double round_trip_s);
-/// The same after the holder died: the next one must be elected first.
+/// Returns the same bound if the holder has failed, so that another one must be elected first.
 double row_delay_bound_after_failover_s(const Settings& settings, const lease::LeaseTimes& times,
                                         double round_trip_s, int candidates);
 
-/// The fleet's counters at the end of a period.
+/// The sums of the fleet's counters at the end of a period.
 struct Row {
     std::uint64_t period = 0;
     CounterValues values{};
-    std::uint64_t process_count = 0;   ///< counted up to this very period
+    std::uint64_t process_count = 0;   ///< processes whose counters of this period are included
 };
 
 class Aggregator {
@@ -59,7 +66,7 @@
     Aggregator(const Settings& settings, const lease::LeaseTimes& times,
                const lease::AcceptorSet& acceptors, std::uint64_t seed);
 
-    /// The lease is held under this token from now on.
+    /// Begins a term, in which the lease is held under this token.
     void begin_term(double now, double unix_s, std::uint64_t fencing_token);
     void end_term();
     void set_acceptors(double now, const lease::AcceptorSet& acceptors) {
@@ -67,20 +74,20 @@
     }
     void on_register_message(double now, double unix_s, const std::string& acceptor,
                              const lease::RegisterMessage& message);
-    /// False: ignored, as the lease is not held or the report is too old.
+    /// Returns false if the report was ignored, as it is too old or the lease is not held.
     bool on_report(double now, double unix_s, const std::string& from, const Report& report);
-    /// The receiver has accepted the rows up to this period.
+    /// To be called when the receiver has accepted the rows up to `period`.
     void on_rows_delivered(std::uint64_t period) {
         delivered_period_ = std::max(delivered_period_, period);
     }
     void on_timer(double now, double unix_s);
-    /// s on the clock of `now`.
+    /// Returns when on_timer() is due, in s on the clock of `now`.
     double next_deadline(double now, double unix_s) const;
 
     std::vector<lease::RegisterClient::OutgoingMessage> take_register_messages() {
         return registers_.take_outgoing();
     }
-    /// To be written, oldest first, while the lease permits it.
+    /// Returns the rows to be written, oldest first. They may be written only while the lease permits it.
     std::vector<Row> take_rows() { return std::exchange(rows_, {}); }
     struct Acknowledgement {
         std::string to;
@@ -92,27 +99,29 @@
     std::uint64_t last_committed_period() const {
         return retained_rows_.empty() ? 0 : retained_rows_.back().period;
     }
-    /// Periods without a row, as acceptors had lost their state.
+    /// Periods that have no row, because acceptors had lost their state or because the receiver was behind
+    /// by more than kMaxRetainedRows when the holder changed.
     std::uint64_t skipped_periods() const { return skipped_periods_; }
-    /// Times that the counters began at 0.
+    /// How many times the counters restarted at 0.
     std::uint64_t resets() const { return resets_; }
-    /// Reports of processes beyond kMaxPageEntries.
+    /// Reports rejected because their page already had kMaxPageEntries processes.
     std::uint64_t rejected_reports() const { return rejected_reports_; }
 
   private:
-    // Reading the registers; writing them under the new token; between periods; writing a period.
+    // In order: no term; reading the registers; writing them back under the new token; waiting for the next
+    // period; writing the pages, then the totals of a period.
     enum class Stage { off, reading, adopting, idle, writing_pages, writing_totals };
-    // Processes are spread over pages, a register each.
+    // A partition of the processes, stored in one register.
     struct Page {
         std::uint64_t period = 0;
-        CounterValues values{};                           // sum of all that was ever counted
-        std::map<std::uint64_t, std::uint64_t> entries;   // by process: its last counted period
+        CounterValues values{};                           // sums of everything counted so far
+        std::map<std::uint64_t, std::uint64_t> entries;   // last counted period by process
     };
     struct ReceivedReport {
         std::string from;
         Report report;
     };
-    // The registers' names are on the wire and in the acceptors' files.
+    // The names of the registers are part of the wire format and of the files of the acceptors.
     static std::string page_name(std::size_t page) { return "sums." + std::to_string(page); }
     static constexpr const char* kTotalsRegister = "sums";
     static std::vector<std::string> register_names();
@@ -133,7 +142,7 @@
     void reset(std::uint64_t period);
 
     void add_reports(std::size_t index, std::uint64_t period);
-    void add_report(Page& page, std::uint64_t process, const std::vector<PeriodCounters>& cuts);
+    void add_report(Page& page, std::uint64_t process, const std::vector<PeriodCounters>& reported);
     std::string encode_page(const Page& page) const;
     std::string encode_totals() const;
     void acknowledge(std::uint64_t process, const ReceivedReport& received);
@@ -144,8 +153,8 @@
     double term_began_unix_s_ = 0;
     std::array<Page, kPageCount> pages_;
     std::deque<Row> retained_rows_;
-    std::uint64_t delivered_period_ = 0;                // accepted by the receiver
-    std::uint64_t published_period_ = 0;                // of the last row handed out
+    std::uint64_t delivered_period_ = 0;                // last row that the receiver has accepted
+    std::uint64_t published_period_ = 0;                // of the last row put out for take_rows()
     std::map<std::uint64_t, ReceivedReport> reports_;   // by process
     std::vector<Row> rows_;
     std::vector<Acknowledgement> acknowledgements_;
--- a/src/fleet_counters/driver.cpp
+++ b/src/fleet_counters/driver.cpp
@@ -10,14 +10,15 @@
 namespace slatejunction::fleet_counters {
 namespace {
 
-// Acknowledgements are paced, so that no burst goes out to all ingresses.
+// Acknowledgements are sent in batches, so that they do not go to all ingresses in one burst.
 constexpr std::size_t kAcknowledgementBatch = 8;
 constexpr double kAcknowledgementIntervalS = 0.2;
-constexpr double kClockCheckMaxS = 1;    // a wall clock that is set is noticed within that
-constexpr double kPermitRetryS = 0.05;   // until the lease permits rows that wait
-constexpr double kTimerLeastS = 0.001;
-constexpr double kNoDeadline = 1e17;    // s; from there on no timer is wanted
-constexpr int kFinalReportCopies = 2;   // of what a process that ends has still to report
+// Longest time between two looks at the wall clock, within which a change of that clock is noticed.
+constexpr double kMaxClockCheckIntervalS = 1;
+constexpr double kPermitRetryIntervalS = 0.05;   // while the lease does not permit writing pending rows
+constexpr double kMinTimerDelayS = 0.001;
+constexpr double kNoDeadline = 1e17;    // s; deadlines from this value on need no timer
+constexpr int kFinalReportCopies = 2;   // sent without waiting for an acknowledgement
 
 double unix_s() {
     return std::chrono::duration<double>(std::chrono::system_clock::now().time_since_epoch()).count();
@@ -34,7 +35,8 @@
     {"slatejunction_fleet_worth_served_total", "", "Worth earned by all ingresses.", "worth"},
 }};
 
-// The series are the fleet's: without an instance of their own, a change of holder changes no series.
+// The series carry the label instance="fleet" instead of an ingress's own, so that they stay the same when
+// the holder changes.
 std::shared_ptr<remotewrite::Layout> make_layout(const remotewrite::Settings& receiver) {
     auto labels = receiver.labels;
     std::erase_if(labels, [](const auto& label) { return label.first == "instance"; });
@@ -52,8 +54,8 @@
     return layout;
 }
 
-// Rows that wait are with the acceptors, so the writer needs no backlog on disk.
-remotewrite::Settings in_memory(remotewrite::Settings receiver) {
+// The acceptors store the rows that are not written yet, so the writer needs no backlog on disk.
+remotewrite::Settings without_disk_backlog(remotewrite::Settings receiver) {
     receiver.backlog_directory.clear();
     return receiver;
 }
@@ -64,7 +66,7 @@
                std::uint64_t process, const lease::LeaseTimes& times, const lease::AcceptorSet& acceptors,
                std::uint64_t seed, std::string version, Callbacks callbacks, net::Timers& timers, Log& log)
     : options_(options),
-      receiver_(in_memory(receiver)),
+      receiver_(without_disk_backlog(receiver)),
       name_(std::move(name)),
       version_(std::move(version)),
       process_(process),
@@ -87,22 +89,23 @@
     record_ended_period();
 }
 
-// Wall clocks are set now and then, so the timer checks often and the period decides.
+// The wall clock may be changed at any time, so the timer checks it often instead of waiting for the end of
+// the period.
 void Driver::record_ended_period() {
     const double unix_now = unix_s();
     const auto period = static_cast<std::uint64_t>(std::floor(unix_now / options_.period_s));
     if (period > last_period_) {
         last_period_ = period;
         reporter_.record_period(period, callbacks_.counter_values());
-        // Spread, as all ingresses report now.
+        // A random delay, as the period ends for all ingresses at the same time.
         report_timer_.arm(net::now() + options_.grace_s / 4 * draw(0, 1));
     }
-    const double left = (static_cast<double>(last_period_) + 1) * options_.period_s - unix_now;
-    const double longest = std::min(kClockCheckMaxS, options_.period_s);
-    period_timer_.arm(net::now() + std::clamp(left, kTimerLeastS, longest));
+    const double remaining_s = (static_cast<double>(last_period_) + 1) * options_.period_s - unix_now;
+    const double max_delay_s = std::min(kMaxClockCheckIntervalS, options_.period_s);
+    period_timer_.arm(net::now() + std::clamp(remaining_s, kMinTimerDelayS, max_delay_s));
 }
 
-// Sends again until it is acknowledged.
+// Sends the report, and arms the timer to repeat it until it is acknowledged.
 void Driver::send_report() {
     const auto report = reporter_.report();
     if (!report) return;
@@ -128,7 +131,7 @@
         timer->disarm();
 }
 
-// Rows that wait go out by the next holder: the acceptors have them.
+// Discards pending rows; the acceptors have stored them, and the next holder writes them.
 void Driver::on_lease_held(std::uint64_t fencing_token) {
     writer_.reset();
     last_delivered_period_ = 0;
@@ -168,7 +171,8 @@
     flush();
 }
 
-// Passes on all that the aggregator has put out. A callback that leads back here changes nothing.
+// Passes on all output of the aggregator. A nested call from a callback returns at once, and the outer call
+// continues.
 void Driver::flush() {
     if (stopped_ || std::exchange(flushing_, true)) return;
     if (writer_ && writer_->sender().empty()) aggregator_.on_rows_delivered(last_delivered_period_);
@@ -181,12 +185,12 @@
 }
 
 void Driver::take_aggregator_output() {
-    bool sent = true;
-    while (sent) {
-        sent = false;
+    bool messages_sent = true;
+    while (messages_sent) {
+        messages_sent = false;
         for (const auto& outgoing : aggregator_.take_register_messages()) {
             callbacks_.send_register_message(outgoing.to, lease::encode(outgoing.message));
-            sent = true;
+            messages_sent = true;
         }
         for (const Row& row : aggregator_.take_rows()) pending_rows_.push_back(row);
         for (auto& acknowledgement : aggregator_.take_acknowledgements()) {
@@ -199,7 +203,8 @@
     }
 }
 
-// A process that is stopped between the permit and the write writes what the next holder writes, too.
+// If the process is paused between the check of the lease and the write, the next holder may write the same
+// row with the same values, so a late write does no harm.
 void Driver::deliver_rows() {
     while (writer_ && !pending_rows_.empty() && callbacks_.may_write_rows()) {
         const Row row = pending_rows_.front();
@@ -242,17 +247,18 @@
 void Driver::log_reset() {
     const std::uint64_t logged = std::exchange(logged_resets_, aggregator_.resets());
     if (aggregator_.resets() == logged || aggregator_.skipped_periods() == 0) return;
-    log_.write(Log::Level::warning, net::now(),
-               "fleet_sums: a majority of the voters has forgotten them; they begin at 0, and some periods "
-               "have no row");
+    log_.write(
+        Log::Level::warning, net::now(),
+        "fleet_sums: a majority of the voters has lost the stored counters; they restart at 0, and some "
+        "periods have no row");
 }
 
 void Driver::arm_aggregator_timer() {
     const double now = lease::boot_clock_s();
     const double next = aggregator_.next_deadline(now, unix_s());
     if (next >= kNoDeadline && pending_rows_.empty()) return aggregator_timer_.disarm();
-    const double longest = pending_rows_.empty() ? kClockCheckMaxS : kPermitRetryS;
-    aggregator_timer_.arm(net::now() + std::clamp(next - now, kTimerLeastS, longest));
+    const double max_delay_s = pending_rows_.empty() ? kMaxClockCheckIntervalS : kPermitRetryIntervalS;
+    aggregator_timer_.arm(net::now() + std::clamp(next - now, kMinTimerDelayS, max_delay_s));
 }
 
 }   // namespace slatejunction::fleet_counters
--- a/src/fleet_counters/reporter.cpp
+++ b/src/fleet_counters/reporter.cpp
@@ -7,15 +7,16 @@
 namespace slatejunction::fleet_counters {
 namespace {
 
-bool decode_cut(const wire::Cut& in, PeriodCounters& cut) {
+bool decode_counters(const wire::Cut& in, PeriodCounters& counters) {
     if (in.value_size() != static_cast<int>(kCounterCount)) return false;
-    cut.period = in.period();
-    for (std::size_t i = 0; i < kCounterCount; ++i) cut.values[i] = in.value(static_cast<int>(i));
+    counters.period = in.period();
+    for (std::size_t i = 0; i < kCounterCount; ++i) counters.values[i] = in.value(static_cast<int>(i));
     return true;
 }
 
-// Counters that ran back would let the fleet's counters run back.
-bool continues(const PeriodCounters& previous, const PeriodCounters& next) {
+// Whether `next` may follow `previous` in a report: a counter that decreases would make the counters of the
+// fleet decrease.
+bool is_valid_successor(const PeriodCounters& previous, const PeriodCounters& next) {
     if (next.period <= previous.period) return false;
     for (std::size_t i = 0; i < kCounterCount; ++i)
         if (next.values[i] < previous.values[i]) return false;
@@ -28,10 +29,10 @@
     wire::Message out;
     out.set_process(report.process);
     out.set_counted(report.acknowledged_period);
-    for (const PeriodCounters& cut : report.period_counters) {
+    for (const PeriodCounters& counters : report.period_counters) {
         wire::Cut& entry = *out.add_cut();
-        entry.set_period(cut.period);
-        for (const std::uint64_t value : cut.values) entry.add_value(value);
+        entry.set_period(counters.period);
+        for (const std::uint64_t value : counters.values) entry.add_value(value);
     }
     return out.SerializeAsString();
 }
@@ -41,52 +42,54 @@
     if (!in.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())) || in.process() == 0) return false;
     report = {in.process(), in.counted(), {}};
     for (const wire::Cut& entry : in.cut()) {
-        PeriodCounters cut;
-        if (!decode_cut(entry, cut)) return false;
-        if (!report.period_counters.empty() && !continues(report.period_counters.back(), cut)) return false;
-        report.period_counters.push_back(cut);
+        PeriodCounters counters;
+        if (!decode_counters(entry, counters)) return false;
+        if (!report.period_counters.empty() && !is_valid_successor(report.period_counters.back(), counters))
+            return false;
+        report.period_counters.push_back(counters);
     }
     return report.period_counters.empty() ||
            report.period_counters.front().period == report.acknowledged_period;
 }
 
 void Reporter::record_period(std::uint64_t period, const CounterValues& values) {
-    const std::uint64_t last_period = cuts_.empty() ? base_.period : cuts_.back().period;
+    const std::uint64_t last_period =
+        unacknowledged_.empty() ? acknowledged_.period : unacknowledged_.back().period;
     if (period <= last_period) return;
-    cuts_.push_back({period, values});
+    unacknowledged_.push_back({period, values});
     if (first_reported_period_ == 0) {
-        // Nobody can have counted what was never reported, so the oldest may be merged.
-        if (cuts_.size() > kMaxUnreportedPeriods) cuts_.pop_front();
+        // Counters that were never reported cannot have been counted, so the oldest period may be merged.
+        if (unacknowledged_.size() > kMaxUnreportedPeriods) unacknowledged_.pop_front();
         return;
     }
-    const std::uint64_t since = std::max(base_.period, first_reported_period_);
-    if (period >= since + kForgetPeriods / 2) drop_unacknowledged(values);
+    const std::uint64_t waiting_since = std::max(acknowledged_.period, first_reported_period_);
+    if (period >= waiting_since + kForgetPeriods / 2) drop_unacknowledged(values);
 }
 
 void Reporter::drop_unacknowledged(const CounterValues& values) {
     for (const CounterIndex outcome : {served, refused, failed})
-        dropped_requests_ += values[outcome] - base_.values[outcome];
-    base_ = cuts_.back();
-    cuts_.clear();
+        dropped_requests_ += values[outcome] - acknowledged_.values[outcome];
+    acknowledged_ = unacknowledged_.back();
+    unacknowledged_.clear();
     first_reported_period_ = 0;
 }
 
 std::optional<Report> Reporter::report() {
-    if (cuts_.empty()) return {};
-    Report report{process_, base_.period, {}};
-    report.period_counters.push_back(base_);
-    for (const PeriodCounters& cut : cuts_) report.period_counters.push_back(cut);
-    if (first_reported_period_ == 0) first_reported_period_ = cuts_.back().period;
+    if (unacknowledged_.empty()) return {};
+    Report report{process_, acknowledged_.period, {}};
+    report.period_counters.push_back(acknowledged_);
+    for (const PeriodCounters& counters : unacknowledged_) report.period_counters.push_back(counters);
+    if (first_reported_period_ == 0) first_reported_period_ = unacknowledged_.back().period;
     return report;
 }
 
 void Reporter::acknowledge(std::uint64_t process, std::uint64_t period) {
     if (process != process_) return;
-    while (!cuts_.empty() && cuts_.front().period <= period) {
-        base_ = cuts_.front();
-        cuts_.pop_front();
+    while (!unacknowledged_.empty() && unacknowledged_.front().period <= period) {
+        acknowledged_ = unacknowledged_.front();
+        unacknowledged_.pop_front();
     }
-    if (cuts_.empty()) first_reported_period_ = 0;
+    if (unacknowledged_.empty()) first_reported_period_ = 0;
 }
 
 }   // namespace slatejunction::fleet_counters
--- a/src/fleet_counters/settings.cpp
+++ b/src/fleet_counters/settings.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr double kMinPeriodS = 0.2;
-constexpr double kStatedRoundTripS = 0.02;   // of the bounds that are stated
+constexpr double kAssumedRoundTripS = 0.02;   // for the bounds of describe_bounds()
 
 }   // namespace
 
@@ -18,8 +18,8 @@
     section.real("grace_s", grace_s, 0.05, 600, "s", "after a period's end, until what has come is summed");
     section.whole([this]() -> std::string {
         if (!on()) return {};
-        if (period_s < kMinPeriodS) return "every_s: 0 or 0.2 s at least";
-        if (grace_s > period_s) return "grace_s: longer than every_s";
+        if (period_s < kMinPeriodS) return "every_s: must be 0 or at least 0.2 s";
+        if (grace_s > period_s) return "grace_s: must not be longer than every_s";
         return {};
     });
     return section;
@@ -29,11 +29,11 @@
     char text[320];
     std::snprintf(
         text, sizeof text,
-        "fleet_sums: a row each %g s, handed over at most %.2f s after its period, %.2f s where its "
-        "holder died (round trips of 20 ms); what a killed ingress had not told, at most the last "
-        "%.2f s of it, is in no row",
-        options.period_s, row_delay_bound_s(options.settings(), times, kStatedRoundTripS),
-        row_delay_bound_after_failover_s(options.settings(), times, kStatedRoundTripS, 1),
+        "fleet_sums: one row every %g s, written at most %.2f s after the end of its period, or %.2f s if "
+        "the holder of the lease fails (round trips of 20 ms); the requests that a killed ingress had not "
+        "reported, of at most its last %.2f s, are in no row",
+        options.period_s, row_delay_bound_s(options.settings(), times, kAssumedRoundTripS),
+        row_delay_bound_after_failover_s(options.settings(), times, kAssumedRoundTripS, 1),
         options.period_s + options.grace_s);
     return text;
 }
--- a/src/fleet_counters/settings.hpp
+++ b/src/fleet_counters/settings.hpp
@@ -1,5 +1,5 @@
-// The operator's [fleet_sums] section, and what check-config says of it. The INI keys are the
-// operator's words; they are mapped to the code's terms here and nowhere else.
+// Options of the [fleet_sums] section of the options file, and its summary in check-config. The names of
+// its keys are mapped to the terms of the code here and nowhere else.
 #pragma once
 
 #include <string>
@@ -11,8 +11,8 @@
 namespace slatejunction::fleet_counters {
 
 struct Options {
-    double period_s = 0;   ///< a period; 0: off
-    double grace_s = 1;    ///< after a period's end
+    double period_s = 0;   ///< length of a period; 0: off
+    double grace_s = 1;    ///< from the end of a period until its sums are formed
     bool operator==(const Options&) const = default;
 
     bool on() const { return period_s > 0; }
@@ -20,7 +20,7 @@
     ini::Section section();
 };
 
-/// The bounds that follow from the options, for check-config.
+/// Describes the bounds that follow from the options, for check-config and the log.
 std::string describe_bounds(const Options& options, const lease::LeaseTimes& times);
 
 }   // namespace slatejunction::fleet_counters
--- a/tests/fleet_counters/fleet_counters_test.cpp
+++ b/tests/fleet_counters/fleet_counters_test.cpp
@@ -178,7 +178,7 @@
           "/options: [fleet_sums] every_s: wants [remote_write] url, where the sums are written");
     CHECK(fault(fleet +
                 "[remote_write]\nurl = http://127.0.0.1:1/w\n[fleet_sums]\nevery_s = 1\ngrace_s = 2\n") ==
-          "/options: [fleet_sums] grace_s: longer than every_s");
+          "/options: [fleet_sums] grace_s: must not be longer than every_s");
     CHECK(fault(fleet + "[remote_write]\nurl = http://127.0.0.1:1/w\n[fleet_sums]\nevery_s = 0.1\n")
               .find("every_s") != std::string::npos);
     CHECK(fault(fleet + "[remote_write]\nurl = http://127.0.0.1:1/w\n[fleet_sums]\nevery_s = 15\n") == "");
