--- a/src/fleet_counters/aggregator.hpp
+++ b/src/fleet_counters/aggregator.hpp
@@ -34,7 +34,7 @@
 
 namespace slatejunction::fleet_counters {
 
-/// Number of registers with entries: room for twice 300 processes.
+/// Number of registers with entries: enough for twice 300 processes.
 inline constexpr std::size_t kPageCount = 10;
 /// Rows kept in the totals: a new holder skips the periods by which the receiver is further behind.
 inline constexpr std::size_t kMaxRetainedRows = 14;
--- a/src/membership/datagram_auth.cpp
+++ b/src/membership/datagram_auth.cpp
@@ -25,23 +25,23 @@
     return value;
 }
 
-// A hash's first byte: nothing of the key can be learnt from it.
-unsigned char id_of(const AuthKey& key) {
+// Returns the first byte of a keyed hash, which reveals nothing about the key.
+unsigned char key_id(const AuthKey& key) {
     unsigned char id[crypto_generichash_BYTES_MIN];
     static constexpr unsigned char kText[] = "slatejunction key";
     crypto_generichash(id, sizeof id, kText, sizeof kText - 1, key.data(), key.size());
     return id[0];
 }
 
-std::array<unsigned char, kTagBytes> tag_of(const AuthKey& key, std::string_view bytes) {
+std::array<unsigned char, kTagBytes> compute_tag(const AuthKey& key, std::string_view bytes) {
     std::array<unsigned char, kTagBytes> tag{};
     crypto_generichash(tag.data(), tag.size(), reinterpret_cast<const unsigned char*>(bytes.data()),
                        bytes.size(), key.data(), key.size());
     return tag;
 }
 
-// A line without its comment and the blanks around it.
-std::string_view content_of(std::string_view line) {
+// Removes the comment and the surrounding blanks of a line.
+std::string_view strip_comment(std::string_view line) {
     line = line.substr(0, line.find('#'));
     while (!line.empty() && (line.back() == ' ' || line.back() == '\r' || line.back() == '\t'))
         line.remove_suffix(1);
@@ -61,35 +61,37 @@
 }   // namespace
 
 std::string parse_keys(std::string_view text, std::vector<AuthKey>& keys) {
-    std::vector<AuthKey> found;
+    std::vector<AuthKey> parsed;
     std::size_t line_number = 0;
-    const auto fault = [&](const char* why) { return "line " + std::to_string(line_number) + why; };
+    const auto error_at_line = [&](const char* reason) {
+        return "line " + std::to_string(line_number) + reason;
+    };
     while (!text.empty()) {
         ++line_number;
         const std::size_t end = std::min(text.find('\n'), text.size());
-        const std::string_view line = content_of(text.substr(0, end));
+        const std::string_view line = strip_comment(text.substr(0, end));
         text.remove_prefix(std::min(end + 1, text.size()));
         if (line.empty()) continue;
         AuthKey key{};
-        if (!parse_key(line, key)) return fault(": a key is 64 hexadecimal digits");
-        if (found.size() == kMaxKeys) return fault(": two keys at most");
-        found.push_back(key);
+        if (!parse_key(line, key)) return error_at_line(": a key is 64 hexadecimal digits");
+        if (parsed.size() == kMaxKeys) return error_at_line(": at most two keys are allowed");
+        parsed.push_back(key);
     }
-    if (found.empty()) return "line 1: there is no key";
-    if (found.size() == kMaxKeys && id_of(found[0]) == id_of(found[1]))
-        return fault(": draw another key, these two can't be told apart");
-    keys = found;
+    if (parsed.empty()) return "line 1: there is no key";
+    if (parsed.size() == kMaxKeys && key_id(parsed[0]) == key_id(parsed[1]))
+        return error_at_line(": the two keys have the same id; generate another key");
+    keys = parsed;
     return {};
 }
 
 DatagramAuth::DatagramAuth(const std::vector<AuthKey>& keys, std::uint64_t process) : process_(process) {
-    if (sodium_init() < 0) throw std::runtime_error("libsodium can't be used");
+    if (sodium_init() < 0) throw std::runtime_error("libsodium could not be initialized");
     set_keys(keys);
 }
 
 void DatagramAuth::set_keys(const std::vector<AuthKey>& keys) {
     keys_.clear();
-    for (const AuthKey& key : keys) keys_.push_back({key, id_of(key)});
+    for (const AuthKey& key : keys) keys_.push_back({key, key_id(key)});
 }
 
 std::string DatagramAuth::seal(std::uint64_t to, std::string_view payload) {
@@ -102,7 +104,7 @@
     append_u64(datagram, to);
     append_u64(datagram, ++last_sequence_);
     datagram.append(payload);
-    const auto tag = tag_of(keys_.front().key, datagram);
+    const auto tag = compute_tag(keys_.front().key, datagram);
     datagram.append(reinterpret_cast<const char*>(tag.data()), tag.size());
     return datagram;
 }
@@ -120,8 +122,8 @@
     if (!has_valid_tag(bytes)) return OpenResult::bad_key;
     from = read_u64(bytes, kFromOffset);
     payload = bytes.substr(kHeaderBytes, bytes.size() - kAuthOverheadBytes);
-    const bool is_own = from == process_;
-    if (is_own || from == 0) return OpenResult::replayed;
+    const bool is_own_datagram = from == process_;
+    if (is_own_datagram || from == 0) return OpenResult::replayed;
     if (read_u64(bytes, kToOffset) != process_) return OpenResult::not_for_this_process;
     const bool is_new = accept_sequence(from, read_u64(bytes, kSequenceOffset));
     return is_new ? OpenResult::fresh : OpenResult::replayed;
@@ -131,7 +133,7 @@
     const std::string_view body = bytes.substr(0, bytes.size() - kTagBytes);
     for (const IdentifiedKey& key : keys_) {
         if (key.id != static_cast<unsigned char>(bytes[1])) continue;
-        const auto tag = tag_of(key.key, body);
+        const auto tag = compute_tag(key.key, body);
         if (sodium_memcmp(tag.data(), bytes.data() + body.size(), kTagBytes) == 0) return true;
     }
     return false;
@@ -140,20 +142,19 @@
 DatagramAuth::Sender& DatagramAuth::find_or_create_sender(std::uint64_t from) {
     const auto found = senders_.find(from);
     if (found != senders_.end()) {
-        least_recently_heard_.splice(least_recently_heard_.end(), least_recently_heard_,
-                                     found->second.recency);
+        recency_order_.splice(recency_order_.end(), recency_order_, found->second.recency);
         return found->second;
     }
     if (senders_.size() >= kMaxSenders) {
-        senders_.erase(least_recently_heard_.front());
-        least_recently_heard_.pop_front();
+        senders_.erase(recency_order_.front());
+        recency_order_.pop_front();
     }
     Sender& sender = senders_[from];
-    sender.recency = least_recently_heard_.insert(least_recently_heard_.end(), from);
+    sender.recency = recency_order_.insert(recency_order_.end(), from);
     return sender;
 }
 
-// False: the sequence was accepted before, or is too old to know.
+// Returns false if the sequence number was accepted before, or is too old to be known.
 bool DatagramAuth::accept_sequence(std::uint64_t from, std::uint64_t sequence) {
     Sender& sender = find_or_create_sender(from);
     if (sequence > sender.highest_sequence) {
--- a/src/membership/gossip_transport.cpp
+++ b/src/membership/gossip_transport.cpp
@@ -5,17 +5,17 @@
 namespace slatejunction::membership {
 namespace {
 
-constexpr double kBindRetryS = 0.1;
+constexpr double kBindRetryIntervalS = 0.1;
 constexpr std::size_t kMaxCachedAddresses = 4096;
-constexpr double kNoDeadline = 1e17;   // s; from there on no timer is wanted
+constexpr double kNoDeadline = 1e17;   // s; deadlines from this value on need no timer
 
-// As in the log line of a change.
-const char* state_name(const MemberChange& change) {
+// The state of the member after the change, for the log.
+const char* describe_change(const MemberChange& change) {
     switch (change.kind) {
         case MemberChange::Kind::joined:
-            return "there";
+            return "joined";
         case MemberChange::Kind::restarted:
-            return "there anew";
+            return "restarted";
         default:
             return kMemberStateNames[static_cast<int>(change.member.state)];
     }
@@ -40,13 +40,12 @@
     std::string error;
     if (!socket_.start(resolve(listen_address_), error)) {
         if (!std::exchange(bind_failure_logged_, true))
-            log_.write(Log::Level::warning, net::now(),
-                       "peers: %s can't be listened at, it is tried again: %s", listen_address_.c_str(),
-                       error.c_str());
-        bind_timer_.arm(net::now() + kBindRetryS);
+            log_.write(Log::Level::warning, net::now(), "peers: cannot listen on %s, retrying: %s",
+                       listen_address_.c_str(), error.c_str());
+        bind_timer_.arm(net::now() + kBindRetryIntervalS);
         return;
     }
-    log_.write(Log::Level::info, net::now(), "peers: %s at %s", members_.self().name.c_str(),
+    log_.write(Log::Level::info, net::now(), "peers: member %s listens on %s", members_.self().name.c_str(),
                listen_address_.c_str());
     members_.start(net::now());
     flush();
@@ -92,7 +91,8 @@
     flush();
 }
 
-// A listener may send in its turn: that goes out in the next pass, not inside the call.
+// Sends datagrams and calls listeners until there is nothing left to do. What a listener sends goes out in
+// the next pass, not within the call of the listener.
 void GossipTransport::flush() {
     if (std::exchange(flushing_, true)) return;
     bool listeners_called = true;
@@ -125,7 +125,7 @@
     const std::vector<MemberChange> changes = members_.take_changes();
     for (const MemberChange& change : changes) {
         log_change(change);
-        for (const auto& call : change_listeners_) call(change);
+        for (const auto& listener : change_listeners_) listener(change);
     }
     return !changes.empty();
 }
@@ -138,8 +138,8 @@
                    member.name.c_str(), member.address.c_str());
         return;
     }
-    log_.write(Log::Level::info, net::now(), "peers: %s of %s at %s is %s", member.name.c_str(),
-               member.site.c_str(), member.address.c_str(), state_name(change));
+    log_.write(Log::Level::info, net::now(), "peers: %s (site %s, %s): %s", member.name.c_str(),
+               member.site.c_str(), member.address.c_str(), describe_change(change));
 }
 
 void GossipTransport::arm_timer() {
--- a/src/membership/gossip_transport.hpp
+++ b/src/membership/gossip_transport.hpp
@@ -1,11 +1,9 @@
-// Carries the datagrams of SwimMembership over one UDP socket, authenticated, and passes user messages
-// to the modules above by channel.
+// Sends and receives the authenticated datagrams of SwimMembership over one UDP socket, and passes user
+// messages to the modules above by their channel. Listeners are called in the order of arrival. Nothing is
+// retransmitted.
 //
-// Inputs: the socket, timers, send().
-// Output: calls of listeners, in the order of arrival.
-// Never does: deciding who is alive, retransmitting. src/app/fleet_component owns it; timers and log
-// must outlive it.
-// Seen in: the log lines "peers: ...".
+// Changes of members are logged in lines that begin with "peers: ". SwimMembership decides which members
+// are alive. src/app/fleet_component owns the transport; the timers and the log must outlive it.
 #pragma once
 
 #include <functional>
@@ -23,7 +21,7 @@
 
 namespace slatejunction::membership {
 
-/// The module that a user message is for. The values are on the wire and never reused.
+/// The module that a user message is for. The numeric values are part of the wire format and never reused.
 enum class Channel : std::uint32_t {
     lease = 1,
     rate_limits = 2,
@@ -38,20 +36,21 @@
 class GossipTransport {
   public:
     using Listener = std::function<void(const ReceivedMessage&)>;
-    /// `process`: drawn for this life of the process, never 0. `seed`: of all randomness of membership.
+    /// `process` is the random id of this process, never 0. `seed` seeds the random choices of membership.
     GossipTransport(const Settings& settings, const std::vector<AuthKey>& keys, std::uint64_t process,
                     std::uint64_t seed, net::Timers& timers, Log& log);
-    /// Binds and joins; tries again while another process (a hot restart's old one) holds the address.
+    /// Binds the socket and joins the fleet. Retries while another process holds the address, such as the
+    /// old one of a hot restart.
     void start();
-    /// Tells the others and closes the socket.
+    /// Announces the departure to other members, and closes the socket.
     void leave();
     void listen(Channel channel, Listener listener) {
         listeners_[static_cast<std::uint32_t>(channel)] = std::move(listener);
     }
-    void on_change(std::function<void(const MemberChange&)> call) {
-        change_listeners_.push_back(std::move(call));
+    void on_change(std::function<void(const MemberChange&)> listener) {
+        change_listeners_.push_back(std::move(listener));
     }
-    /// Sends one user message, once. False: it was not sent.
+    /// Sends a user message once. Returns false if it was not sent (SwimMembership::send()).
     bool send(const std::string& name, Channel channel, std::string_view body);
     void set_keys(const std::vector<AuthKey>& keys) { auth_.set_keys(keys); }
 
@@ -80,7 +79,7 @@
     Log& log_;
     net::Timer timer_, bind_timer_;
     net::Datagrams socket_;
-    std::map<std::string, net::Address> addresses_;   // parsed, by text
+    std::map<std::string, net::Address> addresses_;   // parsed addresses by their text
     std::map<std::uint32_t, Listener> listeners_;
     std::vector<std::function<void(const MemberChange&)>> change_listeners_;
     bool bind_failure_logged_ = false, flushing_ = false, departed_ = false;
--- a/src/membership/packet_codec.cpp
+++ b/src/membership/packet_codec.cpp
@@ -9,7 +9,7 @@
 constexpr std::size_t kMaxTextBytes = 80;
 constexpr std::uint32_t kMaxIncarnation = 1U << 30;
 
-// Names are shown to people and stand in JSON.
+// Texts are shown on the admin page and written into JSON, so they have no quotes, backslashes or spaces.
 bool is_printable(const std::string& text) {
     return std::all_of(text.begin(), text.end(),
                        [](char c) { return c > ' ' && c < 127 && c != '"' && c != '\\'; });
--- a/src/membership/packet_codec.hpp
+++ b/src/membership/packet_codec.hpp
@@ -1,6 +1,5 @@
-// Mapping between members and the packets of the membership protocol (membership.proto).
-//
-// Never does: deciding what follows from a packet; SwimMembership calls these functions.
+// Encodes and decodes the packets of the membership protocol (membership.proto). SwimMembership decides
+// what follows from a packet.
 #pragma once
 
 #include <cstdint>
@@ -11,29 +10,29 @@
 
 namespace slatejunction::membership {
 
-/// The values are on the wire.
+/// The numeric values are part of the wire format.
 enum class PacketKind : std::uint32_t {
-    join = 1,       ///< asks who is there; sent without knowing the receiver's process
-    join_reply,     ///< tells it the sender's process
+    join = 1,       ///< asks for the identity of the receiver, whose process id is not known
+    join_reply,     ///< answers a join with the identity of the sender
     ping,           ///< direct probe
-    ack,            ///< answers a ping; passed on by a relay to who requested it
-    ping_request,   ///< asks a relay to ping `target` (SWIM's indirect probe)
+    ack,            ///< answers a ping; a relay passes it on to the requester
+    ping_request,   ///< asks a relay to ping `target` (indirect probe of SWIM)
     sync,           ///< the sender's full member list, in parts (anti-entropy)
-    user_message,   ///< a body for the modules above, by channel
-    gossip          ///< nothing but piggybacked updates
+    user_message,   ///< a message of a module above, with its channel
+    gossip          ///< carries piggybacked updates only
 };
 
-/// A packet without content from `self`.
+/// Returns a packet from `self` without further content.
 wire::Packet make_packet(PacketKind kind, const Member& self);
 void encode_member(const Member& member, wire::Member& out);
-/// A member that was not known before, alive since `now` (s).
+/// Returns the member of an update as newly known, in the state alive since `now` (s).
 Member decode_new_member(const wire::Member& update, double now);
-/// Whether names and texts are printable and within their bounds, and numbers make sense.
+/// Whether the texts are printable and not too long, and the numbers are in their ranges.
 bool is_valid(const wire::Member& update);
-/// Whether the packet's sender is valid and is the process that authenticated it.
+/// Whether the sender of the packet is valid and is the process that authenticated it.
 bool has_valid_sender(const wire::Packet& packet, std::uint64_t process);
-/// Whether `update` replaces what is known: the higher incarnation does, then the worse state of the same
-/// process.
+/// Whether `update` replaces `known`: it does with a higher incarnation or, for the same process and
+/// incarnation, with a worse state.
 bool supersedes(const wire::Member& update, const Member& known);
 
 }   // namespace slatejunction::membership
--- a/src/membership/send_budget.hpp
+++ b/src/membership/send_budget.hpp
@@ -1,11 +1,9 @@
-// Token bucket over the datagrams of membership.
+// Token bucket that limits the datagrams of membership, and so the load that failures can cause.
 //
-// Rule: a datagram needs one token; an urgent one (probes, acks, user messages) may also use the last
-// part of a token. Tokens refill at kDatagramsPerPeriod a protocol period, up to twice that.
-// Inputs: `now` in s.
-// Output: whether the datagram may be sent.
-// Reason: bounds the load that faults cause.
-// Seen in: TrafficCounts::rate_limited. SwimMembership owns it.
+// A datagram takes one token. Tokens refill at kDatagramsPerPeriod per protocol period, up to twice that
+// number. A background datagram needs a whole token; an urgent one (probes, acks, user messages) may also
+// use the last fraction of a token. Rejected datagrams are counted by TrafficCounts::rate_limited.
+// SwimMembership owns the bucket.
 #pragma once
 
 #include <algorithm>
@@ -22,13 +20,13 @@
 
     void start(double now) { refilled_at_ = now; }
 
-    /// False: over the budget.
+    /// Takes a token. Returns false if the budget is exhausted.
     bool consume(double now, Priority priority) {
         const double tokens_per_s = kDatagramsPerPeriod / protocol_period_s_;
         tokens_ = std::min(2 * kDatagramsPerPeriod, tokens_ + (now - refilled_at_) * tokens_per_s);
         refilled_at_ = now;
-        const double needed = priority == Priority::urgent ? 0 : 1;
-        if (tokens_ < needed) return false;
+        const double min_tokens = priority == Priority::urgent ? 0 : 1;
+        if (tokens_ < min_tokens) return false;
         tokens_ -= 1;
         return true;
     }
--- a/src/membership/settings.cpp
+++ b/src/membership/settings.cpp
@@ -29,16 +29,16 @@
     return parts;
 }
 
-// Lines of NAME=ADDRESS:PORT. Returns what is wrong; empty: nothing.
-std::string read_pairs(const std::string& text, std::map<std::string, std::string>& pairs) {
+// Parses lines of NAME=ADDRESS:PORT. Returns an empty text or an error.
+std::string parse_addresses(const std::string& text, std::map<std::string, std::string>& pairs) {
     for (const std::string& line : split(text, '\n')) {
-        std::string fault = "'" + line + "' is not NAME=ADDRESS:PORT";
+        std::string error = "'" + line + "' is not NAME=ADDRESS:PORT";
         const std::size_t separator = line.find('=');
-        if (separator == std::string::npos) return fault;
+        if (separator == std::string::npos) return error;
         const std::string name = trimmed(line.substr(0, separator));
         const std::string address = trimmed(line.substr(separator + 1));
-        if (name.empty() || !net::parse_address(address)) return fault;
-        if (!pairs.emplace(name, address).second) return "'" + name + "' stands twice";
+        if (name.empty() || !net::parse_address(address)) return error;
+        if (!pairs.emplace(name, address).second) return "'" + name + "' is listed twice";
     }
     return {};
 }
@@ -53,22 +53,23 @@
 
 std::string check_seeds(const std::string& text) {
     for (const std::string& address : split(text, ',')) {
-        std::string fault = check_address(address);
-        if (!fault.empty()) return fault;
+        std::string error = check_address(address);
+        if (!error.empty()) return error;
     }
     return {};
 }
 
-// What is wrong with the section as a whole; empty: nothing.
+// Checks the section as a whole. Returns an empty text or an error.
 std::string check_section(const Options& options) {
     if (!options.on()) return {};
     std::map<std::string, std::string> pairs;
-    const std::string members_fault = read_pairs(options.static_members, pairs);
-    if (!members_fault.empty()) return "members: " + members_fault;
+    const std::string members_error = parse_addresses(options.static_members, pairs);
+    if (!members_error.empty()) return "members: " + members_error;
     pairs.clear();
-    const std::string via_fault = read_pairs(options.address_overrides, pairs);
-    if (!via_fault.empty()) return "via: " + via_fault;
-    if (options.key_file.empty()) return "key_file: is wanted, what ingresses say is authenticated";
+    const std::string via_error = parse_addresses(options.address_overrides, pairs);
+    if (!via_error.empty()) return "via: " + via_error;
+    if (options.key_file.empty())
+        return "key_file: required, because messages between ingresses are authenticated";
     return {};
 }
 
@@ -102,34 +103,33 @@
     settings.site = options.site.empty() ? zone : options.site;
     settings.version = version;
     settings.seeds = split(options.seeds, ',');
-    read_pairs(options.static_members, settings.static_members);
-    read_pairs(options.address_overrides, settings.address_overrides);
+    parse_addresses(options.static_members, settings.static_members);
+    parse_addresses(options.address_overrides, settings.address_overrides);
     settings.protocol_period_s = options.interval_s;
     return settings;
 }
 
 std::string load_keys(const Options& options, std::vector<AuthKey>& keys) {
     std::ifstream in(options.key_file, std::ios::binary);
-    if (!in) return "key_file: '" + options.key_file + "' can't be read";
+    if (!in) return "key_file: '" + options.key_file + "' cannot be read";
     std::string text((std::istreambuf_iterator<char>(in)), std::istreambuf_iterator<char>());
     if (text.size() > kMaxKeyFileBytes) return "key_file: is longer than 4096 bytes";
-    const std::string why = parse_keys(text, keys);
-    return why.empty() ? why : "key_file: " + options.key_file + ", " + why;
+    const std::string error = parse_keys(text, keys);
+    return error.empty() ? error : "key_file: " + options.key_file + ", " + error;
 }
 
 std::vector<std::string> describe_bounds(const Options& options) {
-    std::vector<std::string> all;
+    std::vector<std::string> lines;
     for (const std::size_t members : {std::size_t{3}, std::size_t{30}, kMaxMembers}) {
         char text[200];
-        std::snprintf(
-            text, sizeof text,
-            "peers: of %zu members a death is known to all within %.1f s (999 of 1,000, links whole); "
-            "at most %.0f datagrams a second",
-            members, detection_bound_s(members, options.interval_s),
-            kDatagramsPerPeriod / options.interval_s);
-        all.emplace_back(text);
+        std::snprintf(text, sizeof text,
+                      "peers: among %zu members a failure is known to all within %.1f s (in 999 of 1,000 "
+                      "cases, without partitions); each sends at most %.0f datagrams per second",
+                      members, detection_bound_s(members, options.interval_s),
+                      kDatagramsPerPeriod / options.interval_s);
+        lines.emplace_back(text);
     }
-    return all;
+    return lines;
 }
 
 }   // namespace slatejunction::membership
--- a/src/membership/settings.hpp
+++ b/src/membership/settings.hpp
@@ -1,5 +1,5 @@
-// The operator's [peers] section and the key file, and what check-config says of them. The INI keys
-// are the operator's words; they are mapped to the code's terms here and nowhere else.
+// Options of the [peers] section of the options file, the key file, and their summary in check-config. The
+// names of the section's keys are mapped to the terms of the code here and nowhere else.
 #pragma once
 
 #include <string>
@@ -12,25 +12,29 @@
 namespace slatejunction::membership {
 
 struct Options {
-    std::string listen;              ///< ADDRESS:PORT, UDP; empty: off
-    std::string site;                ///< empty: the platform's zone
-    std::string seeds;               ///< ADDRESS:PORT, separated by commas
-    std::string static_members;      ///< static members: NAME=ADDRESS:PORT, one a line
-    std::string address_overrides;   ///< address overrides: the same
+    std::string listen;   ///< ADDRESS:PORT (UDP); empty: off
+    std::string site;     ///< empty: the zone of the platform
+    std::string seeds;    ///< ADDRESS:PORT, separated by commas
+    /// Lines of NAME=ADDRESS:PORT, of members that are known in advance.
+    std::string static_members;
+    /// Lines of NAME=ADDRESS:PORT, where this ingress reaches members that it cannot reach at their own
+    /// address.
+    std::string address_overrides;
     std::string key_file;
-    double interval_s = 1;   ///< the protocol period
+    double interval_s = 1;   ///< protocol period
     bool operator==(const Options&) const = default;
 
     bool on() const { return !listen.empty(); }
     ini::Section section();
 };
 
-/// Requires options that passed the section's checks. `zone`: the site where none is named.
+/// Returns the settings of a member. Requires options that passed the checks of the section. `zone` is the
+/// site if the options name none.
 Settings settings_of(const Options& options, const std::string& name, const std::string& zone,
                      const std::string& version);
-/// Reads key_file. Returns what is wrong, "key_file: why"; empty: `keys` are set.
+/// Reads key_file into `keys`. Returns an empty text, or the error as "key_file: reason".
 std::string load_keys(const Options& options, std::vector<AuthKey>& keys);
-/// The bounds that follow from the options, a line each, for check-config.
+/// Describes the bounds that follow from the options, for check-config, in one line each.
 std::vector<std::string> describe_bounds(const Options& options);
 
 }   // namespace slatejunction::membership
--- a/src/membership/swim.cpp
+++ b/src/membership/swim.cpp
@@ -9,8 +9,9 @@
 namespace {
 
 constexpr double kNever = 1e18;             // s
-constexpr double kRelayedPingPeriods = 1;   // protocol periods for which a relayed ping is remembered
-constexpr std::size_t kFarewellFanout = 2 * kGossipFanout;   // notified directly of a departure
+constexpr double kRelayedPingPeriods = 1;   // protocol periods until a relayed ping expires
+constexpr std::size_t kLeaveFanout =
+    2 * kGossipFanout;   // members that are notified of a departure directly
 
 }   // namespace
 
@@ -45,11 +46,11 @@
     self_.state = MemberState::departed;
     self_.state_since = now;
     if (awaiting_name_) return;
-    // Nobody probes a process that has ended, so several are notified directly.
-    wire::Packet farewell = make_packet(PacketKind::gossip, self_);
-    encode_member(self_, *farewell.add_news());
-    for (const std::string& name : pick_random_members(kFarewellFanout, {}))
-        send_packet(now, peers_.at(name), farewell, Priority::urgent);
+    // A process that has ended sends no more gossip, so several members are notified directly.
+    wire::Packet departure = make_packet(PacketKind::gossip, self_);
+    encode_member(self_, *departure.add_news());
+    for (const std::string& name : pick_random_members(kLeaveFanout, {}))
+        send_packet(now, peers_.at(name), departure, Priority::urgent);
 }
 
 double SwimMembership::next_deadline() const {
@@ -85,8 +86,8 @@
     if (now >= next_join_at_) send_join_requests(now);
 }
 
-// A timer that is late says that this process was paused: acks may lie unread in its socket, so nobody is
-// judged before they are read.
+// A late timer shows that this process was paused. Acks may be unread in its socket, so deadlines are
+// extended by the delay instead of counting it against other members.
 void SwimMembership::absorb_timer_delay(double now) {
     const double delay = now - next_deadline();
     if (delay <= kPingTimeoutPeriods * settings_.protocol_period_s) return;
@@ -103,9 +104,9 @@
     const double forget_after_s = kForgetPeriods * settings_.protocol_period_s;
     for (auto entry = peers_.begin(); entry != peers_.end();) {
         const Member& member = entry->second.member;
-        const bool is_over = !counts_as_alive(member.state) && now - member.state_since > forget_after_s;
-        if (is_over) changes_.push_back({member, MemberChange::Kind::forgotten});
-        entry = is_over ? peers_.erase(entry) : std::next(entry);
+        const bool is_expired = !counts_as_alive(member.state) && now - member.state_since > forget_after_s;
+        if (is_expired) changes_.push_back({member, MemberChange::Kind::forgotten});
+        entry = is_expired ? peers_.erase(entry) : std::next(entry);
     }
     for (auto& [name, peer] : peers_)
         if (peer.member.name_conflict && now > peer.name_conflict_until) peer.member.name_conflict = false;
@@ -124,7 +125,7 @@
     wire::Packet packet = make_packet(PacketKind::user_message, self_);
     packet.mutable_carried()->set_channel(channel);
     packet.mutable_carried()->set_body(std::string(body));
-    // Also to a member that is gone by the list, which may be wrong: safety must not depend on it.
+    // Sent even if the member is listed as gone: the list may be wrong, and safety must not depend on it.
     return send_packet(now, found->second, packet, Priority::urgent);
 }
 
@@ -160,8 +161,8 @@
     handle_packet(now, packet, sender, was_known);
 }
 
-// A sender that was restarted, or is suspected or gone by this list, is sent what is known of its name, so
-// that it can refute it.
+// Sends a correction to a sender whose name is listed with another process, with a higher incarnation, or
+// as suspected, gone or departed, so that it can refute this.
 void SwimMembership::correct_stale_sender(double now, const wire::Packet& packet, const Peer& sender) {
     const wire::Member& from = packet.from();
     const bool is_gossip = static_cast<PacketKind>(packet.kind()) == PacketKind::gossip;
@@ -216,15 +217,15 @@
 
 void SwimMembership::handle_ack(double now, const wire::Packet& packet) {
     const std::string& from = packet.from().name();
-    const bool is_of_probe = packet.number() == probe_.sequence;
-    if (is_of_probe && from == probe_.target && probe_.sequence != 0) {
+    const bool matches_probe = packet.number() == probe_.sequence;
+    if (matches_probe && from == probe_.target && probe_.sequence != 0) {
         if (!std::exchange(probe_.acknowledged, true)) improve_local_health(1);
         return;
     }
     const auto relayed = relayed_pings_.find(packet.number());
     if (relayed == relayed_pings_.end()) {
-        const bool is_by_relay = is_of_probe && packet.target() == probe_.target;
-        if (is_by_relay) probe_.acknowledged = true;
+        const bool was_relayed = matches_probe && packet.target() == probe_.target;
+        if (was_relayed) probe_.acknowledged = true;
         return;
     }
     const auto requester = peers_.find(relayed->second.requester);
--- a/src/membership/swim.hpp
+++ b/src/membership/swim.hpp
@@ -1,22 +1,29 @@
-// Membership of the fleet by SWIM, with suspicion and Lifeguard's local health.
+// Membership of the fleet by the SWIM protocol, with suspicion and the local health of Lifeguard.
 //
-// Rule: each protocol period one member is pinged; without an ack, others ping it too; without any ack
-// it is suspected, and gone when it does not refute the suspicion by a higher incarnation in time.
-// Inputs: payloads of authenticated datagrams, and `now` in s.
-// Output: datagrams, changes of members, and messages of other members for the modules above.
-// Invariants: only a process raises its own incarnation; of one process, a worse state replaces a
-// better one at the same incarnation; a late timer never counts against others.
-// Reason: constant load per member, and detection within detection_bound_s() (detection_bounds.hpp).
-// From: SWIM (Das, Gupta, Motivala 2002); Lifeguard (Dadgar, Phillips, Currey 2018);
+// In each protocol period one member is pinged directly. If it does not acknowledge the ping, other members
+// are asked to ping it as well. A member without any acknowledgement is suspected, and it is gone if it
+// does not refute the suspicion with a higher incarnation in time. This costs each member a constant load
+// and detects failures within detection_bound_s() (detection_bounds.hpp).
+//
+// - Inputs: payloads of authenticated datagrams, and `now` in s.
+// - Outputs: datagrams, changes of members, and messages of other members for the modules above.
+// - Observability: the members on the admin page, the log lines "peers: ...", TrafficCounts as metrics.
+//
+// Invariants:
+// - Only the process itself raises its incarnation.
+// - For one process and one incarnation, a worse state replaces a better one.
+// - A delayed timer of this process never counts against other members.
+//
+// The safety of the modules above must not depend on the member list: it says which members are probably
+// alive, and may be out of date by staleness_s(), or for as long as links are partitioned.
+//
+// The code does no I/O, reads no clock, and draws random numbers from its seed only. GossipTransport owns
+// it. References: SWIM (Das, Gupta, Motivala 2002); Lifeguard (Dadgar, Phillips, Currey 2018);
 // docs/design/fleet.md.
-// Seen in: the members on the admin page, the log lines "peers: ...", TrafficCounts as measures.
-// Never does: I/O, reading a clock; all randomness comes from the seed. GossipTransport owns it.
-// Nothing above may rest its safety on this list: it says who is probably alive, and may be out of
-// date by staleness_s(), or for as long as links are cut.
 //
-// swim.cpp: life cycle, timers, receipt of packets. swim_probing.cpp: failure detection.
-// swim_updates.cpp: what an update changes, name conflicts. swim_dissemination.cpp: joining, gossip,
-// sync, sending. packet_codec.hpp: the packets.
+// Implemented in swim.cpp (life cycle, timers, received packets), swim_probing.cpp (failure detection),
+// swim_updates.cpp (effects of updates, name conflicts) and swim_dissemination.cpp (joining, gossip, sync,
+// sending). The packets are defined in packet_codec.hpp.
 #pragma once
 
 #include <cstdint>
@@ -38,12 +45,12 @@
 class Packet;
 }   // namespace wire
 
-/// The values are on the wire; a higher one is worse.
+/// The numeric values are part of the wire format. A higher value is a worse state.
 enum class MemberState { alive = 0, suspected = 1, gone = 2, departed = 3 };
-/// As on the admin page and in log lines.
+/// By MemberState, for the admin page and log lines.
 inline constexpr const char* kMemberStateNames[] = {"alive", "suspected", "gone", "left"};
 
-/// Suspected members count as alive until the suspicion's end.
+/// Whether a member in this state counts as alive. A suspected member does until its suspicion expires.
 inline bool counts_as_alive(MemberState state) {
     return state == MemberState::alive || state == MemberState::suspected;
 }
@@ -51,23 +58,27 @@
 struct Member {
     std::string name, address, site, version;
     std::uint32_t incarnation = 0;
-    std::uint64_t process = 0;   ///< drawn at the process's start, never 0
+    std::uint64_t process = 0;   ///< random id drawn at the start of the process, never 0
     MemberState state = MemberState::alive;
-    double state_since = 0;        ///< s
-    double last_received_at = 0;   ///< s; a packet came from it directly; 0: never
-    bool name_conflict = false;    ///< two processes claim the name
+    double state_since = 0;        ///< s; when the member entered its state
+    double last_received_at = 0;   ///< s; time of the last packet received from it directly; 0: never
+    bool name_conflict = false;    ///< whether two processes claim the name
 };
 
 struct Settings {
-    std::string name, address, site, version;   ///< address: where the others reach this process
-    std::vector<std::string> seeds;             ///< addresses to join by
-    std::map<std::string, std::string> address_overrides;   ///< by name: where this process reaches it
-    std::map<std::string, std::string> static_members;      ///< by name: addresses that are known ahead
+    /// Of this process; `address` is the one at which the other members reach it.
+    std::string name, address, site, version;
+    std::vector<std::string> seeds;   ///< addresses to which join requests are sent
+    /// Addresses by member name that replace the ones that members announce.
+    std::map<std::string, std::string> address_overrides;
+    /// Addresses of members that are known in advance, by name.
+    std::map<std::string, std::string> static_members;
     double protocol_period_s = 1;
     bool operator==(const Settings&) const = default;
 };
 
-/// To be authenticated and sent. `process`: its receiver; 0: whichever process is there.
+/// A datagram to be authenticated and sent. `process` is the id of the receiving process; 0: whichever
+/// process has the address.
 struct Datagram {
     std::string address;
     std::uint64_t process = 0;
@@ -75,12 +86,12 @@
 };
 
 struct MemberChange {
-    Member member;   ///< as it is now
+    Member member;   ///< after the change
     enum class Kind { joined, state_changed, restarted, name_conflict, forgotten };
     Kind kind = Kind::state_changed;
 };
 
-/// A user message from another member.
+/// A message of a module above on another member.
 struct ReceivedMessage {
     std::string from;
     std::uint64_t process = 0;
@@ -88,53 +99,58 @@
     std::string body;
 };
 
-/// Counters since the start.
+/// Counters since the start of the process.
 struct TrafficCounts {
-    std::uint64_t sent = 0, sent_bytes = 0;   ///< datagrams, with what authentication adds
-    std::uint64_t rate_limited = 0;           ///< datagrams not sent, over the budget
-    std::uint64_t malformed = 0;              ///< packets
-    std::uint64_t refutations = 0;            ///< suspicions of this process that it refuted
-    std::uint64_t late_timers = 0;            ///< timers so late that nobody was judged by them
-    std::uint64_t syncs = 0;
+    std::uint64_t sent = 0, sent_bytes = 0;   ///< datagrams; bytes including authentication
+    std::uint64_t rate_limited = 0;           ///< datagrams not sent because the send budget was exhausted
+    std::uint64_t malformed = 0;   ///< received packets that could not be decoded or have an invalid sender
+    std::uint64_t refutations = 0;   ///< refuted suspicions of this process
+    std::uint64_t late_timers = 0;   ///< timers so late that deadlines were extended
+    std::uint64_t syncs = 0;         ///< requested by this process
 };
 
 class SwimMembership {
   public:
-    /// `process` is drawn for this life of the process, never 0.
+    /// `process` is the random id of this process, never 0.
     SwimMembership(const Settings& settings, std::uint64_t process, std::uint64_t seed);
     ~SwimMembership();
     SwimMembership(const SwimMembership&) = delete;
     SwimMembership& operator=(const SwimMembership&) = delete;
 
     void start(double now);
-    /// Tells other members of the departure; nothing but user messages is sent after it.
+    /// Announces the departure to other members. Afterwards packets are still answered, but
+    /// timers have no effect and send() fails.
     void leave(double now);
-    /// `is_fresh`: authenticated for this very process. Otherwise it may be a replay, and is only answered
-    /// with who is here.
+    /// `is_fresh` states that the packet was authenticated for this very process. Any other packet may be a
+    /// replay, and is only answered with the identity of this process.
     void receive(double now, std::uint64_t from_process, bool is_fresh, std::string_view payload);
     void on_timer(double now);
-    double next_deadline() const;   ///< s; when on_timer() is due
+    /// Returns when on_timer() is due (s).
+    double next_deadline() const;
 
-    /// Sends one user message of kMaxMessageBytes at most, once. False: the member is not known, or its
-    /// process isn't yet (a join is sent then).
+    /// Sends a message of at most kMaxMessageBytes to a member, once. Returns false if it was not sent: the
+    /// message is too long, this process is leaving, the send budget is exhausted, or the member is
+    /// unknown, in which case a join request follows soon.
     bool send(double now, const std::string& name, std::uint32_t channel, std::string_view body);
 
     std::vector<Datagram> take_datagrams();
     std::vector<MemberChange> take_changes();
     std::vector<ReceivedMessage> take_messages();
 
-    /// This process first, the others by name; those gone and departed until they are forgotten.
+    /// Returns this process, then the other members by name. Members that are gone or departed are listed
+    /// until they are forgotten.
     std::vector<Member> list() const;
-    /// Null: not known.
+    /// Returns nullptr if there is no such member.
     const Member* find(const std::string& name) const;
     const Member& self() const { return self_; }
-    /// Members that count as alive, this process among them.
+    /// Number of members that count as alive, including this process.
     std::size_t alive_count() const { return alive_; }
-    /// s by which this list may be out of date while links work.
+    /// Longest time in s by which the member list may be out of date while links work.
     double staleness_s() const { return detection_bound_s(alive_count(), settings_.protocol_period_s); }
-    /// Another process holds the name; this one claims nothing until that is gone.
+    /// Whether another process holds the name. This one does not announce itself until that process is
+    /// gone.
     bool awaiting_name() const { return awaiting_name_; }
-    /// Lifeguard's score: 0 is healthy, kMaxLocalHealthScore the worst.
+    /// Health score of Lifeguard: 0 is healthy, kMaxLocalHealthScore is the worst.
     int local_health_score() const { return local_health_score_; }
     const TrafficCounts& traffic() const { return traffic_; }
     void set_address_overrides(const std::map<std::string, std::string>& overrides) {
@@ -145,7 +161,7 @@
     struct Peer {
         Member member;
         double suspicion_deadline = 0;
-        std::set<std::string> accusers;   // whose suspicions were heard
+        std::set<std::string> accusers;   // members that suspect it
         double name_conflict_until = 0;
     };
     struct PendingUpdate {
@@ -153,13 +169,14 @@
     };
     struct Probe {
         std::string target;
-        std::uint64_t sequence = 0;   // 0: no probe is under way
+        std::uint64_t sequence = 0;   // 0: no probe in progress
         double indirect_at = 0, ends_at = 0;
         bool indirect_sent = false, acknowledged = false;
     };
-    struct RelayedPing {   // on behalf of `requester`
+    // A ping sent on behalf of `requester`.
+    struct RelayedPing {
         std::string requester;
-        std::uint64_t sequence = 0;   // of its request
+        std::uint64_t sequence = 0;   // of the request
         double expires_at = 0;
     };
 
@@ -179,7 +196,7 @@
     void finish_probe(double now);
     void suspect(double now, Peer& peer, const std::string& accuser);
     void expire_suspicions(double now);
-    void improve_local_health(int by);
+    void improve_local_health(int points);
     double local_health_multiplier() const { return 1.0 + local_health_score_; }
 
     // swim_updates.cpp
@@ -224,16 +241,16 @@
     std::map<std::string, Peer> peers_;   // by name
     std::set<std::string> suspected_;
     std::size_t alive_ = 1;
-    std::map<std::string, PendingUpdate> pending_updates_;   // by name, this process's too
-    std::vector<std::string> probe_order_;                   // names still to be probed in this round
+    std::map<std::string, PendingUpdate> pending_updates_;   // by name, including this process
+    std::vector<std::string> probe_order_;   // names not yet probed in this round, next one last
     Probe probe_;
-    std::map<std::uint64_t, RelayedPing> relayed_pings_;   // by the relayed ping's own sequence
+    std::map<std::uint64_t, RelayedPing> relayed_pings_;   // by sequence of the relayed ping
     std::uint64_t last_sequence_ = 0;
     bool started_ = false, leaving_ = false, awaiting_name_ = false, joined_ = false;
     int local_health_score_ = 0;
-    double missed_ping_ratio_ = 0;   // moving average of own direct pings without an ack
+    double missed_ping_ratio_ = 0;   // moving average of direct pings without an ack in time
     double next_probe_at_ = 0, next_gossip_at_ = 0, next_sync_at_ = 0, next_join_at_ = 0;
-    double name_asserted_at_ = -1e18;
+    double name_asserted_at_ = -1e18;   // s; last assertion of the name in a conflict
     SendBudget send_budget_;
     std::vector<Datagram> datagrams_;
     std::vector<MemberChange> changes_;
--- a/src/membership/swim_dissemination.cpp
+++ b/src/membership/swim_dissemination.cpp
@@ -1,4 +1,4 @@
-// Dissemination: joining, gossip, anti-entropy sync, and sending with piggybacked updates.
+// Dissemination: joining, gossip, anti-entropy sync, sending with piggybacked updates.
 #include <algorithm>
 #include <cmath>
 #include <utility>
@@ -11,9 +11,9 @@
 namespace {
 
 constexpr std::size_t kMaxPayloadBytes = kMaxDatagramBytes - kAuthOverheadBytes;
-constexpr std::size_t kFieldOverheadBytes = 4;   // of one repeated update: its tag and length
-constexpr double kJoinPeriods = 2;               // protocol periods between joins, until joined
-constexpr double kRejoinPeriods = 10;            // the same, once joined
+constexpr std::size_t kFieldOverheadBytes = 4;   // tag and length of one repeated update
+constexpr double kJoinPeriods = 2;               // protocol periods between join requests before joining
+constexpr double kRejoinPeriods = 10;            // the same after joining
 
 }   // namespace
 
@@ -33,7 +33,8 @@
     }
 }
 
-// Joins, and heals splits: a join to some addresses of members that are not alive by the list.
+// Sends join requests to some addresses of members that are not listed as alive, to join the fleet and to
+// heal partitions.
 void SwimMembership::send_join_requests(double now) {
     std::vector<std::string> addresses = join_candidates();
     std::shuffle(addresses.begin(), addresses.end(), random_);
@@ -42,13 +43,15 @@
         wire::Packet join = make_packet(PacketKind::join, self_);
         send_packet(now, address, 0, join, Priority::background, false);
     }
-    if (awaiting_name_)   // learns whether the other holder of the name is still alive
+    // A sync tells whether the other holder of the name is still alive.
+    if (awaiting_name_)
         for (const std::string& name : pick_random_members(1, {})) request_sync(now, peers_.at(name));
     const double periods = joined_ ? kRejoinPeriods : kJoinPeriods;
     next_join_at_ = now + with_jitter(periods * settings_.protocol_period_s);
 }
 
-// Seeds and static members that are not alive by the list, and one of those that are gone.
+// Returns the addresses of the seeds and static members that are not listed as alive, and that of one
+// random member that is gone.
 std::vector<std::string> SwimMembership::join_candidates() {
     std::set<std::string> alive_addresses;
     std::vector<std::string> gone_addresses;
@@ -75,7 +78,8 @@
     return candidates;
 }
 
-// Tells a process that does not know this one who is here: it may then authenticate packets for it.
+// Sends the identity of this process to a process that does not know it, which needs it to authenticate
+// packets for this process.
 void SwimMembership::reply_to_unknown_process(double now, const wire::Packet& packet,
                                               std::uint64_t process) {
     if (!has_valid_sender(packet, process)) return;
@@ -91,7 +95,7 @@
     send_full_state(now, peer, true);
 }
 
-// The list of members, in as many packets as it takes. `wants_reply`: the receiver's list is wanted too.
+// Sends the member list in as many packets as needed. `wants_reply` requests the receiver's list.
 void SwimMembership::send_full_state(double now, const Peer& peer, bool wants_reply) {
     wire::Packet packet = make_packet(PacketKind::sync, self_);
     packet.set_wants_sync(wants_reply);
@@ -120,14 +124,14 @@
     count = std::min(count, names.size());
     std::vector<std::string> picked;
     for (std::size_t i = 0; i < count; ++i) {
-        const std::size_t drawn = i + random_() % (names.size() - i);
-        std::swap(names[i], names[drawn]);
+        const std::size_t selected = i + random_() % (names.size() - i);
+        std::swap(names[i], names[selected]);
         picked.push_back(*names[i]);
     }
     return picked;
 }
 
-// The operator's override for that member; else the address that it claims.
+// Returns the configured override for the member, else the address that it announces.
 std::string SwimMembership::resolve_address(const std::string& name, const std::string& address) const {
     const auto found = settings_.address_overrides.find(name);
     return found == settings_.address_overrides.end() ? address : found->second;
@@ -152,8 +156,8 @@
     return true;
 }
 
-// Fills the packet with pending updates, the least transmitted first. Each is transmitted so many times
-// that it reaches all members, whatever the fleet's size (SWIM, 4.1).
+// Fills the packet with pending updates, the least transmitted ones first. The number of transmissions of
+// an update grows with the logarithm of the fleet's size, so that it reaches all members (SWIM, 4.1).
 void SwimMembership::piggyback_updates(wire::Packet& packet) {
     const double members = static_cast<double>(peers_.size() + 1);
     const auto max_transmissions = static_cast<std::size_t>(4 * std::ceil(std::log10(members + 1)));
@@ -177,7 +181,7 @@
     }
 }
 
-// False: the member was forgotten.
+// Returns false if the member has been forgotten.
 bool SwimMembership::fill_update(const std::string& name, wire::Member& update) const {
     if (name == self_.name) {
         encode_member(self_, update);
@@ -188,9 +192,10 @@
     const Peer& peer = found->second;
     encode_member(peer.member, update);
     if (peer.member.state != MemberState::suspected || peer.accusers.empty()) return true;
-    // An own suspicion carries this process's name: it confirms those of others.
-    const bool is_own = peer.accusers.contains(self_.name);
-    update.set_accuser(is_own ? self_.name : *peer.accusers.begin());
+    // If this process suspects the member too, it is named as the accuser, which confirms the suspicions of
+    // others.
+    const bool is_own_suspicion = peer.accusers.contains(self_.name);
+    update.set_accuser(is_own_suspicion ? self_.name : *peer.accusers.begin());
     return true;
 }
 
--- a/src/membership/swim_probing.cpp
+++ b/src/membership/swim_probing.cpp
@@ -1,4 +1,4 @@
-// Failure detection: pings, indirect pings, suspicion and local health.
+// Failure detection: direct and indirect pings, suspicion, local health.
 #include <algorithm>
 #include <cmath>
 #include <utility>
@@ -9,7 +9,7 @@
 namespace slatejunction::membership {
 namespace {
 
-constexpr double kProbePeriods = 0.9;   // protocol periods until a probe without an ack has failed
+constexpr double kProbeTimeoutPeriods = 0.9;   // protocol periods until a probe without an ack fails
 
 }   // namespace
 
@@ -24,16 +24,16 @@
     probe_.target = target;
     probe_.sequence = ++last_sequence_;
     probe_.indirect_at = now + kPingTimeoutPeriods * period;
-    probe_.ends_at = now + kProbePeriods * period;
+    probe_.ends_at = now + kProbeTimeoutPeriods * period;
     wire::Packet ping = make_packet(PacketKind::ping, self_);
     ping.set_number(probe_.sequence);
-    // A suspected member learns of the suspicion first of all, so that it can refute it.
+    // Tells a suspected member of the suspicion, so that it can refute it.
     if (peer.member.state == MemberState::suspected) encode_member(peer.member, *ping.add_news());
     send_packet(now, peer, ping, Priority::urgent);
 }
 
-// Each member once a round, in an order that is drawn anew for each round (SWIM, 4.3). False: nobody is
-// alive.
+// Picks each member once per round, in an order that is shuffled for each round (SWIM, 4.3). Returns false
+// if no member is alive.
 bool SwimMembership::pick_probe_target(std::string& name) {
     while (true) {
         if (probe_order_.empty()) {
@@ -49,7 +49,8 @@
     }
 }
 
-// Pings the target once more, and asks others to: the more of them, the more own pings were missed lately.
+// Pings the target once more, and asks other members to ping it: more of them if many recent direct pings
+// of this process were not acknowledged.
 void SwimMembership::send_indirect_probes(double now) {
     probe_.indirect_sent = true;
     missed_ping_ratio_ += kMissedPingWeight * (1 - missed_ping_ratio_);
@@ -59,8 +60,9 @@
         ping.set_number(probe_.sequence);
         send_packet(now, target->second, ping, Priority::urgent);
     }
-    const auto extra = static_cast<std::size_t>(std::lround(kExtraIndirectProbes * missed_ping_ratio_));
-    for (const std::string& name : pick_random_members(kIndirectProbes + extra, probe_.target)) {
+    const auto extra_count =
+        static_cast<std::size_t>(std::lround(kExtraIndirectProbes * missed_ping_ratio_));
+    for (const std::string& name : pick_random_members(kIndirectProbes + extra_count, probe_.target)) {
         wire::Packet request = make_packet(PacketKind::ping_request, self_);
         request.set_number(probe_.sequence);
         request.set_target(probe_.target);
@@ -77,7 +79,7 @@
     if (found != peers_.end()) suspect(now, found->second, self_.name);
 }
 
-// Begins a suspicion, or shortens it by a further accuser (Lifeguard, 3.2).
+// Begins the suspicion of a member, or shortens it if there is a further accuser (Lifeguard, 3.2).
 void SwimMembership::suspect(double now, Peer& peer, const std::string& accuser) {
     if (!counts_as_alive(peer.member.state)) return;
     if (peer.member.state == MemberState::alive) {
@@ -103,9 +105,10 @@
     }
 }
 
-// A member whose own probes go unanswered is slower to suspect others (Lifeguard, 3.1).
-void SwimMembership::improve_local_health(int by) {
-    local_health_score_ = std::clamp(local_health_score_ - by, 0, kMaxLocalHealthScore);
+// Adjusts the health score by `points`; negative points worsen it. A member whose own probes are not
+// acknowledged suspects others more slowly (Lifeguard, 3.1).
+void SwimMembership::improve_local_health(int points) {
+    local_health_score_ = std::clamp(local_health_score_ - points, 0, kMaxLocalHealthScore);
 }
 
 }   // namespace slatejunction::membership
--- a/src/membership/swim_updates.cpp
+++ b/src/membership/swim_updates.cpp
@@ -1,4 +1,4 @@
-// What an update of a member changes here, and conflicts of names.
+// Effects of received member updates, and name conflicts.
 #include <utility>
 
 #include "membership/packet_codec.hpp"
@@ -7,9 +7,10 @@
 namespace slatejunction::membership {
 namespace {
 
-constexpr double kNameConflictPeriods = 30;   // protocol periods for which a name stays in conflict
-constexpr double kAssertPeriods = 5;          // protocol periods between claims to a name in conflict
+constexpr double kNameConflictPeriods = 30;   // protocol periods for which a conflict is remembered
+constexpr double kNameAssertPeriods = 5;      // protocol periods between assertions of a name in conflict
 
+// Returns the member whose suspicion this update is: the named accuser, else the sender.
 const std::string& accuser_of(const wire::Member& update, const std::string& sender) {
     return update.accuser().empty() ? sender : update.accuser();
 }
@@ -46,7 +47,7 @@
     Member& member = peer.member;
     const bool both_alive =
         counts_as_alive(member.state) && counts_as_alive(static_cast<MemberState>(update.state()));
-    // Two processes at one address are a restart: the earlier one is over.
+    // Two processes at the same address are a restart, not a conflict: the earlier one has ended.
     if (!both_alive || update.process() == member.process || update.address() == member.address) return;
     peer.name_conflict_until = now + kNameConflictPeriods * settings_.protocol_period_s;
     if (!std::exchange(member.name_conflict, true))
@@ -58,7 +59,7 @@
     Member& member = peer.member;
     const auto state = static_cast<MemberState>(update.state());
     if (update.process() != member.process) {
-        if (!counts_as_alive(state)) return;   // the end of a process that was never known here
+        if (!counts_as_alive(state)) return;   // the end of a process that is not known here
         adopt_restarted_process(now, update, peer);
     }
     member.incarnation = update.incarnation();
@@ -85,7 +86,7 @@
     changes_.push_back({peer.member, MemberChange::Kind::restarted});
 }
 
-// Stores the state, and keeps alive_ and suspected_ in step with it.
+// Stores the state, and updates alive_ and suspected_ accordingly.
 void SwimMembership::store_state(Peer& peer, MemberState state) {
     const bool was_alive = counts_as_alive(peer.member.state);
     const bool is_alive = counts_as_alive(state);
@@ -109,16 +110,17 @@
 void SwimMembership::apply_update_about_self(double now, const wire::Member& update) {
     if (leaving_) return;
     if (update.process() == self_.process) return refute_suspicion(update);
-    // No two processes have one address: an earlier process at this address is over.
-    const bool other_is_over =
+    // Two processes cannot share an address, so an earlier process at this address has ended.
+    const bool other_has_ended =
         !counts_as_alive(static_cast<MemberState>(update.state())) || update.address() == self_.address;
-    if (other_is_over)
+    if (other_has_ended)
         take_over_name(now, update);
     else
         contest_name(now, update);
 }
 
-// A higher incarnation, which only this process may claim, replaces what others say of it.
+// Refutes a suspicion with a higher incarnation, which replaces the updates of other members. Only this
+// process may raise its incarnation.
 void SwimMembership::refute_suspicion(const wire::Member& update) {
     const bool is_alive = static_cast<MemberState>(update.state()) == MemberState::alive;
     if (is_alive || update.incarnation() < self_.incarnation) return;
@@ -128,6 +130,7 @@
     enqueue_update(self_.name);
 }
 
+// Claims the name of a process that has ended.
 void SwimMembership::take_over_name(double now, const wire::Member& update) {
     if (update.incarnation() < self_.incarnation) return;
     self_.incarnation = update.incarnation() + 1;
@@ -136,8 +139,8 @@
     enqueue_update(self_.name);
 }
 
-// Two living processes claim the name. The later one waits; two that have served apart from each other both
-// go on, and the conflict is reported.
+// Handles another live process with the name of this one. The later process waits until the other is gone.
+// If both have served for some time without contact, both continue, and the conflict is reported.
 void SwimMembership::contest_name(double now, const wire::Member& update) {
     const double period = settings_.protocol_period_s;
     const bool is_newcomer =
@@ -154,7 +157,7 @@
         pending_updates_.erase(self_.name);
         return;
     }
-    const bool may_assert = now - name_asserted_at_ > kAssertPeriods * period;
+    const bool may_assert = now - name_asserted_at_ > kNameAssertPeriods * period;
     if (update.incarnation() < self_.incarnation || !may_assert) return;
     name_asserted_at_ = now;
     self_.incarnation = update.incarnation() + 1;
--- a/tests/fleet/measure_test.cpp
+++ b/tests/fleet/measure_test.cpp
@@ -67,14 +67,14 @@
         REQUIRE(wait_for([&] { return fleet.all_know_all(); }, 60));
         fleet.wait_holder();
         if (loss > 0) fleet.link("*", "loss/" + std::to_string(loss));
-        const std::size_t before = changes(fleet), gone = lines(fleet, " is gone"),
-                          suspected = lines(fleet, " is suspected");
+        const std::size_t before = changes(fleet), gone = lines(fleet, "): gone"),
+                          suspected = lines(fleet, "): suspected");
         // The smaller part of the time for the two that stand beside it.
         const double time = seconds(600) * (loss == 10 ? 1 : 0.2);
         sleep_s(time);
         const std::size_t after = changes(fleet);
         std::printf("| 9 | %d%% | %.0f | %zu | %zu | %zu |\n", loss, time, after - before,
-                    lines(fleet, " is gone") - gone, lines(fleet, " is suspected") - suspected);
+                    lines(fleet, "): gone") - gone, lines(fleet, "): suspected") - suspected);
         std::fflush(stdout);
         if (loss <= 10) CHECK(after == before);
     }
--- a/tests/membership/swim_test.cpp
+++ b/tests/membership/swim_test.cpp
@@ -182,7 +182,7 @@
         return faults.empty() ? std::string() : faults.front().substr(faults.front().find('['));
     };
     CHECK(fault("[peers]\nlisten = 127.0.0.1:7000\nkey_file = k\n") == "");
-    CHECK(fault("[peers]\nlisten = 127.0.0.1:7000\n").starts_with("[peers] key_file: is wanted"));
+    CHECK(fault("[peers]\nlisten = 127.0.0.1:7000\n").starts_with("[peers] key_file: required"));
     CHECK(fault("[peers]\nlisten = here\n").starts_with("[peers] listen: 'here' is not"));
     CHECK(fault("[peers]\nlisten = 127.0.0.1:1\nkey_file = k\nmembers =\n  a=b\n")
               .starts_with("[peers] members: 'a=b'"));
