--- a/bench/peers-model.cpp
+++ b/bench/peers-model.cpp
@@ -21,7 +21,7 @@
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
         membership_simulation::Scenario plan;
         plan.members = members;
-        plan.loss = loss;
+        plan.loss_probability = loss;
         Simulation net(plan, seed);
         net.run_until(120, [&] { return net.all_alive(); });
         row.most_joined = std::max(row.most_joined, net.now());
--- a/tests/membership/decision_digest_test.cpp
+++ b/tests/membership/decision_digest_test.cpp
@@ -1,6 +1,6 @@
-// That the decisions of membership are what they were: digests of seeded schedules, taken before the code
-// was changed. One that differs means that a message, a member's state, a health or a due time differs. A
-// change that is meant to do so takes new digests; each failed check prints its own.
+// Guards against unintended changes of the decisions of membership: digests of seeded schedules. If one
+// differs, a message, the state of a member, a health score or a deadline differs. A change that is meant
+// to alter decisions replaces the digests; each failed check prints the new one.
 #include <array>
 #include <catch2/catch.hpp>
 
@@ -8,54 +8,59 @@
 
 namespace {
 
-// Two processes that have served apart from each other for long under one name meet.
-void claim_apart(membership_simulation::Simulation& net, std::size_t who, std::size_t members) {
-    const std::size_t other = (who + 1) % members;
-    net.cut_off(other, true);
-    net.kill(who);
-    net.run(net.now() + 25);
-    net.start(who, membership_simulation::Simulation::name(other), "elsewhere");
-    net.run(net.now() + 40);
-    net.cut_off(other, false);
-    net.run(net.now() + 25);
+// Lets two processes serve under the same name while they are isolated from each other, then connects them.
+void connect_after_name_conflict(membership_simulation::Simulation& simulation, std::size_t node,
+                                 std::size_t members) {
+    const std::size_t other = (node + 1) % members;
+    simulation.isolate(other, true);
+    simulation.kill(node);
+    simulation.run(simulation.now() + 25);
+    simulation.start(node, membership_simulation::Simulation::name(other), "elsewhere");
+    simulation.run(simulation.now() + 40);
+    simulation.isolate(other, false);
+    simulation.run(simulation.now() + 25);
 }
 
-// A schedule by its seed: sizes, loss, and in each round a member that dies and is started again, leaves,
-// is cut off, starves or claims another's name; a user message goes out each time.
-std::uint64_t play(std::uint64_t seed) {
+// Runs a schedule that depends on the seed: the number of members, the loss, and in each round a member
+// that is killed, leaves, is isolated, is starved or starts with the name of another. A user message is
+// sent in each round.
+std::uint64_t run_schedule(std::uint64_t seed) {
     std::mt19937_64 random(seed * 7919 + 11);
-    const auto upto = [&](std::size_t most) { return static_cast<std::size_t>(random() % (most + 1)); };
-    membership_simulation::Scenario plan;
-    plan.members = 3 + upto(9);
-    plan.loss = upto(1) == 0 ? 0.02 * static_cast<double>(upto(15)) : 0;
-    plan.delay_most = upto(2) == 0 ? 0.4 : 0.01;
-    membership_simulation::Simulation net(plan, seed);
-    net.run(20);
+    const auto random_up_to = [&](std::size_t max) {
+        return static_cast<std::size_t>(random() % (max + 1));
+    };
+    membership_simulation::Scenario scenario;
+    scenario.members = 3 + random_up_to(9);
+    scenario.loss_probability = random_up_to(1) == 0 ? 0.02 * static_cast<double>(random_up_to(15)) : 0;
+    scenario.max_delay_s = random_up_to(2) == 0 ? 0.4 : 0.01;
+    membership_simulation::Simulation simulation(scenario, seed);
+    simulation.run(20);
     for (int round = 0; round < 7; ++round) {
-        const std::size_t who = upto(plan.members - 1), other = (who + 1) % plan.members;
-        const std::size_t fault = upto(4);
-        if (fault == 0) net.kill(who);
-        if (fault == 1) net.leave(who);
-        if (fault == 2) net.cut_off(who, true);
-        if (fault == 3) net.starve(who, 2.5);
+        const std::size_t node = random_up_to(scenario.members - 1), other = (node + 1) % scenario.members;
+        const std::size_t fault = random_up_to(4);
+        if (fault == 0) simulation.kill(node);
+        if (fault == 1) simulation.leave(node);
+        if (fault == 2) simulation.isolate(node, true);
+        if (fault == 3) simulation.starve(node, 2.5);
         if (fault == 4)
-            net.kill(who), net.start(who, membership_simulation::Simulation::name(other), "elsewhere");
-        if (net.is_running(other))
-            net.member(other).send(net.now(), membership_simulation::Simulation::name(who), 7,
-                                   "round " + std::to_string(round));
-        net.settle(other);
-        net.run(net.now() + 2 + static_cast<double>(upto(30)));
-        net.cut_off(who, false);
-        net.starve(who, 0);
-        if (fault == 4) net.kill(who);
-        if (!net.is_running(who)) net.start(who);
-        net.run(net.now() + 1 + static_cast<double>(upto(20)));
+            simulation.kill(node),
+                simulation.start(node, membership_simulation::Simulation::name(other), "elsewhere");
+        if (simulation.is_running(other))
+            simulation.member(other).send(simulation.now(), membership_simulation::Simulation::name(node),
+                                          7, "round " + std::to_string(round));
+        simulation.process_outputs(other);
+        simulation.run(simulation.now() + 2 + static_cast<double>(random_up_to(30)));
+        simulation.isolate(node, false);
+        simulation.starve(node, 0);
+        if (fault == 4) simulation.kill(node);
+        if (!simulation.is_running(node)) simulation.start(node);
+        simulation.run(simulation.now() + 1 + static_cast<double>(random_up_to(20)));
     }
-    claim_apart(net, upto(plan.members - 1), plan.members);
-    return net.digest();
+    connect_after_name_conflict(simulation, random_up_to(scenario.members - 1), scenario.members);
+    return simulation.digest();
 }
 
-// Of seeds 1, 2, ...
+// By seed, from 1.
 constexpr std::array<std::uint64_t, 20> kDigests{
     0xa9aa3ff6db06feb7ULL, 0xe37099a7093fd53dULL, 0x74f0e694d5a16295ULL, 0xb24eb20450f82024ULL,
     0x8607ee713d8cc11dULL, 0xe98b8085cb86c2a4ULL, 0x35d79a0ab0fb2b65ULL, 0x688b69f63abda9ecULL,
@@ -65,9 +70,9 @@
 
 }   // namespace
 
-TEST_CASE("digests of membership's decisions", "[peers]") {
+TEST_CASE("decisions of membership match their digests", "[peers]") {
     for (std::uint64_t seed = 1; seed <= kDigests.size(); ++seed) {
         INFO("seed " << seed);
-        CHECK(play(seed) == kDigests[seed - 1]);
+        CHECK(run_schedule(seed) == kDigests[seed - 1]);
     }
 }
--- a/tests/membership/simulation.hpp
+++ b/tests/membership/simulation.hpp
@@ -1,5 +1,5 @@
-// Members on a simulated net: datagrams that are lost, delayed and reordered, processes that die, are
-// started again, are cut off, or starve for CPU. Time is the model's own; the seed repeats all of it.
+// Simulates members on a network that loses, delays and reorders datagrams, with processes that are killed,
+// restarted, isolated or starved of CPU. Time is simulated, and a run depends on its seed alone.
 #pragma once
 
 #include <cmath>
@@ -21,18 +21,21 @@
 
 using namespace slatejunction::membership;
 
+/// The parameters of a run.
 struct Scenario {
     std::size_t members = 5, sites = 3;
-    double interval_s = 1, loss = 0, delay_least = 0.001, delay_most = 0.01;
+    double protocol_period_s = 1, loss_probability = 0, min_delay_s = 0.001, max_delay_s = 0.01;
 };
 
 class Simulation {
   public:
-    Simulation(const Scenario& plan, std::uint64_t seed)
-        : plan_(plan), random_(seed), links_(random_, plan.loss, plan.delay_least, plan.delay_most) {
-        nodes_.resize(plan.members);
-        for (std::size_t i = 0; i < plan.members; ++i)
-            events_.at(draw(0, plan.interval_s), [this, i] { start(i); });
+    Simulation(const Scenario& scenario, std::uint64_t seed)
+        : scenario_(scenario),
+          random_(seed),
+          links_(random_, scenario.loss_probability, scenario.min_delay_s, scenario.max_delay_s) {
+        nodes_.resize(scenario.members);
+        for (std::size_t i = 0; i < scenario.members; ++i)
+            events_.at(draw(0, scenario.protocol_period_s), [this, i] { start(i); });
     }
 
     static std::string name(std::size_t i) { return "m" + std::to_string(i); }
@@ -41,105 +44,112 @@
     SwimMembership& member(std::size_t i) { return *nodes_[i].members; }
     bool is_running(std::size_t i) const { return nodes_[i].members != nullptr; }
 
-    // `other_address`: it claims the name from elsewhere.
-    void start(std::size_t i, const std::string& claim = {}, const std::string& other_address = {}) {
+    // Starts node i, by default with its own name and address; `claimed_name` is the name of another node.
+    void start(std::size_t i, const std::string& claimed_name = {}, const std::string& other_address = {}) {
         Node& node = nodes_[i];
         Settings settings;
-        settings.name = claim.empty() ? name(i) : claim;
+        settings.name = claimed_name.empty() ? name(i) : claimed_name;
         settings.address = other_address.empty() ? address(i) : other_address;
-        settings.site = std::string(1, static_cast<char>('a' + i % plan_.sites));
+        settings.site = std::string(1, static_cast<char>('a' + i % scenario_.sites));
         settings.version = "0.1.0";
-        settings.protocol_period_s = plan_.interval_s;
-        for (std::size_t s = 0; s < 3 && s < plan_.members; ++s) settings.seeds.push_back(address(s));
+        settings.protocol_period_s = scenario_.protocol_period_s;
+        for (std::size_t s = 0; s < 3 && s < scenario_.members; ++s) settings.seeds.push_back(address(s));
         node.address = settings.address;
-        node.process = ++processes_;
-        ++node.life;
-        node.armed = 1e18;
+        node.process = ++last_process_;
+        ++node.generation;
+        node.armed_deadline = 1e18;
         node.members = std::make_unique<SwimMembership>(settings, node.process, random_());
         node.members->start(now());
-        settle(i);
+        process_outputs(i);
     }
     void kill(std::size_t i) {
         nodes_[i].members.reset();
-        ++nodes_[i].life;
+        ++nodes_[i].generation;
     }
     void leave(std::size_t i) {
         nodes_[i].members->leave(now());
-        settle(i);
+        process_outputs(i);
         kill(i);
     }
-    // Runs for a moment only, once each `every` s; 0: as ever.
-    void starve(std::size_t i, double every) { nodes_[i].every = every; }
+    // Lets node i run only at multiples of `run_interval_s`; 0: without such a limit.
+    void starve(std::size_t i, double run_interval_s) { nodes_[i].run_interval_s = run_interval_s; }
     void cut(std::size_t from, std::size_t to, bool on) { links_.cut(from, to, on); }
-    void cut_off(std::size_t i, bool on) {
+    void isolate(std::size_t i, bool on) {
         for (std::size_t j = 0; j < nodes_.size(); ++j)
             if (j != i) cut(i, j, on), cut(j, i, on);
     }
     void set_loss(double loss) { links_.set_loss(loss); }
 
     void run(double until) { events_.run_until(until); }
-    // Runs until it holds; false: it did not within so long.
-    bool run_until(double most_s, const std::function<bool()>& holds) {
-        const double end = now() + most_s;
+    // Runs until `condition` holds. Returns false if it does not within `max_duration_s`.
+    bool run_until(double max_duration_s, const std::function<bool()>& condition) {
+        const double end = now() + max_duration_s;
         while (now() < end) {
-            if (holds()) return true;
-            run(now() + plan_.interval_s / 10);
+            if (condition()) return true;
+            run(now() + scenario_.protocol_period_s / 10);
         }
-        return holds();
+        return condition();
     }
+    // Whether node i lists node j in this state.
     bool sees(std::size_t i, std::size_t j, MemberState state) const {
-        const Member* const one = nodes_[i].members->find(name(j));
-        return one && one->state == state;
+        const Member* const member = nodes_[i].members->find(name(j));
+        return member && member->state == state;
     }
-    // All that are up have j so.
+    // Whether all other running nodes list node j in this state.
     bool all_see(std::size_t j, MemberState state) const {
         for (std::size_t i = 0; i < nodes_.size(); ++i)
             if (i != j && is_running(i) && !sees(i, j, state)) return false;
         return true;
     }
+    // Whether all nodes are running and list each other as alive.
     bool all_alive() const {
         for (std::size_t j = 0; j < nodes_.size(); ++j)
             if (!is_running(j) || !all_see(j, MemberState::alive)) return false;
         return true;
     }
-    std::uint64_t sent_bytes() const { return bytes_; }
-    std::uint64_t sent_datagrams() const { return datagrams_; }
-    std::size_t largest_datagram_bytes() const { return largest_; }
-    // Of members that were up: called gone by one that was up, without ever having been killed before.
+    std::uint64_t sent_bytes() const { return sent_bytes_; }
+    std::uint64_t sent_datagrams() const { return sent_datagrams_; }
+    std::size_t largest_datagram_bytes() const { return largest_datagram_bytes_; }
+    // How often a node listed a process as gone that was still running.
     std::uint64_t false_deaths() const { return false_deaths_; }
-    std::uint64_t name_conflicts() const { return disputes_; }
+    // How many name conflicts were reported.
+    std::uint64_t name_conflicts() const { return name_conflicts_; }
     const std::vector<ReceivedMessage>& messages(std::size_t i) const { return nodes_[i].messages; }
-    // Of all that the members have put out so far: datagrams, changes, bodies for rooms above.
+    // Digest of all outputs so far: datagrams, changes, user messages, deadlines.
     std::uint64_t digest() const { return digest_.value(); }
-    void settle(std::size_t i) {
+    // Sends the datagrams of node i, collects its messages and changes, and arms its timer.
+    void process_outputs(std::size_t i) {
         Node& node = nodes_[i];
         if (!node.members) return;
-        for (const Datagram& one : node.members->take_datagrams()) send(i, one);
-        for (auto& one : node.members->take_messages()) {
-            digest_.add(now(), i, one.from, one.process, one.channel, one.body);
-            node.messages.push_back(std::move(one));
+        for (const Datagram& datagram : node.members->take_datagrams()) send(i, datagram);
+        for (auto& message : node.members->take_messages()) {
+            digest_.add(now(), i, message.from, message.process, message.channel, message.body);
+            node.messages.push_back(std::move(message));
         }
-        for (const MemberChange& one : node.members->take_changes()) {
-            digest_.add(now(), i, one.kind, one.member.name, one.member.address, one.member.site,
-                        one.member.version, one.member.incarnation, one.member.process, one.member.state,
-                        one.member.state_since, one.member.last_received_at, one.member.name_conflict);
-            disputes_ += one.kind == MemberChange::Kind::name_conflict;
-            if (one.kind != MemberChange::Kind::state_changed || one.member.state != MemberState::gone)
+        for (const MemberChange& change : node.members->take_changes()) {
+            digest_.add(now(), i, change.kind, change.member.name, change.member.address,
+                        change.member.site, change.member.version, change.member.incarnation,
+                        change.member.process, change.member.state, change.member.state_since,
+                        change.member.last_received_at, change.member.name_conflict);
+            name_conflicts_ += change.kind == MemberChange::Kind::name_conflict;
+            if (change.kind != MemberChange::Kind::state_changed ||
+                change.member.state != MemberState::gone)
                 continue;
             for (const Node& other : nodes_)
-                false_deaths_ += other.members && other.process == one.member.process;
+                false_deaths_ += other.members && other.process == change.member.process;
         }
-        const double due = node.members->next_deadline();
-        digest_.add(due, node.members->alive_count(), node.members->local_health_score(),
+        const double deadline = node.members->next_deadline();
+        digest_.add(deadline, node.members->alive_count(), node.members->local_health_score(),
                     node.members->awaiting_name());
-        if (due > 1e17 || (due >= node.armed - 1e-9 && node.armed >= now())) return;
-        node.armed = std::max(due, now());
-        events_.at(when(node, node.armed), [this, i, life = node.life] {
-            Node& one = nodes_[i];
-            if (one.life != life || !one.members) return;
-            one.armed = 1e18;
-            if (one.members->next_deadline() <= now()) one.members->on_timer(now());
-            settle(i);
+        if (deadline > 1e17 || (deadline >= node.armed_deadline - 1e-9 && node.armed_deadline >= now()))
+            return;
+        node.armed_deadline = std::max(deadline, now());
+        events_.at(run_time(node, node.armed_deadline), [this, i, generation = node.generation] {
+            Node& current = nodes_[i];
+            if (current.generation != generation || !current.members) return;
+            current.armed_deadline = 1e18;
+            if (current.members->next_deadline() <= now()) current.members->on_timer(now());
+            process_outputs(i);
         });
     }
 
@@ -147,43 +157,46 @@
     struct Node {
         std::unique_ptr<SwimMembership> members;
         std::string address;
-        std::uint64_t process = 0, life = 0;
-        double armed = 1e18, every = 0;
+        std::uint64_t process = 0, generation = 0;   // `generation` counts starts and kills
+        double armed_deadline = 1e18, run_interval_s = 0;
         std::vector<ReceivedMessage> messages;
     };
     double draw(double from, double to) {
         return std::uniform_real_distribution<double>(from, to)(random_);
     }
-    // A starved process does what is due at the next moment that it runs.
-    double when(const Node& node, double time) const {
-        return node.every > 0 ? std::ceil(time / node.every) * node.every : time;
+    // Returns when the node runs next: at `time`, or later if it is starved.
+    double run_time(const Node& node, double time) const {
+        return node.run_interval_s > 0 ? std::ceil(time / node.run_interval_s) * node.run_interval_s : time;
     }
-    void send(std::size_t from, const Datagram& one) {
-        ++datagrams_;
-        digest_.add(now(), from, one.address, one.process, one.payload);
-        bytes_ += one.payload.size() + kAuthOverheadBytes;
-        largest_ = std::max(largest_, one.payload.size() + kAuthOverheadBytes);
+    void send(std::size_t from, const Datagram& datagram) {
+        ++sent_datagrams_;
+        digest_.add(now(), from, datagram.address, datagram.process, datagram.payload);
+        sent_bytes_ += datagram.payload.size() + kAuthOverheadBytes;
+        largest_datagram_bytes_ =
+            std::max(largest_datagram_bytes_, datagram.payload.size() + kAuthOverheadBytes);
         for (std::size_t to = 0; to < nodes_.size(); ++to) {
-            if (nodes_[to].address != one.address || !nodes_[to].members) continue;
+            if (nodes_[to].address != datagram.address || !nodes_[to].members) continue;
             const auto delay = links_.delay(from, to);
             if (!delay) return;
-            events_.at(when(nodes_[to], now() + *delay), [this, from, to, one,
-                                                          process = nodes_[from].process] {
-                if (!nodes_[to].members) return;
-                nodes_[to].members->receive(now(), process, one.process == nodes_[to].process, one.payload);
-                settle(to);
-            });
+            events_.at(run_time(nodes_[to], now() + *delay),
+                       [this, from, to, datagram, process = nodes_[from].process] {
+                           if (!nodes_[to].members) return;
+                           nodes_[to].members->receive(
+                               now(), process, datagram.process == nodes_[to].process, datagram.payload);
+                           process_outputs(to);
+                       });
             return;
         }
     }
 
-    Scenario plan_;
+    Scenario scenario_;
     std::mt19937_64 random_;
     std::vector<Node> nodes_;
     Links links_;
     Events events_;
-    std::uint64_t processes_ = 0, bytes_ = 0, datagrams_ = 0, false_deaths_ = 0, disputes_ = 0;
-    std::size_t largest_ = 0;
+    std::uint64_t last_process_ = 0, sent_bytes_ = 0, sent_datagrams_ = 0, false_deaths_ = 0,
+                  name_conflicts_ = 0;
+    std::size_t largest_datagram_bytes_ = 0;
     Digest digest_;
 };
 
