--- a/src/discovery/endpoint_list.cpp
+++ b/src/discovery/endpoint_list.cpp
@@ -25,8 +25,8 @@
 }
 
 std::int64_t to_integer(double value) {
-    constexpr double kLimit = 0x1p63;
-    return value >= -kLimit && value < kLimit ? static_cast<std::int64_t>(value) : 0;
+    constexpr double kEndOfRange = 0x1p63;
+    return value >= -kEndOfRange && value < kEndOfRange ? static_cast<std::int64_t>(value) : 0;
 }
 
 namespace {
@@ -35,14 +35,14 @@
                 slatejunction::Endpoint& entry, std::string& address, double& up_since_ms) {
     if (!json.IsObject()) return false;
     const auto text = [&](const char* name) {
-        const auto at = json.FindMember(name);
-        return at != json.MemberEnd() && at->value.IsString()
-                   ? std::string(at->value.GetString(), at->value.GetStringLength())
+        const auto it = json.FindMember(name);
+        return it != json.MemberEnd() && it->value.IsString()
+                   ? std::string(it->value.GetString(), it->value.GetStringLength())
                    : std::string();
     };
     const auto number = [&](const char* name) {
-        const auto at = json.FindMember(name);
-        return at != json.MemberEnd() && at->value.IsNumber() ? at->value.GetDouble() : 0.0;
+        const auto it = json.FindMember(name);
+        return it != json.MemberEnd() && it->value.IsNumber() ? it->value.GetDouble() : 0.0;
     };
     entry.backend = text("id");
     const std::string phase = text("phase");
@@ -64,10 +64,10 @@
     return !entry.backend.empty() && (entry.state != EndpointState::serving || net::parse_address(address));
 }
 
-// Returns how many members can't be read.
+// Returns the number of invalid members.
 int read_members(const rapidjson::Value& members, const UnixTimeConverter& clock,
                  EndpointList& endpoint_list) {
-    int broken = 0;
+    int invalid_entries = 0;
     endpoint_list.update.endpoints.clear();
     endpoint_list.addresses.clear();
     endpoint_list.up_since_ms.clear();
@@ -77,7 +77,7 @@
         std::string address;
         double up_since_ms = 0;
         if (!read_entry(member, clock, entry, address, up_since_ms)) {
-            ++broken;
+            ++invalid_entries;
             if (!entry.backend.empty()) endpoint_list.unparsed_ids.push_back(std::move(entry.backend));
             continue;
         }
@@ -85,14 +85,14 @@
         endpoint_list.addresses.push_back(std::move(address));
         endpoint_list.up_since_ms.push_back(up_since_ms);
     }
-    return broken;
+    return invalid_entries;
 }
 
 }   // namespace
 
 bool read_endpoint_list(const rapidjson::Value& json, const UnixTimeConverter& clock,
-                        EndpointList& endpoint_list, int& broken) {
-    broken = 0;
+                        EndpointList& endpoint_list, int& invalid_entries) {
+    invalid_entries = 0;
     if (!json.IsObject()) return false;
     const auto revision = json.FindMember("revision"), complete = json.FindMember("complete"),
                members = json.FindMember("members");
@@ -100,23 +100,23 @@
         !complete->value.IsBool() || members == json.MemberEnd() || !members->value.IsArray())
         return false;
     endpoint_list.revision = revision->value.GetInt64();
-    broken = read_members(members->value, clock, endpoint_list);
-    const bool all_named = static_cast<std::size_t>(broken) == endpoint_list.unparsed_ids.size();
+    invalid_entries = read_members(members->value, clock, endpoint_list);
+    const bool all_named = static_cast<std::size_t>(invalid_entries) == endpoint_list.unparsed_ids.size();
     endpoint_list.update.kind =
         complete->value.GetBool() && all_named ? EndpointUpdateKind::snapshot : EndpointUpdateKind::delta;
     return true;
 }
 
 bool read_cached_list(const rapidjson::Value& json, const UnixTimeConverter& clock,
-                      EndpointList& endpoint_list, int& broken) {
-    broken = 0;
+                      EndpointList& endpoint_list, int& invalid_entries) {
+    invalid_entries = 0;
     if (!json.IsObject()) return false;
     const auto revision = json.FindMember("revision"), members = json.FindMember("members");
     if (members == json.MemberEnd() || !members->value.IsArray()) return false;
     endpoint_list.revision.reset();
     if (revision != json.MemberEnd() && revision->value.IsInt64())
         endpoint_list.revision = revision->value.GetInt64();
-    broken = read_members(members->value, clock, endpoint_list);
+    invalid_entries = read_members(members->value, clock, endpoint_list);
     return true;
 }
 
--- a/src/discovery/endpoint_start_times.cpp
+++ b/src/discovery/endpoint_start_times.cpp
@@ -6,7 +6,7 @@
 namespace slatejunction::discovery {
 namespace {
 
-// A backend that no list names any more may be listed again without a restart.
+// How long a backend that is no longer listed is remembered, as it may be listed again without a restart.
 constexpr double kUnlistedMemoryS = 600.0;
 
 }   // namespace
@@ -16,22 +16,22 @@
         const auto known = starts_.find(endpoint_list.update.endpoints[i].backend);
         endpoint_list.up_since_ms.push_back(known == starts_.end() ? 0 : known->second.up_since_ms);
     }
-    std::vector<std::size_t> newcomers;
+    std::vector<std::size_t> new_entries;
     for (std::size_t i = 0; i < endpoint_list.update.endpoints.size(); ++i) {
         slatejunction::Endpoint& entry = endpoint_list.update.endpoints[i];
         if (entry.state == slatejunction::EndpointState::removed) continue;
-        const double stated = endpoint_list.up_since_ms[i];
+        const double up_since_ms = endpoint_list.up_since_ms[i];
         const auto known = starts_.find(entry.backend);
-        if (known != starts_.end() && known->second.up_since_ms == stated)
+        if (known != starts_.end() && known->second.up_since_ms == up_since_ms)
             entry.started_at_s = known->second.started_at_s;
-        else if (stated > 0 && has_reference_list_)
-            newcomers.push_back(i);
+        else if (up_since_ms > 0 && has_reference_list_)
+            new_entries.push_back(i);
         else
             entry.started_at_s = std::min(entry.started_at_s, now);
     }
-    for (const std::size_t i : newcomers)
+    for (const std::size_t i : new_entries)
         min_lag_s_ = std::min(min_lag_s_, now - endpoint_list.update.endpoints[i].started_at_s);
-    for (const std::size_t i : newcomers) {
+    for (const std::size_t i : new_entries) {
         slatejunction::Endpoint& entry = endpoint_list.update.endpoints[i];
         const double age = now - entry.started_at_s - min_lag_s_;
         entry.started_at_s = now - std::clamp(age, 0.0, std::max(0.0, now - last_list_at_));
@@ -64,16 +64,16 @@
 void EndpointStartTimes::restore_stated(EndpointList& endpoint_list) const {
     endpoint_list.up_since_ms.clear();
     for (const slatejunction::Endpoint& entry : endpoint_list.update.endpoints) {
-        const auto at = starts_.find(entry.backend);
-        endpoint_list.up_since_ms.push_back(at == starts_.end() ? 0 : at->second.up_since_ms);
+        const auto it = starts_.find(entry.backend);
+        endpoint_list.up_since_ms.push_back(it == starts_.end() ? 0 : it->second.up_since_ms);
     }
 }
 
 void EndpointStartTimes::remember(const slatejunction::Endpoint& entry, double up_since_ms, double now) {
     if (entry.state == slatejunction::EndpointState::removed) {
-        if (const auto at = starts_.find(entry.backend); at != starts_.end()) {
-            at->second.listed = false;
-            at->second.last_named_at = now;
+        if (const auto it = starts_.find(entry.backend); it != starts_.end()) {
+            it->second.listed = false;
+            it->second.last_named_at = now;
         }
         return;
     }
--- a/src/net/callback_boundary.hpp
+++ b/src/net/callback_boundary.hpp
@@ -1,7 +1,7 @@
-// The boundary between the GLib loop and this program: the loop is C, and no exception may pass through its
-// frames.
+// The boundary between the GLib loop and this program. The loop is C code, so no exception may propagate
+// through its frames.
 //
-// Functions without state, called by every callback of a GLib source.
+// Stateless functions. Every callback of a GLib source calls exit_on_exception().
 #pragma once
 
 #include <exception>
@@ -9,23 +9,23 @@
 
 namespace slatejunction::net {
 
-/// The exit status after an exception in a callback (EX_SOFTWARE of sysexits.h).
-inline constexpr int kFaultStatus = 70;
+/// The exit status after an unhandled exception in a callback (EX_SOFTWARE in sysexits.h).
+inline constexpr int kExceptionExitStatus = 70;
 
-/// Writes one line to standard error, waiting for kLastLineMs at most, and ends the process with
-/// kFaultStatus. No destructor runs, as objects may be half changed.
-[[noreturn]] void end_by_fault(const char* what) noexcept;
+/// Writes one line with `what` to standard error, waiting kLogWriteTimeoutMs at most, and ends the process
+/// with kExceptionExitStatus. Runs no destructors, as objects may be in an inconsistent state.
+[[noreturn]] void exit_after_exception(const char* what) noexcept;
 
-/// Returns what `call` returns. An exception ends the process: it is a fault of this program, and to serve
-/// on with half changed state could send a request twice.
+/// Calls `call` and returns its result. An exception is a bug in this program and ends the process:
+/// continuing with inconsistent state could send a request twice.
 template <class Call>
-auto guarded(Call&& call) noexcept -> decltype(call()) {
+auto exit_on_exception(Call&& call) noexcept -> decltype(call()) {
     try {
         return std::forward<Call>(call)();
-    } catch (const std::exception& fault) {
-        end_by_fault(fault.what());
+    } catch (const std::exception& error) {
+        exit_after_exception(error.what());
     } catch (...) {
-        end_by_fault("an exception of no known type");
+        exit_after_exception("exception of unknown type");
     }
 }
 
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -13,34 +13,38 @@
 namespace {
 constexpr int kBacklog = 512;
 constexpr double kFailureBackoffS = 0.05;
-// A single failure may be a connection that was reset before it was accepted.
+// Fewer failures in a row cause neither a backoff nor a report, as a single one may be a connection that
+// was reset before it was accepted.
 constexpr int kMaxConsecutiveFailures = 3;
-// Short: connections in the backlog may carry a request.
+// The delay before accepting again without capacity. It is short, as connections in the backlog may already
+// carry a request.
 constexpr double kAcceptBackoffS = 0.02;
 
-// With SO_REUSEPORT, so that another process of this ingress can listen, too. GIO's own bind clears it for
-// TCP.
-bool bind_with_reuse(GSocket* socket, GSocketAddress* at, GError** fault) {
+// Binds with SO_REUSEPORT, so that another process of this ingress can listen on the same address. Calls
+// bind() directly, as g_socket_bind() clears the option for TCP.
+bool bind_with_reuse(GSocket* socket, GSocketAddress* at, GError** raw_error) {
     for (const int option : {SO_REUSEADDR, SO_REUSEPORT})
         g_socket_set_option(socket, SOL_SOCKET, option, 1, nullptr);
     sockaddr_storage native{};
     const gssize size = g_socket_address_get_native_size(at);
-    if (!g_socket_address_to_native(at, &native, sizeof native, fault)) return false;
+    if (!g_socket_address_to_native(at, &native, sizeof native, raw_error)) return false;
     if (::bind(g_socket_get_fd(socket), reinterpret_cast<const sockaddr*>(&native),
                static_cast<socklen_t>(size)) == 0)
         return true;
-    const int why = errno;
-    g_set_error_literal(fault, G_IO_ERROR, g_io_error_from_errno(why), g_strerror(why));
+    const int error_number = errno;
+    g_set_error_literal(raw_error, G_IO_ERROR, g_io_error_from_errno(error_number),
+                        g_strerror(error_number));
     return false;
 }
 
-constexpr unsigned kTcpFlagsAt = 13, kSyn = 0x02;   // the header's byte of flags (RFC 9293, section 3.1)
+// The offset of the flags in the TCP header, and the SYN flag (RFC 9293, section 3.1).
+constexpr unsigned kTcpFlagsOffset = 13, kSynFlag = 0x02;
 
-// The system ignores new SYNs, and finishes the handshakes that have begun.
+// Makes the kernel ignore new SYN segments, but finish the handshakes that have begun.
 void drop_syns(int fd) {
-    sock_filter code[] = {BPF_STMT(BPF_LD | BPF_B | BPF_ABS, kTcpFlagsAt),
-                          BPF_JUMP(BPF_JMP | BPF_JSET | BPF_K, kSyn, 0, 1), BPF_STMT(BPF_RET | BPF_K, 0),
-                          BPF_STMT(BPF_RET | BPF_K, 0xffffffff)};
+    sock_filter code[] = {BPF_STMT(BPF_LD | BPF_B | BPF_ABS, kTcpFlagsOffset),
+                          BPF_JUMP(BPF_JMP | BPF_JSET | BPF_K, kSynFlag, 0, 1),
+                          BPF_STMT(BPF_RET | BPF_K, 0), BPF_STMT(BPF_RET | BPF_K, 0xffffffff)};
     const sock_fprog program{std::size(code), code};
     ::setsockopt(fd, SOL_SOCKET, SO_ATTACH_FILTER, &program, sizeof program);
 }
@@ -48,32 +52,32 @@
 }   // namespace
 
 Listener::Listener(Timers& timers, std::function<bool()> has_capacity,
-                   std::function<void(Ref<GSocket>)> accepted,
+                   std::function<void(Ref<GSocket>)> on_accepted,
                    std::function<void(const char*)> on_accept_error, int priority)
     : priority_(priority),
-      retry_timer_(timers, [this] { watch(); }),
+      retry_timer_(timers, [this] { add_source(); }),
       has_capacity_(std::move(has_capacity)),
-      on_accepted_(std::move(accepted)),
+      on_accepted_(std::move(on_accepted)),
       on_accept_error_(std::move(on_accept_error)) {}
 
-bool Listener::start(const std::string& address, std::string& why) {
+bool Listener::start(const std::string& address, std::string& error) {
     const Address at = parse_address(address);
     if (!at) {
-        why = "no address";
+        error = "not an IP address and port";
         return false;
     }
-    Error error;
-    socket_ = make_socket(at.get(), error);
-    GError* fault = nullptr;
+    Error cause;
+    socket_ = make_socket(at.get(), cause);
+    GError* raw_error = nullptr;
     if (socket_) g_socket_set_listen_backlog(socket_.get(), kBacklog);
-    if (socket_ && bind_with_reuse(socket_.get(), at.get(), &fault) &&
-        g_socket_listen(socket_.get(), &fault)) {
-        watch();
+    if (socket_ && bind_with_reuse(socket_.get(), at.get(), &raw_error) &&
+        g_socket_listen(socket_.get(), &raw_error)) {
+        add_source();
         return true;
     }
-    socket_.reset();   // it does not listen
-    if (fault) error.reset(fault);
-    why = error ? error->message : "unknown";
+    socket_.reset();   // not listening
+    if (raw_error) cause.reset(raw_error);
+    error = cause ? cause->message : "unknown error";
     return false;
 }
 
@@ -91,7 +95,7 @@
 
 void Listener::resume() {
     paused_ = false;
-    if (socket_ && !source_) watch();
+    if (socket_ && !source_) add_source();
 }
 
 void Listener::stop() {
@@ -107,27 +111,28 @@
     refusing_handshakes_ = true;
 }
 
-// Bounded, as more may come meanwhile. A failed accept says nothing about the next one.
+// The loop is bounded, as more connections may arrive meanwhile. It continues after a failed accept, which
+// says nothing about the next one.
 void Listener::accept_pending_and_stop() {
     for (int i = 0; i <= kBacklog && socket_ && !paused_ && has_capacity_(); ++i) {
-        GError* fault = nullptr;
-        Ref<GSocket> accepted(g_socket_accept(socket_.get(), nullptr, &fault));
-        const Error error(fault);
+        GError* raw_error = nullptr;
+        Ref<GSocket> accepted(g_socket_accept(socket_.get(), nullptr, &raw_error));
+        const Error cause(raw_error);
         if (accepted)
             on_accepted_(std::move(accepted));
-        else if (g_error_matches(fault, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK))
+        else if (g_error_matches(raw_error, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK))
             break;
         else
-            on_accept_error_(fault->message);
+            on_accept_error_(raw_error->message);
     }
     stop();
 }
 
 void Listener::retry_accepting() {
-    if (socket_ && !paused_ && !source_ && has_capacity_()) watch();
+    if (socket_ && !paused_ && !source_ && has_capacity_()) add_source();
 }
 
-void Listener::watch() {
+void Listener::add_source() {
     retry_timer_.disarm();
     source_.reset(g_socket_create_source(socket_.get(), G_IO_IN, nullptr));
     g_source_set_callback(source_.get(), G_SOURCE_FUNC(&Listener::on_in), this, nullptr);
@@ -136,28 +141,29 @@
 }
 
 gboolean Listener::on_in(GSocket*, GIOCondition, gpointer self) {
-    return guarded([&] { return static_cast<Listener*>(self)->accept(); });
+    return exit_on_exception([&] { return static_cast<Listener*>(self)->accept(); });
 }
 
 gboolean Listener::accept() {
-    if (!has_capacity_()) {   // the backlog waits; retry_accepting() goes on, or time does
+    // Without capacity, connections wait in the backlog until retry_accepting() or the timer.
+    if (!has_capacity_()) {
         source_.reset();
         retry_timer_.arm(now() + kAcceptBackoffS);
         return G_SOURCE_REMOVE;
     }
-    GError* fault = nullptr;
-    Ref<GSocket> accepted(g_socket_accept(socket_.get(), nullptr, &fault));
-    const Error error(fault);
+    GError* raw_error = nullptr;
+    Ref<GSocket> accepted(g_socket_accept(socket_.get(), nullptr, &raw_error));
+    const Error cause(raw_error);
     if (accepted) {
         consecutive_failures_ = 0;
-        on_accepted_(std::move(accepted));   // may pause or stop this
-    } else if (!g_error_matches(fault, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK) &&
+        on_accepted_(std::move(accepted));   // may call pause() or stop()
+    } else if (!g_error_matches(raw_error, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK) &&
                ++consecutive_failures_ >= kMaxConsecutiveFailures) {
-        // Without descriptors the socket stays readable: no busy loop.
+        // Without free descriptors the socket stays readable: the backoff avoids a busy loop.
         consecutive_failures_ = 0;
         source_.reset();
         retry_timer_.arm(now() + kFailureBackoffS);
-        on_accept_error_(fault->message);
+        on_accept_error_(raw_error->message);
     }
     return G_SOURCE_CONTINUE;
 }
--- a/src/net/stream.hpp
+++ b/src/net/stream.hpp
@@ -1,7 +1,8 @@
-// A TCP connection on the loop: reads into the protocol's buffer, writes what it sends, reports events.
+// A TCP connection in the event loop: reads into the buffer of its Protocol, writes what the Protocol
+// sends, and reports events to it.
 //
-// Input: an accepted socket or an address to dial. Output: the callbacks of Protocol. It knows nothing of
-// what the bytes mean. Owned together with its Protocol by the server or pool that made them.
+// Takes an accepted socket or an address to dial. Does not interpret the bytes. Owned, together with its
+// Protocol, by the server or pool that created them.
 #pragma once
 
 #include <span>
@@ -12,51 +13,69 @@
 
 namespace slatejunction::net {
 
-/// What a Protocol may do to its connection.
+/// The operations of a connection that a Protocol uses.
 class Transport {
   public:
     virtual ~Transport() = default;
-    /// Takes all of the parts and buffers what can't be written now. False: the connection is broken.
+    /// Writes all of the parts in order, and buffers what cannot be written now. Returns false if the
+    /// connection is broken.
     virtual bool send(std::span<const std::string_view> parts) = 0;
-    virtual bool unsent() const = 0;    // something is buffered
-    virtual void resume() = 0;          // reads again after receive_buffer() was empty
-    virtual void shutdown_send() = 0;   // closes the sending side
-    virtual void discard_input(
-        std::size_t max_bytes) = 0;                      // drops what comes; over `max_bytes` bytes it ends
-    virtual void close() = 0;                            // no callback follows
-    virtual bool peer_closed() const { return false; }   // by the peer, even if bytes are unread
-    /// How long (s) the last of the bytes read had waited in the system; 0: not known.
+    /// Some of the sent bytes are still buffered.
+    virtual bool unsent() const = 0;
+    /// Resumes reading after receive_buffer() was empty.
+    virtual void resume() = 0;
+    /// Closes the sending side.
+    virtual void shutdown_send() = 0;
+    /// Discards all further input, and ends the connection after `max_bytes` bytes of it.
+    virtual void discard_input(std::size_t max_bytes) = 0;
+    /// Closes the connection. No callback follows.
+    virtual void close() = 0;
+    /// The peer has closed the connection or its sending side, or the connection is broken, even if bytes
+    /// are still unread.
+    virtual bool peer_closed() const { return false; }
+    /// How long the last byte read had waited in the kernel, in s; 0 if unknown.
     virtual double receive_delay_s() const { return 0; }
 };
 
-/// The protocol of a connection, a state machine that gets its events from a Stream.
+/// The protocol of a connection: a state machine that is driven by the events of a Stream.
 class Protocol : public std::enable_shared_from_this<Protocol> {
   public:
     virtual ~Protocol() = default;
-    virtual void on_open() {}                       // a dialled connection is up
-    virtual std::span<char> receive_buffer() = 0;   // for the next bytes; empty: pause until resume()
+    /// A dialled connection is established.
+    virtual void on_open() {}
+    /// Returns the space for the next bytes; an empty one pauses reading until resume().
+    virtual std::span<char> receive_buffer() = 0;
+    /// `size` bytes were read into receive_buffer().
     virtual void on_bytes(std::size_t size) = 0;
-    virtual void on_input_discarded() {}   // bytes have come and been dropped
-    virtual void on_sent() {}              // all that was buffered has been written
-    virtual void on_end(bool clean) = 0;   // clean: closed by the peer; else broken, or never up
-    /// on_end() comes also while reading is paused.
+    /// Bytes were received and discarded.
+    virtual void on_input_discarded() {}
+    /// All buffered bytes have been written.
+    virtual void on_sent() {}
+    /// The connection has ended. `clean`: the peer has closed it; else it broke or was never established.
+    virtual void on_end(bool clean) = 0;
+    /// Whether on_end() is to be called even while reading is paused.
     virtual bool reports_end_while_paused() const { return false; }
 };
 
 class Stream final : public Transport {
   public:
-    /// `protocol` owns the stream or lives longer. `priority`: in the loop, G_PRIORITY_DEFAULT or higher.
+    /// `protocol` owns the stream or outlives it. `priority` is that of the GLib sources,
+    /// G_PRIORITY_DEFAULT or higher.
     explicit Stream(Protocol& protocol, int priority = G_PRIORITY_DEFAULT)
         : protocol_(protocol), priority_(priority) {}
     ~Stream() override = default;
     Stream(const Stream&) = delete;
     Stream& operator=(const Stream&) = delete;
 
-    void adopt(Ref<GSocket> socket);      // an accepted connection
-    bool dial(GSocketAddress* address);   // on_open or on_end follows; false: it failed at once
+    /// Takes over an accepted connection and starts reading.
+    void adopt(Ref<GSocket> socket);
+    /// Starts connecting; on_open() or on_end() follows. Returns false, without a callback, if it failed at
+    /// once.
+    bool dial(GSocketAddress* address);
     bool open() const { return socket_ != nullptr; }
     int descriptor() const { return socket_ ? g_socket_get_fd(socket_.get()) : -1; }
-    bool readable() const;   // bytes or the end are unread
+    /// Bytes or the end of the connection have not been read yet.
+    bool readable() const;
     void resume() override;
     bool send(std::span<const std::string_view> parts) override;
     bool unsent() const override { return !unsent_.empty(); }
@@ -67,29 +86,32 @@
     double receive_delay_s() const override;
 
   private:
-    static gboolean on_unread_end(gint, GIOCondition, gpointer self);
+    static gboolean on_peer_closed_while_paused(gint, GIOCondition, gpointer self);
     void pause();
     static gboolean on_in(GSocket*, GIOCondition, gpointer self);
     static gboolean on_out(GSocket*, GIOCondition, gpointer self);
     gboolean read();
     gboolean write_unsent();
-    void watch(Source& source, GIOCondition condition, GSocketSourceFunc call);
-    gssize read_and_drop(GError** fault);
+    void add_source(Source& source, GIOCondition condition, GSocketSourceFunc callback);
+    gssize read_and_discard(GError** raw_error);
     bool write(std::span<const std::string_view> parts, std::size_t& written);
     void end(bool clean);
 
     Protocol& protocol_;
     const int priority_;
     Ref<GSocket> socket_;
-    Source in_source_, out_source_, end_source_;   // end_source_: the peer's end, while reading is paused
+    // `peer_close_source_` detects the peer's close while reading is paused.
+    Source in_source_, out_source_, peer_close_source_;
     std::string unsent_;
     std::size_t unsent_offset_ = 0;
     bool dialling_ = false;
-    bool dropping_input_ = false;
-    std::size_t drop_remaining_bytes_ = 0;
+    bool discarding_input_ = false;
+    std::size_t discard_remaining_bytes_ = 0;
 };
 
-Address parse_address(std::string_view text);   // "127.0.0.1:8081"; empty when it is none
+/// Parses an IP address and port, such as "127.0.0.1:8081". Returns null if `text` is invalid.
+Address parse_address(std::string_view text);
+/// Creates a non-blocking TCP socket. Returns null, with the reason in `error`, on failure.
 Ref<GSocket> make_socket(GSocketAddress* address, Error& error);
 
 }   // namespace slatejunction::net
--- a/src/net/timers.cpp
+++ b/src/net/timers.cpp
@@ -7,15 +7,17 @@
 
 namespace slatejunction::net {
 namespace {
-constexpr double kMaxLatenessS = 0.02;   // of the first timer
-constexpr int kSocketRounds = 2;         // of the loop
+// A first timer that is later than this shows that the process was paused.
+constexpr double kMaxLatenessS = 0.02;
+// For how many iterations of the loop the timers are postponed after a pause.
+constexpr int kMaxPostponedIterations = 2;
 }   // namespace
 
 void Timer::arm(double fire_at) {
     disarm();
-    // NaN has no place in the order.
+    // The queue cannot order NaN.
     if (std::isnan(fire_at)) fire_at = now();
-    fire_at = std::max(fire_at, timers_.earliest_due_);
+    fire_at = std::max(fire_at, timers_.min_fire_at_);
     if (spare_node_) {
         spare_node_.key() = fire_at;
         position_ = timers_.queue_.insert(std::move(spare_node_));
@@ -31,17 +33,18 @@
     armed_ = false;
 }
 
-// g_source_set_ready_time() instead would write to the loop's wake-up descriptor whenever a timer is armed.
+// Implements prepare and check, as g_source_set_ready_time() would write to the loop's wake-up descriptor
+// whenever a timer is armed.
 Timers::Timers() {
     static GSourceFuncs functions = {
         [](GSource* source, gint* timeout) -> gboolean {
             const auto& queue = reinterpret_cast<TimerSource*>(source)->self->queue_;
             *timeout = -1;
             if (queue.empty()) return FALSE;
-            const double left =
+            const double remaining_s =
                 queue.begin()->first - 1e-6 * static_cast<double>(g_source_get_time(source));
-            *timeout = left > 0 ? static_cast<gint>(std::min(std::ceil(left * 1e3), 1e6)) : 0;
-            return left <= 0;
+            *timeout = remaining_s > 0 ? static_cast<gint>(std::min(std::ceil(remaining_s * 1e3), 1e6)) : 0;
+            return remaining_s <= 0;
         },
         [](GSource* source) -> gboolean {
             const auto& queue = reinterpret_cast<TimerSource*>(source)->self->queue_;
@@ -49,7 +52,7 @@
                    queue.begin()->first <= 1e-6 * static_cast<double>(g_source_get_time(source));
         },
         [](GSource* source, GSourceFunc, gpointer) -> gboolean {
-            return guarded([&] {
+            return exit_on_exception([&] {
                 reinterpret_cast<TimerSource*>(source)->self->dispatch_watches();
                 reinterpret_cast<TimerSource*>(source)->self->fire_timers();
                 return G_SOURCE_CONTINUE;
@@ -63,9 +66,9 @@
     attach(source_.get());
 }
 
-FdWatch::FdWatch(Timers& timers, int fd, std::function<void()> call)
+FdWatch::FdWatch(Timers& timers, int fd, std::function<void()> callback)
     : timers_(timers),
-      call_(std::move(call)),
+      callback_(std::move(callback)),
       tag_(g_source_add_unix_fd(timers.source_.get(), fd, G_IO_IN)) {
     timers_.watches_.push_back(this);
 }
@@ -76,31 +79,31 @@
 }
 
 void Timers::dispatch_watches() {
-    const std::vector<FdWatch*> all = watches_;   // a callback may destroy or add some
+    const std::vector<FdWatch*> all = watches_;   // a copy, as a callback may destroy or add watches
     for (FdWatch* watch : all)
         if (std::find(watches_.begin(), watches_.end(), watch) != watches_.end() &&
             g_source_query_unix_fd(source_.get(), watch->tag_) != 0)
-            watch->call_();
+            watch->callback_();
 }
 
 void Timers::fire_timers() {
     const double time = now();
-    // After a process pause the sockets are read before time-outs are fired, for kSocketRounds rounds at
-    // most.
+    // After a pause of the process, sockets are read before timeouts fire, for at most
+    // kMaxPostponedIterations iterations of the loop.
     if (!queue_.empty() && time - queue_.begin()->first > kMaxLatenessS &&
-        postponed_rounds_ < kSocketRounds) {
-        ++postponed_rounds_;
+        postponed_iterations_ < kMaxPostponedIterations) {
+        ++postponed_iterations_;
         return;
     }
-    postponed_rounds_ = 0;
-    // A timer that is armed for the past by a callback waits for the next round.
-    earliest_due_ = std::nextafter(time, kNever);
+    postponed_iterations_ = 0;
+    // A timer that a callback arms for the past fires in the next iteration.
+    min_fire_at_ = std::nextafter(time, kNever);
     while (!queue_.empty() && queue_.begin()->first <= time) {
         Timer* timer = queue_.begin()->second;
         timer->disarm();
-        timer->call_();   // may destroy the timer
+        timer->callback_();   // may destroy the timer
     }
-    earliest_due_ = -kNever;
+    min_fire_at_ = -kNever;
 }
 
 }   // namespace slatejunction::net
--- a/src/net/timers.hpp
+++ b/src/net/timers.hpp
@@ -1,8 +1,8 @@
-// All timers of the program, and the descriptors that are seldom ready, on one GSource: each source of its
-// own would cost every round of the loop.
+// All timers of the program, and the descriptors that are rarely ready, in one GSource: each separate
+// source would add to the cost of every iteration of the loop.
 //
-// Input: times in s (net::now()). Output: the callbacks of Timer and FdWatch, in the order of time.
-// Owned by the program; lives longer than every Timer and FdWatch.
+// Times are in s (net::now()). Timers fire in the order of their times. Timers is owned by the program and
+// outlives every Timer and FdWatch.
 #pragma once
 
 #include <functional>
@@ -16,14 +16,16 @@
 
 class Timers;
 
-/// Calls back once at its time, unless it is armed anew, disarmed or destroyed before.
+/// Calls back once at its time, unless it is armed again, disarmed or destroyed before.
 class Timer {
   public:
-    Timer(Timers& timers, std::function<void()> call) : timers_(timers), call_(std::move(call)) {}
+    Timer(Timers& timers, std::function<void()> callback)
+        : timers_(timers), callback_(std::move(callback)) {}
     ~Timer() { disarm(); }
     Timer(const Timer&) = delete;
     Timer& operator=(const Timer&) = delete;
-    // `due`: s, net::now(). The past and NaN mean the loop's next round, infinity never.
+    /// Sets the time to call back (s, net::now()). A time in the past or NaN fires in the next iteration of
+    /// the loop, infinity never.
     void arm(double fire_at);
     void disarm();
     bool armed() const { return armed_; }
@@ -32,16 +34,16 @@
     friend class Timers;
     using Queue = std::multimap<double, Timer*>;
     Timers& timers_;
-    std::function<void()> call_;
+    std::function<void()> callback_;
     Queue::iterator position_;
-    Queue::node_type spare_node_;   // so that arming again allocates nothing
+    Queue::node_type spare_node_;   // kept so that arming again does not allocate
     bool armed_ = false;
 };
 
-/// Calls back when the descriptor is readable, until it is destroyed. The descriptor lives longer.
+/// Calls back whenever the descriptor is readable, until it is destroyed. The descriptor must outlive it.
 class FdWatch {
   public:
-    FdWatch(Timers& timers, int fd, std::function<void()> call);
+    FdWatch(Timers& timers, int fd, std::function<void()> callback);
     ~FdWatch();
     FdWatch(const FdWatch&) = delete;
     FdWatch& operator=(const FdWatch&) = delete;
@@ -49,7 +51,7 @@
   private:
     friend class Timers;
     Timers& timers_;
-    std::function<void()> call_;
+    std::function<void()> callback_;
     gpointer tag_;
 };
 
@@ -69,9 +71,10 @@
     std::vector<FdWatch*> watches_;
     std::multimap<double, Timer*> queue_;
     Source source_;
-    static constexpr double kNever = std::numeric_limits<double>::infinity();   // s, as a time
-    double earliest_due_ = -kNever;   // s; of timers that are armed now
-    int postponed_rounds_ = 0;
+    static constexpr double kNever = std::numeric_limits<double>::infinity();   // as a time in s
+    // Timers that are armed now fire no earlier than this time (s).
+    double min_fire_at_ = -kNever;
+    int postponed_iterations_ = 0;
 };
 
 }   // namespace slatejunction::net
--- a/src/net/udp_socket.cpp
+++ b/src/net/udp_socket.cpp
@@ -17,17 +17,17 @@
     return sender;
 }
 
-bool UdpSocket::start(GSocketAddress* address, std::string& why) {
-    GError* fault = nullptr;
+bool UdpSocket::start(GSocketAddress* address, std::string& error) {
+    GError* raw_error = nullptr;
     Ref<GSocket> socket(g_socket_new(g_socket_address_get_family(address), G_SOCKET_TYPE_DATAGRAM,
-                                     G_SOCKET_PROTOCOL_UDP, &fault));
+                                     G_SOCKET_PROTOCOL_UDP, &raw_error));
     if (socket) {
         g_socket_set_blocking(socket.get(), FALSE);
-        if (!g_socket_bind(socket.get(), address, FALSE, &fault)) socket.reset();
+        if (!g_socket_bind(socket.get(), address, FALSE, &raw_error)) socket.reset();
     }
-    const Error error(fault);
+    const Error cause(raw_error);
     if (!socket) {
-        why = error ? error->message : "no socket";
+        error = cause ? cause->message : "cannot create or bind a UDP socket";
         return false;
     }
     socket_ = std::move(socket);
@@ -43,9 +43,10 @@
 
 bool UdpSocket::send(GSocketAddress* to, std::string_view bytes) {
     if (!socket_) return false;
-    GError* fault = nullptr;
-    const gssize sent = g_socket_send_to(socket_.get(), to, bytes.data(), bytes.size(), nullptr, &fault);
-    const Error error(fault);
+    GError* raw_error = nullptr;
+    const gssize sent =
+        g_socket_send_to(socket_.get(), to, bytes.data(), bytes.size(), nullptr, &raw_error);
+    const Error cause(raw_error);
     return sent == static_cast<gssize>(bytes.size());
 }
 
@@ -56,7 +57,7 @@
     return sent == static_cast<ssize_t>(bytes.size());
 }
 
-// By recv itself: GIO reports "would block" by allocating.
+// Calls recv() directly, as GIO allocates an error object to report "would block".
 void UdpSocket::read() {
     Sender sender;
     for (int i = 0; i < kMaxReadsPerWakeup && socket_; ++i) {
@@ -67,7 +68,7 @@
             on_datagram_from_
                 ? ::recvfrom(fd, buffer_, sizeof buffer_, MSG_DONTWAIT | MSG_TRUNC, from, &sender.size)
                 : ::recv(fd, buffer_, sizeof buffer_, MSG_DONTWAIT | MSG_TRUNC);
-        if (size < 0) break;   // also an error that came back for one that was sent
+        if (size < 0) break;   // no datagram, or a pending error of an earlier send
         const std::size_t received = static_cast<std::size_t>(size);
         const std::string_view bytes(buffer_, std::min(received, sizeof buffer_));
         on_datagram_from_ ? on_datagram_from_(bytes, sender) : on_datagram_(bytes);
--- a/src/net/udp_socket.hpp
+++ b/src/net/udp_socket.hpp
@@ -1,8 +1,9 @@
-// A UDP socket on the loop.
+// A UDP socket that is read in the event loop.
 //
-// Input: an address, datagrams to send. Output: a callback for each datagram, kMaxReadsPerWakeup at most in
-// one round of the loop, so that a flood does not starve other sources. Owned by the transports of
-// membership and rollout. Longer datagrams than the buffer are cut.
+// Calls back for each received datagram, at most kMaxReadsPerWakeup times in one iteration of the loop, so
+// that a flood of datagrams does not starve other sources. Datagrams longer than the buffer are truncated.
+//
+// Owned by the transports of membership and rollout.
 #pragma once
 
 #include <sys/socket.h>
@@ -33,18 +34,20 @@
         : timers_(timers), on_datagram_(std::move(on_datagram)) {}
     UdpSocket(Timers& timers, std::function<void(std::string_view, const Sender&)> on_datagram)
         : timers_(timers), on_datagram_from_(std::move(on_datagram)) {}
-    bool start(GSocketAddress* address, std::string& why);
+    /// Binds the socket to `address` and starts reading. Returns false with the reason in `error`.
+    bool start(GSocketAddress* address, std::string& error);
     void stop();
     bool open() const { return socket_ != nullptr; }
-    /// False: the system did not accept it.
+    /// Returns false if the socket is closed or the system did not accept the datagram.
     bool send(GSocketAddress* to, std::string_view bytes);
     bool send(const Sender& to, std::string_view bytes);
 
   private:
     void read();
     Timers& timers_;
+    // Exactly one of the two callbacks is set.
     std::function<void(std::string_view)> on_datagram_;
-    std::function<void(std::string_view, const Sender&)> on_datagram_from_;   // one of the two is set
+    std::function<void(std::string_view, const Sender&)> on_datagram_from_;
     Ref<GSocket> socket_;
     std::optional<FdWatch> watch_;
     char buffer_[2048];
--- a/tests/ingress/reentrancy_test.cpp
+++ b/tests/ingress/reentrancy_test.cpp
@@ -392,7 +392,7 @@
     watch->start({});
     watch->on_open();
     feed(*watch, "HTTP/1.1 200 OK\r\nContent-Length: 65536\r\n\r\n" + std::string(65536, '['));
-    CHECK(callbacks.lost == "a list that can't be read");
+    CHECK(callbacks.lost == "malformed endpoint list");
 }
 
 namespace {
@@ -435,7 +435,8 @@
     const auto check_fatal_exit = [](const std::pair<int, std::string>& end) {
         CHECK(end.first == 70);
         CHECK(end.second ==
-              "error: a fault of this program, which ends with status 70: a test's own fault\n");
+              "error: unhandled exception in an event loop callback, exiting with status 70: a test's own "
+              "fault\n");
     };
     check_fatal_exit(run_in_child([] {
         net::Timers timers;
