--- a/src/http/body.hpp
+++ b/src/http/body.hpp
@@ -1,5 +1,5 @@
-// The rest of a body that is passed on as it comes: RFC 9112, sections 6 and 7. Knows no socket, keeps no
-// bytes of the body.
+// Reads the rest of a body that is forwarded as it arrives (RFC 9112, sections 6 and 7). Does no I/O and
+// stores no bytes of the body.
 #pragma once
 
 #include <cstddef>
@@ -8,37 +8,40 @@
 
 namespace slatejunction::http {
 
-// Takes any split of the bytes. What it gives are views into what it was fed.
+/// Decodes the framing of a body that is fed in pieces of any size. The results are views into the input.
 class BodyReader {
   public:
     enum class State { need_more, done, malformed };
     BodyReader() = default;
-    // `had`: bytes of the body that came before, for the bound on all of it.
-    static BodyReader by_length(std::size_t left);
-    static BodyReader by_chunks(std::size_t had);
-    // Ended by its connection: stays at `more`, and whoever saw a clean end knows that it is whole.
-    static BodyReader by_end(std::size_t had);
+    /// A body of known length, of which `remaining_bytes` follow.
+    static BodyReader by_length(std::size_t remaining_bytes);
+    /// A chunked body. `bytes_before` have been read already and count towards kMaxStreamedBodyBytes.
+    static BodyReader by_chunks(std::size_t bytes_before);
+    /// A body that ends with its connection, with `bytes_before` as above. The state stays at `need_more`:
+    /// the body is complete once the connection has ended cleanly.
+    static BodyReader by_end(std::size_t bytes_before);
     bool ends_with_connection() const { return by_end_; }
 
-    // Looks at the front of `in`: takes it off, and sets `part` to bytes of the body, perhaps none. To be
-    // called again until `in` is empty or the state is no longer `more`.
+    /// Consumes bytes from the front of `in`, and sets `part` to the bytes of the body among them, possibly
+    /// none. To be called again until `in` is empty or the state is no longer `need_more`.
     State feed(std::string_view& in, std::string_view& part);
     State state() const { return state_; }
 
   private:
-    enum class At { data, size, data_end, trailer };
-    void end_bad() { state_ = State::malformed; }
+    enum class Section { data, chunk_size, data_end, trailer };
+    void set_malformed() { state_ = State::malformed; }
     std::string_view take_data(std::string_view& in);
     void on_data_end();
     void on_chunk_size();
     void on_trailer();
-    bool line(std::string_view& in);   // true: line_ holds a whole one
+    /// Returns true once line_ holds a complete line.
+    bool read_line(std::string_view& in);
     State state_ = State::done;
-    At at_ = At::data;
+    Section section_ = Section::data;
     bool chunked_ = false, by_end_ = false;
-    std::size_t left_ = 0, total_ = 0, trailers_ = 0;
+    std::size_t remaining_bytes_ = 0, total_bytes_ = 0, trailer_bytes_ = 0;
     std::string line_;
-    bool line_whole_ = false;
+    bool line_complete_ = false;
 };
 
 }   // namespace slatejunction::http
--- a/src/http/message.hpp
+++ b/src/http/message.hpp
@@ -1,5 +1,5 @@
-// HTTP/1.1 messages, parsed in place. Knows no socket: a driver puts bytes into a Buffer, a Parser looks at
-// them, and the views it gives point into that Buffer.
+// Parses HTTP/1.1 messages in place. Does no I/O: a driver puts bytes into a Buffer, and the views that
+// Parser returns point into that Buffer.
 #pragma once
 
 #include <array>
@@ -15,18 +15,18 @@
 
 inline constexpr std::size_t kMaxHeadBytes = std::size_t{8} * 1024;
 inline constexpr std::size_t kMaxBufferedBodyBytes = std::size_t{64} * 1024;
-// A longer body is streamed as it arrives, up to this size.
+/// A body over kMaxBufferedBodyBytes is streamed as it arrives, up to this size.
 inline constexpr std::size_t kMaxStreamedBodyBytes = std::size_t{40} * 1024 * 1024;
 inline constexpr std::size_t kMaxHeaderFields = 48;
 
-/// Bytes that many Buffers may hold together, against peers that send large bodies on hundreds of
+/// Bounds the memory that many Buffers hold together, against peers that send large bodies on hundreds of
 /// connections.
 class ByteBudget {
   public:
     explicit ByteBudget(std::size_t limit) : limit_(limit) {}
     bool fits(std::size_t more) const { return used_ + more <= limit_; }
-    void take(std::size_t size) { used_ += size; }
-    void give(std::size_t size) { used_ -= size; }
+    void reserve(std::size_t size) { used_ += size; }
+    void release(std::size_t size) { used_ -= size; }
     std::size_t used() const { return used_; }
     std::size_t limit() const { return limit_; }
     void set_limit(std::size_t limit) { limit_ = limit; }
@@ -36,10 +36,12 @@
     std::size_t used_ = 0;
 };
 
-/// Bytes read and not used yet. Moving it keeps the views into it valid; growing it does not.
+/// Bytes that were read but not consumed yet. Moving a Buffer keeps the views into it valid; growing it
+/// does not.
 class Buffer {
   public:
-    // What it holds counts in the budget, which has to live longer. Heads are small and always fit.
+    /// The capacity counts towards `budget`, which must outlive the Buffer. Heads are small and are not
+    /// limited by it.
     explicit Buffer(ByteBudget* budget = nullptr) : budget_(budget) {}
     Buffer(Buffer&& other) noexcept : budget_(other.budget_) { swap(other); }
     Buffer& operator=(Buffer&& other) noexcept {
@@ -48,14 +50,15 @@
         return *this;
     }
     ~Buffer() {
-        if (budget_) budget_->give(capacity_);
+        if (budget_) budget_->release(capacity_);
     }
     Buffer(const Buffer&) = delete;
     Buffer& operator=(const Buffer&) = delete;
     bool may_hold(std::size_t size) const {
         return size <= capacity_ || !budget_ || budget_->fits(size - capacity_);
     }
-    std::span<char> space(std::size_t least);   // free space at the end, grown if it is under `least`
+    /// Returns the free space at the end, which is grown first if it is smaller than `min_bytes`.
+    std::span<char> space(std::size_t min_bytes);
     void commit(std::size_t n) { size_ += n; }
     std::string_view view() const { return {data_.get(), size_}; }
     char* data() { return data_.get(); }
@@ -75,21 +78,24 @@
     std::string_view name, value;
 };
 
-/// Start line and fields. For a request `first` is the method and `second` the target.
+/// The start line and the header fields of a message. `method` and `target` are set for requests only.
 struct Head {
     std::string_view method, target;
     int status = 0;   // of a response
     bool keep_alive = true;
-    bool is_http_1_1 = true;   // HTTP/1.1, not 1.0
+    bool is_http_1_1 = true;   // else HTTP/1.0
     std::array<Field, kMaxHeaderFields> fields;
     std::size_t count = 0;
 
-    // The field of that name (lower case); `repeated` tells of a second one.
+    /// Returns the value of the first field of that name, which is given in lower case, or null. Sets
+    /// `repeated` to true if there is a second one.
     const std::string_view* find(std::string_view lower, bool* repeated = nullptr) const;
 };
 
-/// over_budget: well formed, but the ByteBudget is used up. rest_follows: the head and a part of the body
-/// are there, and the body is over kMaxBufferedBodyBytes: rest() reads on.
+/// The result of feeding bytes to a Parser.
+/// - over_budget: the message is well formed, but the ByteBudget is exhausted.
+/// - rest_follows: the head and a part of the body have been read. The body is too large to be buffered, so
+///   the reader that rest() returns continues.
 enum class ParseResult {
     need_more,
     done,
@@ -100,26 +106,28 @@
     rest_follows
 };
 
-/// Parses one message after another out of one Buffer that begins with it.
+/// Parses the messages of one connection. The Buffer begins with the message that is being parsed.
 class Parser {
   public:
     enum class Kind { request, response };
-    // `streams`: its owner passes larger bodies on as they come; else they are too large.
-    // `max_buffered_body`: bytes of a body that is taken whole.
+    /// - `streams`: the owner forwards larger bodies as they arrive; else they are rejected as too large.
+    /// - `max_buffered_body` is the largest body in bytes that is buffered completely.
     explicit Parser(Kind kind, bool streams = false, std::size_t max_buffered_body = kMaxBufferedBodyBytes)
         : kind_(kind), streams_(streams), max_buffered_body_(max_buffered_body) {}
 
-    // Where the next bytes go. Once the head is known only feed() grows the Buffer, as views point into it.
+    /// Returns the space for the next bytes. Once the head has been parsed, only feed() grows the Buffer,
+    /// as views point into it.
     std::span<char> receive_space(Buffer& buffer) const;
-    // Looks at what has come. `ended`: no more will.
+    /// Parses the bytes in `buffer`. `ended`: no more bytes follow.
     ParseResult feed(Buffer& buffer, bool ended = false);
     const Head& head() const { return head_; }
-    bool has_head() const { return have_head_; }   // its body may still be coming
-    // A response whose head is read and says nothing of its length: only a clean end of the connection ends
-    // it.
-    bool ends_with_connection() const { return have_head_ && framing_ == Framing::until_end; }
+    bool has_head() const { return head_parsed_; }   // the body may be incomplete
+    /// The head of a response has been parsed and states no length, so that only a clean end of the
+    /// connection completes the body.
+    bool ends_with_connection() const { return head_parsed_ && framing_ == Framing::until_end; }
     std::string_view body() const { return body_; }
-    // After rest_follows: body() and used() are as far as it was read here, length() is that of all.
+    /// The reader for the rest of the body after rest_follows. body() and used() then cover the part that
+    /// has been parsed, length() the whole body.
     BodyReader rest() const {
         return framing_ == Framing::chunked     ? BodyReader::by_chunks(body_size_)
                : framing_ == Framing::until_end ? BodyReader::by_end(body_.size())
@@ -128,8 +136,10 @@
     std::optional<std::size_t> length() const {
         return framing_ == Framing::length ? std::optional(body_size_) : std::nullopt;
     }
-    bool expects_continue() const;               // Expect: 100-continue (RFC 9110, 10.1.1)
-    std::size_t used() const { return used_; }   // bytes of the Buffer that the message took
+    /// The request has the field `Expect: 100-continue` (RFC 9110, section 10.1.1).
+    bool expects_continue() const;
+    /// The bytes of the Buffer that the message takes.
+    std::size_t used() const { return used_; }
     void reset();
 
   private:
@@ -154,14 +164,15 @@
     bool streams_;
     std::size_t max_buffered_body_;
     Head head_;
-    bool have_head_ = false;
+    bool head_parsed_ = false;
     Framing framing_ = Framing::none;
-    std::size_t scanned_bytes_ = 0, body_at_ = 0, body_size_ = 0, used_ = 0;
-    std::size_t max_message_bytes_ = 0;   // that the whole message may take
-    std::size_t chunk_at_ = 0;            // next byte of chunked framing to look at
+    std::size_t scanned_bytes_ = 0, body_offset_ = 0, body_size_ = 0, used_ = 0;
+    std::size_t max_message_bytes_ = 0;   // bounds the size of the message in the Buffer
+    std::size_t chunk_offset_ = 0;        // of the next byte of chunked framing to parse
     std::string_view body_;
 };
 
-bool equals_ignore_case(std::string_view text, std::string_view lower);   // without regard to case
+/// Compares without regard to case. `lower` must be in lower case.
+bool equals_ignore_case(std::string_view text, std::string_view lower);
 
 }   // namespace slatejunction::http
