--- a/src/backend/connection.cpp
+++ b/src/backend/connection.cpp
@@ -11,18 +11,20 @@
 namespace slatejunction::backend {
 namespace {
 
-// From an answer's first byte to its last: backends write an answer at once.
+// From the first byte of a response to its last, as backends write a response at once.
 constexpr double kResponseTimeoutS = 0.5;
-constexpr double kStreamStallTimeoutS = 10.0;                     // between pieces of a large answer
-constexpr std::size_t kReadChunkBytes = std::size_t{32} * 1024;   // of a large answer
-constexpr double kStaleResetWindowS = 0.05;   // a reset within it is the connection's fault
-constexpr double kMaxStatedDeadlineS = 1e6;   // bounds the digits
+constexpr double kStreamStallTimeoutS = 10.0;                     // between pieces of a large response
+constexpr std::size_t kReadChunkBytes = std::size_t{32} * 1024;   // of a large response
+// A reset so soon after the call could be written is attributed to the connection, which had become stale.
+constexpr double kStaleResetWindowS = 0.05;
+constexpr double kMaxStatedDeadlineS = 1e6;   // bounds the number of digits in X-Deadline
 constexpr std::size_t kMaxKeptBufferBytes = std::size_t{8} * 1024;   // of an idle connection
 
-// The whole text as a number, finite and not below 0. Anything else counts as absent.
+// Reads the whole text as a finite, non-negative number. Returns false for anything else, which callers
+// treat as absent.
 bool read_number(std::string_view text, double& value) {
-    const auto [end, fault] = std::from_chars(text.data(), text.data() + text.size(), value);
-    return !text.empty() && fault == std::errc() && end == text.data() + text.size() &&
+    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
+    return !text.empty() && error == std::errc() && end == text.data() + text.size() &&
            std::isfinite(value) && value >= 0;
 }
 
@@ -30,10 +32,10 @@
 
 using slatejunction::AttemptResult;
 
-Connection::Connection(ConnectionCallbacks& host, net::Timers& timers, http::ByteBudget& bytes,
+Connection::Connection(ConnectionCallbacks& callbacks, net::Timers& timers, http::ByteBudget& bytes,
                        std::string backend_id, std::string host_port,
                        const std::vector<std::string>& report_fields)
-    : callbacks_(host),
+    : callbacks_(callbacks),
       timer_(timers, [this] { on_timer(); }),
       backend_id_(std::move(backend_id)),
       host_port_(std::move(host_port)),
@@ -66,21 +68,21 @@
     writable_since_ = net::now();
     timer_.arm(deadline_);
     if (request_ && request_->client_disconnected()) return end_unwritten();
-    // This process may have been paused: a request with an idempotency key must not be sent too late.
+    // The process may have been paused, and a request with an idempotency key must not be sent too late.
     if (writable_since_ > dial_deadline_) return abandon(AttemptResult::connect_failed);
     write_call();
 }
 
-// The client has disconnected while this connection was dialled.
+// Ends the call when the client has disconnected while this connection was being dialled.
 void Connection::end_unwritten() {
     const auto self = shared_from_this();
-    CallResult end;
-    end.result = AttemptResult::not_started;
-    end.client_disconnected = true;
-    end_call(end);
+    CallResult outcome;
+    outcome.result = AttemptResult::not_started;
+    outcome.client_disconnected = true;
+    end_call(outcome);
     idle_since_ = net::now();
     callbacks_.on_idle(*this);
-    callbacks_.on_call_end(*this, tag_, end);
+    callbacks_.on_call_end(*this, tag_, outcome);
 }
 
 void Connection::write_call() {
@@ -101,10 +103,10 @@
     return transport_->send(parts);
 }
 
-// With the body, unless that is a large one.
+// Sends the head, and the body unless it is streamed.
 bool Connection::send_request_head() {
     char deadline[32], length[48];
-    const auto text = [](char* buffer, std::size_t size, const char* format, auto value) {
+    const auto print = [](char* buffer, std::size_t size, const char* format, auto value) {
         const int written = std::snprintf(buffer, size, format, value);
         return std::string_view(buffer, std::min(size - 1, static_cast<std::size_t>(written)));
     };
@@ -112,7 +114,7 @@
     const bool has_content_type = !request.content_type.empty();
     const bool chunked = request.body_rest && !request.body_length;
     const bool has_length = !chunked && (!request.body.empty() || request.method != "GET");
-    // The deadline of a request that is still being read counts from its last byte.
+    // For a request that is still being read, the deadline counts from its last byte.
     const double remaining_s =
         request.body_complete ? deadline_ - net::now() : std::min(request.timeout_s, timeout_s_);
     const double stated_deadline_s = std::clamp(remaining_s, 0.0, kMaxStatedDeadlineS);
@@ -125,7 +127,7 @@
         "\r\nX-Request-Id: ",
         request.request_id,
         "\r\nX-Deadline: ",
-        text(deadline, sizeof deadline, "%.3f", std::floor(stated_deadline_s * 1e3) / 1e3),
+        print(deadline, sizeof deadline, "%.3f", std::floor(stated_deadline_s * 1e3) / 1e3),
         has_content_type ? "\r\nContent-Type: " : "",
         request.content_type,
         request.idempotency_key.empty() ? "" : "\r\nIdempotency-Key: ",
@@ -133,15 +135,15 @@
         chunked      ? "\r\nTransfer-Encoding: chunked"
         : has_length ? "\r\nContent-Length: "
                      : "",
-        has_length ? text(length, sizeof length, "%zu",
-                          request.body_rest ? *request.body_length : request.body.size())
+        has_length ? print(length, sizeof length, "%zu",
+                           request.body_rest ? *request.body_length : request.body.size())
                    : std::string_view(),
         "\r\n\r\n",
         request.body_rest ? std::string_view() : request.body};
     return transport_->send(parts);
 }
 
-// A large request. -------------------------------------------------------------------------------------
+// Streaming of a large request. --------------------------------------------------------------------------
 
 bool Connection::write(std::string_view bytes) {
     if (!call_active_ || request_complete_) return true;
@@ -159,9 +161,9 @@
     return !transport_->unsent();
 }
 
-void Connection::end(bool whole) {
+void Connection::end(bool complete) {
     if (!call_active_ || request_complete_) return;
-    if (!whole) return abandon(AttemptResult::cancelled);
+    if (!complete) return abandon(AttemptResult::cancelled);
     constexpr std::string_view kLastChunk = "0\r\n\r\n";
     if (!request_->body_length && !transport_->send({&kLastChunk, 1})) return on_end(false);
     request_complete_ = true;
@@ -174,21 +176,21 @@
     if (call_active_ && !request_complete_ && request_) request_->body_rest->resume();
 }
 
-// A large answer. --------------------------------------------------------------------------------------
+// Streaming of a large response. -------------------------------------------------------------------------
 
 std::span<char> Connection::receive_buffer() {
     if (!streaming_response_) return parser_.receive_space(buffer_);
     return streaming_paused_ ? std::span<char>() : buffer_.space(kReadChunkBytes);
 }
 
-// The attempt ends here.
+// Ends the attempt and starts streaming the rest of its response.
 void Connection::begin_streaming() {
-    CallResult end;
-    end.result = AttemptResult::ok;
-    read_fields(end);
-    end.body = parser_.body();
-    end.length = parser_.length();
-    end.rest = std::static_pointer_cast<Connection>(shared_from_this());
+    CallResult outcome;
+    outcome.result = AttemptResult::ok;
+    read_fields(outcome);
+    outcome.body = parser_.body();
+    outcome.length = parser_.length();
+    outcome.rest = std::static_pointer_cast<Connection>(shared_from_this());
     reader_ = parser_.rest();
     reusable_after_stream_ = parser_.head().keep_alive && may_have_run() && !parser_.ends_with_connection();
     http::Buffer front = std::move(buffer_);
@@ -200,10 +202,10 @@
     streaming_response_ = true;
     streaming_paused_ = true;
     const AttemptTag tag = tag_;
-    end_call(end);
+    end_call(outcome);
     parser_.reset();
-    callbacks_.on_call_end(*this, tag, end);
-    if (streaming_response_ && sink_.expired()) close();   // nobody reads it
+    callbacks_.on_call_end(*this, tag, outcome);
+    if (streaming_response_ && sink_.expired()) close();   // the callback attached no sink
 }
 
 void Connection::stream_to(std::weak_ptr<client::BodySink> sink) {
@@ -236,30 +238,30 @@
         reader_.feed(in, part);
         if (part.empty()) continue;
         const bool more = sink->write(part);
-        if (!streaming_response_) return;   // the sink has disconnected
+        if (!streaming_response_) return;   // the sink has called cancel()
         streaming_paused_ = streaming_paused_ || !more;
     }
     buffer_.consume(buffer_.view().size() - in.size());
-    if (streaming_paused_) timer_.disarm();   // the client's connection bounds the time
+    if (streaming_paused_) timer_.disarm();   // the client session has a time limit of its own
     if (reader_.state() != http::BodyReader::State::need_more)
         finish_streaming(reader_.state() == http::BodyReader::State::done);
 }
 
-// The connection is idle before the sink is notified, so that it can carry the next attempt.
-void Connection::finish_streaming(bool whole) {
+// Makes the connection idle before notifying the sink, so that it can carry the next attempt.
+void Connection::finish_streaming(bool complete) {
     const auto self = shared_from_this();
     streaming_response_ = false;
     timer_.disarm();
     const auto sink = sink_.lock();
     sink_.reset();
-    if (whole && reusable_after_stream_ && buffer_.view().empty()) {
+    if (complete && reusable_after_stream_ && buffer_.view().empty()) {
         buffer_ = http::Buffer(&bytes_);
         idle_since_ = net::now();
         callbacks_.on_idle(*this);
     } else {
         close();
     }
-    if (sink) sink->end(whole);
+    if (sink) sink->end(complete);
 }
 
 void Connection::on_bytes(std::size_t size) {
@@ -268,123 +270,125 @@
         timer_.arm(net::now() + kStreamStallTimeoutS);
         return forward_response();
     }
-    if (!call_active_) return close();   // an answer to no request
+    if (!call_active_) return close();   // bytes without an active call
     parse_response(false);
 }
 
 void Connection::parse_response(bool ended) {
-    const http::ParseResult step = parser_.feed(buffer_, ended);
-    if (step == http::ParseResult::rest_follows && parser_.head().status == 200 && !health_checking() &&
-        !ended)
+    const http::ParseResult parse_result = parser_.feed(buffer_, ended);
+    if (parse_result == http::ParseResult::rest_follows && parser_.head().status == 200 &&
+        !health_checking() && !ended)
         return begin_streaming();
-    // Without a length the body ends with the connection (RFC 9112, section 6.3). Of any answer but a 200
-    // the status is enough.
-    const bool known =
+    // A body without a length ends with the connection (RFC 9112, section 6.3). The body is only needed of
+    // a 200 response to an attempt; else the status is enough.
+    const bool status_suffices =
         parser_.ends_with_connection() && (parser_.head().status != 200 || health_checking());
-    if (step != http::ParseResult::need_more || known)
-        return finish_response(step, ended || parser_.ends_with_connection());
-    if (ended || buffer_.view().empty()) return;   // only an interim answer
+    if (parse_result != http::ParseResult::need_more || status_suffices)
+        return finish_response(parse_result, ended || parser_.ends_with_connection());
+    if (ended || buffer_.view().empty()) return;   // at most an interim response
     if (!response_begun_) timer_.arm(std::min(deadline_, net::now() + kResponseTimeoutS));
     response_begun_ = true;
 }
 
-void Connection::finish_response(http::ParseResult step, bool ended) {
-    CallResult end;
-    // Also of an answer that can't be read: the attempt may have run.
-    end.result = AttemptResult::error;
+void Connection::finish_response(http::ParseResult parse_result, bool ended) {
+    CallResult outcome;
+    // Also the result of a malformed response, as the attempt may have run.
+    outcome.result = AttemptResult::error;
     bool reusable = false;
-    if (step == http::ParseResult::done || parser_.ends_with_connection()) {
+    if (parse_result == http::ParseResult::done || parser_.ends_with_connection()) {
         const http::Head& head = parser_.head();
-        read_fields(end);
-        if (head.status == 200 && (step == http::ParseResult::done || !parser_.ends_with_connection())) {
-            end.result = AttemptResult::ok;
-            end.body = parser_.body();
+        read_fields(outcome);
+        if (head.status == 200 &&
+            (parse_result == http::ParseResult::done || !parser_.ends_with_connection())) {
+            outcome.result = AttemptResult::ok;
+            outcome.body = parser_.body();
         } else if (head.status == 503 || head.status == 504) {
             const std::string_view* not_run = head.find("x-not-run");
-            if (not_run && *not_run == "1") end.result = AttemptResult::rejected;
+            if (not_run && *not_run == "1") outcome.result = AttemptResult::rejected;
         }
-        end.bad_request = !health_checking() && head.status >= 400 && head.status < 500;
+        outcome.bad_request = !health_checking() && head.status >= 400 && head.status < 500;
         reusable = head.keep_alive && !ended && may_have_run() && parser_.used() == buffer_.view().size();
     }
-    // The connection is idle before the result is reported, so that a retry can use it. The answer's views
-    // stay valid in `answer`.
+    // Makes the connection idle before reporting the result, so that a retry can use it. `response` keeps
+    // the views of the response valid.
     const auto self = shared_from_this();
-    http::Buffer answer = std::move(buffer_);
+    http::Buffer response = std::move(buffer_);
     parser_.reset();
     const AttemptTag tag = tag_;
-    end_call(end);
+    end_call(outcome);
     if (reusable) {
         idle_since_ = net::now();
         callbacks_.on_idle(*this);
     } else {
         close();
     }
-    callbacks_.on_call_end(*this, tag, end);
-    if (buffer_.capacity() == 0 && answer.capacity() <= kMaxKeptBufferBytes) {
-        answer.clear();
-        buffer_ = std::move(answer);
+    callbacks_.on_call_end(*this, tag, outcome);
+    if (buffer_.capacity() == 0 && response.capacity() <= kMaxKeptBufferBytes) {
+        response.clear();
+        buffer_ = std::move(response);
     }
 }
 
-void Connection::read_fields(CallResult& end) const {
+void Connection::read_fields(CallResult& outcome) const {
     const http::Head& head = parser_.head();
     if (const std::string_view* used = head.find("x-ratelimit-used")) {
         double percent = 0;
-        if (read_number(*used, percent)) end.quota_use = 1 + percent;   // 0 means none
+        if (read_number(*used, percent)) outcome.quota_use = 1 + percent;
     }
-    if (const std::string_view* type = head.find("content-type")) end.content_type = *type;
+    if (const std::string_view* type = head.find("content-type")) outcome.content_type = *type;
     const std::string_view* load = head.find("x-load");
-    std::string_view row = load ? *load : health_checking() ? parser_.body() : std::string_view();
-    if (row.empty() || report_fields_.empty()) return;
-    if (row.starts_with("X-Load:")) row.remove_prefix(7);
-    end.report.assign(report_fields_.size(), std::numeric_limits<double>::quiet_NaN());
+    std::string_view report_text = load ? *load : health_checking() ? parser_.body() : std::string_view();
+    if (report_text.empty() || report_fields_.empty()) return;
+    if (report_text.starts_with("X-Load:")) report_text.remove_prefix(7);
+    outcome.report.assign(report_fields_.size(), std::numeric_limits<double>::quiet_NaN());
     bool any = false;
-    while (!row.empty()) {
-        const std::size_t comma = std::min(row.find(','), row.size());
-        std::string_view pair = row.substr(0, comma);
-        row.remove_prefix(std::min(comma + 1, row.size()));
+    while (!report_text.empty()) {
+        const std::size_t comma = std::min(report_text.find(','), report_text.size());
+        std::string_view pair = report_text.substr(0, comma);
+        report_text.remove_prefix(std::min(comma + 1, report_text.size()));
         while (pair.starts_with(' ')) pair.remove_prefix(1);
-        const std::size_t mark = pair.find('=');
-        if (mark == std::string_view::npos) continue;
-        const auto field = std::find(report_fields_.begin(), report_fields_.end(), pair.substr(0, mark));
+        const std::size_t equals = pair.find('=');
+        if (equals == std::string_view::npos) continue;
+        const auto field = std::find(report_fields_.begin(), report_fields_.end(), pair.substr(0, equals));
         if (field == report_fields_.end()) continue;
         double value = 0;
-        if (!read_number(pair.substr(mark + 1), value)) continue;
-        end.report[static_cast<std::size_t>(field - report_fields_.begin())] = value;
+        if (!read_number(pair.substr(equals + 1), value)) continue;
+        outcome.report[static_cast<std::size_t>(field - report_fields_.begin())] = value;
         any = true;
     }
-    if (!any) end.report.clear();
+    if (!any) outcome.report.clear();
 }
 
-void Connection::end_call(CallResult& end) {
+void Connection::end_call(CallResult& outcome) {
     timer_.disarm();
     call_active_ = false;
     if (request_ && request_->body_rest) {
-        end.write_duration_s = (request_complete_ ? request_complete_at_ : net::now()) - started_at_;
-        if (!request_complete_) request_->body_rest->stream_to({});   // pauses until a retry or the answer
+        outcome.write_duration_s = (request_complete_ ? request_complete_at_ : net::now()) - started_at_;
+        if (!request_complete_)
+            request_->body_rest->stream_to({});   // pauses until a retry or the response
     }
-    end.duration_s = net::now() - started_at_;
-    end.idle_s = idle_s_;
+    outcome.duration_s = net::now() - started_at_;
+    outcome.idle_s = idle_s_;
     request_.reset();
 }
 
 void Connection::abandon(AttemptResult result) {
     const auto self = shared_from_this();
-    // A request that was not written whole can't have run.
-    CallResult end;
-    end.result =
+    // A request that was not written completely cannot have run.
+    CallResult outcome;
+    outcome.result =
         may_have_run() || result == AttemptResult::not_started ? result : AttemptResult::connect_failed;
-    fail_call(end);
+    fail_call(outcome);
 }
 
-void Connection::fail_call(CallResult& end) {
-    close();   // first: a retry must not run beside this attempt
+void Connection::fail_call(CallResult& outcome) {
+    close();   // before the report, as a retry must not run concurrently with this attempt
     if (!call_active_) return;
-    end_call(end);
-    callbacks_.on_call_end(*this, tag_, end);
+    end_call(outcome);
+    callbacks_.on_call_end(*this, tag_, outcome);
 }
 
-// An answer that stopped half way is an error, silence a timeout.
+// A response that stalls before the deadline is an error; anything else is a timeout.
 void Connection::on_timer() {
     if (streaming_response_) return finish_streaming(false);
     abandon(response_begun_ && net::now() < deadline_ ? AttemptResult::error : AttemptResult::timeout);
@@ -393,16 +397,16 @@
 void Connection::on_end(bool clean) {
     const auto self = shared_from_this();
     if (streaming_response_) return finish_streaming(clean && reader_.ends_with_connection());
-    // The bytes so far may be a whole answer. A part of one is a reset, and so is an answer without a
-    // length after an end that is not clean.
+    // The bytes received so far may be a complete response. A partial one counts as a reset, and so does a
+    // response without a length if the connection did not end cleanly.
     if (call_active_ && request_written_ && (clean || !parser_.ends_with_connection()))
         parse_response(true);
     if (!call_active_) return close();
-    CallResult end;
-    end.result = may_have_run() ? AttemptResult::reset : AttemptResult::connect_failed;
-    end.reset_before_response =
+    CallResult outcome;
+    outcome.result = may_have_run() ? AttemptResult::reset : AttemptResult::connect_failed;
+    outcome.reset_before_response =
         !dialling_ && !response_begun_ && net::now() - writable_since_ < kStaleResetWindowS;
-    fail_call(end);
+    fail_call(outcome);
 }
 
 void Connection::close() {
--- a/src/backend/connection.hpp
+++ b/src/backend/connection.hpp
@@ -1,10 +1,11 @@
-// One connection to a backend and the attempt or health check that it carries: HTTP/1.1 out, the answer in.
+// One connection to a backend and the call that it carries, which is an attempt or a health check: writes
+// an HTTP/1.1 request and reads the response.
 //
-// Input: a request with its deadline (s, net::now()), bytes of the connection. Output: CallResult, once for
-// each begin(). The result says whether the request may have run on the backend. It retries nothing.
+// Takes a request with its deadline (s, net::now()) and the bytes of the connection. Reports one CallResult
+// for each begin(), which says whether the request may have run on the backend. Does not retry.
 //
-// Ownership: owned by ConnectionPool, and by the BodySink of a large answer. Called by ConnectionPool,
-// net::Stream and RequestDispatcher (abandon()); calls ConnectionCallbacks.
+// Ownership: owned by ConnectionPool, and by the BodySink of a large response. Called by ConnectionPool,
+// net::Stream and RequestDispatcher (abandon()). Calls ConnectionCallbacks.
 #pragma once
 
 #include <optional>
@@ -18,9 +19,9 @@
 
 namespace slatejunction::backend {
 
-/// Which attempt a connection carries. A health check has none.
+/// Identifies the attempt that a connection carries. Not used by health checks.
 struct AttemptTag {
-    std::uint64_t request = 0;   // the dispatcher's number
+    std::uint64_t request = 0;   // the number that the dispatcher gave the request
     std::int64_t attempt = 0;
 };
 
@@ -28,17 +29,19 @@
 struct CallResult {
     slatejunction::AttemptResult result = slatejunction::AttemptResult::reset;
     double duration_s = 0;
-    double quota_use = 0;         // 1 + percent of X-RateLimit-Used; 0: none
-    std::vector<double> report;   // by the settings' fields, NaN where one is absent; empty: none
-    bool bad_request = false;     // 4xx: says nothing about the backend
+    double quota_use = 0;   // 1 + the percentage of X-RateLimit-Used; 0 if the response has none
+    // The load report, in the order of the settings' fields, NaN where one is absent. Empty if there is
+    // none.
+    std::vector<double> report;
+    bool bad_request = false;   // status 4xx, which says nothing about the backend
     std::string_view content_type, body;
-    double idle_s = -1;                   // of the connection before; below 0: it was new
+    double idle_s = -1;                   // how long the connection was idle before; negative for a new one
     bool client_disconnected = false;     // before anything was written
     bool reset_before_response = false;   // within kStaleResetWindowS
     double write_duration_s = 0;          // of a large request
-    // Of a large answer: `body` is the front, the rest is read from here.
+    // The source of the rest of a large response, of which `body` is the beginning.
     std::shared_ptr<client::BodySource> rest;
-    std::optional<std::size_t> length;   // of the whole body; none: chunked
+    std::optional<std::size_t> length;   // of the whole body, where `rest` is set; none if unknown
 };
 
 class Connection;
@@ -46,31 +49,43 @@
 class ConnectionCallbacks {
   public:
     virtual ~ConnectionCallbacks() = default;
-    virtual void on_call_end(Connection& connection, AttemptTag tag, const CallResult& end) = 0;
-    virtual void on_idle(Connection& connection) = 0;     // may carry another attempt
-    virtual void on_closed(Connection& connection) = 0;   // may destroy the connection
+    virtual void on_call_end(Connection& connection, AttemptTag tag, const CallResult& outcome) = 0;
+    /// The connection can carry another attempt.
+    virtual void on_idle(Connection& connection) = 0;
+    /// The connection is closed. The implementation may release it.
+    virtual void on_closed(Connection& connection) = 0;
 };
 
-/// One connection. Of a large request's body it is the BodySink, of a large answer's the BodySource. The
-/// attempt ends when a large answer begins; the rest is between this connection and the sink.
+/// One connection. It is the BodySink of a large request's body and the BodySource of a large response's.
+/// The attempt ends when the rest of a large response begins; this connection then streams the rest to the
+/// sink.
 ///
-/// States, by its members: dialling (dialling_), call active (call_active_), streaming an answer's rest
-/// (streaming_response_), idle (none of them), closed (closed_). Events: the connection is up, bytes, the
-/// end of a write, the peer's end, the timer, abandon(), close().
+/// States:
+/// - dialling: dialling_ (an active call waits for the connection)
+/// - call active: call_active_
+/// - streaming the rest of a response: streaming_response_
+/// - idle: none of the above
+/// - closed: closed_
+///
+/// Events: connection established, bytes received, bytes written, connection ended, timer, abandon(),
+/// close().
 class Connection : public net::Protocol, public client::BodySource, public client::BodySink {
   public:
-    Connection(ConnectionCallbacks& host, net::Timers& timers, http::ByteBudget& bytes,
+    Connection(ConnectionCallbacks& callbacks, net::Timers& timers, http::ByteBudget& bytes,
                std::string backend_id, std::string host_port,
                const std::vector<std::string>& report_fields);
     void attach(net::Transport& transport) { transport_ = &transport; }
 
-    /// Starts an attempt, or a health check (`request` null). `deadline`, `dial_deadline`: s, net::now();
-    /// the latter 0: the connection is up, write_call() follows. Else it is written once the connection is
-    /// up.
+    /// Starts an attempt, or a health check if `request` is null. `deadline` and `dial_deadline` are in s
+    /// (net::now()). If `dial_deadline` is 0, the connection is established and the caller calls
+    /// write_call() next. Else the call is written once the connection is established, by `dial_deadline`
+    /// at the latest.
     void begin(AttemptTag tag, std::shared_ptr<client::ClientRequest> request,
                std::string_view health_check_path, double deadline, double dial_deadline);
-    void write_call();   // the connection is up
-    /// Ends the attempt and closes, so that no late answer is taken for another attempt's.
+    /// Writes the call. The connection must be established.
+    void write_call();
+    /// Ends the attempt and closes the connection, so that a late response is not taken for that of another
+    /// attempt.
     void abandon(slatejunction::AttemptResult result);
     void close();
 
@@ -80,7 +95,7 @@
     bool health_checking() const { return !health_check_path_.empty(); }
     bool dialling() const { return dialling_; }
     bool call_active() const { return call_active_; }
-    /// All of the request has been given to the transport.
+    /// The whole request has been passed to the transport.
     bool request_sent() const { return request_written_ && request_complete_; }
     double idle_since() const { return idle_since_; }
 
@@ -88,7 +103,7 @@
     std::span<char> receive_buffer() override;
     void on_sent() override;
     bool write(std::string_view bytes) override;
-    void end(bool whole) override;
+    void end(bool complete) override;
     void stream_to(std::weak_ptr<client::BodySink> sink) override;
     void resume() override;
     void cancel() override;
@@ -101,14 +116,14 @@
     bool send_request_head();
     void begin_streaming();
     void forward_response();
-    void finish_streaming(bool whole);
+    void finish_streaming(bool complete);
     void on_timer();
     void parse_response(bool ended);
     void finish_response(http::ParseResult step, bool ended);
     void end_unwritten();
-    void end_call(CallResult& end);
-    void fail_call(CallResult& end);
-    void read_fields(CallResult& end) const;
+    void end_call(CallResult& outcome);
+    void fail_call(CallResult& outcome);
+    void read_fields(CallResult& outcome) const;
 
     ConnectionCallbacks& callbacks_;
     net::Transport* transport_ = nullptr;
@@ -122,13 +137,13 @@
     std::shared_ptr<client::ClientRequest> request_;
     std::string health_check_path_;
     double started_at_ = 0, deadline_ = 0, dial_deadline_ = 0, idle_since_ = 0;
-    double writable_since_ = 0;   // s; when the connection was up
+    double writable_since_ = 0;   // s; when the call could be written
     double idle_s_ = -1;
     bool dialling_ = false, call_active_ = false, request_written_ = false, closed_ = false;
-    bool response_begun_ = false;    // bytes of an answer have come
-    bool request_complete_ = true;   // all of the request was given to the transport
+    bool response_begun_ = false;    // bytes of a response have arrived
+    bool request_complete_ = true;   // the whole request has been passed to the transport
     double timeout_s_ = 0, request_complete_at_ = 0;
-    // A large answer's body.
+    // The body of a large response.
     http::BodyReader reader_;
     std::weak_ptr<client::BodySink> sink_;
     bool streaming_response_ = false, streaming_paused_ = false, reusable_after_stream_ = false;
--- a/src/backend/connection_pool.cpp
+++ b/src/backend/connection_pool.cpp
@@ -9,8 +9,9 @@
 using slatejunction::EndpointUpdateKind;
 
 namespace {
-constexpr double kMaxIdleKeepalivePart =
-    0.5;   // of the backends' keep-alive, so as not to race with their close
+// The part of the backends' keep-alive time after which idle connections are closed, so that this does not
+// race with the backends' own close.
+constexpr double kMaxIdleKeepaliveFraction = 0.5;
 constexpr double kHealthCheckTimeoutS = 0.5;
 }   // namespace
 
@@ -22,9 +23,9 @@
     net::Stream stream{*this};
 };
 
-ConnectionPool::ConnectionPool(CallCallbacks& host, net::Timers& timers, ConnectionPoolLimits limits,
+ConnectionPool::ConnectionPool(CallCallbacks& callbacks, net::Timers& timers, ConnectionPoolLimits limits,
                                http::ByteBudget& bytes, std::vector<std::string> report_fields)
-    : callbacks_(host),
+    : callbacks_(callbacks),
       timers_(timers),
       limits_(limits),
       bytes_(bytes),
@@ -37,16 +38,16 @@
     for (std::size_t i = 0; i < endpoint_list.update.endpoints.size(); ++i) {
         const slatejunction::Endpoint& entry = endpoint_list.update.endpoints[i];
         if (entry.state != EndpointState::serving) {
-            const auto at = backends_.find(entry.backend);
-            if (at == backends_.end()) continue;
-            at->second.in_latest_list = true;
-            stop(at->first, at->second);
-            if (entry.state == EndpointState::removed) backends_.erase(at);
+            const auto it = backends_.find(entry.backend);
+            if (it == backends_.end()) continue;
+            it->second.in_latest_list = true;
+            stop(it->first, it->second);
+            if (entry.state == EndpointState::removed) backends_.erase(it);
             continue;
         }
         Backend& backend = backends_[entry.backend];
         backend.in_latest_list = true;
-        // Another address may be another machine: connections to the old one are of no use.
+        // A new address may be another machine, so connections to the old one cannot be used.
         if (backend.host_port != endpoint_list.addresses[i]) stop(entry.backend, backend);
         backend.accepting = true;
         if (backend.host_port == endpoint_list.addresses[i]) continue;
@@ -56,20 +57,20 @@
     if (snapshot) forget_unlisted();
 }
 
-// Forgets backends that a snapshot does not name.
+// Removes the backends that a snapshot does not name.
 void ConnectionPool::forget_unlisted() {
-    for (auto at = backends_.begin(); at != backends_.end();) {
-        if (at->second.in_latest_list) {
-            ++at;
+    for (auto it = backends_.begin(); it != backends_.end();) {
+        if (it->second.in_latest_list) {
+            ++it;
             continue;
         }
-        stop(at->first, at->second);
-        at = backends_.erase(at);
+        stop(it->first, it->second);
+        it = backends_.erase(it);
     }
 }
 
-// A draining backend gets nothing new, not even by a connection that is being dialled. Attempts under way
-// go on.
+// Stops sending attempts to a backend, including those that wait for a connection that is being dialled.
+// Attempts on established connections continue.
 void ConnectionPool::stop(const std::string& id, Backend& backend) {
     backend.accepting = false;
     for (const auto idle = std::move(backend.idle); const auto& connection : idle) connection->close();
@@ -91,10 +92,10 @@
             connection->close();
             continue;
         }
-        // Readable: the backend has closed it, and an attempt written to it would count as one that may
-        // have run.
-        const auto at = connections_.find(connection.get());
-        if (at != connections_.end() && !at->second->stream.readable()) return connection;
+        // A readable idle connection has been closed by the backend, and an attempt written to it would
+        // count as one that may have run.
+        const auto it = connections_.find(connection.get());
+        if (it != connections_.end() && !it->second->stream.readable()) return connection;
         connection->close();
     }
     return nullptr;
@@ -116,58 +117,58 @@
                                                   std::shared_ptr<client::ClientRequest> request,
                                                   std::string_view health_check_path, double deadline,
                                                   double start_by, AttemptResult& failure) {
-    const auto at = backends_.find(id);
+    const auto it = backends_.find(id);
     failure = AttemptResult::connect_failed;
-    if (at == backends_.end() || !at->second.accepting) return nullptr;
-    Backend& backend = at->second;
+    if (it == backends_.end() || !it->second.accepting) return nullptr;
+    Backend& backend = it->second;
     if (auto connection = acquire_idle(backend)) {
         connection->begin(tag, std::move(request), health_check_path, deadline, 0);
         connection->write_call();
         return connection;
     }
-    // The limit of connections says nothing about the backend.
+    // Reaching the limit of connections says nothing about the backend.
     failure = AttemptResult::not_started;
     if (!ensure_capacity()) return nullptr;
     failure = AttemptResult::connect_failed;
-    auto linked =
+    auto pooled =
         std::make_shared<PooledConnection>(*this, timers_, bytes_, id, backend.host_port, report_fields_);
-    connections_.emplace(linked.get(), linked);
-    linked->begin(tag, std::move(request), health_check_path, deadline,
+    connections_.emplace(pooled.get(), pooled);
+    pooled->begin(tag, std::move(request), health_check_path, deadline,
                   std::min(start_by, net::now() + limits_.dial_timeout_s));
-    if (!linked->stream.dial(backend.address.get())) linked->on_end(false);
-    return linked;
+    if (!pooled->stream.dial(backend.address.get())) pooled->on_end(false);
+    return pooled;
 }
 
 std::shared_ptr<Connection> ConnectionPool::start_call(const std::string& backend, AttemptTag tag,
                                                        std::shared_ptr<client::ClientRequest> request,
                                                        double deadline, double start_by) {
-    CallResult end;
-    // Also of a large request that has been forwarded in part, and can't be sent again.
-    end.result = AttemptResult::not_started;
+    CallResult outcome;
+    // Also the result of a large request that has been forwarded in part and cannot be sent again.
+    outcome.result = AttemptResult::not_started;
     std::shared_ptr<Connection> connection;
-    // The client's end may not have been read yet, if this process was paused.
-    end.client_disconnected = request->client_disconnected();
-    if (!request->body_streamed && !end.client_disconnected)
-        connection = start(backend, tag, std::move(request), {}, deadline, start_by, end.result);
-    if (!connection) callbacks_.on_call_end(tag, end);
+    // The client's close may not have been read yet if this process was paused.
+    outcome.client_disconnected = request->client_disconnected();
+    if (!request->body_streamed && !outcome.client_disconnected)
+        connection = start(backend, tag, std::move(request), {}, deadline, start_by, outcome.result);
+    if (!connection) callbacks_.on_call_end(tag, outcome);
     return connection && connection->call_active() ? connection : nullptr;
 }
 
 void ConnectionPool::start_health_check(const std::string& backend, std::string_view path) {
-    CallResult end;
-    if (!start(backend, {}, nullptr, path, net::now() + kHealthCheckTimeoutS, kNever, end.result))
-        callbacks_.on_health_check_end(backend, end);
+    CallResult outcome;
+    if (!start(backend, {}, nullptr, path, net::now() + kHealthCheckTimeoutS, kNever, outcome.result))
+        callbacks_.on_health_check_end(backend, outcome);
 }
 
 void ConnectionPool::close_expired(double now) {
-    double limit = std::min(kMaxIdleKeepalivePart * limits_.keepalive_s, idle_lifetime_.limit_s(now));
+    double limit = std::min(kMaxIdleKeepaliveFraction * limits_.keepalive_s, idle_lifetime_.limit_s(now));
     if (max_idle_s_ >= 0) limit = std::min(limit, max_idle_s_);
     for (auto& [id, backend] : backends_)
         while (!backend.idle.empty() && now - backend.idle.front()->idle_since() > limit)
             close_oldest(backend);
 }
 
-// Removed from the list first, so that a loop over the list ends.
+// Removes the connection from the list before closing it, so that loops over the list terminate.
 void ConnectionPool::close_oldest(Backend& backend) {
     const auto connection = std::move(backend.idle.front());
     backend.idle.erase(backend.idle.begin());
@@ -179,29 +180,29 @@
         backends_.begin(), backends_.end(), [](const auto& entry) { return entry.second.accepting; }));
 }
 
-void ConnectionPool::on_call_end(Connection& connection, AttemptTag tag, const CallResult& end) {
-    // A failed dial says nothing about idle connections.
-    if (end.result != AttemptResult::connect_failed || end.reset_before_response)
-        idle_lifetime_.record_use(end.idle_s, end.reset_before_response, net::now());
+void ConnectionPool::on_call_end(Connection& connection, AttemptTag tag, const CallResult& outcome) {
+    // A failed dial says nothing about the idle time that connections survive.
+    if (outcome.result != AttemptResult::connect_failed || outcome.reset_before_response)
+        idle_lifetime_.record_use(outcome.idle_s, outcome.reset_before_response, net::now());
     if (connection.health_checking())
-        callbacks_.on_health_check_end(connection.backend_id(), end);
+        callbacks_.on_health_check_end(connection.backend_id(), outcome);
     else
-        callbacks_.on_call_end(tag, end);
+        callbacks_.on_call_end(tag, outcome);
 }
 
 void ConnectionPool::on_idle(Connection& connection) {
-    const auto at = backends_.find(connection.backend_id());
-    const auto known = connections_.find(&connection);
-    if (known == connections_.end()) return;   // it has closed
-    const auto linked = known->second;
-    if (at == backends_.end() || !at->second.accepting || at->second.host_port != connection.host_port())
-        return linked->close();
-    at->second.idle.push_back(linked);
+    const auto it = backends_.find(connection.backend_id());
+    const auto pooled_it = connections_.find(&connection);
+    if (pooled_it == connections_.end()) return;   // it is closed
+    const auto pooled = pooled_it->second;
+    if (it == backends_.end() || !it->second.accepting || it->second.host_port != connection.host_port())
+        return pooled->close();
+    it->second.idle.push_back(pooled);
 }
 
 void ConnectionPool::on_closed(Connection& connection) {
-    if (const auto at = backends_.find(connection.backend_id()); at != backends_.end())
-        std::erase_if(at->second.idle, [&](const auto& idle) { return idle.get() == &connection; });
+    if (const auto it = backends_.find(connection.backend_id()); it != backends_.end())
+        std::erase_if(it->second.idle, [&](const auto& idle) { return idle.get() == &connection; });
     connections_.erase(&connection);
 }
 
