--- a/src/client/arrival_times.cpp
+++ b/src/client/arrival_times.cpp
@@ -5,25 +5,26 @@
 namespace slatejunction::client {
 namespace {
 
-constexpr double kMaxPieceGapS = 0.005;   // closer bytes count as one piece
+// Bytes that arrive within this time of a piece's first bytes count towards that piece.
+constexpr double kMaxPieceSpanS = 0.005;
 
 }   // namespace
 
-void ArrivalTimes::add(std::size_t size, double at) {
+void ArrivalTimes::add(std::size_t size, double arrived_at) {
     if (size == 0) return;
     size_ += size;
-    if (!pieces_.empty() && at - pieces_.back().at < kMaxPieceGapS)
+    if (!pieces_.empty() && arrived_at - pieces_.back().arrived_at < kMaxPieceSpanS)
         pieces_.back().size += size;
     else
-        pieces_.push_back({size, at});
+        pieces_.push_back({size, arrived_at});
 }
 
-double ArrivalTimes::at(std::size_t place) const {
+double ArrivalTimes::at(std::size_t offset) const {
     for (const Piece& piece : pieces_) {
-        if (place < piece.size) return piece.at;
-        place -= piece.size;
+        if (offset < piece.size) return piece.arrived_at;
+        offset -= piece.size;
     }
-    return pieces_.empty() ? 0 : pieces_.back().at;
+    return pieces_.empty() ? 0 : pieces_.back().arrived_at;
 }
 
 void ArrivalTimes::keep_last(std::size_t size) {
--- a/src/client/client_request.cpp
+++ b/src/client/client_request.cpp
@@ -8,16 +8,18 @@
 namespace {
 
 template <class T, class... Base>
-bool read(std::string_view text, T& value, Base... base) {
-    const auto [end, fault] = std::from_chars(text.data(), text.data() + text.size(), value, base...);
-    return !text.empty() && fault == std::errc() && end == text.data() + text.size();
+bool parse_number(std::string_view text, T& value, Base... base) {
+    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value, base...);
+    return !text.empty() && error == std::errc() && end == text.data() + text.size();
 }
 
-// A stated deadline may be so many times its class's: both are rounded.
+// A stated deadline may exceed that of its class by this factor, as both are rounded.
 constexpr double kDeadlineTolerance = 1.01;
 
-// units=2,spread=3,first=1, each once and within the settings.
-bool read_terms(std::string_view text, const slatejunction::Settings& settings, ClientRequest& request) {
+// Parses the value of X-Call-Terms, such as "units=2,spread=3,first=1". Each part must occur once and be
+// within the settings.
+bool parse_call_terms(std::string_view text, const slatejunction::Settings& settings,
+                      ClientRequest& request) {
     int units = 0, spread = 0, first = 0;
     std::uint32_t ingress_count = 0, first_ingress = 0;
     while (!text.empty()) {
@@ -25,10 +27,10 @@
         std::string_view part = text.substr(0, comma);
         text.remove_prefix(std::min(comma + 1, text.size()));
         while (part.starts_with(' ')) part.remove_prefix(1);
-        const auto number = [&](std::string_view name, int& seen, auto& value) {
+        const auto number = [&](std::string_view name, int& occurrences, auto& value) {
             if (!part.starts_with(name)) return true;
-            ++seen;
-            return read(part.substr(name.size()), value);
+            ++occurrences;
+            return parse_number(part.substr(name.size()), value);
         };
         if (!number("units=", units, request.units) || !number("spread=", spread, ingress_count) ||
             !number("first=", first, first_ingress))
@@ -44,19 +46,22 @@
             (ingress_count <= settings.ingress_count && first_ingress < settings.ingress_count));
 }
 
-// customer= once, 16 hexadecimal digits of a number below 2^33.
-bool read_customer(std::string_view target, std::uint64_t& customer) {
-    const std::size_t mark = target.find('?');
-    std::string_view query = mark == std::string_view::npos ? std::string_view() : target.substr(mark + 1);
-    int seen = 0;
+// Parses the query parameter `customer`, which must occur once with 16 hexadecimal digits of a number below
+// 2^33.
+bool parse_customer(std::string_view target, std::uint64_t& customer) {
+    const std::size_t query_start = target.find('?');
+    std::string_view query =
+        query_start == std::string_view::npos ? std::string_view() : target.substr(query_start + 1);
+    int occurrences = 0;
     while (!query.empty()) {
-        const std::size_t amp = std::min(query.find('&'), query.size());
-        const std::string_view pair = query.substr(0, amp);
-        query.remove_prefix(std::min(amp + 1, query.size()));
+        const std::size_t ampersand = std::min(query.find('&'), query.size());
+        const std::string_view pair = query.substr(0, ampersand);
+        query.remove_prefix(std::min(ampersand + 1, query.size()));
         if (!pair.starts_with("customer=")) continue;
-        if (++seen > 1 || pair.size() != 25 || !read(pair.substr(9), customer, 16)) return false;
+        if (++occurrences > 1 || pair.size() != 25 || !parse_number(pair.substr(9), customer, 16))
+            return false;
     }
-    return seen == 1 && customer < std::uint64_t{1} << 33;
+    return occurrences == 1 && customer < std::uint64_t{1} << 33;
 }
 
 }   // namespace
@@ -73,9 +78,9 @@
 
 const slatejunction::ServiceClass* find_class(const slatejunction::Settings& settings,
                                               std::string_view name) {
-    const auto at = std::find_if(settings.classes.begin(), settings.classes.end(),
-                                 [&](const auto& writer) { return writer.name == name; });
-    return at == settings.classes.end() ? nullptr : &*at;
+    const auto it = std::find_if(settings.classes.begin(), settings.classes.end(),
+                                 [&](const auto& service_class) { return service_class.name == name; });
+    return it == settings.classes.end() ? nullptr : &*it;
 }
 
 std::string_view read_request(const http::Head& head, const slatejunction::Settings& settings, double now,
@@ -96,26 +101,28 @@
     const std::string_view deadline = field("x-deadline");
     const std::string_view call_terms = field("x-call-terms");
     double timeout_s = 0;
-    if (repeated) return "a repeated field";
+    if (repeated) return "repeated header field";
     if (request.request_id.empty()) return "X-Request-Id";
-    const slatejunction::ServiceClass* service = find_class(settings, first_path_segment(request.target));
-    if (!service || request.service_class != service->name) return "X-Class";
-    // The class determines the method.
-    const bool repeatable = service->idempotency == slatejunction::Idempotency::idempotent;
-    if (request.method != (repeatable ? "GET" : "POST")) return "method";
-    // By it backends recognise a retry.
-    if (service->idempotency == slatejunction::Idempotency::idempotency_key &&
+    const slatejunction::ServiceClass* service_class =
+        find_class(settings, first_path_segment(request.target));
+    if (!service_class || request.service_class != service_class->name) return "X-Class";
+    // The idempotency of the class determines the method.
+    const bool idempotent = service_class->idempotency == slatejunction::Idempotency::idempotent;
+    if (request.method != (idempotent ? "GET" : "POST")) return "method";
+    // Backends recognise a retry by its key.
+    if (service_class->idempotency == slatejunction::Idempotency::idempotency_key &&
         request.idempotency_key.empty())
         return "Idempotency-Key";
     if (!settings.plans.empty() &&
         std::none_of(settings.plans.begin(), settings.plans.end(),
                      [&](const auto& plan) { return plan.name == request.plan; }))
         return "X-Tier";
-    if (!read(deadline, timeout_s) || !std::isfinite(timeout_s) || timeout_s < 0) return "X-Deadline";
-    if (service->deadline_s > 0 && timeout_s > kDeadlineTolerance * service->deadline_s)
+    if (!parse_number(deadline, timeout_s) || !std::isfinite(timeout_s) || timeout_s < 0)
+        return "X-Deadline";
+    if (service_class->deadline_s > 0 && timeout_s > kDeadlineTolerance * service_class->deadline_s)
         return "X-Deadline";
-    if (!read_terms(call_terms, settings, request)) return "X-Call-Terms";
-    if (!read_customer(request.target, request.customer)) return "customer";
+    if (!parse_call_terms(call_terms, settings, request)) return "X-Call-Terms";
+    if (!parse_customer(request.target, request.customer)) return "customer";
     request.arrived_at_s = now;
     request.timeout_s = timeout_s;
     request.deadline_at_s = now + timeout_s;
--- a/src/client/server.cpp
+++ b/src/client/server.cpp
@@ -8,31 +8,31 @@
 namespace slatejunction::client {
 namespace {
 
-// A session past its time limit with unread bytes is left alone for so long: this process may have been
-// paused.
+// How long a session with unread bytes may exceed its time limit, as the process may have been paused.
 constexpr double kMaxProcessPauseS = 0.4;
-constexpr std::size_t kManySessionsPart = 4;   // many: more than 1/4 of the limit
+// There are many sessions if their number is over the limit divided by this.
+constexpr std::size_t kManySessionsDivisor = 4;
 
 }   // namespace
 
 struct Server::ConnectedSession : Session {
-    explicit ConnectedSession(SessionController& host) : Session(host) { attach(stream); }
+    explicit ConnectedSession(SessionController& controller) : Session(controller) { attach(stream); }
     net::Stream stream{*this};
 };
 
-Server::Server(SessionController& host, net::Timers& timers, std::size_t max_sessions)
-    : controller_(host),
+Server::Server(SessionController& controller, net::Timers& timers, std::size_t max_sessions)
+    : controller_(controller),
       max_sessions_(max_sessions),
       listener_(
           timers, [this] { return ensure_capacity(); },
           [this](net::Ref<GSocket> socket) { add_session(std::move(socket)); },
-          [this](const char* why) {
-              controller_.on_accept_error(why);
+          [this](const char* error) {
+              controller_.on_accept_error(error);
               evict_one();
           }) {}
 
-// At the limit a session is evicted rather than leave connections in the backlog, where a request may wait
-// already. Silent sessions are evicted first.
+// At the limit, evicts a session rather than leaving connections in the backlog, where a request may
+// already be waiting. Session::eviction_rank() gives the order.
 bool Server::ensure_capacity() { return sessions_.size() < max_sessions_ || evict_one(); }
 
 bool Server::evict_one() {
@@ -43,9 +43,9 @@
 }
 
 void Server::add_session(net::Ref<GSocket> socket) {
-    const auto owner = std::make_shared<ConnectedSession>(controller_);
-    sessions_.emplace(owner.get(), owner);
-    owner->stream.adopt(std::move(socket));
+    const auto connected = std::make_shared<ConnectedSession>(controller_);
+    sessions_.emplace(connected.get(), connected);
+    connected->stream.adopt(std::move(socket));
 }
 
 void Server::forget(Session& session) {
@@ -55,48 +55,48 @@
 
 void Server::close_expired(double now) {
     std::vector<std::shared_ptr<ConnectedSession>> selected;
-    const bool many = sessions_.size() > max_sessions_ / kManySessionsPart;
-    for (const auto& [session, owner] : sessions_) {
+    const bool many = sessions_.size() > max_sessions_ / kManySessionsDivisor;
+    for (const auto& [session, connected] : sessions_) {
         const double overdue_s = now - session->expires_at(many);
-        if (overdue_s >= 0 && (overdue_s > kMaxProcessPauseS || !owner->stream.readable()))
-            selected.push_back(owner);
+        if (overdue_s >= 0 && (overdue_s > kMaxProcessPauseS || !connected->stream.readable()))
+            selected.push_back(connected);
     }
-    for (const auto& owner : selected) owner->expire();
+    for (const auto& connected : selected) connected->expire();
     while (sessions_.size() > max_sessions_ && evict_one()) {
     }
-    listener_.retry_accepting();   // eviction_rank() changes with time
+    listener_.retry_accepting();   // eviction_rank() depends on the time
 }
 
 void Server::close_idle(double now, double idle_s) {
     std::vector<std::shared_ptr<ConnectedSession>> selected;
-    for (const auto& [session, owner] : sessions_)
+    for (const auto& [session, connected] : sessions_)
         if ((session->idle() || session->closing()) && now - session->since() > idle_s &&
-            !owner->stream.readable())
-            selected.push_back(owner);
-    for (const auto& owner : selected) owner->end();
+            !connected->stream.readable())
+            selected.push_back(connected);
+    for (const auto& connected : selected) connected->end();
 }
 
 void Server::reject_partial_requests(double retry_after_s) {
     std::vector<std::shared_ptr<ConnectedSession>> selected;
-    for (const auto& [session, owner] : sessions_)
-        if (session->has_partial_request()) selected.push_back(owner);
-    for (const auto& owner : selected) owner->reject_partial_request(retry_after_s);
+    for (const auto& [session, connected] : sessions_)
+        if (session->has_partial_request()) selected.push_back(connected);
+    for (const auto& connected : selected) connected->reject_partial_request(retry_after_s);
 }
 
 void Server::close_all() {
     std::vector<std::shared_ptr<ConnectedSession>> selected;
-    for (const auto& [session, owner] : sessions_) selected.push_back(owner);
-    for (const auto& owner : selected) owner->end();
+    for (const auto& [session, connected] : sessions_) selected.push_back(connected);
+    for (const auto& connected : selected) connected->end();
 }
 
-// Silent sessions with unread bytes are left out: what they carry is not known yet.
+// Leaves out sessions that have read nothing but have unread bytes, as it is not known yet what they carry.
 Server::SessionCounts Server::session_counts() const {
     SessionCounts counts;
-    for (const auto& [session, owner] : sessions_) {
-        if (session->checked_only()) continue;
-        if (!session->silent())
+    for (const auto& [session, connected] : sessions_) {
+        if (session->has_only_health_checks()) continue;
+        if (!session->has_received_nothing())
             ++counts.in_use;
-        else if (!owner->stream.readable())
+        else if (!connected->stream.readable())
             counts.last_unused_at = std::max(counts.last_unused_at, session->since());
     }
     return counts;
--- a/src/client/server.hpp
+++ b/src/client/server.hpp
@@ -1,9 +1,8 @@
-// The clients' listening socket and all client sessions: accepts connections and keeps their number below a
-// limit.
+// The listening socket for clients and all client sessions. Accepts connections and bounds their number.
 //
-// Input: the address, the limit of sessions, net::now() in s for time limits. Output: a client::Session for
-// each connection. It reads no request. Owned and called by ingress::Ingress; owns the sessions and their
-// streams.
+// Creates a client::Session for each connection and closes sessions whose time limit has passed; times are
+// in s (net::now()). Does not read requests. Owned and called by ingress::Ingress. Owns the sessions and
+// their streams.
 #pragma once
 
 #include <unordered_map>
@@ -15,31 +14,36 @@
 
 class Server {
   public:
-    /// `host` and `timers` live longer.
-    Server(SessionController& host, net::Timers& timers, std::size_t max_sessions);
-    bool start(const std::string& address, std::string& why) { return listener_.start(address, why); }
-    /// Another process's socket, which listens already; accepting is paused.
+    /// `controller` and `timers` must outlive the server.
+    Server(SessionController& controller, net::Timers& timers, std::size_t max_sessions);
+    /// Listens at `address`. Returns false with the reason in `error`.
+    bool start(const std::string& address, std::string& error) { return listener_.start(address, error); }
+    /// Takes over a socket of another process, which is listening already. Accepting is paused.
     void adopt(net::Ref<GSocket> listening) { listener_.adopt(std::move(listening)); }
     void pause_accepting() { listener_.pause(); }
     void resume_accepting() { listener_.resume(); }
-    /// Of the listening socket; below 0: there is none to pass on.
+    /// The descriptor of the listening socket, or -1 if there is none to pass on.
     int descriptor() const { return listener_.descriptor(); }
     void set_max_sessions(std::size_t max_sessions) { max_sessions_ = max_sessions; }
-    /// Ends sessions past their time limits, and evicts those beyond the limit.
+    /// Ends the sessions whose time limit has passed, and evicts sessions while there are more than
+    /// allowed.
     void close_expired(double now);
-    /// Closes sessions that have been idle for `idle_s`, or wait for nothing but the peer's close.
+    /// Closes sessions that for `idle_s` have been idle, or have only waited for the peer to close.
     void close_idle(double now, double idle_s);
     void forget(Session& session);
     void stop() { listener_.stop(); }
-    void refuse_handshakes() { listener_.refuse_handshakes(); }   // see net::Listener
+    /// See net::Listener.
+    void refuse_handshakes() { listener_.refuse_handshakes(); }
     void accept_pending_and_stop() { listener_.accept_pending_and_stop(); }
-    /// Answers 503 to every request that has come in part.
+    /// Answers every partially received request with 503.
     void reject_partial_requests(double retry_after_s);
     void close_all();
     std::size_t sessions() const { return sessions_.size(); }
     struct SessionCounts {
-        std::size_t in_use = 0;      // sessions with any request but health checks
-        double last_unused_at = 0;   // s; when the newest session without a byte began
+        // Sessions that have received anything but health checks.
+        std::size_t in_use = 0;
+        // When the newest session that has received no bytes began (s).
+        double last_unused_at = 0;
     };
     SessionCounts session_counts() const;
 
--- a/src/client/session.cpp
+++ b/src/client/session.cpp
@@ -9,33 +9,36 @@
 namespace slatejunction::client {
 namespace {
 
-constexpr std::size_t kMaxReadAheadBytes = 4096;                  // while an answer is pending
-constexpr std::size_t kMaxDroppedBytes = 64 << 20;                // of a client after its last answer
+constexpr std::size_t kMaxReadAheadBytes = 4096;                  // while a response is pending
+constexpr std::size_t kMaxDiscardedBytes = 64 << 20;              // from a client after its last response
 constexpr std::size_t kReadChunkBytes = std::size_t{32} * 1024;   // of a large body
 constexpr std::size_t kReadAheadChunkBytes = 512;
 
-// Time limits of the states. Every client gets an error or a close within 3 s, so no state but that of a
-// pending answer, or of a large body, lasts as long.
+// Time limits of the states. Every client must get an error or a close within 3 s, so the states in which
+// it waits for the ingress are shorter, except with a pending response or a large body.
 constexpr double kFirstRequestTimeoutS = 2.0;     // until the first byte on a new connection
 constexpr double kRequestTimeoutS = 2.5;          // from a request's first byte to its last
-constexpr double kResponseUnreadTimeoutS = 2.5;   // until an answer has been written
-constexpr double kIdleTimeoutS = 10.0;            // after an answer
+constexpr double kResponseUnreadTimeoutS = 2.5;   // until a response has been written
+constexpr double kIdleTimeoutS = 10.0;            // after a response
 constexpr double kIdleTimeoutManySessionsS = 2.2;
-constexpr double kLingerS = 4.0;   // until the peer closes; a large body may be on its way
-constexpr double kMaxLingerS = 30.0, kLingerIdleS = 1.0;   // the same while bytes go on coming
-constexpr double kBodyProgressTimeoutS = 0.8;              // between pieces of a body that takes longer
-constexpr double kUploadStallTimeoutS = 2.0;               // between pieces of a large body
-constexpr double kResponseStallTimeoutS = 10.0;            // between writes of a large answer
+// Until the peer closes after the last response, as a large body may still be arriving.
+constexpr double kLingerS = 4.0;
+// The limits instead while bytes keep arriving: in total, and since the last byte.
+constexpr double kMaxLingerS = 30.0, kLingerIdleS = 1.0;
+// Between pieces of a buffered body that takes longer than kRequestTimeoutS.
+constexpr double kBodyProgressTimeoutS = 0.8;
+constexpr double kUploadStallTimeoutS = 2.0;      // between pieces of a large body
+constexpr double kResponseStallTimeoutS = 10.0;   // between writes of a large response
 constexpr double kMinBodyBytesPerS = 32e3;
 
-// A session is not evicted before it has been in its state for so long.
+// How long a session must have been in its state before it may be evicted.
 constexpr double kEvictLingeringAfterS = 0.25;
-constexpr double kEvictSilentAfterS = 0.02;
+constexpr double kEvictUnusedAfterS = 0.02;
 constexpr double kEvictPartialAfterS = 0.5;
 
-constexpr double kMaxRetryAfterS = 1e6;   // bounds the digits
+constexpr double kMaxRetryAfterS = 1e6;   // bounds the number of digits
 
-std::string_view start_line(int status) {
+std::string_view status_line(int status) {
     switch (status) {
         case 200:
             return "HTTP/1.1 200 OK\r\n";
@@ -62,18 +65,18 @@
 
 }   // namespace
 
-// While an answer is pending, a little is read ahead, which shows whether the client has disconnected.
+// While a response is pending, reads a few bytes ahead, which shows whether the client has disconnected.
 std::span<char> Session::receive_buffer() {
     if (uploading_) return upload_paused_ ? std::span<char>() : buffer_.space(kReadChunkBytes);
     if (response_unread()) return {};
     if (!response_pending_) return parser_.receive_space(buffer_);
-    if (controller_.stopping()) return {};   // reads no further request
+    if (controller_.stopping()) return {};   // no further request is read
     if (buffer_.view().size() >= kMaxReadAheadBytes) return {};
     return buffer_.space(kReadAheadChunkBytes);
 }
 
 void Session::on_bytes(std::size_t size) {
-    // The time limit of a request starts with its first byte, on a new connection with the connection.
+    // The time limit of a request starts with its first byte, or with the connection for the first request.
     if (request_received_ && !response_pending_ && buffer_.view().empty()) state_since_ = net::now();
     buffer_.commit(size);
     arrivals_.add(size, net::now() - transport_->receive_delay_s());
@@ -81,55 +84,56 @@
         last_progress_at_ = net::now();
         return forward_upload();
     }
-    if (parser_.has_head()) last_progress_at_ = net::now();   // a body in pieces
+    if (parser_.has_head()) last_progress_at_ = net::now();   // a piece of a body
     if (!response_pending_ && !closing_) read_next();
 }
 
-// The next request waits until the answer has been written, so that answers to a client that reads none do
-// not pile up. While a head has been read, only 100 Continue can be unsent.
+// The next request waits until the response has been written, so that responses to a client that does not
+// read do not accumulate. If the head of a request has been read, the unsent bytes are those of 100
+// Continue.
 bool Session::response_unread() const {
     return !response_pending_ && !closing_ && !parser_.has_head() && transport_->unsent();
 }
 
 void Session::read_next() {
-    if (in_read_next_) return;   // a request has been answered at once: the loop below goes on
+    if (in_read_next_) return;   // a request was answered synchronously; the loop below continues
     in_read_next_ = true;
     while (!response_pending_ && !closing_ && !response_unread() && !buffer_.view().empty()) {
-        const http::ParseResult step = parser_.feed(buffer_);
-        if (step == http::ParseResult::need_more) {
+        const http::ParseResult result = parser_.feed(buffer_);
+        if (result == http::ParseResult::need_more) {
             send_continue_if_expected();
             break;
         }
-        on_parsed(step);
+        on_parsed(result);
     }
     in_read_next_ = false;
 }
 
-void Session::on_parsed(http::ParseResult step) {
-    switch (step) {
+void Session::on_parsed(http::ParseResult result) {
+    switch (result) {
         case http::ParseResult::done:
             return handle_request(false);
         case http::ParseResult::rest_follows:
             return handle_request(true);
         case http::ParseResult::malformed:
-            return reject(400, "malformed or ambiguous message");
+            return reject(400, "malformed or ambiguous HTTP message");
         case http::ParseResult::over_budget:
-            return reject(503, "all consumers together send too much");
+            return reject(503, "memory limit for the bytes of all clients exceeded");
         case http::ParseResult::head_too_large:
-            return reject(431, "message over the limits");
+            return reject(431, "request head too large");
         default:
-            return reject(413, "message over the limits");
+            return reject(413, "request body too large");
     }
 }
 
-// A request that has been read is answered on this connection, also if the process is stopping.
+// A request that has been read is answered on this connection even if the process is stopping.
 bool Session::next_request_buffered() const {
     return buffer_.view().find("\r\n\r\n") != std::string_view::npos;
 }
 
 bool Session::closes_after_response() const { return controller_.stopping() && !next_request_buffered(); }
 
-// RFC 9110, section 10.1.1.
+// Implements Expect: 100-continue (RFC 9110, section 10.1.1).
 void Session::send_continue_if_expected() {
     if (continue_sent_ || !parser_.has_head() || !parser_.expects_continue()) return;
     continue_sent_ = true;
@@ -151,11 +155,11 @@
     state_since_ = now;
     const bool health_check = head.target.substr(0, head.target.find('?')) == "/health/ready";
     auto request = std::make_shared<ClientRequest>();
-    if (health_check && rest_follows) return reject(413, "message over the limits");
+    if (health_check && rest_follows) return reject(413, "health check with a large body");
     if (!health_check && !accept_request(*request, arrived_at_s, rest_follows)) return;
     request->body = parser_.body();
     if (rest_follows) start_upload(request, now);
-    // The parser's own fields, which it writes again only when it reads the next head.
+    // Views of the parser's fields, which stay valid until it parses the next head.
     if (controller_.wants_headers()) request->headers = std::span(head.fields).first(head.count);
     parser_.reset();
     move_bytes_to(*request, used);
@@ -163,7 +167,7 @@
     dispatch(std::move(request));
 }
 
-// False: the request has been rejected.
+// Returns false if the request has been rejected.
 bool Session::accept_request(ClientRequest& request, double arrived_at_s, bool rest_follows) {
     const http::Head& head = parser_.head();
     if (!find_class(controller_.settings(), first_path_segment(head.target))) {
@@ -176,20 +180,20 @@
         reject(400, invalid_field);
         return false;
     }
-    // Two open requests of one id would be a hedged request, which only idempotent classes may have.
+    // Two open requests with the same id would be a hedged request, which only idempotent classes may have.
     if (controller_.is_request_open(request.request_id)) {
-        reject(409, "X-Request-Id of an open request");
+        reject(409, "X-Request-Id is in use by an open request");
         return false;
     }
     if (head.method == "GET" && (rest_follows || !parser_.body().empty())) {
-        reject(400, "a body");
+        reject(400, "GET request with a body");
         return false;
     }
     return true;
 }
 
-// The deadline is known once the body's last byte has come: until then the longest time that the body may
-// take is added.
+// The deadline is known once the last byte of the body has arrived. Until then, the longest time that the
+// body may take is added.
 void Session::start_upload(const std::shared_ptr<ClientRequest>& request, double now) {
     upload_reader_ = parser_.rest();
     request->body_length = parser_.length();
@@ -203,7 +207,7 @@
     last_progress_at_ = now;
 }
 
-// The request keeps the bytes that its views point into; what lies behind them moves to a new buffer.
+// Gives the request the bytes that its views point into, and moves the bytes after them to a new buffer.
 void Session::move_bytes_to(ClientRequest& request, std::size_t size) {
     const std::string_view rest = buffer_.view().substr(size);
     http::Buffer next(&controller_.budget());
@@ -229,8 +233,7 @@
     if (!upload_sink_.expired()) resume();
 }
 
-// A large request's body.
-// -----------------------------------------------------------------------------------
+// Streaming of a large request. --------------------------------------------------------------------------
 
 void Session::stream_to(std::weak_ptr<BodySink> sink) {
     upload_sink_ = std::move(sink);
@@ -240,7 +243,7 @@
 
 void Session::resume() {
     if (response_rest_ || dispatching_) return;
-    // The caller may own it by the request alone, which ends once both sides have.
+    // Only the request may own this session, and it may end during the calls below.
     const auto self = shared_from_this();
     upload_paused_ = false;
     last_progress_at_ = net::now();
@@ -259,7 +262,8 @@
         if (!part.empty()) {
             request->body_streamed = true;
             const bool more = sink->write(part);
-            // If the sink's connection was broken, the request has been answered, or the session has ended.
+            // The write may have found the sink's connection broken, upon which the request was answered or
+            // the session ended.
             if (!uploading_) return;
             upload_paused_ = upload_paused_ || !more;
         }
@@ -267,7 +271,7 @@
             const std::uint64_t number = std::exchange(request_number_, 0);
             upload_sink_.reset();
             if (number != 0) controller_.on_client_disconnected(number);
-            return reject(400, "a malformed body");
+            return reject(400, "malformed or oversized chunked body");
         }
         if (state == http::BodyReader::State::done)
             finish_upload(*request, buffer_.view().size() - in.size());
@@ -280,7 +284,7 @@
     transport_->resume();
 }
 
-// `size`: of the body's last bytes in the buffer.
+// `size` is that of the last bytes of the body in the buffer.
 void Session::finish_upload(ClientRequest& request, std::size_t size) {
     uploading_ = false;
     request.body_complete = true;
@@ -289,8 +293,7 @@
     state_since_ = net::now();
 }
 
-// A large answer's body.
-// -----------------------------------------------------------------------------------
+// Streaming of a large response. -------------------------------------------------------------------------
 
 bool Session::write(std::string_view bytes) {
     if (!response_rest_ || ended_) return true;
@@ -309,78 +312,80 @@
     return !transport_->unsent();
 }
 
-void Session::end(bool whole) {
+void Session::end(bool complete) {
     if (!response_rest_ || ended_) return;
     const auto self = shared_from_this();
     response_rest_.reset();
-    // An incomplete body ends short of its length, or without the last chunk: the client can tell.
-    if (!whole) return end();
+    // Closing leaves an incomplete body short of its length, or without the last chunk, so that the client
+    // detects it.
+    if (!complete) return end();
     constexpr std::string_view kLastChunk = "0\r\n\r\n";
     if (response_chunked_ && !transport_->send({&kLastChunk, 1})) return end();
-    on_response_given();
+    on_response_queued();
 }
 
-// After an invalid message its end is not known: the connection is closed.
-void Session::reject(int status, std::string_view why) {
-    controller_.on_bad_request(status, why);
+// Closes the connection after the response, as the end of an invalid message is not known.
+void Session::reject(int status, std::string_view error) {
+    controller_.on_bad_request(status, error);
     keep_alive_ = false;
     write_response({status, status == 503 ? 1.0 : 0, {}, {}});
 }
 
-void Session::write_response(const Response& answer) {
+void Session::write_response(const Response& response) {
     if (ended_) return;
     if (closes_after_response()) keep_alive_ = false;
-    // An answer before the last byte of its request: the rest of the body is dropped.
+    // If the response precedes the last byte of its request, the rest of the body is discarded.
     if (std::exchange(uploading_, false)) keep_alive_ = false;
     upload_sink_.reset();
     std::array<char, 96> fields;
-    const bool sized = !answer.rest || answer.length;
-    response_chunked_ = !sized && client_is_http_1_1_;
-    if (!sized && !response_chunked_) keep_alive_ = false;   // HTTP/1.0: the body ends with the connection
-    int size = sized ? std::snprintf(fields.data(), fields.size(), "Content-Length: %zu\r\n",
-                                     answer.rest ? *answer.length : answer.body.size())
-                     : std::snprintf(fields.data(), fields.size(), "%s",
-                                     response_chunked_ ? "Transfer-Encoding: chunked\r\n" : "");
-    const double retry_after_s = std::min(answer.retry_after_s, kMaxRetryAfterS);
+    const bool length_known = !response.rest || response.length;
+    response_chunked_ = !length_known && client_is_http_1_1_;
+    if (!length_known && !response_chunked_)
+        keep_alive_ = false;   // HTTP/1.0: the body ends with the connection
+    int size = length_known ? std::snprintf(fields.data(), fields.size(), "Content-Length: %zu\r\n",
+                                            response.rest ? *response.length : response.body.size())
+                            : std::snprintf(fields.data(), fields.size(), "%s",
+                                            response_chunked_ ? "Transfer-Encoding: chunked\r\n" : "");
+    const double retry_after_s = std::min(response.retry_after_s, kMaxRetryAfterS);
     if (retry_after_s > 0)
         size += std::snprintf(fields.data() + size, fields.size() - static_cast<std::size_t>(size),
                               "Retry-After: %.3f\r\n", retry_after_s);
-    const bool typed = !answer.content_type.empty();
+    const bool has_content_type = !response.content_type.empty();
     const std::array<std::string_view, 8> parts{
-        start_line(answer.status),
+        status_line(response.status),
         std::string_view(fields.data(), static_cast<std::size_t>(size)),
-        typed ? "Content-Type: " : "",
-        answer.content_type,
-        typed ? "\r\n" : "",
+        has_content_type ? "Content-Type: " : "",
+        response.content_type,
+        has_content_type ? "\r\n" : "",
         keep_alive_ ? "" : "Connection: close\r\n",
         "\r\n",
-        answer.rest ? std::string_view() : answer.body};
+        response.rest ? std::string_view() : response.body};
     request_number_ = 0;
-    if (!answer.rest) {
+    if (!response.rest) {
         if (!transport_->send(parts)) return end();
-        return on_response_given();
+        return on_response_queued();
     }
-    response_rest_ = answer.rest;
+    response_rest_ = response.rest;
     state_since_ = net::now();
     last_progress_at_ = state_since_;
     if (!transport_->send(parts)) return end();
-    if (!answer.body.empty()) write(answer.body);
+    if (!response.body.empty()) write(response.body);
     if (response_rest_) response_rest_->stream_to(std::static_pointer_cast<Session>(shared_from_this()));
 }
 
-// All of the answer has been given to the transport.
-void Session::on_response_given() {
+// The whole response has been passed to the transport.
+void Session::on_response_queued() {
     response_pending_ = false;
     closing_ = !keep_alive_;
     state_since_ = net::now();
     if (closing_) {
         parser_.reset();
         buffer_ = http::Buffer(&controller_.budget());
-        transport_->discard_input(kMaxDroppedBytes);
+        transport_->discard_input(kMaxDiscardedBytes);
     } else {
         transport_->resume();
     }
-    if (!transport_->unsent()) finish_answer();
+    if (!transport_->unsent()) on_response_written();
 }
 
 void Session::on_input_discarded() { last_progress_at_ = net::now(); }
@@ -388,19 +393,19 @@
 void Session::on_sent() {
     last_progress_at_ = net::now();
     if (const auto rest = response_rest_) return rest->resume();
-    if (!response_pending_) finish_answer();   // else it was 100 Continue
+    if (!response_pending_) on_response_written();   // else 100 Continue was written
 }
 
-void Session::finish_answer() {
+void Session::on_response_written() {
     state_since_ = net::now();
-    // Closing with unread bytes would reset the connection, and the peer might lose the answer: it closes
-    // first, and what it sends until then is dropped.
+    // Closing a socket with unread bytes would reset the connection, and the peer might lose the response.
+    // So the peer has to close first, and its input is discarded until then.
     if (closing_) return transport_->shutdown_send();
     transport_->resume();
     read_next();
 }
 
-double Session::expires_at(bool many) const {
+double Session::expires_at(bool many_sessions) const {
     if (uploading_ && !upload_paused_) return last_progress_at_ + kUploadStallTimeoutS;
     if (response_rest_ && transport_->unsent()) return last_progress_at_ + kResponseStallTimeoutS;
     if (response_pending_) return std::numeric_limits<double>::infinity();
@@ -410,23 +415,23 @@
     if (transport_->unsent()) return state_since_ + kResponseUnreadTimeoutS;
     if (!buffer_.view().empty()) {
         if (!parser_.has_head()) return state_since_ + kRequestTimeoutS;
-        // A body may take longer while it comes at kMinBodyBytesPerS.
-        const double paced = state_since_ + kRequestTimeoutS +
-                             static_cast<double>(buffer_.view().size()) / kMinBodyBytesPerS;
+        // A body may take longer while it arrives at kMinBodyBytesPerS or faster.
+        const double paced_limit = state_since_ + kRequestTimeoutS +
+                                   static_cast<double>(buffer_.view().size()) / kMinBodyBytesPerS;
         return std::max(state_since_ + kRequestTimeoutS,
-                        std::min(paced, last_progress_at_ + kBodyProgressTimeoutS));
+                        std::min(paced_limit, last_progress_at_ + kBodyProgressTimeoutS));
     }
     if (!request_received_) return state_since_ + kFirstRequestTimeoutS;
-    return state_since_ + (many ? kIdleTimeoutManySessionsS : kIdleTimeoutS);
+    return state_since_ + (many_sessions ? kIdleTimeoutManySessionsS : kIdleTimeoutS);
 }
 
 void Session::expire() {
     if (uploading_) {
         const std::uint64_t number = std::exchange(request_number_, 0);
         if (number != 0) controller_.on_client_disconnected(number);
-        return reject(408, "a body that stalls");
+        return reject(408, "request body stalled");
     }
-    if (has_partial_request()) return reject(408, "not whole in time");
+    if (has_partial_request()) return reject(408, "request not complete within the time limit");
     end();
 }
 
@@ -440,13 +445,13 @@
     if (response_pending_ || transport_->unsent()) return -1;
     if (closing_) return age > kEvictLingeringAfterS ? 0 : -1;
     if (!buffer_.view().empty()) return age > kEvictPartialAfterS ? 2 : -1;
-    if (!request_received_) return age > kEvictSilentAfterS ? 1 : -1;
+    if (!request_received_) return age > kEvictUnusedAfterS ? 1 : -1;
     return 3;
 }
 
 void Session::on_end(bool) { end(); }
 
-// A client that closes its sending side has disconnected, even if it could still be written to.
+// A client that closes its sending side counts as disconnected, even if it could still receive a response.
 void Session::end() {
     if (ended_) return;
     ended_ = true;
@@ -456,7 +461,8 @@
     if (const auto rest = std::exchange(response_rest_, nullptr)) rest->cancel();
     uploading_ = false;
     upload_sink_.reset();
-    if (const bool owed = std::exchange(response_pending_, false); owed && request_number_ != 0)
+    if (const bool was_pending = std::exchange(response_pending_, false);
+        was_pending && request_number_ != 0)
         controller_.on_client_disconnected(request_number_);
     controller_.on_closed(*this);
 }
--- a/src/client/session.hpp
+++ b/src/client/session.hpp
@@ -1,11 +1,10 @@
-// The server side of one client connection: HTTP/1.1 bytes in, requests out, answers back.
+// The server side of one client connection: reads HTTP/1.1 requests and writes the responses.
 //
-// Input: bytes of the connection, answers of the ingress, times in s (net::now()). Output:
-// RequestHandler::on_request for each valid request, at most one at a time. Health checks it answers
-// itself, invalid requests it rejects. It decides nothing about a request.
+// Passes valid requests to RequestHandler::on_request(), at most one at a time. Answers health checks and
+// rejects invalid requests itself. Makes no other decision about a request. Times are in s (net::now()).
 //
-// Ownership: owned by client::Server, and by the open request that it waits for. Called by net::Stream,
-// client::Server and ResponseWriter's users; calls SessionController.
+// Ownership: owned by client::Server, and by the open request whose response is pending. Called by
+// net::Stream, client::Server and the users of ResponseWriter. Calls SessionController.
 #pragma once
 
 #include <algorithm>
@@ -19,70 +18,80 @@
 
 class Session;
 
-/// What sessions need of the ingress. It lives longer than they do.
+/// What sessions need from the ingress. Outlives the sessions.
 class SessionController : public RequestHandler {
   public:
-    virtual bool ready() const = 0;      // the answer to the load balancer's health checks
-    virtual bool stopping() const = 0;   // connections are closed after their answer
+    /// The response to the load balancer's health checks.
+    virtual bool ready() const = 0;
+    /// The process is stopping: connections are closed after their response.
+    virtual bool stopping() const = 0;
     virtual const slatejunction::Settings& settings() const = 0;
     virtual bool is_request_open(std::string_view request_id) const = 0;
-    virtual bool wants_headers() const { return false; }   // ClientRequest::headers
-    virtual http::ByteBudget& budget() = 0;                // for the bytes of all clients
-    virtual void on_bad_request(int status, std::string_view why) = 0;
-    virtual void on_accept_error(const char* why) = 0;
-    virtual void on_closed(Session& session) = 0;   // may forget the session
+    /// Whether ClientRequest::headers is set.
+    virtual bool wants_headers() const { return false; }
+    /// The budget for the bytes of all clients.
+    virtual http::ByteBudget& budget() = 0;
+    virtual void on_bad_request(int status, std::string_view error) = 0;
+    virtual void on_accept_error(const char* error) = 0;
+    /// The session has closed. The implementation may release it.
+    virtual void on_closed(Session& session) = 0;
 };
 
-/// One client connection. Of a large request's body it is the BodySource, of a large answer's the BodySink.
+/// One client connection. It is the BodySource of a large request's body and the BodySink of a large
+/// response's.
 ///
-/// States, by its members:
-///   reading       a request is awaited or read (neither of the following)
-///   answering     response_pending_: a request has been dispatched; `uploading_`: its body is still being
-///   read closing       closing_: the last answer is written, then the peer closes ended         ended_:
-///   closed
-/// Events: bytes, the end of a write, the peer's end, the answer of the ingress, time limits.
+/// States:
+/// - reading: a request is awaited or being read (none of the following)
+/// - response pending: response_pending_; uploading_ while the request's body is still being read
+/// - closing: closing_ (the last response is being written, then the peer is awaited to close)
+/// - ended: ended_
+///
+/// Events: bytes received, bytes written, connection ended, response of the ingress, time limits.
 class Session : public net::Protocol, public ResponseWriter, public BodySource, public BodySink {
   public:
-    explicit Session(SessionController& host)
-        : controller_(host), parser_(http::Parser::Kind::request, true), buffer_(&host.budget()) {}
+    explicit Session(SessionController& controller)
+        : controller_(controller),
+          parser_(http::Parser::Kind::request, true),
+          buffer_(&controller.budget()) {}
     void attach(net::Transport& transport) { transport_ = &transport; }
 
-    void write_response(const Response& answer) override;
+    void write_response(const Response& response) override;
     bool client_disconnected() const override { return ended_ || transport_->peer_closed(); }
     void stream_to(std::weak_ptr<BodySink> sink) override;
     void resume() override;
     void cancel() override {}
     bool write(std::string_view bytes) override;
-    void end(bool whole) override;
+    void end(bool complete) override;
     bool idle() const {
         return !response_pending_ && !closing_ && buffer_.view().empty() && !transport_->unsent();
     }
     bool busy() const { return response_pending_; }
+    /// The last response has been written, and the peer is awaited to close.
     bool closing() const { return closing_ && !transport_->unsent(); }
-    bool silent() const {
-        return !request_received_ && !closing_ && buffer_.view().empty();
-    }   // nothing has come on it
-    /// Only health checks have come on it, and no further request has begun.
-    bool checked_only() const {
+    /// The session has not read any bytes.
+    bool has_received_nothing() const { return !request_received_ && !closing_ && buffer_.view().empty(); }
+    /// The session has only received health checks, and no further request has begun.
+    bool has_only_health_checks() const {
         return request_received_ && !request_dispatched_ && !response_pending_ && buffer_.view().empty();
     }
-    /// A request has come in part.
+    /// A request has been received partially.
     bool has_partial_request() const {
         return !response_pending_ && !closing_ && !buffer_.view().empty() && !transport_->unsent();
     }
-    /// Answers 503 to the request that has come in part, and closes.
+    /// Answers the partially received request with 503, and closes.
     void reject_partial_request(double retry_after_s);
-    double since() const {
-        return std::max(state_since_, last_progress_at_);
-    }   // of its state, or the last byte in it
-    /// When the time limit of its state ends (s); infinite while an answer is pending. `many`: there are
-    /// many sessions, and idle ones are kept for a shorter time.
-    double expires_at(bool many = false) const;
-    /// expires_at() has passed: answers 408 to a partial request, and closes.
+    /// When the current state began or last made progress (s).
+    double since() const { return std::max(state_since_, last_progress_at_); }
+    /// When the time limit of the current state ends (s); infinity while a response is pending and no body
+    /// is being transferred. `many_sessions`: there are many sessions, so idle ones are kept for a shorter
+    /// time.
+    double expires_at(bool many_sessions = false) const;
+    /// To be called when expires_at() has passed. Answers a partial request with 408, and closes.
     void expire();
-    /// In which order sessions are evicted: 0 first; below 0: never.
+    /// Sessions are evicted in the order of their ranks, from 0; a negative rank means never.
     int eviction_rank(double now) const;
-    void end();   // whatever its state
+    /// Closes the connection in any state.
+    void end();
 
     std::span<char> receive_buffer() override;
     void on_bytes(std::size_t size) override;
@@ -96,8 +105,8 @@
     void on_parsed(http::ParseResult step);
     bool next_request_buffered() const;
     bool closes_after_response() const;
-    bool response_unread()
-        const;   // the last answer is not written yet, and the next request waits for that
+    /// The last response has not been written completely, and the next request waits for that.
+    bool response_unread() const;
     void handle_request(bool rest_follows);
     bool accept_request(ClientRequest& request, double arrived_at_s, bool rest_follows);
     void start_upload(const std::shared_ptr<ClientRequest>& request, double now);
@@ -106,35 +115,38 @@
     void forward_upload();
     void finish_upload(ClientRequest& request, std::size_t size);
     void send_continue_if_expected();
-    void reject(int status, std::string_view why);
-    void on_response_given();
-    void finish_answer();
+    void reject(int status, std::string_view error);
+    void on_response_queued();
+    void on_response_written();
 
     SessionController& controller_;
     net::Transport* transport_ = nullptr;
     http::Parser parser_;
     http::Buffer buffer_;
-    ArrivalTimes arrivals_;              // of the bytes in buffer_
-    std::uint64_t request_number_ = 0;   // of the request that an answer is pending to; 0: not known
-    double state_since_ = net::now();    // s
-    double last_progress_at_ = 0;        // s; when a byte of a large body came, or could be written
-    // A large request's body.
+    ArrivalTimes arrivals_;   // of the bytes in buffer_
+    // Identifies the request whose response is pending; 0 if unknown.
+    std::uint64_t request_number_ = 0;
+    double state_since_ = net::now();   // s
+    // When bytes of a body arrived, were written, or were discarded (s).
+    double last_progress_at_ = 0;
+    // The body of a large request.
     http::BodyReader upload_reader_;
     std::weak_ptr<ClientRequest> upload_request_;
     std::weak_ptr<BodySink> upload_sink_;
-    bool uploading_ = false;       // its last byte has not come
-    bool upload_paused_ = false;   // the sink takes no more for now, or there is none
-    bool dispatching_ = false;     // on_request() runs: no body is forwarded until the number is known
-    // A large answer's body.
+    bool uploading_ = false;       // its last byte has not arrived
+    bool upload_paused_ = false;   // the sink takes no more bytes for now, or there is none
+    // on_request() is running. No body is forwarded until it has returned the request's number.
+    bool dispatching_ = false;
+    // The body of a large response.
     std::shared_ptr<BodySource> response_rest_;
-    bool client_is_http_1_1_ = true;   // by its last request
+    bool client_is_http_1_1_ = true;   // according to its last request
     bool response_chunked_ = false;
     bool continue_sent_ = false;        // 100 Continue, for the request that is being read
-    bool request_received_ = false;     // at least one, health checks included
-    bool request_dispatched_ = false;   // at least one, health checks not included
+    bool request_received_ = false;     // at least one, including health checks
+    bool request_dispatched_ = false;   // at least one, excluding health checks
     bool response_pending_ = false;
     bool keep_alive_ = true;
-    bool closing_ = false;   // the last answer is being written
+    bool closing_ = false;   // the last response has been passed to the transport
     bool ended_ = false;
     bool in_read_next_ = false;   // read_next() is not reentrant
 };
--- a/tests/client/arrival_times_test.cpp
+++ b/tests/client/arrival_times_test.cpp
@@ -1,11 +1,11 @@
-// When the bytes of a buffer arrived.
+// Tests for ArrivalTimes.
 #include "client/arrival_times.hpp"
 
 #include <catch2/catch.hpp>
 
 using slatejunction::client::ArrivalTimes;
 
-TEST_CASE("each byte has the time of its piece", "[session][arrival]") {
+TEST_CASE("each byte has the arrival time of its piece", "[session][arrival]") {
     ArrivalTimes times;
     CHECK(times.at(0) == 0);
     times.add(10, 1.0);
@@ -14,7 +14,7 @@
     CHECK(times.at(9) == 1.0);
     CHECK(times.at(10) == 2.0);
     CHECK(times.at(99) == 2.0);
-    times.keep_last(8);   // seven of the first are gone
+    times.keep_last(8);   // drops seven bytes of the first piece
     CHECK(times.at(2) == 1.0);
     CHECK(times.at(3) == 2.0);
     times.keep_last(0);
@@ -22,7 +22,7 @@
     CHECK(times.at(0) == 3.0);
 }
 
-TEST_CASE("bytes that come together count with the first", "[session][arrival]") {
+TEST_CASE("bytes that arrive in quick succession have the time of the first", "[session][arrival]") {
     ArrivalTimes times;
     for (int i = 0; i < 1000; ++i) times.add(1, 1 + 0.0001 * i);
     CHECK(times.at(0) == 1.0);
