--- a/src/net/callback_boundary.cpp
+++ b/src/net/callback_boundary.cpp
@@ -10,7 +10,7 @@
 
 namespace slatejunction::net {
 namespace {
-// How long to wait until the reader of the log has made room for the line.
+// How long to wait until the log accepts the line.
 constexpr int kLogWriteTimeoutMs = 100;
 }   // namespace
 
