--- a/src/rules/command.cpp
+++ b/src/rules/command.cpp
@@ -14,29 +14,31 @@
 
 using expr::Value;
 
-constexpr int kUnusableInput = 2;   // exit status
-constexpr int kErrorValue = 3;      // exit status
+constexpr int kExitInvalidInput = 2;
+constexpr int kExitErrorValue = 3;
 constexpr double kBenchmarkS = 0.5;
-constexpr std::uint64_t kMaxBatch = 4096;   // evaluations between two looks at the clock
+constexpr std::uint64_t kMaxBatchRuns = 4096;   // evaluations between two readings of the clock
 
+// The type that is printed for a value: the static type of a list or a map where it is known, as that also
+// names the type of the items.
 std::string type_name(const expr::Program& program, const Value& value) {
     const bool has_items = value.is(expr::Kind::list) || value.is(expr::Kind::map);
     return has_items && !program.type.open() ? program.type.name() : std::string(kind_name(value.kind()));
 }
 
-// The outcome as one line of JSON.
+// Returns the outcome as one line of JSON.
 std::string json_line(const expr::Program& program, const expr::Outcome& outcome) {
     rapidjson::StringBuffer text;
     rapidjson::Writer json(text);
     json.StartObject();
-    const auto put = [&](const char* key, std::string_view value) {
+    const auto write_member = [&](const char* key, std::string_view value) {
         json.Key(key);
         json.String(value.data(), static_cast<rapidjson::SizeType>(value.size()));
     };
     if (outcome.value.is_error()) {
-        put("error", outcome.value.view());
+        write_member("error", outcome.value.view());
     } else {
-        put("type", type_name(program, outcome.value));
+        write_member("type", type_name(program, outcome.value));
         const std::string value = expr::to_json(outcome.value);
         json.Key("value");
         json.RawValue(value.data(), value.size(), rapidjson::kObjectType);
@@ -55,18 +57,18 @@
     expr::Evaluator evaluator;
     expr::Outcome outcome;
     std::uint64_t runs = 0;
-    const auto began = Clock::now();
-    double took_s = 0;
-    for (std::uint64_t batch = 1; took_s < kBenchmarkS; batch = std::min(batch * 2, kMaxBatch)) {
+    const auto started_at = Clock::now();
+    double elapsed_s = 0;
+    for (std::uint64_t batch = 1; elapsed_s < kBenchmarkS; batch = std::min(batch * 2, kMaxBatchRuns)) {
         for (std::uint64_t i = 0; i < batch; ++i) {
             variables.begin();
             evaluator.reset();
             outcome = evaluator.run(program, variables);
         }
         runs += batch;
-        took_s = std::chrono::duration<double>(Clock::now() - began).count();
+        elapsed_s = std::chrono::duration<double>(Clock::now() - started_at).count();
     }
-    const double ns_per_run = took_s / static_cast<double>(runs) * 1e9;
+    const double ns_per_run = elapsed_s / static_cast<double>(runs) * 1e9;
     const double ns_per_unit = ns_per_run / static_cast<double>(std::max<std::uint64_t>(1, outcome.cost));
     std::printf(json ? "{\"runs\":%llu,\"ns\":%.1f,\"cost\":%llu,\"bound\":%llu,\"ns_per_unit\":%.3f}\n"
                      : "%llu runs, %.1f ns each, cost %llu of %llu, %.3f ns a unit\n",
@@ -101,14 +103,14 @@
             std::printf("%s\n", json_line(program, outcome).c_str());
         else
             std::printf("%s%s\n", failed ? "error: " : "", expr::to_text(outcome.value).c_str());
-        return failed ? kErrorValue : 0;
+        return failed ? kExitErrorValue : 0;
     } catch (const expr::LoadError& error) {
         const std::string name = command.file.empty() ? "expression" : command.file;
         std::fprintf(stderr, "error: %s:%s\n", name.c_str(), describe(error, source).c_str());
     } catch (const CommandError& error) {
         std::fprintf(stderr, "error: %s\n", error.what());
     }
-    return kUnusableInput;
+    return kExitInvalidInput;
 }
 
 }   // namespace slatejunction::rules
--- a/src/rules/command.hpp
+++ b/src/rules/command.hpp
@@ -1,5 +1,5 @@
-// The command `slatejunction expr`: checks, evaluates, explains and times one expression. Called by main()
-// alone.
+// The command `slatejunction expr`: checks, evaluates, explains or benchmarks one expression. Called by
+// main() only.
 #pragma once
 
 #include <cstdint>
@@ -11,16 +11,17 @@
 /// The command line.
 struct ExprCommand {
     std::string subcommand;               // check, eval, explain, bench
-    std::string text, file;               // the expression, or the file that holds it
-    std::string request;                  // a JSON file, or empty
-    std::vector<std::string> variables;   // NAME=TYPE=JSON
-    std::uint64_t max_cost = 0;           // 0: no limit
-    std::size_t head_bytes = 0;           // of the request's head; 0: the program's bound
-    bool json = false;
+    std::string text, file;               // the expression, or the path of the file that holds it
+    std::string request;                  // path of the JSON file with the request; empty: none
+    std::vector<std::string> variables;   // each NAME=TYPE=JSON
+    std::uint64_t max_cost = 0;           // in cost units; 0: no limit
+    std::size_t head_bytes = 0;           // maximum size of a request's head; 0: that of the ingress
+    bool json = false;                    // print results as JSON
 };
 
-/// Prints the result and returns the exit status: 0; 2 for input that cannot be used, with a line on
-/// standard error; 3 if the expression evaluates to an error value.
+/// Prints the result to standard output. Returns the exit status: 0 for success, 2 for invalid input (with
+/// an error message on standard error), 3 if the expression evaluates to an error value, 1 if the output of
+/// `explain` cannot be written.
 int run(const ExprCommand& command);
 
 }   // namespace slatejunction::rules
--- a/src/rules/command_variables.cpp
+++ b/src/rules/command_variables.cpp
@@ -14,6 +14,7 @@
 using expr::Value;
 using Json = rapidjson::Value;
 
+// The bound of a known value, for the cost bound of an expression that uses it.
 Bound bound_of(const Value& value) {
     Bound bound;
     if (value.is(expr::Kind::text) || value.is(expr::Kind::bytes)) bound.size = value.size();
@@ -31,11 +32,13 @@
     return bound;
 }
 
-[[noreturn]] void throw_wrong_type(const std::string& path, const std::string& field, const char* wanted) {
-    throw CommandError(path + ": " + field + ": is no " + wanted);
+[[noreturn]] void throw_wrong_type(const std::string& path, const std::string& field,
+                                   const char* expected) {
+    throw CommandError(path + ": " + field + ": expected " + expected);
 }
 
-// The parts of a request file; a file without any is a request alone.
+// The top-level members of a request file. A file with none of them holds the members of "request"
+// directly.
 constexpr std::string_view kRequestPart = "request";
 constexpr std::string_view kBackendPart = "provider";
 constexpr std::string_view kGatewayPart = "gateway";
@@ -47,7 +50,8 @@
 const Json* find_part(const std::string& path, const Json& json, std::string_view name) {
     const auto member = json.FindMember(std::string(name).c_str());
     if (member == json.MemberEnd()) return nullptr;
-    if (!member->value.IsObject()) throw CommandError(path + ": " + std::string(name) + ": not an object");
+    if (!member->value.IsObject())
+        throw CommandError(path + ": " + std::string(name) + ": expected an object");
     return &member->value;
 }
 
@@ -55,7 +59,7 @@
 
 std::string read_file(const std::string& path) {
     std::ifstream in(path, std::ios::binary);
-    if (!in) throw CommandError(path + ": can't be read");
+    if (!in) throw CommandError(path + ": cannot be read");
     return {std::istreambuf_iterator<char>(in), std::istreambuf_iterator<char>()};
 }
 
@@ -63,8 +67,8 @@
     : bounds_{command.head_bytes ? command.head_bytes : HeadBounds().bytes},
       environment_(rules::environment(Scope::all, bounds_)),
       rule_variables_(gateway_, bounds_) {
-    if (!command.request.empty()) read_request(command.request);
-    for (const std::string& variable : command.variables) declare(variable);
+    if (!command.request.empty()) read_request_file(command.request);
+    for (const std::string& definition : command.variables) declare_variable(definition);
     begin();
 }
 
@@ -73,27 +77,27 @@
 }
 
 Value CommandVariables::load(std::uint32_t number, expr::Arena& arena, expr::cost::Units& spent) {
-    if (number >= kVariables) return values_[number - kVariables];
+    if (number >= kVariableCount) return values_[number - kVariableCount];
     return rule_variables_.load(number, arena, spent);
 }
 
-// `variable`: NAME=TYPE=JSON. A variable of the same name keeps its number, under a name that no expression
-// can have.
-void CommandVariables::declare(const std::string& variable) {
-    const std::size_t first = variable.find('=');
-    const std::size_t second = variable.find('=', first + 1);
-    if (first == 0 || second == std::string::npos)
-        throw CommandError("--var " + variable + ": not NAME=TYPE=JSON");
-    const std::string name = variable.substr(0, first);
-    const std::string type_text = variable.substr(first + 1, second - first - 1);
+// `definition`: NAME=TYPE=JSON. A variable that it hides keeps its number, with an empty name that no
+// expression can use.
+void CommandVariables::declare_variable(const std::string& definition) {
+    const std::size_t name_end = definition.find('=');
+    const std::size_t type_end = definition.find('=', name_end + 1);
+    if (name_end == 0 || type_end == std::string::npos)
+        throw CommandError("--var " + definition + ": expected NAME=TYPE=JSON");
+    const std::string name = definition.substr(0, name_end);
+    const std::string type_text = definition.substr(name_end + 1, type_end - name_end - 1);
     const auto type = expr::read_type(type_text);
-    if (!type) throw CommandError("--var " + name + ": '" + type_text + "' is no type");
+    if (!type) throw CommandError("--var " + name + ": '" + type_text + "' is not a type");
     rapidjson::Document json;
-    const std::string text = variable.substr(second + 1);
+    const std::string text = definition.substr(type_end + 1);
     json.Parse(text.data(), text.size());
     if (json.HasParseError())
-        throw CommandError("--var " + name +
-                           ": its value is no JSON: " + rapidjson::GetParseError_En(json.GetParseError()));
+        throw CommandError("--var " + name + ": the value is not valid JSON: " +
+                           rapidjson::GetParseError_En(json.GetParseError()));
     for (expr::Variable& declared : environment_.variables)
         if (declared.name == name) declared.name.clear();
     try {
@@ -106,21 +110,22 @@
 
 std::string_view CommandVariables::copy_text(const Json& json) { return arena_.copy(view(json)); }
 
-void CommandVariables::read_request(const std::string& path) {
+void CommandVariables::read_request_file(const std::string& path) {
     rapidjson::Document json;
     const std::string text = read_file(path);
     json.Parse(text.data(), text.size());
     if (json.HasParseError())
-        throw CommandError(path + ": no JSON at byte " + std::to_string(json.GetErrorOffset()) + ": " +
+        throw CommandError(path + ": invalid JSON at byte " + std::to_string(json.GetErrorOffset()) + ": " +
                            rapidjson::GetParseError_En(json.GetParseError()));
-    if (!json.IsObject()) throw CommandError(path + ": not an object");
+    if (!json.IsObject()) throw CommandError(path + ": expected an object");
     const auto& members = json.GetObject();
     const bool has_parts = std::any_of(members.begin(), members.end(),
                                        [](const auto& member) { return is_part(view(member.name)); });
     if (!has_parts) return read_request_facts(path, json);
     for (const auto& member : members)
         if (!is_part(view(member.name)))
-            throw CommandError(path + ": " + std::string(view(member.name)) + ": unknown");
+            throw CommandError(path + ": " + std::string(view(member.name)) +
+                               ": unknown; expected request, provider or gateway");
     if (const Json* part = find_part(path, json, kRequestPart)) read_request_facts(path, *part);
     if (const Json* part = find_part(path, json, kBackendPart)) read_backend_facts(path, *part);
     if (const Json* part = find_part(path, json, kGatewayPart)) read_gateway_facts(path, *part);
@@ -130,7 +135,8 @@
     for (const auto& member : json.GetObject()) {
         const std::string_view name = view(member.name);
         if (!member.value.IsString() || (name != "name" && name != "zone"))
-            throw CommandError(path + ": gateway." + std::string(name) + ": name and zone are texts");
+            throw CommandError(path + ": gateway." + std::string(name) +
+                               ": expected name or zone, as a string");
         std::string& fact = name == "name" ? gateway_.name : gateway_.zone;
         fact = std::string(view(member.value));
     }
@@ -162,14 +168,14 @@
             if (!value.IsBool()) throw_wrong_type(path, field, "bool");
             request_.retry = value.GetBool();
         } else {
-            throw CommandError(path + ": " + field + ": unknown");
+            throw CommandError(path + ": " + field + ": unknown field");
         }
     }
 }
 
-// {"Name": "value"}, {"Name": ["one", "two"]} or [["Name", "value"], ...].
+// Accepts {"Name": "value"}, {"Name": ["one", "two"]} and [["Name", "value"], ...].
 void CommandVariables::read_headers(const std::string& path, const Json& json) {
-    const auto add = [&](const Json& name, const Json& value) {
+    const auto add_field = [&](const Json& name, const Json& value) {
         if (!name.IsString() || !value.IsString())
             throw_wrong_type(path, "request.headers", "map of strings");
         fields_.push_back({copy_text(name), copy_text(value)});
@@ -177,16 +183,16 @@
     if (json.IsObject()) {
         for (const auto& member : json.GetObject()) {
             if (!member.value.IsArray()) {
-                add(member.name, member.value);
+                add_field(member.name, member.value);
                 continue;
             }
-            for (const Json& value : member.value.GetArray()) add(member.name, value);
+            for (const Json& value : member.value.GetArray()) add_field(member.name, value);
         }
     } else if (json.IsArray()) {
         for (const Json& pair : json.GetArray()) {
             if (!pair.IsArray() || pair.Size() != 2)
                 throw_wrong_type(path, "request.headers", "list of pairs");
-            add(pair[0], pair[1]);
+            add_field(pair[0], pair[1]);
         }
     } else {
         throw_wrong_type(path, "request.headers", "map of strings");
@@ -214,7 +220,7 @@
             double& fact = name == "size" ? backend_.size : backend_.age_s;
             fact = value.GetDouble();
         } else {
-            throw CommandError(path + ": " + field + ": unknown");
+            throw CommandError(path + ": " + field + ": unknown field");
         }
     }
 }
--- a/src/rules/command_variables.hpp
+++ b/src/rules/command_variables.hpp
@@ -1,6 +1,6 @@
-// The variables of an expression that the `expr` command runs: those of a request file (JSON), and those
-// given by --var as NAME=TYPE=JSON, which hide others of the same name. Throws CommandError for input that
-// cannot be used. Owns all the values that it hands out.
+// The variables of the expression that the `expr` command runs: those of a request file (JSON), and
+// those of --var NAME=TYPE=JSON, which hide variables of the same name. Throws CommandError for invalid
+// input. Owns all values that it returns.
 #pragma once
 
 #include <string>
@@ -14,20 +14,20 @@
 
 namespace slatejunction::rules {
 
-/// The content of a file; throws CommandError.
+/// Returns the content of a file. Throws CommandError if it cannot be opened.
 std::string read_file(const std::string& path);
 
 class CommandVariables final : public expr::Variables {
   public:
     explicit CommandVariables(const ExprCommand& command);
-    /// To be called before each evaluation, with the evaluator's reset().
+    /// Must be called before each evaluation, together with the evaluator's reset().
     void begin();
     expr::Value load(std::uint32_t number, expr::Arena& arena, expr::cost::Units& spent) override;
     const expr::Environment& environment() const { return environment_; }
 
   private:
-    void declare(const std::string& variable);
-    void read_request(const std::string& path);
+    void declare_variable(const std::string& definition);
+    void read_request_file(const std::string& path);
     void read_request_facts(const std::string& path, const rapidjson::Value& json);
     void read_headers(const std::string& path, const rapidjson::Value& json);
     void read_backend_facts(const std::string& path, const rapidjson::Value& json);
@@ -43,7 +43,7 @@
     GatewayFacts gateway_;
     bool has_request_ = false;
     bool has_backend_ = false;
-    std::vector<expr::Value> values_;   // of --var
+    std::vector<expr::Value> values_;   // of --var, numbered from kVariableCount on
     RuleVariables rule_variables_;
 };
 
--- a/src/rules/condition_index.cpp
+++ b/src/rules/condition_index.cpp
@@ -9,26 +9,27 @@
 using expr::NodeId;
 using expr::Tree;
 
-constexpr std::size_t kMaxLinearPrefixes = 4;   // prefixes of paths; more are looked up by length
+// Up to this many path prefixes are compared one by one; more are looked up in the hash map by length.
+constexpr std::size_t kMaxLinearPrefixes = 4;
 
-// "class" of request.class; empty for anything else.
+// Returns NAME if the node is request.NAME, such as "class" for request.class, else an empty string.
 std::string field_of(const Tree& tree, NodeId id) {
     const Node& node = tree[id];
     if (node.kind != Node::Kind::select) return "";
-    const Node& of = tree[node.kids[0]];
-    return of.kind == Node::Kind::name && of.name == "request" ? node.name : "";
+    const Node& object = tree[node.kids[0]];
+    return object.kind == Node::Kind::name && object.name == "request" ? node.name : "";
 }
 
-// The words of `field == "x"` or `field in ["x", "y"]`; none for any other part.
-std::vector<std::string> words_of(const Tree& tree, const Node& part, const Node& literal) {
+// Returns the literal texts of `field == "x"` or `field in ["x", "y"]`; none for any other operand.
+std::vector<std::string> literal_texts(const Tree& tree, const Node& part, const Node& literal) {
     if (literal.kind == Node::Kind::text && part.name == "_==_" && !part.member) return {literal.name};
     if (literal.kind != Node::Kind::list || part.name != "@in") return {};
-    std::vector<std::string> words;
+    std::vector<std::string> texts;
     for (const NodeId item : literal.kids) {
         if (tree[item].kind != Node::Kind::text) return {};
-        words.push_back(tree[item].name);
+        texts.push_back(tree[item].name);
     }
-    return words;
+    return texts;
 }
 
 }   // namespace
@@ -39,50 +40,51 @@
     const Node& root = tree[tree.root];
     if (root.kind == Node::Kind::call && !root.member && root.name == "_&&_") parts = root.kids;
     Requirement requirement;
-    for (const NodeId id : parts) add_part(tree, id, requirement);
+    for (const NodeId id : parts) add_requirement(tree, id, requirement);
     return requirement;
 }
 
-// Requires what one part demands of class, plan or path, where it is a comparison with a literal.
-void ConditionIndex::add_part(const Tree& tree, NodeId id, Requirement& requirement) {
+// Adds what one operand requires of the class, the plan or the path, if it compares one of them with
+// literals.
+void ConditionIndex::add_requirement(const Tree& tree, NodeId id, Requirement& requirement) {
     const Node& part = tree[id];
     if (part.kind != Node::Kind::call || part.kids.size() != 2) return;
     std::string field = field_of(tree, part.kids[0]);
-    NodeId other = part.kids[1];
+    NodeId literal_id = part.kids[1];
     if (field.empty() && part.name == "_==_") {
         field = field_of(tree, part.kids[1]);
-        other = part.kids[0];
+        literal_id = part.kids[0];
     }
-    const Node& literal = tree[other];
-    if (field == "path") return add_path(part, literal, requirement);
+    const Node& literal = tree[literal_id];
+    if (field == "path") return add_path_requirement(part, literal, requirement);
     if (field != "class" && field != "plan") return;
-    std::vector<std::string>& words = field == "class" ? requirement.classes : requirement.plans;
-    if (!words.empty()) return;
-    words = words_of(tree, part, literal);
-    if (!words.empty()) requirement.implied_parts.push_back(id);
+    std::vector<std::string>& allowed = field == "class" ? requirement.classes : requirement.plans;
+    if (!allowed.empty()) return;
+    allowed = literal_texts(tree, part, literal);
+    if (!allowed.empty()) requirement.implied_parts.push_back(id);
 }
 
-void ConditionIndex::add_path(const Node& part, const Node& literal, Requirement& requirement) {
+void ConditionIndex::add_path_requirement(const Node& part, const Node& literal, Requirement& requirement) {
     const bool equals = part.name == "_==_" && !part.member;
-    const bool begins = part.name == "startsWith" && part.member;
-    if (literal.kind == Node::Kind::text && (equals || begins) &&
+    const bool starts_with = part.name == "startsWith" && part.member;
+    if (literal.kind == Node::Kind::text && (equals || starts_with) &&
         literal.name.size() > requirement.path_prefix.size())
         requirement.path_prefix = literal.name;
 }
 
 ConditionIndex::ConditionIndex(const std::vector<const expr::Program*>& conditions) {
-    for (const expr::Program* one : conditions)
-        requirements_.push_back(one ? requirement_of(*one) : Requirement());
+    for (const expr::Program* condition : conditions)
+        requirements_.push_back(condition ? requirement_of(*condition) : Requirement());
 }
 
 void ConditionIndex::build_group(Group& group, std::string_view service_class,
                                  std::string_view plan) const {
-    const auto has = [](const std::vector<std::string>& words, std::string_view word) {
-        return words.empty() || std::find(words.begin(), words.end(), word) != words.end();
+    const auto allows = [](const std::vector<std::string>& allowed, std::string_view name) {
+        return allowed.empty() || std::find(allowed.begin(), allowed.end(), name) != allowed.end();
     };
     for (std::size_t i = 0; i < requirements_.size(); ++i) {
         const Requirement& requirement = requirements_[i];
-        if (!has(requirement.classes, service_class) || !has(requirement.plans, plan)) continue;
+        if (!allows(requirement.classes, service_class) || !allows(requirement.plans, plan)) continue;
         const auto index = static_cast<std::uint32_t>(i);
         if (requirement.path_prefix.empty()) {
             group.any_path.push_back(index);
@@ -95,7 +97,7 @@
     group.prefix_lengths.erase(std::unique(group.prefix_lengths.begin(), group.prefix_lengths.end()),
                                group.prefix_lengths.end());
     if (group.by_prefix.size() > kMaxLinearPrefixes) return;
-    for (const auto& [path, numbers] : group.by_prefix) group.prefixes.emplace_back(path, &numbers);
+    for (const auto& [prefix, indices] : group.by_prefix) group.prefixes.emplace_back(prefix, &indices);
 }
 
 const std::vector<std::uint32_t>& ConditionIndex::candidates_by_path(std::size_t class_plan,
@@ -108,25 +110,25 @@
         build_group(*groups_[class_plan], service_class, plan);
     }
     const Group& group = *groups_[class_plan];
-    const std::vector<std::uint32_t>* found = &group.any_path;
-    const auto add = [&](const std::vector<std::uint32_t>& some) {
-        if (found != &candidates_) candidates_ = group.any_path;
-        found = &candidates_;
+    const std::vector<std::uint32_t>* result = &group.any_path;
+    const auto merge = [&](const std::vector<std::uint32_t>& indices) {
+        if (result != &candidates_) candidates_ = group.any_path;
+        result = &candidates_;
         const auto middle = static_cast<std::ptrdiff_t>(candidates_.size());
-        candidates_.insert(candidates_.end(), some.begin(), some.end());
+        candidates_.insert(candidates_.end(), indices.begin(), indices.end());
         std::inplace_merge(candidates_.begin(), candidates_.begin() + middle, candidates_.end());
     };
     if (!group.prefixes.empty()) {
-        for (const auto& [beginning, numbers] : group.prefixes)
-            if (path.starts_with(beginning)) add(*numbers);
-        return *found;
+        for (const auto& [prefix, indices] : group.prefixes)
+            if (path.starts_with(prefix)) merge(*indices);
+        return *result;
     }
     for (const std::size_t length : group.prefix_lengths) {
         if (length > path.size()) break;
-        if (const auto some = group.by_prefix.find(path.substr(0, length)); some != group.by_prefix.end())
-            add(some->second);
+        if (const auto entry = group.by_prefix.find(path.substr(0, length)); entry != group.by_prefix.end())
+            merge(entry->second);
     }
-    return *found;
+    return *result;
 }
 
 }   // namespace slatejunction::rules
--- a/src/rules/condition_index.hpp
+++ b/src/rules/condition_index.hpp
@@ -1,12 +1,15 @@
-// Finds the conditions that can hold for a request, without evaluating them all.
+// Finds the conditions that can hold for a request, without evaluating all of them.
 //
-// Rule: a condition is a candidate if the request meets what it requires of the service class, the plan and
-// the path. Inputs: compiled conditions, once; the request's class, plan and path. Output: indices of
-// candidates, in their order. What a condition requires is read from the parts that && joins at the top of
-// its tree, of the forms
-//   request.class == "x"    request.plan == "x"    request.class in ["x", "y"]
-//   request.path == "/x"    request.path.startsWith("/x")
-// A condition that is no candidate would have been false, as && is false when one part is. Owned by Rules.
+// - Rule: a condition is a candidate if the request meets its requirements on the service class, the
+//   plan and the path. The requirements are read from the operands of the && at the root of the
+//   condition's tree (or from the whole condition if there is none), of these forms:
+//     request.class == "x"    request.plan == "x"    request.class in ["x", "y"]
+//     request.path == "/x"    request.path.startsWith("/x")
+// - Inputs: the compiled conditions, once; the request's class, plan and path.
+// - Output: the indices of the candidates, ascending.
+//
+// A condition that is not a candidate would have been false, because && is false if any operand is.
+// Owned by Rules.
 #pragma once
 
 #include <cstdint>
@@ -23,11 +26,13 @@
 /// The index of one list of conditions.
 class ConditionIndex {
   public:
-    /// `conditions`: in the order in which they are tried; null: always holds. Not kept.
+    /// `conditions`: in the order in which they are tried; null: a condition that always holds. The
+    /// pointers are not kept.
     explicit ConditionIndex(const std::vector<const expr::Program*>& conditions);
 
-    /// Indices of the conditions that can hold, in their order; valid until the next call. `class_plan`:
-    /// identifies the service class and the plan until clear_groups().
+    /// Returns the indices of the conditions that can hold, ascending; valid until the next call or
+    /// clear_groups(). `class_plan` is the caller's number for this pair of service class and plan; it may
+    /// stand for another pair only after clear_groups().
     const std::vector<std::uint32_t>& candidates(std::size_t class_plan, std::string_view service_class,
                                                  std::string_view plan, std::string_view path) {
         if (class_plan < groups_.size() && groups_[class_plan] &&
@@ -36,36 +41,37 @@
         return candidates_by_path(class_plan, service_class, plan, path);
     }
     void clear_groups() { groups_.clear(); }
-    /// The parts of that condition that hold for every request that it is a candidate for.
-    const std::vector<expr::NodeId>& implied_parts(std::uint32_t number) const {
-        return requirements_[number].implied_parts;
+    /// The operands of that condition that hold for every request that it is a candidate for.
+    const std::vector<expr::NodeId>& implied_parts(std::uint32_t index) const {
+        return requirements_[index].implied_parts;
     }
 
   private:
     struct Requirement {
-        std::vector<std::string> classes;          // one of these; empty: any
-        std::vector<std::string> plans;            // one of these; empty: any
-        std::string path_prefix;                   // empty: any
-        std::vector<expr::NodeId> implied_parts;   // parts that require nothing but classes and plans
+        std::vector<std::string> classes;          // the class is one of these; empty: any class
+        std::vector<std::string> plans;            // the plan is one of these; empty: any plan
+        std::string path_prefix;                   // empty: any path
+        std::vector<expr::NodeId> implied_parts;   // operands that `classes` and `plans` cover in full
     };
     struct TextHash {
         using is_transparent = void;
         std::size_t operator()(std::string_view text) const { return std::hash<std::string_view>()(text); }
     };
-    // The conditions that one service class and plan can meet, by path.
+    // The conditions whose requirements one service class and plan meet, by required path prefix.
     struct Group {
-        std::vector<std::uint32_t> any_path;       // that require no path
+        std::vector<std::uint32_t> any_path;       // conditions without a required path
         std::vector<std::size_t> prefix_lengths;   // of all prefixes, ascending
-        std::vector<std::pair<std::string_view, const std::vector<std::uint32_t>*>>
-            prefixes;   // all of by_prefix, where they are few
+        // The entries of by_prefix if there are at most kMaxLinearPrefixes of them, else empty.
+        std::vector<std::pair<std::string_view, const std::vector<std::uint32_t>*>> prefixes;
         std::unordered_map<std::string, std::vector<std::uint32_t>, TextHash, std::equal_to<>> by_prefix;
     };
     const std::vector<std::uint32_t>& candidates_by_path(std::size_t class_plan,
                                                          std::string_view service_class,
                                                          std::string_view plan, std::string_view path);
     static Requirement requirement_of(const expr::Program& program);
-    static void add_part(const expr::Tree& tree, expr::NodeId id, Requirement& requirement);
-    static void add_path(const expr::Node& part, const expr::Node& literal, Requirement& requirement);
+    static void add_requirement(const expr::Tree& tree, expr::NodeId id, Requirement& requirement);
+    static void add_path_requirement(const expr::Node& part, const expr::Node& literal,
+                                     Requirement& requirement);
     void build_group(Group& group, std::string_view service_class, std::string_view plan) const;
 
     std::vector<Requirement> requirements_;
--- a/src/rules/direct_key.cpp
+++ b/src/rules/direct_key.cpp
@@ -29,7 +29,7 @@
     if (const auto name = header_of(tree, id)) {
         part.is_text = true;
         part.is_header = true;
-        part.header = view.watch(*name);
+        part.header = view.register_header(*name);
         return true;
     }
     const auto field = field_of(tree, id);
@@ -42,10 +42,11 @@
 
 std::string_view DirectKey::text(const Part& part, RequestView& view) {
     if (!part.is_header)
-        return view.is_plain(part.variable) ? text_of(view.facts(), part.variable) : std::string_view();
+        return view.is_bounded_ascii(part.variable) ? text_of(view.facts(), part.variable)
+                                                    : std::string_view();
     const RequestView::Header& header = view.header(part.header);
-    const bool known = header.occurrence == RequestView::Header::Occurrence::once && !view.over_bound();
-    return known && expr::ascii(header.value) ? header.value : std::string_view();
+    const bool usable = header.occurrence == RequestView::Header::Occurrence::once && !view.over_bound();
+    return usable && expr::ascii(header.value) ? header.value : std::string_view();
 }
 
 bool DirectKey::append_to(RequestView& view, std::string& key) const {
--- a/src/rules/expression_forms.cpp
+++ b/src/rules/expression_forms.cpp
@@ -11,7 +11,7 @@
 using expr::NodeId;
 using expr::Tree;
 
-constexpr std::array<std::pair<std::string_view, VariableId>, 11> kFields{{
+constexpr std::array<std::pair<std::string_view, VariableId>, 11> kRequestFields{{
     {"method", VariableId::request_method},
     {"path", VariableId::request_path},
     {"query", VariableId::request_query},
@@ -30,9 +30,9 @@
 std::optional<VariableId> field_of(const Tree& tree, NodeId id) {
     const Node& node = tree[id];
     if (node.kind != Node::Kind::select) return {};
-    const Node& of = tree[node.kids[0]];
-    if (of.kind != Node::Kind::name || of.name != "request") return {};
-    for (const auto& [name, field] : kFields)
+    const Node& object = tree[node.kids[0]];
+    if (object.kind != Node::Kind::name || object.name != "request") return {};
+    for (const auto& [name, field] : kRequestFields)
         if (name == node.name) return field;
     return {};
 }
--- a/src/rules/expression_forms.hpp
+++ b/src/rules/expression_forms.hpp
@@ -1,4 +1,4 @@
-// Recognizes the forms of an expression's tree that rules evaluate without the evaluator. Pure functions of
+// Recognizes the forms of expression trees that rules evaluate without the evaluator. Pure functions of
 // the tree.
 #pragma once
 
@@ -10,16 +10,18 @@
 
 namespace slatejunction::rules {
 
-/// The variable if the node is request.NAME, else nothing.
+/// Returns the variable if the node is request.NAME, else nothing.
 std::optional<VariableId> field_of(const expr::Tree& tree, expr::NodeId id);
 
-/// The header's name if the node is request.headers["name"] with the name in lower case, else nothing.
+/// Returns the header's name if the node is request.headers["name"] with the name in lower case, else
+/// nothing.
 std::optional<std::string_view> header_of(const expr::Tree& tree, expr::NodeId id);
 
-/// Whether the name is ASCII without upper-case letters.
+/// Returns whether the name is ASCII without upper-case letters.
 bool is_lower(std::string_view name);
 
-/// Whether the node is a call of that function, not as a member, with that many arguments.
+/// Returns whether the node is a call of the function `name`, not as a member function, with that many
+/// arguments.
 bool is_call(const expr::Node& node, std::string_view name, std::size_t arguments);
 
 }   // namespace slatejunction::rules
--- a/src/rules/fast_conditions.cpp
+++ b/src/rules/fast_conditions.cpp
@@ -15,8 +15,8 @@
 using expr::NodeId;
 using expr::Tree;
 
-// The bucket of an integer, as the function bucket() of expressions computes it: XXH64 of its 8 bytes,
-// little-endian.
+// Returns the bucket of an integer as the expression function bucket() does: from the XXH64 hash of its 8
+// bytes, little-endian.
 std::int64_t bucket_of(std::int64_t value, std::int64_t buckets) {
     std::array<unsigned char, 8> bytes{};
     const auto bits = static_cast<std::uint64_t>(value);
@@ -25,8 +25,8 @@
     return static_cast<std::int64_t>(hash % static_cast<std::uint64_t>(buckets));
 }
 
-// The texts that a text is compared with: one, or the items of a list where `list_allowed`; nothing for
-// another form.
+// Returns the literal texts on the right of a comparison: one, or the items of a list if `list_allowed`.
+// Returns nothing for another form.
 std::optional<std::vector<std::string>> texts_of(const Tree& tree, const Node& node, bool list_allowed) {
     if (node.kind == Node::Kind::text) return std::vector<std::string>{node.name};
     if (node.kind != Node::Kind::list || !list_allowed) return {};
@@ -91,18 +91,18 @@
     return parse_text_test(tree, node, *op, view);
 }
 
-// "x" in request.headers.
+// Parses "x" in request.headers.
 std::optional<Condition::Test> Condition::parse_has_header(const Tree& tree, const Node& call,
                                                            RequestView& view) {
     const Node& name = tree[call.kids[0]];
     if (field_of(tree, call.kids[1]) != VariableId::request_headers || !is_lower(name.name)) return {};
     Test test;
     test.kind = TestKind::has_header;
-    test.header = view.watch(name.name);
+    test.header = view.register_header(name.name);
     return test;
 }
 
-// INT < 5, request.units < 5.0, bucket(INT, 100) < 5.
+// Parses INT < 5, request.units < 5.0 and bucket(INT, 100) < 5.
 std::optional<Condition::Test> Condition::parse_number_test(const Tree& tree, const Node& call,
                                                             Operator op) {
     if (op == Operator::starts_with || op == Operator::in) return {};
@@ -133,7 +133,7 @@
     return test;
 }
 
-// TEXT == "x", TEXT != "x", TEXT.startsWith("x"), TEXT in ["x", "y"].
+// Parses TEXT == "x", TEXT != "x", TEXT.startsWith("x") and TEXT in ["x", "y"].
 std::optional<Condition::Test> Condition::parse_text_test(const Tree& tree, const Node& call, Operator op,
                                                           RequestView& view) {
     const bool compares_texts = op == Operator::equal || op == Operator::unequal ||
@@ -145,7 +145,7 @@
     test.texts = std::move(*texts);
     if (const auto name = header_of(tree, call.kids[0])) {
         test.kind = TestKind::header;
-        test.header = view.watch(*name);
+        test.header = view.register_header(*name);
         return test;
     }
     const auto field = field_of(tree, call.kids[0]);
@@ -201,8 +201,8 @@
     const RequestFacts& facts = view.facts();
     switch (test.kind) {
         case TestKind::text:
-            return view.is_plain(test.variable) ? compare_text(test, text_of(facts, test.variable))
-                                                : TestResult::needs_evaluator;
+            return view.is_bounded_ascii(test.variable) ? compare_text(test, text_of(facts, test.variable))
+                                                        : TestResult::needs_evaluator;
         case TestKind::header:
             return evaluate_header(test, view);
         case TestKind::has_header: {
@@ -225,13 +225,13 @@
 }
 
 Condition::TestResult Condition::evaluate(RequestView& view) const {
-    TestResult all = complete_ ? TestResult::yes : TestResult::needs_evaluator;
+    TestResult combined = complete_ ? TestResult::yes : TestResult::needs_evaluator;
     for (const Test& test : tests_) {
-        const TestResult part = evaluate(test, view);
-        if (part == TestResult::no) return part;
-        if (part != TestResult::yes && all != TestResult::needs_evaluator) all = part;
+        const TestResult result = evaluate(test, view);
+        if (result == TestResult::no) return result;
+        if (result != TestResult::yes && combined != TestResult::needs_evaluator) combined = result;
     }
-    return all;
+    return combined;
 }
 
 }   // namespace slatejunction::rules
--- a/src/rules/fast_conditions.hpp
+++ b/src/rules/fast_conditions.hpp
@@ -1,18 +1,18 @@
 // Evaluates the common forms of conditions on the request's facts, without the evaluator.
 //
-// Rule: a part that is known to be false makes the condition false, as && is false when one part is,
-// whatever the others are (CEL absorbs errors). The result is what the evaluator's would be; where that
-// is not certain (a text that is not ASCII or over its bound, a repeated header, a part of another form)
-// it is `needs_evaluator`.
-// Inputs: a compiled condition, once; a request's facts (request_view.hpp).
-// Output: TestResult.
-// Where to see it: the counts and costs of rules (Rules::counts(), Rules::evaluation_cost()).
+// - Rule: an operand that is known to be false makes the condition false, because && is false if any
+//   operand is, whatever the others are (CEL absorbs errors). The result is that of the evaluator.
+//   Where that is not certain, the result is `needs_evaluator`: for a text that is not ASCII or over
+//   its bound, a repeated header, or an operand of another form.
+// - Inputs: a compiled condition, once; a request's facts (request_view.hpp).
+// - Output: TestResult.
+// - Visible in: the counts and costs of rules (Rules::counts(), Rules::evaluation_cost()).
 //
-// Forms of the parts that && joins at the top:
+// Forms of the operands of the && at the root of the condition's tree:
 //   TEXT == "x"  TEXT != "x"  TEXT.startsWith("x")  TEXT in ["x", "y"]
-//   INT < 5 and the other five     request.units < 5.0 and the others     bucket(request.customer, 100) < 5
+//   INT < 5  request.units < 5.0  bucket(request.customer, 100) < 5  (and with ==, !=, <=, >, >=)
 //   request.retry  !request.retry  "x" in request.headers  !("x" in request.headers)
-// where TEXT is a text variable of the request or request.headers["x"], INT is request.customer or
+// where TEXT is a text variable of the request or request.headers["x"], and INT is request.customer or
 // request.deadline_ms.
 //
 // Owned and called by Rules.
@@ -29,22 +29,22 @@
 
 namespace slatejunction::rules {
 
-/// One condition.
+/// The operands of one condition that can be tested without the evaluator.
 class Condition {
   public:
     enum class TestResult : std::uint8_t {
         no,
         yes,
-        missing,   ///< an error: a header that the request does not have
+        missing,   ///< an error: the request lacks a header that is tested
         needs_evaluator,
     };
-    /// Always needs the evaluator.
+    /// A condition that always needs the evaluator.
     Condition() = default;
-    /// `implied`: parts that hold whenever the condition is evaluated (ConditionIndex::implied_parts());
-    /// not tested.
+    /// `implied`: the operands that hold whenever the condition is evaluated, so that they are not tested
+    /// (ConditionIndex::implied_parts()).
     Condition(const expr::Program& program, const std::vector<expr::NodeId>& implied, RequestView& view);
     TestResult evaluate(RequestView& view) const;
-    /// Number of parts that are tested: its cost in units.
+    /// The number of operands that are tested, which is the cost in units.
     std::size_t test_count() const { return tests_.size(); }
     bool always_true() const { return complete_ && tests_.empty(); }
 
@@ -63,13 +63,13 @@
     struct Test {
         TestKind kind = TestKind::retry;
         Operator op = Operator::equal;
-        bool expected = true;   // of has_header and retry
+        bool expected = true;   // for has_header and retry
         VariableId variable = VariableId::request_method;
-        std::uint32_t header = 0;         // of RequestView
-        std::int64_t integer = 0;         // compared with
-        std::int64_t buckets = 1;         // of bucket()
-        double real = 0;                  // compared with
-        std::vector<std::string> texts;   // compared with
+        std::uint32_t header = 0;         // its number in RequestView
+        std::int64_t integer = 0;         // right operand of an integer or bucket test
+        std::int64_t buckets = 1;         // number of buckets, the second argument of bucket()
+        double real = 0;                  // right operand of a real test
+        std::vector<std::string> texts;   // right operand of a text or header test
     };
     static std::optional<Operator> operator_of(const expr::Node& call);
     static std::optional<Test> parse_test(const expr::Tree& tree, expr::NodeId id, RequestView& view);
@@ -86,7 +86,7 @@
     static TestResult evaluate(const Test& test, RequestView& view);
 
     std::vector<Test> tests_;
-    bool complete_ = false;   // tests_ and the implied parts are all of the condition
+    bool complete_ = false;   // whether tests_ and the implied operands cover the whole condition
 };
 
 }   // namespace slatejunction::rules
--- a/src/rules/json_value.cpp
+++ b/src/rules/json_value.cpp
@@ -32,12 +32,12 @@
             text.find_first_not_of("-0123456789") == std::string::npos && !text.empty();
         if (!digits_only) return false;
         try {
-            std::size_t used = 0;
+            std::size_t parsed_size = 0;
             if constexpr (std::is_signed_v<T>)
-                value = std::stoll(text, &used);
+                value = std::stoll(text, &parsed_size);
             else
-                value = text[0] == '-' ? throw std::out_of_range("") : std::stoull(text, &used);
-            return used == text.size();
+                value = text[0] == '-' ? throw std::out_of_range("") : std::stoull(text, &parsed_size);
+            return parsed_size == text.size();
         } catch (const std::exception&) {
             return false;
         }
@@ -52,7 +52,9 @@
     return true;
 }
 
-[[noreturn]] void throw_not_of(const Type& type) { throw CommandError("is no " + type.name()); }
+[[noreturn]] void throw_type_mismatch(const Type& type) {
+    throw CommandError("is not of type " + type.name());
+}
 
 }   // namespace
 
@@ -94,24 +96,24 @@
         default:
             return read_any(json);
     }
-    throw_not_of(type);
+    throw_type_mismatch(type);
 }
 
 Value JsonValueReader::read_time(const Json& json, const Type& type) {
-    if (!json.IsString()) throw_not_of(type);
+    if (!json.IsString()) throw_type_mismatch(type);
     const bool is_timestamp = type.tag == Tag::timestamp;
-    const auto moment = is_timestamp ? expr::read_timestamp(view(json)) : expr::read_duration(view(json));
-    if (!moment) throw_not_of(type);
-    return is_timestamp ? Value::timestamp(moment->seconds, moment->nanos)
-                        : Value::duration(moment->seconds, moment->nanos);
+    const auto time = is_timestamp ? expr::read_timestamp(view(json)) : expr::read_duration(view(json));
+    if (!time) throw_type_mismatch(type);
+    return is_timestamp ? Value::timestamp(time->seconds, time->nanos)
+                        : Value::duration(time->seconds, time->nanos);
 }
 
 Value JsonValueReader::read_real(const Json& json, const Type& type) {
     if (json.IsNumber()) return Value::real(json.GetDouble());
-    if (!json.IsString()) throw_not_of(type);
+    if (!json.IsString()) throw_type_mismatch(type);
     for (const auto& [name, value] : kNamedReals)
         if (view(json) == name) return Value::real(value);
-    throw_not_of(type);
+    throw_type_mismatch(type);
 }
 
 Value JsonValueReader::read_any(const Json& json) {
@@ -133,7 +135,7 @@
     for (const char c : base64) {
         if (c == '=') break;
         const std::size_t digit = kBase64Digits.find(c);
-        if (digit == std::string_view::npos) throw CommandError("is no base64");
+        if (digit == std::string_view::npos) throw CommandError("is not valid base64");
         pending = pending << 6 | static_cast<std::uint32_t>(digit);
         pending_bits += 6;
         if (pending_bits < 8) continue;
--- a/src/rules/key_bytes.hpp
+++ b/src/rules/key_bytes.hpp
@@ -1,6 +1,7 @@
-// The bytes that the keys of limits are hashed by: each value behind its kind, texts and lists behind their
-// size, so that no two keys of different form have the same bytes. The same at all ingresses and in files
-// of buckets: a fixed format.
+// Encodes the keys of limits as the bytes that are hashed. Each value is preceded by its kind, and each
+// text and list also by its size, so that no two keys of different structure have the same bytes. The
+// format is fixed, because all ingresses have to compute the same bytes and stored buckets are
+// identified by their hash.
 #pragma once
 
 #include <array>
@@ -12,7 +13,7 @@
 
 namespace slatejunction::rules {
 
-/// Little-endian, 8 bytes.
+/// Appends 8 bytes, little-endian.
 inline void append_number(std::string& key, std::uint64_t bits) {
     std::array<char, 8> bytes{};
     for (std::size_t i = 0; i < 8; ++i) bytes[i] = static_cast<char>(bits >> (8 * i));
@@ -27,7 +28,7 @@
     key += text;
 }
 
-/// Appends a value of a key.
+/// Appends a key, or an item of one.
 void append_key(std::string& key, const expr::Value& value);
 
 }   // namespace slatejunction::rules
--- a/src/rules/limiter.cpp
+++ b/src/rules/limiter.cpp
@@ -10,19 +10,19 @@
 
 constexpr std::size_t kSketchRows = 4;
 constexpr std::uint8_t kMaxSketchCount = 255;
-constexpr int kBucketFull = -1;   // in place of a count: evicting the key loses nothing
+constexpr int kBucketFull = -1;   // below every estimated count: evicting the key loses nothing
 constexpr double kRoundingTokens = 1e-6;
 constexpr std::size_t kEvictionCandidates = 8;
-constexpr std::size_t kSketchAdditionsPerSlot =
-    10;                                       // requests for each slot, after which counts are halved
+// Requests per slot after which the counters of the sketch are halved.
+constexpr std::size_t kSketchAdditionsPerSlot = 10;
 constexpr double kDurationSmoothing = 0.05;   // weight of one request in mean_duration_s_
 constexpr double kMinRetryAfterS = 0.001;
 
 }   // namespace
 
 KeyHash hash_key(std::string_view bytes) {
-    const XXH128_hash_t sum = XXH3_128bits(bytes.data(), bytes.size());
-    return {sum.low64, sum.high64};
+    const XXH128_hash_t hash = XXH3_128bits(bytes.data(), bytes.size());
+    return {hash.low64, hash.high64};
 }
 
 Limiter::Limiter(const Limits& limits)
@@ -39,31 +39,34 @@
 }
 
 std::uint32_t Limiter::find(const KeyHash& key) const {
-    for (std::size_t at = home_position(key); index_[at] != 0; at = (at + 1) & mask_)
-        if (slots_[index_[at] - 1].key == key) return index_[at] - 1;
+    for (std::size_t position = home_position(key); index_[position] != 0;
+         position = (position + 1) & mask_)
+        if (slots_[index_[position] - 1].key == key) return index_[position] - 1;
     return kNone;
 }
 
 void Limiter::insert_into_index(std::uint32_t slot) {
-    std::size_t at = home_position(slots_[slot].key);
-    while (index_[at] != 0) at = (at + 1) & mask_;
-    index_[at] = slot + 1;
+    std::size_t position = home_position(slots_[slot].key);
+    while (index_[position] != 0) position = (position + 1) & mask_;
+    index_[position] = slot + 1;
 }
 
-// Moves entries back that were displaced by the removed one, so that no search ends at the gap.
+// Moves back the entries that probed past the removed one, so that no search for them ends at the gap.
 void Limiter::remove_from_index(std::uint32_t slot) {
-    std::size_t hole = home_position(slots_[slot].key);
-    while (index_[hole] != slot + 1) hole = (hole + 1) & mask_;
-    for (std::size_t at = (hole + 1) & mask_; index_[at] != 0; at = (at + 1) & mask_) {
-        const std::size_t from = home_position(slots_[index_[at] - 1].key);
-        if (((at - from) & mask_) < ((at - hole) & mask_)) continue;
-        index_[hole] = index_[at];
-        hole = at;
+    std::size_t gap = home_position(slots_[slot].key);
+    while (index_[gap] != slot + 1) gap = (gap + 1) & mask_;
+    for (std::size_t position = (gap + 1) & mask_; index_[position] != 0;
+         position = (position + 1) & mask_) {
+        const std::size_t home = home_position(slots_[index_[position] - 1].key);
+        if (((position - home) & mask_) < ((position - gap) & mask_)) continue;
+        index_[gap] = index_[position];
+        gap = position;
     }
-    index_[hole] = 0;
+    index_[gap] = 0;
 }
 
-// The least of the key's counters; each row derives its position from other bits of the key.
+// Returns the least of the key's counters. Each row combines the two halves of the hash in another way to
+// find its counter.
 std::uint8_t Limiter::estimated_count(const KeyHash& key) const {
     std::uint8_t least = kMaxSketchCount;
     for (std::size_t row = 0; row < kSketchRows; ++row) {
@@ -99,10 +102,10 @@
         clock_hand_ = (clock_hand_ + 1) % slots_.size();
         const Slot& candidate = slots_[clock_hand_];
         if (candidate.in_flight > 0) continue;
-        const int requests = candidate.full_at_s <= now ? kBucketFull : estimated_count(candidate.key);
-        if (requests < least) {
+        const int count = candidate.full_at_s <= now ? kBucketFull : estimated_count(candidate.key);
+        if (count < least) {
             victim = static_cast<std::uint32_t>(clock_hand_);
-            least = requests;
+            least = count;
         }
         if (least == kBucketFull) break;
     }
@@ -126,13 +129,13 @@
     const Slot& slot = slots_[ticket.slot];
     double wait = 0;
     if (limits_.rate > 0) {
-        const double asked = std::min(count, limits_.burst);
-        const double full_at = std::max(slot.full_at_s, now) + asked / limits_.rate;
+        const double tokens = std::min(count, limits_.burst);
+        const double full_at = std::max(slot.full_at_s, now) + tokens / limits_.rate;
         wait = full_at - now - limits_.burst / limits_.rate;
-        // Guards against rounding: a bucket that lacks a millionth of a token is full.
+        // Ignores rounding errors: a bucket that lacks at most a millionth of a token admits the request.
         if (wait <= kRoundingTokens / limits_.rate) wait = 0;
     }
-    // Expected time until one of the requests in flight ends.
+    // The expected time until one of the requests in flight ends.
     if (limits_.max_in_flight > 0 && slot.in_flight >= limits_.max_in_flight)
         wait = std::max(wait, mean_duration_s_ / limits_.max_in_flight);
     return wait > 0 ? std::max(wait, kMinRetryAfterS) : 0;
@@ -143,7 +146,8 @@
     Slot& slot = slots_[ticket.slot];
     if (limits_.rate > 0)
         slot.full_at_s = std::max(slot.full_at_s, now) + std::min(count, limits_.burst) / limits_.rate;
-    ++slot.in_flight;   // also without max_in_flight: keys in flight are not evicted
+    // Counted without max_in_flight too, because keys with requests in flight are not evicted.
+    ++slot.in_flight;
     ticket.in_flight = true;
     ticket.started_at_s = now;
 }
--- a/src/rules/request_view.hpp
+++ b/src/rules/request_view.hpp
@@ -1,6 +1,10 @@
-// The facts of a request as conditions and keys that need no evaluator see them.
-// Input: RequestFacts (variables.hpp), which outlive their use. Headers that some rule names are found in
-// one pass over the fields, when the first is asked for. Owned by Rules; begun anew for each request.
+// The facts of a request, as conditions and keys that need no evaluator read them.
+//
+// - Inputs: RequestFacts (variables.hpp), which must outlive their use.
+// - Output: the request's texts, integers and headers. The headers that rules name are found in one
+//   pass over the header fields, when the first of them is read.
+//
+// Owned by Rules, which calls begin() for each request.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +16,7 @@
 
 namespace slatejunction::rules {
 
-/// Whether the variable is a text of the request.
+/// Returns whether the variable is a text of the request.
 inline bool is_text(VariableId name) {
     switch (name) {
         case VariableId::request_method:
@@ -27,7 +31,7 @@
     }
 }
 
-/// The request's text; `text` is one that is_text().
+/// Returns the request's text; is_text(text) must hold.
 inline std::string_view text_of(const RequestFacts& facts, VariableId text) {
     switch (text) {
         case VariableId::request_method:
@@ -45,47 +49,49 @@
     }
 }
 
-/// The request's integer: customer or deadline_ms.
+/// Returns the request's integer; `name` must be request_customer or request_deadline_ms.
 inline std::int64_t integer_of(const RequestFacts& facts, VariableId name) {
     return name == VariableId::request_customer ? facts.customer : facts.deadline_ms;
 }
 
-/// One request at a time.
+/// A view of one request at a time.
 class RequestView {
   public:
     struct Header {
         enum class Occurrence : std::uint8_t { absent, once, repeated } occurrence = Occurrence::absent;
         std::string_view value;
     };
-    /// Registers a header name in lower case, at load time. The same name has the same number.
-    std::uint32_t watch(std::string_view lower);
+    /// Registers the name of a header, in lower case, when rules are loaded. Returns its number; the same
+    /// name always has the same number.
+    std::uint32_t register_header(std::string_view lower_case_name);
+    /// Starts the next request.
     void begin(const RequestFacts& facts);
     const RequestFacts& facts() const { return *facts_; }
-    /// The header of that number.
+    /// Returns the header with a number of register_header().
     const Header& header(std::uint32_t number) {
         if (!headers_scanned_) scan_headers();
         return headers_[number];
     }
-    /// The head exceeds the bounds of expressions (HeadBounds).
+    /// Returns whether the head exceeds the bounds for expressions (HeadBounds).
     bool over_bound() {
         if (!headers_scanned_) scan_headers();
         return over_bound_;
     }
-    /// The text is ASCII and within its bound.
-    bool is_plain(VariableId text);
+    /// Returns whether the text is ASCII and within its bound. The result is cached for each request.
+    bool is_bounded_ascii(VariableId text);
 
   private:
     void scan_headers();
 
     const RequestFacts* facts_ = nullptr;
     HeadBounds bounds_;
-    std::vector<std::string> watched_names_;
-    std::vector<Header> headers_;       // as watched_names_
-    std::uint64_t watched_sizes_ = 0;   // bit n: some name has n bytes; bit 63: 63 or more
+    std::vector<std::string> registered_names_;
+    std::vector<Header> headers_;          // in the order of registered_names_
+    std::uint64_t registered_sizes_ = 0;   // bit n: some registered name has n bytes; bit 63: 63 or more
     bool headers_scanned_ = false;
     bool over_bound_ = false;
-    std::uint32_t checked_texts_ = 0;   // bits of VariableId: is_plain() is known
-    std::uint32_t plain_texts_ = 0;     // of them, those that are
+    std::uint32_t checked_texts_ = 0;         // by VariableId as bit: is_bounded_ascii() is cached
+    std::uint32_t bounded_ascii_texts_ = 0;   // of these, the texts for which it is true
 };
 
 }   // namespace slatejunction::rules
--- a/src/rules/rules.cpp
+++ b/src/rules/rules.cpp
@@ -10,7 +10,7 @@
 
 using expr::Value;
 
-constexpr std::size_t kMaxClassPlanPairs = 64;   // that have groups in the indexes
+constexpr std::size_t kMaxClassPlanPairs = 64;   // pairs that have groups in the indexes at once
 
 }   // namespace
 
@@ -28,10 +28,11 @@
         for (std::size_t k = 0; k < other.limits_.size(); ++k)
             if (settings_.limits[i] == other.settings_.limits[k])
                 limits_[i].limiter = other.limits_[k].limiter;
-    std::unordered_map<std::string_view, const RuleCount*> before;
-    for (const RuleCount& count : other.counts_) before.emplace(count.name, &count);
+    std::unordered_map<std::string_view, const RuleCount*> previous_counts;
+    for (const RuleCount& count : other.counts_) previous_counts.emplace(count.name, &count);
     for (RuleCount& count : counts_)
-        if (const auto found = before.find(count.name); found != before.end()) count = *found->second;
+        if (const auto found = previous_counts.find(count.name); found != previous_counts.end())
+            count = *found->second;
     evaluation_cost_ = other.evaluation_cost_;
 }
 
@@ -40,7 +41,7 @@
     if (on_error_) on_error_(counts_[rule].name, reason);
 }
 
-Value Rules::value(const expr::Program& program, std::size_t rule) {
+Value Rules::evaluate_value(const expr::Program& program, std::size_t rule) {
     const expr::Outcome outcome = evaluator_.run(program, variables_);
     evaluation_cost_ += outcome.cost;
     if (outcome.value.is_error()) count_error(rule, outcome.value.view());
@@ -48,7 +49,7 @@
 }
 
 bool Rules::holds(const expr::Program& program, std::size_t rule) {
-    const Value result = value(program, rule);
+    const Value result = evaluate_value(program, rule);
     const bool holds = result.is(expr::Kind::boolean) && result.truth();
     counts_[rule].matches += holds;
     return holds;
@@ -68,8 +69,9 @@
     return true;
 }
 
-// Index of the service class and plan among those seen. There are few of them; if requests bring many, all
-// are dropped with their groups in the indexes.
+// Returns the index of the service class and plan among the pairs of earlier requests. There are normally
+// few of them; if there are more than kMaxClassPlanPairs, all are dropped together with their groups in the
+// indexes.
 std::size_t Rules::class_plan_index(std::string_view service_class, std::string_view plan) {
     for (std::size_t i = 0; i < class_plan_pairs_.size(); ++i) {
         const auto& [known_class, known_plan] = class_plan_pairs_[i];
@@ -91,9 +93,9 @@
     variables_.begin(&request, nullptr);
     evaluator_.reset();
     const std::size_t class_plan = class_plan_index(request.service_class, request.plan);
-    for (const std::uint32_t number :
+    for (const std::uint32_t index :
          route_index_.candidates(class_plan, request.service_class, request.plan, request.path)) {
-        const Route& route = routes_[number];
+        const Route& route = routes_[index];
         if (!holds(route.condition, route.when, route_rule(route.index))) continue;
         verdict.route = route.index;
         verdict.subset = route.subset;
@@ -106,12 +108,12 @@
 
 bool Rules::evaluate_key(const Limit& limit, std::size_t rule) {
     key_bytes_.clear();
-    if (limit.direct) {
-        evaluation_cost_ += limit.direct.parts();
-        if (limit.direct.append_to(request_view_, key_bytes_)) return true;
+    if (limit.direct_key) {
+        evaluation_cost_ += limit.direct_key.part_count();
+        if (limit.direct_key.append_to(request_view_, key_bytes_)) return true;
         key_bytes_.clear();
     }
-    const Value key = value(limit.key, rule);
+    const Value key = evaluate_value(limit.key, rule);
     if (key.is_error()) return false;
     append_key(key_bytes_, key);
     return true;
@@ -127,21 +129,21 @@
     char text[160];
     const int size = std::snprintf(text, sizeof text, "%.80s %.17g %.17g %d", limit.name.c_str(),
                                    limit.rate, limit.burst, limit.count);
-    const auto number = static_cast<std::uint32_t>(hash_key({text, static_cast<std::size_t>(size)}).low);
-    return number == 0 ? 1 : number;
+    const auto id = static_cast<std::uint32_t>(hash_key({text, static_cast<std::size_t>(size)}).low);
+    return id == 0 ? 1 : id;
 }
 
 void Rules::evaluate_limits(double now, std::size_t class_plan, const RequestFacts& request,
                             RequestVerdict& verdict) {
-    for (const std::uint32_t number :
+    for (const std::uint32_t index :
          limit_index_.candidates(class_plan, request.service_class, request.plan, request.path)) {
-        Limit& limit = limits_[number];
-        const std::size_t rule = limit_rule(number);
+        Limit& limit = limits_[index];
+        const std::size_t rule = limit_rule(index);
         if (!holds(limit.condition, limit.when, rule)) continue;
         if (!evaluate_key(limit, rule)) continue;
         RequestVerdict::LimitHit& hit = verdict.limit_hits.emplace_back();
         hit.limiter = limit.limiter;
-        hit.count = settings_.limits[number].count == kCountsUnits ? request.units : 1;
+        hit.count = settings_.limits[index].count == kCountsUnits ? request.units : 1;
         const KeyHash key = hash_key(key_bytes_);
         if (fleet_limits_ && limit.fleet_limit != 0) {
             hit.fleet_limit = limit.fleet_limit;
@@ -152,33 +154,33 @@
                                 : limit.limiter->retry_after_s(now, key, hit.count, hit.ticket);
         if (wait <= verdict.rate_limit_retry_after_s) continue;
         verdict.rate_limit_retry_after_s = wait;
-        verdict.limit_exceeded = number;
+        verdict.limit_exceeded = index;
     }
 }
 
 void Rules::evaluate_tags(std::size_t class_plan, const RequestFacts& request, RequestVerdict& verdict) {
-    for (const std::uint32_t number :
+    for (const std::uint32_t index :
          tag_index_.candidates(class_plan, request.service_class, request.plan, request.path)) {
-        const Tag& tag = tags_[number];
-        const std::size_t rule = tag_rule(number);
+        const Tag& tag = tags_[index];
+        const std::size_t rule = tag_rule(index);
         if (!holds(tag.condition, tag.when, rule)) continue;
-        evaluation_cost_ += tag.direct.parts();
-        if (const std::string_view direct = tag.direct.text(request_view_); direct.data()) {
-            verdict.tags.emplace_back(number, direct);
+        evaluation_cost_ += tag.direct_value.part_count();
+        if (const std::string_view direct_text = tag.direct_value.text(request_view_); direct_text.data()) {
+            verdict.tags.emplace_back(index, direct_text);
             continue;
         }
-        const Value text = value(tag.value, rule);
-        if (text.is(expr::Kind::text)) verdict.tags.emplace_back(number, text.view());
+        const Value text = evaluate_value(tag.value, rule);
+        if (text.is(expr::Kind::text)) verdict.tags.emplace_back(index, text.view());
     }
 }
 
-void Rules::on_first_attempt(double now, RequestVerdict& verdict, bool spilled) {
+void Rules::on_first_attempt(double now, RequestVerdict& verdict, bool fell_back) {
     for (RequestVerdict::LimitHit& hit : verdict.limit_hits)
         if (hit.fleet_limit != 0)
             fleet_limits_->consume(now, hit.fleet_limit, hit.key, hit.count);
         else
             hit.limiter->consume(now, hit.ticket, hit.count);
-    if (spilled && verdict.route != RequestVerdict::kNone && verdict.route < routes_.size())
+    if (fell_back && verdict.route != RequestVerdict::kNone && verdict.route < routes_.size())
         ++counts_[route_rule(verdict.route)].fallbacks;
 }
 
--- a/src/rules/rules.hpp
+++ b/src/rules/rules.hpp
@@ -1,15 +1,16 @@
-// The operator's rules: which subset of the fleet a request goes to, which rate limits count it, its
-// tags, and which backends are in which subset.
+// The operator's rules. They decide to which subset of the fleet a request goes, which rate limits
+// count it, which tags it has, and which backends are in which subset.
 //
-// Rule: the first route by order whose condition holds gives the subset; each limit whose condition holds
-// counts the request by its key, and the longest time to wait applies; each tag whose condition holds
-// gives a value. A condition that evaluates to an error does not hold; the error is counted under the
-// rule's name and passed to the error callback.
-// Inputs: settings, facts of requests and backends, the time (s).
-// Output: RequestVerdict, subsets as bits.
-// Where to see it: counts() (measures by rule), the tags in the request log.
+// - Rule: the first route, by order, whose condition holds gives the subset. Each limit whose condition
+//   holds counts the request by its key, and the longest time to wait applies. Each tag whose condition
+//   holds gives a value. A condition that evaluates to an error does not hold; the error is counted for
+//   that rule and passed to the error callback.
+// - Inputs: settings, facts of requests and backends, the time (s).
+// - Output: RequestVerdict; subsets of a backend as bits.
+// - Visible in: counts() (the metrics by rule), the tags in the request log.
 //
-// No I/O, no clock. Owned by app::RulesComponent, which is its only caller; verdicts may outlive it.
+// Does no I/O and reads no clock. Owned by app::RulesComponent, its only caller; verdicts may outlive
+// it.
 #pragma once
 
 #include <functional>
@@ -32,14 +33,14 @@
 
 namespace slatejunction::rules {
 
-/// Limits that hold over the whole fleet; app::FleetRateLimitComponent keeps them by src/fleet_rate_limit.
-/// A limit is identified by Rules::fleet_limit_id().
+/// Rate limits that apply to the whole fleet, each identified by Rules::fleet_limit_id(). Implemented by
+/// app::FleetRateLimitComponent with src/fleet_rate_limit.
 class FleetRateLimits {
   public:
     virtual ~FleetRateLimits() = default;
-    /// Before any other call for that limit.
+    /// Must be called before any other call for that limit.
     virtual void define(std::uint32_t limit, const LimitSettings& settings) = 0;
-    /// As Limiter::retry_after_s() and consume().
+    /// As Limiter::retry_after_s() and Limiter::consume().
     virtual double retry_after_s(double now, std::uint32_t limit, std::uint64_t key, double count) = 0;
     virtual void consume(double now, std::uint32_t limit, std::uint64_t key, double count) = 0;
 };
@@ -51,18 +52,18 @@
     struct LimitHit {
         std::shared_ptr<Limiter> limiter;
         Limiter::Ticket ticket;
-        double count = 1;                ///< requests or units that it counts
-        std::uint32_t fleet_limit = 0;   ///< id of a limit over the fleet; 0: `limiter` keeps it
-        std::uint64_t key = 0;           ///< of a limit over the fleet
+        double count = 1;                ///< requests or units that the request counts for
+        std::uint32_t fleet_limit = 0;   ///< id of a limit of the whole fleet; 0: `limiter` applies it
+        std::uint64_t key = 0;           ///< hash of the key, for a limit of the whole fleet
     };
     std::uint64_t subset = 0;   ///< as in slatejunction::Request
     slatejunction::SubsetFallback subset_fallback = slatejunction::SubsetFallback::never;
-    double rate_limit_retry_after_s = 0;   ///< s, the longest of all limits
+    double rate_limit_retry_after_s = 0;   ///< the longest time to wait of all limits; 0: none is exceeded
     std::size_t route = kNone;             ///< index of the route that matched
     std::size_t limit_exceeded = kNone;    ///< index of the limit with the longest time to wait
     std::vector<LimitHit> limit_hits;
     std::vector<std::pair<std::size_t, std::string>> tags;   ///< index of the tag, value
-    /// Keeps the memory.
+    /// Resets the verdict for another request without freeing the memory of its vectors.
     void clear() {
         subset = 0;
         subset_fallback = slatejunction::SubsetFallback::never;
@@ -74,59 +75,63 @@
     }
 };
 
-/// Counts of one rule since it was first loaded.
+/// Counts of one rule since a rule of that name was first loaded.
 struct RuleCount {
-    std::string name;   ///< "route NAME"
+    std::string name;   ///< kind and name, such as "route NAME"
     std::uint64_t matches = 0;
-    std::uint64_t errors = 0;
-    std::uint64_t fallbacks = 0;    ///< of a route: requests forwarded to the whole fleet instead
-    std::uint64_t rejections = 0;   ///< of a limit
+    std::uint64_t errors = 0;       ///< expressions that evaluated to an error
+    std::uint64_t fallbacks = 0;    ///< for a route: requests that went to the whole fleet instead
+    std::uint64_t rejections = 0;   ///< for a limit: requests that it rejected
 };
 
 /// The compiled rules in force.
 class Rules {
   public:
-    /// Called for each error value; `rule`: as RuleCount::name.
+    /// Called for each expression that evaluates to an error. `rule`: as RuleCount::name.
     using ErrorCallback = std::function<void(const std::string& rule, std::string_view reason)>;
-    /// Compiles all sections. Null if there are faults; each is appended to `faults` as "[SECTION] KEY:
-    /// reason".
+    /// Compiles the expressions of all sections. Appends each error to `load_errors` as "[SECTION] KEY:
+    /// reason" and returns null if there is one.
     static std::unique_ptr<Rules> load(const Settings& settings, const GatewayFacts& gateway,
-                                       std::vector<std::string>& faults, ErrorCallback on_error = {});
+                                       std::vector<std::string>& load_errors, ErrorCallback on_error = {});
 
-    /// Takes over the buckets of limits of the same definition, and the counts of rules of the same name.
+    /// Shares the buckets of limits with equal settings, and copies the counts of rules of the same name.
     void inherit_state(const Rules& other);
 
-    /// Where limits over the fleet are kept, outlives the rules; null: each is kept here alone.
+    /// Sets what applies the limits of the whole fleet; it must outlive the rules. Null: each is applied by
+    /// this ingress on its own.
     void set_fleet_rate_limits(FleetRateLimits* fleet_limits);
-    /// Derived from the definition, so equal at all ingresses that define the limit alike; never 0.
+    /// Returns an id derived from the limit's name, rate, burst and count, so that all ingresses with the
+    /// same settings use the same id. Never 0.
     static std::uint32_t fleet_limit_id(const LimitSettings& limit);
 
-    /// Decides on a request; consumes nothing of any limit. `now`: s, of one monotonic clock for all calls.
+    /// Evaluates the rules for a request without consuming tokens of any limit. `now`: seconds of one
+    /// monotonic clock for all calls.
     void evaluate(double now, const RequestFacts& request, RequestVerdict& verdict);
     RequestVerdict evaluate(double now, const RequestFacts& request) {
         RequestVerdict verdict;
         evaluate(now, request, verdict);
         return verdict;
     }
-    /// The first attempt of the request starts: its limits are consumed. `spilled`: by the route's
-    /// fallback.
-    void on_first_attempt(double now, RequestVerdict& verdict, bool spilled);
-    /// The request was rejected by verdict.limit_exceeded.
+    /// To be called when the first attempt of the request starts; consumes the tokens of its limits.
+    /// `fell_back`: the attempt goes to the whole fleet by the route's fallback.
+    void on_first_attempt(double now, RequestVerdict& verdict, bool fell_back);
+    /// To be called when the request was rejected because of verdict.limit_exceeded.
     void on_rejected(const RequestVerdict& verdict);
-    /// The request has ended, or was never forwarded.
+    /// To be called when the request has ended or will not be forwarded.
     static void on_request_end(double now, RequestVerdict& verdict);
 
-    /// The subsets, as bits, whose condition holds for the backend, whatever their min_backends.
+    /// Returns the subsets, as bits, whose condition holds for the backend. Ignores their min_backends.
     std::uint64_t subsets_of(const BackendFacts& backend);
     std::size_t subset_count() const { return subsets_.size(); }
-    const SubsetSettings& subset(std::size_t number) const { return settings_.subsets[number]; }
+    const SubsetSettings& subset(std::size_t index) const { return settings_.subsets[index]; }
     const Settings& settings() const { return settings_; }
 
-    /// Of subsets, routes, limits and tags, each as in the settings.
+    /// The counts of subsets, routes, limits and tags, in this order, each kind in the order of the
+    /// settings.
     const std::vector<RuleCount>& counts() const { return counts_; }
     const Limiter& limiter(std::size_t limit) const { return *limits_[limit].limiter; }
     Limiter& limiter(std::size_t limit) { return *limits_[limit].limiter; }
-    /// Units of cost (expr/cost.hpp) of all evaluations.
+    /// The cost of all evaluations, in units (expr/cost.hpp).
     std::uint64_t evaluation_cost() const { return evaluation_cost_; }
 
   private:
@@ -135,7 +140,7 @@
         expr::Program when;
         expr::Program key;
         Condition condition;
-        DirectKey direct;
+        DirectKey direct_key;
         std::shared_ptr<Limiter> limiter;
         std::uint32_t fleet_limit = 0;
     };
@@ -143,7 +148,7 @@
         expr::Program when;
         expr::Program value;
         Condition condition;
-        DirectKey direct;
+        DirectKey direct_value;
     };
     struct Route {
         expr::Program when;
@@ -153,7 +158,7 @@
         slatejunction::SubsetFallback fallback = slatejunction::SubsetFallback::never;
     };
     Rules(const Settings& settings, const GatewayFacts& gateway, ErrorCallback on_error);
-    bool compile_all(std::vector<std::string>& faults);
+    bool compile_all(std::vector<std::string>& load_errors);
     void compile_subsets(Compiler& compiler);
     void compile_routes(Compiler& compiler);
     void compile_limits(Compiler& compiler);
@@ -161,14 +166,15 @@
     void build_indexes();
     bool holds(const expr::Program& program, std::size_t rule);
     bool holds(const Condition& condition, const expr::Program& when, std::size_t rule);
-    bool evaluate_key(const Limit& limit, std::size_t rule);   // into key_bytes_; false: an error
-    expr::Value value(const expr::Program& program, std::size_t rule);
+    // Sets key_bytes_. Returns false if the key evaluates to an error.
+    bool evaluate_key(const Limit& limit, std::size_t rule);
+    expr::Value evaluate_value(const expr::Program& program, std::size_t rule);
     void count_error(std::size_t rule, std::string_view reason);
     void evaluate_limits(double now, std::size_t class_plan, const RequestFacts& request,
                          RequestVerdict& verdict);
     void evaluate_tags(std::size_t class_plan, const RequestFacts& request, RequestVerdict& verdict);
     std::size_t class_plan_index(std::string_view service_class, std::string_view plan);
-    // Indices in counts_.
+    // Indices in counts_. Subsets come first, so that their index needs no conversion.
     std::size_t route_rule(std::size_t index) const { return subsets_.size() + index; }
     std::size_t limit_rule(std::size_t limit) const { return route_rule(routes_.size()) + limit; }
     std::size_t tag_rule(std::size_t tag) const { return limit_rule(limits_.size()) + tag; }
@@ -189,7 +195,8 @@
     RuleVariables variables_;
     expr::Evaluator evaluator_;
     std::string key_bytes_;
-    std::vector<std::pair<std::string, std::string>> class_plan_pairs_;   // service classes and plans seen
+    // The service classes and plans of recent requests; the index of a pair identifies it in the indexes.
+    std::vector<std::pair<std::string, std::string>> class_plan_pairs_;
     std::uint64_t evaluation_cost_ = 0;
 };
 
--- a/src/rules/settings.cpp
+++ b/src/rules/settings.cpp
@@ -6,8 +6,8 @@
 
 std::vector<std::string> split_words(const std::string& text) {
     std::vector<std::string> words;
-    std::istringstream rest(text);
-    for (std::string word; std::getline(rest, word, ',');) {
+    std::istringstream stream(text);
+    for (std::string word; std::getline(stream, word, ',');) {
         word.erase(0, word.find_first_not_of(" \t"));
         word.erase(word.find_last_not_of(" \t") + 1);
         if (!word.empty()) words.push_back(word);
@@ -24,7 +24,7 @@
 
 namespace {
 
-// The key must not be empty. `value` outlives the section.
+// Makes the section fail to load if the key's value is empty. `value` must outlive the section.
 void require_key(ini::Section& section, const char* key, const std::string& value) {
     section.whole(
         [key, &value] { return value.empty() ? std::string(key) + ": is missing" : std::string(); });
--- a/tests/expr/expr_test.cpp
+++ b/tests/expr/expr_test.cpp
@@ -610,7 +610,7 @@
     CHECK_THROWS(expr::compile("provider.id", at));
     std::vector<http::Field> many(49, {"A", "b"});
     request.headers = many;
-    CHECK(value("size(request.headers)") == "error: a head over its bound");
+    CHECK(value("size(request.headers)") == "error: request head exceeds its bounds");
     rules::BackendFacts provider;
     provider.flavor = "large";
     provider.cell = 3;
--- a/tests/rules/site_test.cpp
+++ b/tests/rules/site_test.cpp
@@ -222,7 +222,7 @@
     sleep_s(6);
     REQUIRE(site.ingress.end(SIGKILL) == 128 + SIGKILL);
     site.start();
-    CHECK(site.count("keys of an earlier process go on") == 2);
+    CHECK(site.count("keys from an earlier process") == 2);
     CHECK(passed("f", 2) <= 1);   // one more may have room by now
     // Other figures are another limit: its buckets are full.
     site.rules(limit + "[limit all]\nkey = request.plan\nrate = 0.01\nburst = 2\n");
