--- a/src/app/program.cpp
+++ b/src/app/program.cpp
@@ -73,7 +73,7 @@
             std::vector<membership::AuthKey> keys;
             const std::string why = membership::load_keys(options.membership, keys);
             if (!why.empty()) throw std::runtime_error(files.options + ": [peers] " + why);
-            for (auto& line : membership::stated(options.membership)) lines.push_back(line);
+            for (auto& line : membership::describe_bounds(options.membership)) lines.push_back(line);
         }
         if (options.has_fleet_rate_limits())
             for (auto& line :
@@ -85,7 +85,7 @@
             throw std::runtime_error(files.options + ": [rollout] " + why);
         for (auto& line : stated_of_rollout(options)) lines.push_back(line);
         if (options.fleet_counters.on())
-            lines.push_back(fleet_counters::stated(options.fleet_counters, options.lease.times));
+            lines.push_back(fleet_counters::describe_bounds(options.fleet_counters, options.lease.times));
         if (!options.quota.on()) return;
         quotas = quota::make_settings(options.quota, config.settings, fault);
         if (!fault.empty()) throw std::runtime_error(files.options + ": [quota] " + fault);
@@ -400,7 +400,7 @@
     make(options);
     const storage::File signals(signalfd(-1, &signals_, SFD_CLOEXEC | SFD_NONBLOCK));
     if (!signals) return fail("no descriptor for signals: " + std::string(std::strerror(errno)));
-    const net::SourceWatch watch(timers_, signals.get(), [this, fd = signals.get()] { on_signal(fd); });
+    const net::FdWatch watch(timers_, signals.get(), [this, fd = signals.get()] { on_signal(fd); });
     std::string why;
     if (!ingress_->start(why, sleep_unless_signalled)) return why.empty() ? 0 : fail(why);
     for (std::size_t i = components_.size(); i-- > 0;) components_[i]->start();
