--- a/tests/rules/fast_conditions_test.cpp
+++ b/tests/rules/fast_conditions_test.cpp
@@ -1,5 +1,6 @@
-// Fast conditions against the evaluator: whatever one decides, the evaluator decides too, over random
-// conditions, keys and requests, with headers that are missing, come twice or are not UTF-8.
+// Compares fast conditions and direct keys with the evaluator, over random conditions, keys and requests.
+// The requests have headers that are missing, repeated or not UTF-8. Whatever is decided without the
+// evaluator must be what the evaluator returns.
 #include "rules/fast_conditions.hpp"
 
 #include <catch2/catch.hpp>
@@ -14,7 +15,7 @@
 
 namespace {
 
-struct Maker {
+struct Generator {
     std::mt19937_64 random{20261202};
     const Strings texts{"risk-read", "warn-send", "plus",     "/a",   "/a/b",
                         "storm",     "",          "\xc3\xa9", "\xff", "x"};
@@ -22,96 +23,96 @@
     const Strings ops{"==", "!=", "<", "<=", ">", ">="};
 
     template <class T>
-    const T& pick(const std::vector<T>& all) {
-        return all[random() % all.size()];
+    const T& pick(const std::vector<T>& choices) {
+        return choices[random() % choices.size()];
     }
-    std::string text() {
+    std::string text_variable() {
         return pick(Strings{"request.method", "request.path", "request.query", "request.class",
                             "request.plan", "request.id", "request.headers['x-desk']",
                             "request.headers['x-other']", "request.headers['X-Desk']"});
     }
     std::string literal() { return "'" + pick(literals) + "'"; }
-    std::string part() {
-        const auto number = [&] { return std::to_string(random() % 4); };
+    std::string operand() {
+        const auto small_integer = [&] { return std::to_string(random() % 4); };
         switch (random() % 11) {
             case 0:
-                return text() + pick(Strings{" == ", " != "}) + literal();
+                return text_variable() + pick(Strings{" == ", " != "}) + literal();
             case 1:
-                return text() + ".startsWith(" + literal() + ")";
+                return text_variable() + ".startsWith(" + literal() + ")";
             case 2:
-                return text() + " in [" + literal() + ", " + literal() + "]";
+                return text_variable() + " in [" + literal() + ", " + literal() + "]";
             case 3:
                 return pick(Strings{"request.customer ", "request.deadline_ms "}) + pick(ops) + " " +
-                       number();
+                       small_integer();
             case 4:
-                return "request.units " + pick(ops) + " " + number() + ".0";
+                return "request.units " + pick(ops) + " " + small_integer() + ".0";
             case 5:
-                return "bucket(request.customer, 3) " + pick(ops) + " " + number();
+                return "bucket(request.customer, 3) " + pick(ops) + " " + small_integer();
             case 6:
                 return pick(Strings{"", "!"}) + "request.retry";
             case 7:
                 return pick(Strings{"", "!"}) + "('x-desk' in request.headers)";
             case 8:
-                return "'X-Desk' in request.headers";   // never: names are in lower case
+                return "'X-Desk' in request.headers";   // never holds: names are in lower case
             case 9:
-                return "(" + part() + " || " + part() + ")";   // left to the evaluator
+                return "(" + operand() + " || " + operand() + ")";   // needs the evaluator
             default:
                 return pick(Strings{"true", "false", "1 / request.customer == 1"});
         }
     }
     std::string condition() {
-        std::string all = part();
-        for (std::size_t more = random() % 3; more > 0; --more) all += " && " + part();
-        return all;
+        std::string condition = operand();
+        for (std::size_t more = random() % 3; more > 0; --more) condition += " && " + operand();
+        return condition;
     }
 };
 
-// A request that owns what its facts point to.
+// A random request, which owns what its facts refer to.
 struct Request {
     Strings texts;
     std::vector<std::pair<std::string, std::string>> headers;
     std::vector<http::Field> fields;
     rules::RequestFacts facts;
 
-    explicit Request(Maker& make) {
-        for (int i = 0; i < 6; ++i) texts.push_back(make.pick(make.texts));
-        for (std::size_t left = make.random() % 4; left > 0; --left)
-            headers.emplace_back(make.pick(Strings{"X-Desk", "x-desk", "Host", "X-Other"}),
-                                 make.pick(make.texts));
+    explicit Request(Generator& generator) {
+        for (int i = 0; i < 6; ++i) texts.push_back(generator.pick(generator.texts));
+        for (std::size_t left = generator.random() % 4; left > 0; --left)
+            headers.emplace_back(generator.pick(Strings{"X-Desk", "x-desk", "Host", "X-Other"}),
+                                 generator.pick(generator.texts));
         for (const auto& [name, value] : headers) fields.push_back({name, value});
         facts = {texts[0], texts[1], texts[2], texts[3], texts[4], texts[5], fields, 0, 0, 0, false};
-        facts.customer = static_cast<std::int64_t>(make.random() % 4);
-        facts.deadline_ms = static_cast<std::int64_t>(make.random() % 4);
-        facts.units = static_cast<double>(make.random() % 8) / 2;
-        facts.retry = make.random() % 2 == 0;
+        facts.customer = static_cast<std::int64_t>(generator.random() % 4);
+        facts.deadline_ms = static_cast<std::int64_t>(generator.random() % 4);
+        facts.units = static_cast<double>(generator.random() % 8) / 2;
+        facts.retry = generator.random() % 2 == 0;
     }
 };
 
 }   // namespace
 
-TEST_CASE("a fast condition decides as the evaluator does") {
-    Maker make;
+TEST_CASE("a fast condition has the same result as the evaluator") {
+    Generator generator;
     const auto environment = rules::environment(rules::Scope::request);
     const rules::GatewayFacts gateway;
-    int sure = 0, asked = 0, missing = 0;
+    int decided = 0, needs_evaluator = 0, missing = 0;
     for (int round = 0; round < 400; ++round) {
-        const std::string source = make.condition();
+        const std::string source = generator.condition();
         const auto program = expr::compile(source, environment, {.wanted = expr::Type::Tag::boolean});
         rules::RequestView view;
         const rules::Condition condition(program, {}, view);
-        rules::RuleVariables values(gateway);
+        rules::RuleVariables variables(gateway);
         expr::Evaluator evaluator;
         for (int i = 0; i < 40; ++i) {
-            const Request request(make);
+            const Request request(generator);
             view.begin(request.facts);
             const Result result = condition.evaluate(view);
-            values.begin(&request.facts, nullptr);
+            variables.begin(&request.facts, nullptr);
             evaluator.reset();
-            const auto value = evaluator.run(program, values).value;
+            const auto value = evaluator.run(program, variables).value;
             INFO(source);
-            asked += result == Result::needs_evaluator;
+            needs_evaluator += result == Result::needs_evaluator;
             if (result == Result::needs_evaluator) continue;
-            ++sure;
+            ++decided;
             missing += result == Result::missing;
             if (result == Result::missing) {
                 REQUIRE(value.is_error());
@@ -122,51 +123,53 @@
             }
         }
     }
-    // Each way was taken often.
-    CHECK(sure > 9'000);
-    CHECK(asked > 1'000);
+    // Each kind of result occurred often.
+    CHECK(decided > 9'000);
+    CHECK(needs_evaluator > 1'000);
     CHECK(missing > 300);
 }
 
 TEST_CASE("a direct key has the same bytes as the evaluator's value") {
-    Maker make;
+    Generator generator;
     const auto environment = rules::environment(rules::Scope::request);
     const rules::GatewayFacts gateway;
-    int sure = 0;
+    int built_keys = 0;
     for (int round = 0; round < 200; ++round) {
-        const auto one = [&] {
-            return make.random() % 3 ? make.text()
-                                     : make.pick(Strings{"request.customer", "request.deadline_ms"});
+        const auto random_part = [&] {
+            return generator.random() % 3
+                       ? generator.text_variable()
+                       : generator.pick(Strings{"request.customer", "request.deadline_ms"});
         };
-        std::string source = one();
-        if (make.random() % 2) source = "[" + source + (make.random() % 2 ? ", " + source : "") + "]";
+        std::string source = random_part();
+        if (generator.random() % 2)
+            source = "[" + source + (generator.random() % 2 ? ", " + source : "") + "]";
         const auto program = expr::compile(source, environment, {.any_key = true});
         rules::RequestView view;
         const rules::DirectKey direct(program, view);
         REQUIRE(static_cast<bool>(direct) == (source.find("X-Desk") == std::string::npos));
-        rules::RuleVariables values(gateway);
+        rules::RuleVariables variables(gateway);
         expr::Evaluator evaluator;
         for (int i = 0; i < 20 && direct; ++i) {
-            const Request request(make);
+            const Request request(generator);
             view.begin(request.facts);
-            std::string key, wanted;
+            std::string key, expected;
             if (!direct.append_to(view, key)) continue;
-            ++sure;
-            values.begin(&request.facts, nullptr);
+            ++built_keys;
+            variables.begin(&request.facts, nullptr);
             evaluator.reset();
-            const auto value = evaluator.run(program, values).value;
+            const auto value = evaluator.run(program, variables).value;
             INFO(source);
             REQUIRE_FALSE(value.is_error());
-            rules::append_key(wanted, value);
-            REQUIRE(key == wanted);
+            rules::append_key(expected, value);
+            REQUIRE(key == expected);
             if (value.is(expr::Kind::text) && direct.text(view).data())
                 REQUIRE(direct.text(view) == value.view());
         }
     }
-    CHECK(sure > 1'500);
+    CHECK(built_keys > 1'500);
 }
 
-TEST_CASE("a head over its bound is left to the evaluator") {
+TEST_CASE("a condition on a head over its bounds needs the evaluator") {
     const auto environment = rules::environment(rules::Scope::request);
     const auto program = expr::compile("'x-desk' in request.headers", environment, {});
     rules::RequestView view;
