--- a/src/admin/call.hpp
+++ b/src/admin/call.hpp
@@ -24,7 +24,7 @@
     Kind kind = Kind::none;
     // The backend's id, or the rollout key that is proposed or erased; percent-decoded.
     std::string id;
-    std::string body;         // of propose; set by the session
+    std::string body;         // of a propose call: the request's body, set by admin::Session
     int error_status = 0;     // HTTP status for an invalid call; 0: the call is valid
     std::string_view allow;   // with status 405: the value of the Allow header
     bool omit_body = false;   // the method is HEAD
--- a/src/admin/server.cpp
+++ b/src/admin/server.cpp
@@ -9,9 +9,9 @@
 namespace slatejunction::admin {
 namespace {
 
-// Of the requests of all sessions together.
+// Limit of the bytes that are buffered for the requests of all sessions together.
 constexpr std::size_t kMaxBufferedBytes = std::size_t{512} * 1024;
-// Input of one session that is dropped after its reply.
+// Limit of the input that one session reads and drops after its reply.
 constexpr std::size_t kMaxDroppedBytes = std::size_t{1024} * 1024;
 // The timeouts are long, as a stalled session does not delay the others.
 constexpr double kCallTimeoutS = 10.0;   // from the connection until the reply is written
--- a/src/admin/server.hpp
+++ b/src/admin/server.hpp
@@ -80,7 +80,7 @@
     void on_end(bool clean) override;
     void send_reply(const AdminReply& reply);
 
-    /// The session has exceeded the time limit of its state.
+    /// Whether the session has exceeded the time limit of its state.
     bool expired(double now) const;
     /// The rank for net::evict_idle(): the lowest is evicted first, below 0 never.
     int eviction_rank(double now) const;
--- a/src/fleet_rate_limit/rate_limit_node.hpp
+++ b/src/fleet_rate_limit/rate_limit_node.hpp
@@ -14,7 +14,7 @@
 //
 // The owner is the alive ingress with the highest rendezvous hash of its name and the key (Thaler and
 // Ravishankar, 1998), so a membership change moves only the keys of the ingresses that joined or left.
-// Membership is only a hint: each ingress that takes itself for the owner grants the fraction of the rate
+// Membership is only a hint: each ingress that considers itself the owner grants the fraction of the rate
 // that belongs to the members it sees. A wrong member list therefore costs no more than error_bound()
 // states, and only while it is wrong.
 //
--- a/src/gateway/admission_controller.hpp
+++ b/src/gateway/admission_controller.hpp
@@ -33,15 +33,15 @@
 constexpr double kMinAdmittedFraction = 0.05;
 /// Step of the admitted fraction while the gain is unknown.
 constexpr double kFixedStepFraction = 0.4;
-/// Admitted fraction per latency ratio.
+/// Largest gain of the proportional part, in admitted fraction per latency ratio.
 constexpr double kMaxGain = 1.0;
 /// Weight of the newest period in the low-pass filter of the proportional part.
 constexpr double kGainFilterWeight = 0.5;
-/// Admitted fraction per latency ratio and period.
+/// Gain of the integral part, in admitted fraction per latency ratio and period.
 constexpr double kIntegralGain = 0.06;
 /// Fraction of the step beyond the limits that is taken out of the proportional part.
 constexpr double kAntiWindupFraction = 0.5;
-/// An older operating point belongs to a different load.
+/// Age beyond which an operating point is not used, as it belongs to a different load.
 constexpr double kMaxPointAgeS = 20.0;
 /// Least distance in admitted fraction between the high and the low operating point.
 constexpr double kMinPointDistance = 0.01;
--- a/src/gateway/concurrency_limit.hpp
+++ b/src/gateway/concurrency_limit.hpp
@@ -14,7 +14,7 @@
 
 namespace slatejunction::gateway {
 
-/// In latency objectives.
+/// Largest expected latency at which requests of mean priority are admitted, in latency objectives.
 constexpr double kMaxExpectedLatencyRatio = 0.35;
 /// Least fraction of that ratio which requests of low priority are allowed.
 constexpr double kMinPriorityAllowance = 0.3;
--- a/src/hot_restart/restart_channel.cpp
+++ b/src/hot_restart/restart_channel.cpp
@@ -364,9 +364,10 @@
     if (applied_state_ == role_.state()) return;
     applied_state_ = role_.state();
     // In the order of RestartRole::State.
-    constexpr const char* kStateDescriptions[] = {
-        "alone", "a new process is preparing", "the new process accepts connections, this one drains",
-        "preparing to take over", "this process accepts connections, the old one drains"};
+    constexpr const char* kStateDescriptions[] = {"alone", "a new process is preparing to take over",
+                                                  "the new process accepts connections, this one drains",
+                                                  "preparing to take over",
+                                                  "this process accepts connections, the old one drains"};
     log_.write(Log::Level::info, net::now(), "hot restart: %s",
                kStateDescriptions[static_cast<std::size_t>(applied_state_)]);
     host_.on_role_changed();
--- a/src/hot_restart/restart_message.cpp
+++ b/src/hot_restart/restart_message.cpp
@@ -82,7 +82,7 @@
     bool valid_ = true;
 };
 
-// The phases of EndpointState serving and draining.
+// The phases in discovery's JSON format for EndpointState serving and draining.
 constexpr std::array kPhases{"Ready", "Terminating"};
 
 using Writer = rapidjson::Writer<rapidjson::StringBuffer>;
--- a/src/hot_restart/restart_message.hpp
+++ b/src/hot_restart/restart_message.hpp
@@ -50,7 +50,7 @@
         resource_use,     // either way
         command,          // either way; command_result has the same `number`
         command_result,   // `number`, `confirmed`
-        extension_state   // old to new, after accepting: of the extension with index `number`
+        extension_state   // old to new, after `accepting`: state of the extension with index `number`
     };
     Kind kind = Kind::hello;
     std::string name, listen;
--- a/src/hot_restart/restart_role.hpp
+++ b/src/hot_restart/restart_role.hpp
@@ -20,9 +20,9 @@
 
     State state() const { return state_; }
     bool accepts() const { return state_ != State::handed_over && state_ != State::preparing; }
-    /// This process closes its client connections, then exits.
+    /// Whether this process closes its client connections, then exits.
     bool draining() const { return state_ == State::handed_over; }
-    /// This process answers the next one that asks to take over.
+    /// Whether this process answers the next one that asks to take over.
     bool answers() const { return accepts() && !yields_; }
     bool paired() const { return state_ != State::alone; }
     bool is_old_process() const {
--- a/src/hot_restart/unix_socket.hpp
+++ b/src/hot_restart/unix_socket.hpp
@@ -16,8 +16,8 @@
 net::Ref<GSocketAddress> unix_address(const std::string& path);
 /// Null if the system can't create one.
 net::Ref<GSocket> unix_socket();
-/// The process at the other end runs as the same user as this one. Other users may be able to write to the
-/// directory of the socket file.
+/// Whether the process at the other end runs as the same user as this one. Other users may be able to write
+/// to the directory of the socket file.
 bool same_user(GSocket* socket);
 /// Appends the bytes that have arrived to `received`. The first listening socket that is attached to them
 /// goes to `listening`, unless that is set already; other descriptors are closed. Returns false if nothing
--- a/src/ingress/extensions.hpp
+++ b/src/ingress/extensions.hpp
@@ -43,7 +43,7 @@
     /// The last callback for this request: it has been answered and its attempts have ended, or the ingress
     /// is being destroyed.
     virtual void on_request_end(const client::ClientRequest& client_request, FilterState state) = 0;
-    /// The filter needs ClientRequest::headers.
+    /// Whether the filter needs ClientRequest::headers.
     virtual bool wants_headers() const { return false; }
     /// The request's tags (index and value) for the observer.
     virtual std::span<const std::pair<std::size_t, std::string>> tags(FilterState) const { return {}; }
--- a/src/ingress/ingress_admin.cpp
+++ b/src/ingress/ingress_admin.cpp
@@ -109,7 +109,8 @@
     if (result != admin::OverrideResult::done) return result;
     log_.write(Log::Level::info, now, "admin call: %s%s%s%s, %zu backends suspended in total",
                command.id.c_str(), command.id.empty() ? "" : " ", result_text(command.kind),
-               from_other_process ? " at the other process" : "", operator_overrides_.suspensions());
+               from_other_process ? " (call received by the other process)" : "",
+               operator_overrides_.suspensions());
     endpoint_updates_.apply_operator_change(change);
     return result;
 }
--- a/src/lease/lease_bounds.hpp
+++ b/src/lease/lease_bounds.hpp
@@ -5,8 +5,8 @@
 // times are in s; `drift` is a ratio.
 //
 // Invariants, for any two clocks within `drift`:
-// - usable_duration_s() ends before the grant of any acceptor expires.
-// - recovery_wait_s() ends after every grant that the acceptor may have given has expired.
+// - No acceptor's grant expires within usable_duration_s() after the request was sent.
+// - Every grant that an acceptor may have given has expired once recovery_wait_s() has passed.
 //
 // The daemon, check-config, the metrics and the tests all call these functions, so that each duration has
 // one definition. The protocol is PaxosLease (Trencseni, Gazso, Reinhardt 2012); see docs/design/fleet.md.
--- a/src/lifecycle/graceful_shutdown.hpp
+++ b/src/lifecycle/graceful_shutdown.hpp
@@ -31,17 +31,17 @@
 /// The longest time for which the platform may keep the process from running between reading its clock and
 /// acting.
 inline constexpr double kMaxSchedulingDelayS = 0.15;
-/// From the exit of the process to the earliest SIGKILL.
+/// Time from the exit of the process to the earliest SIGKILL.
 inline constexpr double kKillMarginS = 0.2;
-/// For the last messages of the other components (such as metric samples) and the last log lines.
+/// Time for the last messages of the other components (such as metric samples) and the last log lines.
 inline constexpr double kComponentStopS = 0.05;
-/// For writing the forced answers and the last reads of connections.
+/// Time for writing the forced answers and the last reads of connections.
 inline constexpr double kForcedAnswersS = 0.05;
-/// From refusing handshakes until the listening socket is closed, which resets every handshake that is not
-/// complete.
+/// Time from refusing handshakes until the listening socket is closed, which resets every handshake that is
+/// not complete.
 inline constexpr double kHandshakeDrainS = 0.05;
-/// From refusing handshakes until answers are forced, for requests on the last connections. It is shorter
-/// where deadlines are so short that new connections would still arrive at its start.
+/// Time from refusing handshakes until answers are forced, for requests on the last connections. It is
+/// shorter where deadlines are so short that new connections would still arrive at its start.
 inline constexpr double kLastRequestsS = 0.5;
 /// After a hand-over, the time for large bodies beyond the longest deadline.
 inline constexpr double kDrainingExtraS = 60.0;
@@ -51,12 +51,12 @@
 
 /// These functions return times since SIGTERM (s). A `longest_deadline_s` of 0 means that it is unknown.
 double earliest_kill_s(double longest_deadline_s);
-/// The process has exited, whatever clients, backends and other systems do.
+/// When the process has exited at the latest, whatever clients, backends and other systems do.
 double stop_bound_s(double longest_deadline_s);
-/// Open requests are answered by force. A request that arrived within kLateConnectionsS after SIGTERM, with
-/// a deadline of at most kMaxCountedDeadlineS, is never cut short.
+/// When open requests are answered by force. A request that arrived within kLateConnectionsS after SIGTERM,
+/// with a deadline of at most kMaxCountedDeadlineS, is never cut short.
 double force_after_s(double longest_deadline_s);
-/// No new connection is accepted from here on, however many still arrive.
+/// When new handshakes are refused, however many connections still arrive.
 double close_after_s(double longest_deadline_s);
 
 /// The status of a forced answer: 504 if an attempt was forwarded, else 503, which allows a retry.
@@ -115,7 +115,7 @@
     bool stop_requested() const { return stop_requested_at_.has_value(); }
     bool draining() const { return stop_requested_at_ || handed_over_at_; }
     State state() const { return state_; }
-    /// New requests are answered 503 at once.
+    /// Whether new requests are answered 503 at once.
     bool rejects_new_requests() const { return state_ == State::forcing || state_ == State::ended; }
     /// Connections that have been idle for longer must be closed; nullopt: idle connections are kept.
     std::optional<double> max_idle_s(double now) const;
--- a/src/quota/counter_incarnation.cpp
+++ b/src/quota/counter_incarnation.cpp
@@ -152,7 +152,7 @@
     if (message.epoch < state.epoch && !is_leader_)   // a new leader that missed the last loss
         outgoing_.push_back(
             {false, {IncarnationMessage::Kind::epoch_announced, message.part, state.epoch}});
-    if (message.epoch == state.epoch) {   // the leader has verified the suspicion
+    if (message.epoch == state.epoch) {   // the leader knows of no further loss
         state.loss_suspected = false;
         state.loss_known_locally = false;
     }
--- a/src/rollout/settings.cpp
+++ b/src/rollout/settings.cpp
@@ -159,8 +159,8 @@
     if (!options.is_control_machine()) return lines;
     std::snprintf(
         text, sizeof text,
-        "rollout: within %.1f s if the leader fails in between (with a majority of the %zu control "
-        "machines up); at most %.0f changes a second at [peers] interval_s = %g",
+        "rollout: if the leader fails meanwhile, a change is active within %.1f s (while a majority of the "
+        "%zu control machines is up); at most %.0f changes a second at [peers] interval_s = %g",
         active_after_leader_failure_s(bound,
                                       lease::max_vacancy_s(times, kRoundTripS, static_cast<int>(replicas))),
         replicas, changes_per_s(replicas, interval_s), interval_s);
--- a/src/rollout/transport.cpp
+++ b/src/rollout/transport.cpp
@@ -139,7 +139,8 @@
         if (!parents_.empty() && !std::exchange(parents_.begin()->second.name_mismatch_logged, true))
             log_.write(
                 Logger::Level::warning, net::now(),
-                "rollout: a parent address in [rollout] from answered as %s, which is not listed there",
+                "rollout: a parent address in the setting `from` of [rollout] answered as %s, which is not "
+                "listed there",
                 name.c_str());
         return;
     }
--- a/tests/gateway/fleet_test.cpp
+++ b/tests/gateway/fleet_test.cpp
@@ -207,10 +207,11 @@
     }
     return admitted;
 }
-// Unknown customers of many ingresses are assumed to have high demand, so only a fraction of their requests
-// is admitted. A later request that would make up for the credit of a class of higher priority is unlikely,
-// so that class is not admitted in full either; otherwise it would use the whole bucket.
-TEST(QuotaFleet, UnknownCustomersOfManyIngressesAreAdmittedInPartInEachClass) {
+// Unknown customers whose requests arrive through many ingresses are assumed to have high demand, so only a
+// fraction of their requests is admitted. A later request that would make up for the credit of a class of
+// higher priority is unlikely, so that class is not admitted in full either; otherwise it would use the
+// whole bucket.
+TEST(QuotaFleet, UnknownCustomersThroughManyIngressesAreAdmittedInPartInEachClass) {
     for (const double relative_weight : {3.0, 5.0, 20.0}) {
         const AdmittedFractions admitted = admitted_of_unknown_customers(100, relative_weight);
         EXPECT_LT(admitted.reads, 0.6) << relative_weight;
@@ -220,7 +221,7 @@
         EXPECT_GT(admitted.writes, 1.5 * admitted.reads) << relative_weight;
     }
 }
-TEST(QuotaFleet, UnknownCustomersOfFewIngressesAreAdmitted) {
+TEST(QuotaFleet, UnknownCustomersThroughFewIngressesAreAdmitted) {
     const AdmittedFractions admitted = admitted_of_unknown_customers(2, 3);
     EXPECT_DOUBLE_EQ(admitted.writes, 1);
     EXPECT_GT(admitted.reads, 0.95);
--- a/tests/gateway/load_balancer_test.cpp
+++ b/tests/gateway/load_balancer_test.cpp
@@ -172,7 +172,7 @@
     EXPECT_EQ(choose(100)["b"], 100);
 }
 
-TEST_F(LoadBalancerTest, AWarmingBackendIsChosenByItsProbabilityAndNotForRetries) {
+TEST_F(LoadBalancerTest, AWarmingBackendIsChosenWithItsAdmissionProbabilityAndNotForRetries) {
     list_backends({"a", "b"});
     Endpoint started;
     started.backend = "a";
@@ -189,7 +189,7 @@
     EXPECT_GT(choose(1000, 110)["a"], 400);
 }
 
-TEST_F(LoadBalancerTest, AWarmingBackendInScopeIsConsideredByItsProbability) {
+TEST_F(LoadBalancerTest, AWarmingBackendInTheScopeIsChosenWithItsAdmissionProbability) {
     list_backends({"a", "b"});
     Endpoint started;
     started.backend = "a";
--- a/tests/gateway/overload_test.cpp
+++ b/tests/gateway/overload_test.cpp
@@ -117,7 +117,7 @@
     EXPECT_EQ(driver.admitted_fraction, 1);
 }
 
-TEST_F(Overload, ARejectionWithoutBackendClassOrAttemptsHasItsReason) {
+TEST_F(Overload, RejectionsForUnknownClassExhaustedAttemptsAndNoBackendHaveTheirReasons) {
     driver.request("unknown", "no such class");
     driver.request("errors");
     while (!driver.pending.empty()) driver.end_attempt(0, sj::AttemptResult::error);
--- a/tests/gateway/quota_estimator_test.cpp
+++ b/tests/gateway/quota_estimator_test.cpp
@@ -63,7 +63,7 @@
     EXPECT_LT(admitted, 110);
 }
 
-TEST_F(QuotaEstimatorTest, WithAnEmptyBucketTheMarginFollowsTheCostOfExcess) {
+TEST_F(QuotaEstimatorTest, WithAnEmptyBucketTheProbabilityFallsWithTheCostOfExcess) {
     const auto probability = [&](double penalty, double weight) {
         plan.over_quota_penalty = penalty;
         plan.over_quota_weight = weight;
--- a/tests/hot_restart/upgrade_test.cpp
+++ b/tests/hot_restart/upgrade_test.cpp
@@ -145,7 +145,7 @@
     REQUIRE(admin_call(old_admin, "POST", "/v1/backends/s-1/resume"));
     REQUIRE(served(site.port, 3));
     REQUIRE(admin_call(new_admin, "POST", "/v1/backends/s-1/suspend"));
-    REQUIRE(site.logs(0, "s-1 suspended at the other process"));
+    REQUIRE(site.logs(0, "s-1 suspended (call received by the other process)"));
     REQUIRE(admin_call(old_admin, "POST", "/v1/ingress/drain"));
     REQUIRE(ask(site.port, "GET", "/health/ready").starts_with("HTTP/1.1 503"));
     REQUIRE(admin_call(new_admin, "POST", "/v1/ingress/activate"));
@@ -175,7 +175,7 @@
     REQUIRE(ready(old_admin));
     SECTION("before it accepts") {
         site.start();
-        REQUIRE(site.logs(0, "a new process is preparing"));
+        REQUIRE(site.logs(0, "a new process is preparing to take over"));
         REQUIRE(site.processes[1].end(SIGKILL) == 128 + SIGKILL);
     }
     SECTION("after it accepts") {
@@ -209,10 +209,12 @@
     Site site;
     REQUIRE(ready(site.start()));
     const int next = site.start();
-    SECTION("while the new one is preparing") { REQUIRE(site.logs(0, "a new process is preparing")); }
+    SECTION("while the new one is preparing") {
+        REQUIRE(site.logs(0, "a new process is preparing to take over"));
+    }
     SECTION("once the new one accepts") { REQUIRE(ready(next)); }
     SECTION("SIGTERM while the new one is preparing") {
-        REQUIRE(site.logs(0, "a new process is preparing"));
+        REQUIRE(site.logs(0, "a new process is preparing to take over"));
         REQUIRE(site.processes[0].end(SIGTERM) == 0);
     }
     site.processes[0].signal(SIGKILL);
--- a/tests/ingress/in_process_test.cpp
+++ b/tests/ingress/in_process_test.cpp
@@ -183,7 +183,7 @@
 
 // Guards against a timeout of a request that is counted from before its first byte, while the connection
 // was idle.
-TEST_CASE("a request that arrives in parts on a long idle connection has its full time") {
+TEST_CASE("a request that arrives in parts on a long idle connection gets its full timeout") {
     FakeSessionHost host;
     const auto session = std::make_shared<client::Session>(host);
     session->attach(host);
--- a/tests/ingress/player.cpp
+++ b/tests/ingress/player.cpp
@@ -257,7 +257,7 @@
         while (readable(backend_.get(), 0)) {
             const Fd connection(::accept4(backend_.get(), nullptr, nullptr, SOCK_CLOEXEC));
             char byte;
-            REQUIRE(::recv(connection.get(), &byte, 1, 0) <= 0);   // fill_backlog() made it
+            REQUIRE(::recv(connection.get(), &byte, 1, 0) <= 0);   // made by fill_backlog()
         }
     }
     void send(const std::string& bytes) {
--- a/tests/quota/counter_incarnation_test.cpp
+++ b/tests/quota/counter_incarnation_test.cpp
@@ -116,7 +116,7 @@
     for (const auto& ingress : fleet.all) CHECK(ingress.epoch(0) == 3);
 }
 
-TEST_CASE("a leader that missed a loss learns of it from the others") {
+TEST_CASE("a new leader that missed a loss of the counter's state learns of it from the others") {
     Fleet fleet(3);
     fleet.run(7);
     fleet.entries.clear();
--- a/tests/quota/simulation.hpp
+++ b/tests/quota/simulation.hpp
@@ -49,9 +49,8 @@
 struct Scenario {
     quota::Settings settings;
     unsigned customers = 2;
-    unsigned spread = 3;   // ingresses that the requests of one customer enqueue at
-    std::vector<Customer>
-        mix;   // one for each customer; if empty, total_bound have `load` and `surge_fraction`
+    unsigned spread = 3;         // ingresses that the requests of one customer arrive at
+    std::vector<Customer> mix;   // one for each customer; if empty, all have `load` and `surge_fraction`
     double length_s = 20;
     double load = 1;                   // as Customer::load
     double surge_fraction = 0;         // as Customer::surge_fraction
--- a/tests/rollout/rollout_test.cpp
+++ b/tests/rollout/rollout_test.cpp
@@ -392,7 +392,8 @@
     CHECK(follower.active_version() == log.last());
 }
 
-TEST_CASE("a lower cleared number does not move a follower back", "[rollout]") {
+TEST_CASE("an offer with a lower cleared number does not return a follower to an earlier version",
+          "[rollout]") {
     const Log log = log_of(6);
     TestStorage storage;
     Follower follower(settings_of("f"), {log}, storage, accept_all, 1);
--- a/tests/rollout/simulation.hpp
+++ b/tests/rollout/simulation.hpp
@@ -36,7 +36,7 @@
     double min_delay_s = 0.001, max_delay_s = 0.02;
     // If not negative, the most messages between two nodes that are lost within kLossWindowS.
     int max_losses = -1;
-    double duration_s = 30;   // of the time with faults
+    double duration_s = 30;   // of the part of the run with faults
     double propose_interval_s = 0.5, burst_interval_s = 1e9;
     double refused_fraction = 0;   // of the changes, which some followers refuse
     double kill_interval_s = 1e9, max_downtime_s = 4;
