--- a/src/telemetry/telemetry.cpp
+++ b/src/telemetry/telemetry.cpp
@@ -224,7 +224,7 @@
     options_.log = options.log;
     options_.rules = options.rules;
     log_.write(Log::Level::info, net::now(), "reloaded: the operator's file%s%s",
-               after_restart.empty() ? "" : "; after a restart: ", after_restart.c_str());
+               after_restart.empty() ? "" : "; after the next start: ", after_restart.c_str());
 }
 
 void Telemetry::stop(double max_wait_s, std::function<void()> done) {
