--- a/src/client/server.hpp
+++ b/src/client/server.hpp
@@ -28,7 +28,7 @@
     /// Ends the sessions whose time limit has passed, and evicts sessions while there are more than
     /// allowed.
     void close_expired(double now);
-    /// Closes sessions that for `idle_s` have been idle, or have only waited for the peer to close.
+    /// Closes sessions that have been idle, or have only waited for the peer to close, for `idle_s`.
     void close_idle(double now, double idle_s);
     void forget(Session& session);
     void stop() { listener_.stop(); }
--- a/src/discovery/endpoint_start_times.hpp
+++ b/src/discovery/endpoint_start_times.hpp
@@ -38,7 +38,7 @@
     struct Start {
         double up_since_ms = 0;     // as stated; 0 means long ago
         double started_at_s = 0;    // 0 means long ago
-        double last_named_at = 0;   // when a list last named the backend, or first did not (s)
+        double last_named_at = 0;   // s; the last list that names the backend, or the first that does not
         bool listed = false;
     };
     void remember(const slatejunction::Endpoint& entry, double up_since_ms, double now);
--- a/src/fleet_counters/driver.cpp
+++ b/src/fleet_counters/driver.cpp
@@ -13,7 +13,7 @@
 // Acknowledgements are sent in batches, so that they do not go to all ingresses in one burst.
 constexpr std::size_t kAcknowledgementBatch = 8;
 constexpr double kAcknowledgementIntervalS = 0.2;
-// Longest time between two looks at the wall clock, within which a change of that clock is noticed.
+// Longest time between two readings of the wall clock, within which a change of that clock is noticed.
 constexpr double kMaxClockCheckIntervalS = 1;
 constexpr double kPermitRetryIntervalS = 0.05;   // while the lease does not permit writing pending rows
 constexpr double kMinTimerDelayS = 0.001;
@@ -250,7 +250,7 @@
     log_.write(
         Log::Level::warning, net::now(),
         "fleet_sums: a majority of the voters has lost the stored counters; they restart at 0, and some "
-        "periods have no row");
+        "periods are not written");
 }
 
 void Driver::arm_aggregator_timer() {
--- a/src/fleet_counters/reporter.hpp
+++ b/src/fleet_counters/reporter.hpp
@@ -46,7 +46,7 @@
 struct Report {
     std::uint64_t process = 0;
     std::uint64_t acknowledged_period = 0;         ///< the last counted period; 0: none yet
-    std::vector<PeriodCounters> period_counters;   ///< ascending; the first is acknowledged_period
+    std::vector<PeriodCounters> period_counters;   ///< ascending by period, from acknowledged_period
 };
 std::string encode(const Report& report);
 /// Returns false if `bytes` is not a valid report.
@@ -66,7 +66,7 @@
     std::uint64_t acknowledged_period() const { return acknowledged_.period; }
     /// Number of recorded periods that are not acknowledged.
     std::size_t unacknowledged_periods() const { return unacknowledged_.size(); }
-    /// Requests that were dropped without an acknowledgement. They may be in no row.
+    /// Requests that were dropped without an acknowledgement. They may be missing from all rows.
     std::uint64_t dropped_requests() const { return dropped_requests_; }
 
   private:
--- a/src/fleet_counters/settings.cpp
+++ b/src/fleet_counters/settings.cpp
@@ -31,7 +31,7 @@
         text, sizeof text,
         "fleet_sums: one row every %g s, written at most %.2f s after the end of its period, or %.2f s if "
         "the holder of the lease fails (round trips of 20 ms); the requests that a killed ingress had not "
-        "reported, of at most its last %.2f s, are in no row",
+        "reported, of at most its last %.2f s, are never counted",
         options.period_s, row_delay_bound_s(options.settings(), times, kAssumedRoundTripS),
         row_delay_bound_after_failover_s(options.settings(), times, kAssumedRoundTripS, 1),
         options.period_s + options.grace_s);
--- a/src/membership/packet_codec.hpp
+++ b/src/membership/packet_codec.hpp
@@ -18,7 +18,7 @@
     ack,            ///< answers a ping; a relay passes it on to the requester
     ping_request,   ///< asks a relay to ping `target` (indirect probe of SWIM)
     sync,           ///< the sender's full member list, in parts (anti-entropy)
-    user_message,   ///< a message of a module above, with its channel
+    user_message,   ///< a message of a module that uses membership, with its channel
     gossip          ///< carries piggybacked updates only
 };
 
--- a/src/rules/condition_index.hpp
+++ b/src/rules/condition_index.hpp
@@ -5,7 +5,7 @@
 //   condition's tree (or from the whole condition if there is none), of these forms:
 //     request.class == "x"    request.plan == "x"    request.class in ["x", "y"]
 //     request.path == "/x"    request.path.startsWith("/x")
-// - Inputs: the compiled conditions, once; the request's class, plan and path.
+// - Inputs: the compiled conditions, at construction; the class, plan and path of each request.
 // - Output: the indices of the candidates, ascending.
 //
 // A condition that is not a candidate would have been false, because && is false if any operand is.
--- a/src/rules/fast_conditions.hpp
+++ b/src/rules/fast_conditions.hpp
@@ -4,7 +4,7 @@
 //   operand is, whatever the others are (CEL absorbs errors). The result is that of the evaluator.
 //   Where that is not certain, the result is `needs_evaluator`: for a text that is not ASCII or over
 //   its bound, a repeated header, or an operand of another form.
-// - Inputs: a compiled condition, once; a request's facts (request_view.hpp).
+// - Inputs: the compiled condition, at construction; the facts of each request (request_view.hpp).
 // - Output: TestResult.
 // - Visible in: the counts and costs of rules (Rules::counts(), Rules::evaluation_cost()).
 //
--- a/src/rules/limiter.hpp
+++ b/src/rules/limiter.hpp
@@ -77,8 +77,8 @@
     /// Returns the buckets that are not full, of up to `max_slots` slots starting at `from`. Sets `from` to
     /// the slot at which the next call continues, or to 0 after the last slot.
     std::vector<SavedBucket> save(double now, std::size_t& from, std::size_t max_slots) const;
-    /// Restores a bucket, at most as empty as the burst allows. Does nothing if the key is tracked already
-    /// or no slot is free.
+    /// Restores a bucket. Its saved time until it is full is reduced to that of an empty bucket, burst /
+    /// rate, if it is longer. Does nothing if the key is tracked already or no slot is free.
     void restore(double now, const SavedBucket& saved);
 
   private:
--- a/src/rules/settings.cpp
+++ b/src/rules/settings.cpp
@@ -72,9 +72,10 @@
                     "held at once; beyond it the coldest are forgotten");
     section.whole([&limit]() -> std::string {
         if (limit.key.empty()) return "key: is missing";
-        if (limit.scope == kFleetScope && limit.rate <= 0) return "scope: fleet wants a rate";
+        if (limit.scope == kFleetScope && limit.rate <= 0) return "scope: fleet requires a rate";
         if (limit.scope == kFleetScope && limit.max_in_flight > 0)
-            return "max_out: is kept at each gateway alone, in a limit of its own";
+            return "max_out: is not supported with scope = fleet; use a separate limit with scope = "
+                   "gateway";
         return {};
     });
     return section;
--- a/src/rules/variables.hpp
+++ b/src/rules/variables.hpp
@@ -100,8 +100,8 @@
     const RequestFacts* request_ = nullptr;
     const BackendFacts* backend_ = nullptr;
     std::array<expr::Value, kVariableCount> values_;   // valid if the bit in loaded_ is set
-    int header_lookups_ = 0;                           // lookups of headers by name, without the map
-    std::uint32_t loaded_ = 0;                         // by VariableId as bit
+    int header_lookups_ = 0;     // by name without the map; after kMaxHeaderLookups the map is used
+    std::uint32_t loaded_ = 0;   // by VariableId as bit
 };
 
 }   // namespace slatejunction::rules
--- a/tests/discovery/endpoint_start_times_test.cpp
+++ b/tests/discovery/endpoint_start_times_test.cpp
@@ -52,7 +52,7 @@
     CHECK(restart.update.endpoints[0].started_at_s <= 251);
 }
 
-TEST_CASE("after an outage the ages of new backends differ as their stated starts do",
+TEST_CASE("after an outage new backends keep the differences between their stated start times",
           "[directory][start]") {
     EndpointStartTimes times;
     EndpointList first = make_list(EndpointUpdateKind::snapshot, {{"a", 0, 0}});
--- a/tests/fleet_counters/fleet_counters_test.cpp
+++ b/tests/fleet_counters/fleet_counters_test.cpp
@@ -108,7 +108,7 @@
     Report back;
     REQUIRE(decode(encode(*report), back));
     CHECK(back.period_counters[2].values == report->period_counters[2].values);
-    reporter.acknowledge(8, 11);   // of another process
+    reporter.acknowledge(8, 11);   // has no effect: addressed to another process
     CHECK(reporter.unacknowledged_periods() == 2);
     reporter.acknowledge(9, 10);
     report = reporter.report();
@@ -139,7 +139,7 @@
     CHECK(decode(encode({1, 1, {{1, served_requests(0)}, {4, served_requests(5)}}}), report));
 }
 
-TEST_CASE("the largest page fits into a register", "[sums]") {
+TEST_CASE("the largest page of counters fits into a replicated register", "[sums]") {
     // As many entries as are accepted, with values of the greatest length. 1000 processes fill all pages.
     const lease::AcceptorSet acceptors{{"n0"}, {}, 1};
     Aggregator aggregator({1, 0.1}, {1, 0.05, 0.02, 0.1}, acceptors, 1);
--- a/tests/http/body_test.cpp
+++ b/tests/http/body_test.cpp
@@ -93,7 +93,7 @@
 }
 
 // Wherever the parser hands over to the reader, the two parts together are the body that was sent.
-TEST_CASE("a large message is read completely by the parser and the reader for the rest") {
+TEST_CASE("a large message is read completely: its start by the parser, the rest by the body reader") {
     std::mt19937 random(11);
     for (int i = 0; i < 60; ++i) {
         std::string body(66000 + random() % 90000, 'x');
--- a/tests/membership/decision_digest_test.cpp
+++ b/tests/membership/decision_digest_test.cpp
@@ -70,7 +70,7 @@
 
 }   // namespace
 
-TEST_CASE("decisions of membership match their digests", "[peers]") {
+TEST_CASE("the decisions of membership in random schedules match recorded digests", "[peers]") {
     for (std::uint64_t seed = 1; seed <= kDigests.size(); ++seed) {
         INFO("seed " << seed);
         CHECK(run_schedule(seed) == kDigests[seed - 1]);
--- a/tests/rules/fast_conditions_test.cpp
+++ b/tests/rules/fast_conditions_test.cpp
@@ -129,7 +129,7 @@
     CHECK(missing > 300);
 }
 
-TEST_CASE("a direct key has the same bytes as the evaluator's value") {
+TEST_CASE("a key that is read without the evaluator has the same bytes as the evaluator's value") {
     Generator generator;
     const auto environment = rules::environment(rules::Scope::request);
     const rules::GatewayFacts gateway;
@@ -169,7 +169,7 @@
     CHECK(built_keys > 1'500);
 }
 
-TEST_CASE("a condition on a head over its bounds needs the evaluator") {
+TEST_CASE("a condition on a request head with too many fields or bytes needs the evaluator") {
     const auto environment = rules::environment(rules::Scope::request);
     const auto program = expr::compile("'x-desk' in request.headers", environment, {});
     rules::RequestView view;
--- a/tests/rules/routes_test.cpp
+++ b/tests/rules/routes_test.cpp
@@ -229,14 +229,14 @@
     CHECK(list.endpoints[1].subsets == 1);
     CHECK(list.endpoints[2].subsets == 0);
     CHECK(subsets.serving_count(0) == 2);
-    // One drains: the other is alone, below min_backends, and is added to the update.
+    // a1 drains: b1 alone is below min_backends, so it is added to the update without subsets.
     EndpointUpdate drain{EndpointUpdateKind::delta, {endpoint("a1", "large")}};
     drain.endpoints[0].state = EndpointState::draining;
     subsets.update(0, drain, rules.get());
     REQUIRE(drain.endpoints.size() == 2);
     CHECK(drain.endpoints[1].backend == "b1");
     CHECK(drain.endpoints[1].subsets == 0);
-    // It returns with another flavor; then the rules are removed.
+    // The draining backend a1 returns with another flavor; then the rules are removed.
     EndpointUpdate back{EndpointUpdateKind::delta, {endpoint("a1", "small")}};
     subsets.update(0, back, rules.get());
     CHECK(back.endpoints[0].subsets == 2);
