--- a/src/client/client_request.hpp
+++ b/src/client/client_request.hpp
@@ -49,7 +49,7 @@
     std::string_view service_class, plan;
     std::uint64_t customer = 0;
     double units = 0, ingress_count = 0;
-    unsigned first_ingress = 0;   // of the `ingress_count` ingresses that get the customer's requests
+    unsigned first_ingress = 0;   // index of the first of the `ingress_count` ingresses for this customer
     // When its last byte arrived, and the client's deadline.
     double arrived_at_s = 0, deadline_at_s = 0;
     bool is_client_retry = false;
--- a/src/fleet_counters/aggregator.hpp
+++ b/src/fleet_counters/aggregator.hpp
@@ -34,9 +34,9 @@
 
 namespace slatejunction::fleet_counters {
 
-/// Number of registers with entries: enough for twice 300 processes.
+/// Number of pages, each in a register of its own: enough for twice 300 processes, the maximum of members.
 inline constexpr std::size_t kPageCount = 10;
-/// Rows kept in the totals: a new holder skips the periods by which the receiver is further behind.
+/// Rows kept in the totals. If the receiver is further behind, a new holder skips the periods before them.
 inline constexpr std::size_t kMaxRetainedRows = 14;
 /// Entries of a page, so that it fits into one register.
 inline constexpr std::size_t kMaxPageEntries = 85;
--- a/src/membership/swim.cpp
+++ b/src/membership/swim.cpp
@@ -92,7 +92,7 @@
     const double delay = now - next_deadline();
     if (delay <= kPingTimeoutPeriods * settings_.protocol_period_s) return;
     ++traffic_.late_timers;
-    improve_local_health(-1);
+    adjust_local_health(-1);
     if (probe_.sequence != 0) {
         probe_.indirect_at += delay;
         probe_.ends_at += delay;
@@ -219,7 +219,7 @@
     const std::string& from = packet.from().name();
     const bool matches_probe = packet.number() == probe_.sequence;
     if (matches_probe && from == probe_.target && probe_.sequence != 0) {
-        if (!std::exchange(probe_.acknowledged, true)) improve_local_health(1);
+        if (!std::exchange(probe_.acknowledged, true)) adjust_local_health(1);
         return;
     }
     const auto relayed = relayed_pings_.find(packet.number());
--- a/src/membership/swim.hpp
+++ b/src/membership/swim.hpp
@@ -91,7 +91,7 @@
     Kind kind = Kind::state_changed;
 };
 
-/// A message of a module above on another member.
+/// A message from a module that uses membership, on another member.
 struct ReceivedMessage {
     std::string from;
     std::uint64_t process = 0;
@@ -196,7 +196,7 @@
     void finish_probe(double now);
     void suspect(double now, Peer& peer, const std::string& accuser);
     void expire_suspicions(double now);
-    void improve_local_health(int points);
+    void adjust_local_health(int points);
     double local_health_multiplier() const { return 1.0 + local_health_score_; }
 
     // swim_updates.cpp
--- a/src/membership/swim_probing.cpp
+++ b/src/membership/swim_probing.cpp
@@ -74,7 +74,7 @@
     const Probe probe = std::exchange(probe_, {});
     if (!probe.indirect_sent) missed_ping_ratio_ -= kMissedPingWeight * missed_ping_ratio_;
     if (probe.acknowledged) return;
-    improve_local_health(-1);
+    adjust_local_health(-1);
     const auto found = peers_.find(probe.target);
     if (found != peers_.end()) suspect(now, found->second, self_.name);
 }
@@ -107,7 +107,7 @@
 
 // Adjusts the health score by `points`; negative points worsen it. A member whose own probes are not
 // acknowledged suspects others more slowly (Lifeguard, 3.1).
-void SwimMembership::improve_local_health(int points) {
+void SwimMembership::adjust_local_health(int points) {
     local_health_score_ = std::clamp(local_health_score_ - points, 0, kMaxLocalHealthScore);
 }
 
--- a/src/membership/swim_updates.cpp
+++ b/src/membership/swim_updates.cpp
@@ -126,7 +126,7 @@
     if (is_alive || update.incarnation() < self_.incarnation) return;
     self_.incarnation = update.incarnation() + 1;
     ++traffic_.refutations;
-    improve_local_health(-1);
+    adjust_local_health(-1);
     enqueue_update(self_.name);
 }
 
