--- a/src/rules/command.cpp
+++ b/src/rules/command.cpp
@@ -92,9 +92,8 @@
             return std::fputs(explain(program, variables.environment()).c_str(), stdout) < 0;
         if (command.subcommand == "bench") return run_benchmark(program, variables, command.json);
         if (command.subcommand == "check") {
-            std::printf(
-                command.json ? "{\"type\":\"%s\",\"bound\":%llu}\n" : "%s, at most %llu cost units\n",
-                program.type.name().c_str(), static_cast<unsigned long long>(program.bound));
+            std::printf(command.json ? "{\"type\":\"%s\",\"bound\":%llu}\n" : "%s, at most %llu units\n",
+                        program.type.name().c_str(), static_cast<unsigned long long>(program.bound));
             return 0;
         }
         expr::Evaluator evaluator;
