--- a/src/log/log.hpp
+++ b/src/log/log.hpp
@@ -24,8 +24,8 @@
     std::uint64_t attempts = 0;
     double seconds = 0;         // from the request's last byte to its final answer
     double earned_weight = 0;   // weight that the answer earned; 0 for a rejected or failed request
-    std::span<const std::pair<std::string_view, std::string_view>> tags =
-        {};   // name and value of each tag
+    // Name and value of each tag.
+    std::span<const std::pair<std::string_view, std::string_view>> tags = {};
 };
 
 class Log {
@@ -42,10 +42,9 @@
     /// counted; the count is logged before the next line that is written.
     __attribute__((format(printf, 4, 5))) void write(Level level, double now, const char* format, ...);
 
-    /// Writes a JSON event record of a fleet component, for programs that check the event history; only
-    /// when
-    /// `[log] events` is on. The timestamp is CLOCK_MONOTONIC_RAW, which all processes of a machine share.
-    /// Not rate-limited.
+    /// Writes a JSON event record of a fleet component, for programs that check the event
+    /// history; only when `[log] events` is on. The timestamp is CLOCK_MONOTONIC_RAW, which all processes
+    /// of a machine share. Not rate-limited.
     void event(std::string_view name, std::span<const std::pair<std::string_view, std::string>> fields);
 
     /// Whether a request that was served or not is to be recorded. Records are not rate-limited: their
