--- a/src/remotewrite/backlog.hpp
+++ b/src/remotewrite/backlog.hpp
@@ -2,7 +2,8 @@
 //
 // Each frame is appended once to a storage::SegmentedLog, a few frames per call, and so is the number below
 // which all frames are finished. At the start the frames of an earlier process are restored into the
-// sender. Nothing is synced to the disk. Owned by Driver; the sender must outlive it.
+// sender. Never blocks on the disk beyond a write; nothing is synced. Owned by Driver; the sender must
+// outlive it.
 #pragma once
 
 #include <memory>
