--- a/src/quota/counter_incarnation.cpp
+++ b/src/quota/counter_incarnation.cpp
@@ -22,7 +22,7 @@
 std::string serialize(const IncarnationMessage& message) {
     char text[64];
     const int size = std::snprintf(text, sizeof text, "%d %u %llu", static_cast<int>(message.kind),
-                                   message.part, static_cast<unsigned long long>(message.epoch));
+                                   message.part, static_cast<unsigned long long>(message.incarnation));
     return {text, static_cast<std::size_t>(size)};
 }
 
@@ -31,14 +31,14 @@
     int kind = 0;
     int used = 0;
     unsigned part = 0;
-    unsigned long long epoch = 0;
+    unsigned long long incarnation = 0;
     const std::string text(bytes);
-    const int fields = std::sscanf(text.c_str(), "%d %u %llu%n", &kind, &part, &epoch, &used);
+    const int fields = std::sscanf(text.c_str(), "%d %u %llu%n", &kind, &part, &incarnation, &used);
     if (fields != 3 || static_cast<std::size_t>(used) != text.size()) return {};
     if (kind < static_cast<int>(IncarnationMessage::Kind::loss_suspected) ||
-        kind > static_cast<int>(IncarnationMessage::Kind::epoch_announced))
+        kind > static_cast<int>(IncarnationMessage::Kind::incarnation_announced))
         return {};
-    return IncarnationMessage{static_cast<IncarnationMessage::Kind>(kind), part, epoch};
+    return IncarnationMessage{static_cast<IncarnationMessage::Kind>(kind), part, incarnation};
 }
 
 void CounterIncarnation::on_leadership_change(double now, bool is_leader) {
@@ -65,7 +65,7 @@
         request_read(now, part);
         return;
     }
-    outgoing_.push_back({false, {IncarnationMessage::Kind::loss_suspected, part, state.epoch}});
+    outgoing_.push_back({false, {IncarnationMessage::Kind::loss_suspected, part, state.incarnation}});
     state.last_reported_at_s = now;
     next_deadline_s_ = std::min(next_deadline_s_, now + kLossReportRetryS);
 }
@@ -94,34 +94,35 @@
     ++false_alarms_;
     state.loss_suspected = false;
     state.loss_known_locally = false;
-    broadcast_epoch(now, part);
+    broadcast_incarnation(now, part);
 }
 
 void CounterIncarnation::confirm_loss(double now, unsigned part) {
     PartState& state = parts_[part];
-    ++state.epoch;
+    ++state.incarnation;
     ++confirmed_loss_count_;
     if (!state.loss_known_locally) confirmed_losses_.push_back(part);
     state.loss_suspected = false;
     state.loss_known_locally = false;
     state.loss_to_verify = false;
-    broadcast_epoch(now, part);
+    broadcast_incarnation(now, part);
 }
 
-void CounterIncarnation::broadcast_epoch(double now, unsigned part) {
-    parts_[part].next_broadcast_at_s = now + kEpochBroadcastPeriodS;
-    outgoing_.push_back({true, {IncarnationMessage::Kind::epoch_announced, part, parts_[part].epoch}});
+void CounterIncarnation::broadcast_incarnation(double now, unsigned part) {
+    parts_[part].next_broadcast_at_s = now + kIncarnationBroadcastPeriodS;
+    outgoing_.push_back(
+        {true, {IncarnationMessage::Kind::incarnation_announced, part, parts_[part].incarnation}});
 }
 
-// Adopts an epoch that is higher than this ingress's.
-void CounterIncarnation::adopt_epoch(double now, unsigned part, std::uint64_t epoch) {
+// Adopts an incarnation that is higher than this ingress's.
+void CounterIncarnation::adopt_incarnation(double now, unsigned part, std::uint64_t incarnation) {
     PartState& state = parts_[part];
-    if (epoch <= state.epoch) return;
-    // The first epoch that is received does not mean a loss, as it may have been incremented before this
-    // process started.
-    const bool provisional = state.epoch == 0 || now < state.epoch_provisional_until_s;
+    if (incarnation <= state.incarnation) return;
+    // The first incarnation that is received does not mean a loss, as it may have been incremented before
+    // this process started.
+    const bool provisional = state.incarnation == 0 || now < state.incarnation_provisional_until_s;
     if (!provisional && !state.loss_known_locally) confirmed_losses_.push_back(part);
-    state.epoch = epoch;
+    state.incarnation = incarnation;
     state.loss_suspected = false;
     state.loss_known_locally = false;
 }
@@ -131,32 +132,32 @@
     if (message.kind == IncarnationMessage::Kind::loss_suspected)
         on_loss_suspected(now, message);
     else
-        on_epoch_announced(now, message);
+        on_incarnation_announced(now, message);
 }
 
 void CounterIncarnation::on_loss_suspected(double now, const IncarnationMessage& message) {
     PartState& state = parts_[message.part];
     if (!is_leader_) return;
-    if (message.epoch < state.epoch) {   // the sender missed the last broadcast
-        broadcast_epoch(now, message.part);
+    if (message.incarnation < state.incarnation) {   // the sender missed the last broadcast
+        broadcast_incarnation(now, message.part);
         return;
     }
     if (state.loss_to_verify) return;
-    adopt_epoch(now, message.part, message.epoch);
+    adopt_incarnation(now, message.part, message.incarnation);
     state.loss_to_verify = true;
     request_read(now, message.part);
 }
 
-void CounterIncarnation::on_epoch_announced(double now, const IncarnationMessage& message) {
+void CounterIncarnation::on_incarnation_announced(double now, const IncarnationMessage& message) {
     PartState& state = parts_[message.part];
-    if (message.epoch < state.epoch && !is_leader_)   // a new leader that missed the last loss
+    if (message.incarnation < state.incarnation && !is_leader_)   // a new leader that missed the last loss
         outgoing_.push_back(
-            {false, {IncarnationMessage::Kind::epoch_announced, message.part, state.epoch}});
-    if (message.epoch == state.epoch) {   // the leader knows of no further loss
+            {false, {IncarnationMessage::Kind::incarnation_announced, message.part, state.incarnation}});
+    if (message.incarnation == state.incarnation) {   // the leader knows of no further loss
         state.loss_suspected = false;
         state.loss_known_locally = false;
     }
-    adopt_epoch(now, message.part, message.epoch);
+    adopt_incarnation(now, message.part, message.incarnation);
 }
 
 void CounterIncarnation::on_timer(double now) {
@@ -174,11 +175,11 @@
 
 void CounterIncarnation::on_leader_timer(double now, unsigned part) {
     PartState& state = parts_[part];
-    if (state.epoch == 0) {
-        state.epoch = 1;
-        state.epoch_provisional_until_s = now + 2 * kEpochBroadcastPeriodS;
+    if (state.incarnation == 0) {
+        state.incarnation = 1;
+        state.incarnation_provisional_until_s = now + 2 * kIncarnationBroadcastPeriodS;
     }
-    if (now >= state.next_broadcast_at_s) broadcast_epoch(now, part);
+    if (now >= state.next_broadcast_at_s) broadcast_incarnation(now, part);
 }
 
 void CounterIncarnation::on_follower_timer(double now, unsigned part) {
@@ -186,7 +187,7 @@
     if (!state.loss_suspected) return;
     if (now >= state.last_reported_at_s + kLossReportRetryS) {
         state.last_reported_at_s = now;
-        outgoing_.push_back({false, {IncarnationMessage::Kind::loss_suspected, part, state.epoch}});
+        outgoing_.push_back({false, {IncarnationMessage::Kind::loss_suspected, part, state.incarnation}});
     }
     next_deadline_s_ = std::min(next_deadline_s_, state.last_reported_at_s + kLossReportRetryS);
 }
--- a/src/quota/counter_incarnation.hpp
+++ b/src/quota/counter_incarnation.hpp
@@ -1,10 +1,10 @@
 // Agreement of the fleet on how often each part of the shared counter has lost its state. That number is
-// the part's incarnation; it is called epoch here and in the messages.
+// the part's incarnation, which the messages between ingresses carry.
 //
 // The fleet keeps one incarnation entry on each part, which the leader sets. An ingress that reads a lower
 // total than before, or whose own check shows a loss, reports a suspected loss to the leader (src/lease).
-// The leader reads the entry itself. If it was lost, the leader increments the epoch, sets the entry again
-// and broadcasts the epoch.
+// The leader reads the entry itself. If it was lost, the leader increments the incarnation, sets the entry
+// again and broadcasts the incarnation.
 //
 // - Inputs: totals that were read, messages, leadership and the time (s).
 // - Outputs: reads and writes of the entry, messages, and parts whose loss is confirmed.
@@ -13,8 +13,8 @@
 //   line of a lost state (driver.cpp).
 //
 // A loss that one ingress finds takes effect on all of them at once, and an ingress with a wrong check
-// empties no buckets but its own. Epochs are carried by messages only, so a call that the counter carries
-// out twice does no harm.
+// empties no buckets but its own. Incarnations are carried by messages only, so a call that the counter
+// carries out twice does no harm.
 //
 // A state machine without I/O or a clock, owned and called by Driver. An ingress that receives no messages
 // relies on its own check.
@@ -29,9 +29,9 @@
 
 namespace slatejunction::quota {
 
-inline constexpr double kIncarnationReadPeriodS = 1;   ///< between two reads of a part by one ingress
-inline constexpr double kLossReportRetryS = 0.3;       ///< until a suspected loss is reported again
-inline constexpr double kEpochBroadcastPeriodS = 5;    ///< between two broadcasts by the leader
+inline constexpr double kIncarnationReadPeriodS = 1;        ///< between two reads of a part by one ingress
+inline constexpr double kLossReportRetryS = 0.3;            ///< until a suspected loss is reported again
+inline constexpr double kIncarnationBroadcastPeriodS = 5;   ///< between two broadcasts by the leader
 
 /// Returns the longest time (s) from a loss until every ingress that receives the leader's messages knows
 /// of it: one ingress reads the entry, the leader is notified, reads it and broadcasts. `call_s` is the
@@ -42,9 +42,9 @@
 /// Message between ingresses about one part.
 struct IncarnationMessage {
     /// The values are part of the wire format.
-    enum class Kind { loss_suspected = 1, epoch_announced = 2 } kind = Kind::loss_suspected;
+    enum class Kind { loss_suspected = 1, incarnation_announced = 2 } kind = Kind::loss_suspected;
     unsigned part = 0;
-    std::uint64_t epoch = 0;   ///< the sender's epoch of the part
+    std::uint64_t incarnation = 0;   ///< the sender's incarnation of the part
 };
 std::string serialize(const IncarnationMessage& message);
 /// Returns nothing if `bytes` are not a valid message.
@@ -83,7 +83,7 @@
     /// not found itself.
     std::vector<unsigned> take_confirmed_losses() { return std::exchange(confirmed_losses_, {}); }
 
-    std::uint64_t epoch(unsigned part) const { return parts_[part].epoch; }
+    std::uint64_t incarnation(unsigned part) const { return parts_[part].incarnation; }
     /// Number of losses that this ingress has confirmed as the leader.
     std::uint64_t confirmed_losses() const { return confirmed_loss_count_; }
     /// Number of suspected losses that this ingress, as the leader, has found to be wrong.
@@ -91,25 +91,26 @@
 
   private:
     struct PartState {
-        std::uint64_t epoch = 0;        // 0 until the first epoch is known
-        std::int64_t generation = -1;   // generation of last_total
+        std::uint64_t incarnation = 0;   // 0 until the first incarnation is known
+        std::int64_t generation = -1;    // generation of last_total
         double last_total = 0;
-        bool loss_suspected = false;       // a loss that no epoch accounts for yet
+        bool loss_suspected = false;       // a loss that no incarnation accounts for yet
         bool loss_known_locally = false;   // this ingress's SharedQuota knows of the loss already
         bool loss_to_verify = false;       // leader only: the next read decides on a suspected loss
         double last_read_at_s = 0;
         double last_reported_at_s = 0;    // time of the last report to the leader
         double next_broadcast_at_s = 0;   // leader only
-        // Until this time a new leader's epoch is provisional, so that the others have time to send theirs.
-        double epoch_provisional_until_s = 0;
+        // Until this time a new leader's incarnation is provisional, so that the others have time to send
+        // theirs.
+        double incarnation_provisional_until_s = 0;
     };
     void confirm_loss(double now, unsigned part);
-    void broadcast_epoch(double now, unsigned part);
-    void adopt_epoch(double now, unsigned part, std::uint64_t epoch);
+    void broadcast_incarnation(double now, unsigned part);
+    void adopt_incarnation(double now, unsigned part, std::uint64_t incarnation);
     void suspect_loss(double now, unsigned part);
     void request_read(double now, unsigned part);
     void on_loss_suspected(double now, const IncarnationMessage& message);
-    void on_epoch_announced(double now, const IncarnationMessage& message);
+    void on_incarnation_announced(double now, const IncarnationMessage& message);
     void on_leader_timer(double now, unsigned part);
     void on_follower_timer(double now, unsigned part);
 
--- a/src/quota/counter_state.cpp
+++ b/src/quota/counter_state.cpp
@@ -77,7 +77,7 @@
 // Marks the part's state as lost: all its shared buckets count as empty from now on.
 void SharedQuota::on_state_lost(unsigned part_index) {
     CounterPart& part = parts_[part_index];
-    ++part.epoch;
+    ++part.known_incarnation;
     ++counter_losses_;
     part.state_lost_at_s = fleet_time_s();
 }
--- a/src/quota/reports.cpp
+++ b/src/quota/reports.cpp
@@ -81,7 +81,7 @@
     const double raise_to_s = std::max(since, state.full_at_s);
     const bool known = state.counter_full_at_s != kNeverS &&
                        state.generation == generation_of(fleet_time_s()) &&
-                       state.counter_epoch == parts_[state.part].epoch;
+                       state.counter_incarnation == parts_[state.part].known_incarnation;
     const double raise_by_s = known ? raise_to_s - state.counter_full_at_s : 1;
     const bool others_may_have_raised =
         !state.sole_reporter && now_ - state.updated_at_s > kMaxReplyAgeBeforeRaiseS;
@@ -146,7 +146,7 @@
     CounterPart& part = parts_[state.part];
     const CounterReply reply = decode_reply(pending, total);
     const bool known = state.counter_full_at_s != kNeverS && state.generation == pending.generation &&
-                       state.counter_epoch == part.epoch;
+                       state.counter_incarnation == part.known_incarnation;
     const bool went_back = known && reply.full_at_before_s < state.counter_full_at_s - kCounterResolutionS;
     state.sole_reporter =
         known && std::abs(reply.full_at_before_s - state.counter_full_at_s) < kCounterResolutionS;
@@ -201,8 +201,8 @@
     const double base_s = std::max(reply.full_at_before_s, reply.raise_to_s);
     // Other ingresses' reports were lost with the counter's state, so the bucket counts as empty at the
     // time of the loss.
-    const bool state_lost =
-        state.full_at_s != kNeverS ? state.counter_epoch != part.epoch : reply.entry_is_new;
+    const bool state_lost = state.full_at_s != kNeverS ? state.counter_incarnation != part.known_incarnation
+                                                       : reply.entry_is_new;
     const double floor_s = part.state_lost_at_s + layout.burst / layout.rate;
     return state_lost && fleet_time_s() < floor_s ? std::max({base_s, state.full_at_s, floor_s}) : base_s;
 }
@@ -237,7 +237,7 @@
     state.full_at_s = target_full_at_s;
     state.counter_full_at_s = reply.full_at_s;
     state.generation = reply.generation;
-    state.counter_epoch = part.epoch;
+    state.counter_incarnation = part.known_incarnation;
     state.updated_at_s = now_;
     const double correction_s = target_full_at_s - reply.full_at_s;
     const bool correct = std::abs(correction_s) * layout.rate > kMinCorrectionUnits && !part.unreachable;
--- a/src/quota/state.hpp
+++ b/src/quota/state.hpp
@@ -46,11 +46,12 @@
     /// Theoretical arrival time according to the last reply; kNeverS if unknown. The entry on the counter
     /// may still have to be corrected to it.
     double full_at_s = kNeverS;
-    /// Theoretical arrival time that the entry held at the last reply, in `generation` and `counter_epoch`.
+    /// Theoretical arrival time that the entry held at the last reply, in `generation` and
+    /// `counter_incarnation`.
     double counter_full_at_s = kNeverS;
     std::int64_t generation = 0;
-    std::uint64_t counter_epoch = 0;   ///< CounterPart::epoch at the last reply
-    double updated_at_s = 0;           ///< time of the last reply or of the last requested refresh
+    std::uint64_t counter_incarnation = 0;   ///< CounterPart::known_incarnation at the last reply
+    double updated_at_s = 0;                 ///< time of the last reply or of the last requested refresh
     double unreported_units = 0;
     double unreported_since_s = 0;   ///< fleet time of the first unreported unit
     double in_flight_units = 0;      ///< units of the call in flight or of an unconfirmed reply
@@ -86,8 +87,8 @@
     double next_probe_at_s = 0;
     double next_heartbeat_at_s = 0;
     double next_check_at_s = 0;
-    double state_lost_at_s = kNeverS;   ///< fleet time of the last detected loss of its state
-    std::uint64_t epoch = 1;            ///< increased with each detected loss of its state
+    double state_lost_at_s = kNeverS;      ///< fleet time of the last detected loss of its state
+    std::uint64_t known_incarnation = 1;   ///< increased with each detected loss of its state
 
     // The check. This ingress keeps an entry of its own whose total only increases, so a total that has not
     // increased shows that the part lost its state.
--- a/tests/quota/counter_incarnation_test.cpp
+++ b/tests/quota/counter_incarnation_test.cpp
@@ -67,7 +67,7 @@
 
 TEST_CASE("each ingress learns of a loss exactly once, within the propagation bound") {
     Fleet fleet(5);
-    fleet.run(7);   // until all have received the first epoch
+    fleet.run(7);   // until all have received the first incarnation
     fleet.entries.clear();
     fleet.run(loss_propagation_bound_s(0, 0) + 0.1);
     for (const int loss_count : fleet.losses) CHECK(loss_count == 1);
@@ -83,7 +83,7 @@
     fleet.run(30);
     fleet.cut_off_ingress = 4;
     fleet.entries.clear();
-    fleet.run(6 * kEpochBroadcastPeriodS);
+    fleet.run(6 * kIncarnationBroadcastPeriodS);
     for (const int loss_count : fleet.losses) CHECK(loss_count == 1);
 }
 
@@ -113,7 +113,7 @@
     fleet.entries.clear();
     fleet.run(2);
     for (const int loss_count : fleet.losses) CHECK(loss_count == 2);
-    for (const auto& ingress : fleet.all) CHECK(ingress.epoch(0) == 3);
+    for (const auto& ingress : fleet.all) CHECK(ingress.incarnation(0) == 3);
 }
 
 TEST_CASE("a new leader that missed a loss of the counter's state learns of it from the others") {
@@ -127,7 +127,7 @@
     fleet.leader = 1;
     fleet.all[1].on_leadership_change(fleet.now, true);
     fleet.run(6);
-    CHECK(fleet.all[1].epoch(0) == 2);
+    CHECK(fleet.all[1].incarnation(0) == 2);
     fleet.entries.clear();
     fleet.run(2);
     CHECK(fleet.losses[0] == 2);
@@ -140,5 +140,5 @@
         CHECK_FALSE(parse_incarnation_message(text));
     const auto message = parse_incarnation_message("2 1 77");
     REQUIRE(message);
-    CHECK(message->epoch == 77);
+    CHECK(message->incarnation == 77);
 }
