--- a/bench/scale/fleet.cpp
+++ b/bench/scale/fleet.cpp
@@ -171,10 +171,10 @@
         bool fresh = true;
         if (node.seal) {
             const membership::OpenResult opened = node.seal->open(bytes, who, payload);
-            if (opened != membership::OpenResult::fresh &&
+            if (opened != membership::OpenResult::accepted &&
                 opened != membership::OpenResult::not_for_this_process)
                 return;
-            fresh = opened == membership::OpenResult::fresh;
+            fresh = opened == membership::OpenResult::accepted;
         }
         node.members->receive(now(), who, fresh, payload);
     }
--- a/bench/scale/rollout_fleet.cpp
+++ b/bench/scale/rollout_fleet.cpp
@@ -50,7 +50,7 @@
 struct RolloutFleet::ReplicaDisk : rollout::ReplicaStorage {
     bool save_promise(std::uint64_t term, bool to_remember) override {
         promised = term;
-        remembers = to_remember;
+        storage_intact = to_remember;
         return true;
     }
     bool append(const std::vector<rollout::Record>& records) override {
@@ -70,7 +70,7 @@
     void save_commit_index(std::uint64_t number) override { committed = number; }
 
     std::uint64_t promised = 0, committed = 0;
-    bool remembers = false;
+    bool storage_intact = false;
     rollout::Log log;
 };
 
@@ -126,7 +126,7 @@
     for (std::size_t i = 0; i < plan.controls; ++i) {
         nodes_[i].replica_disk = std::make_unique<ReplicaDisk>();
         ReplicaDisk& disk = *nodes_[i].replica_disk;
-        disk.remembers = true;
+        disk.storage_intact = true;
         disk.promised = disk.committed = base_;
         disk.log = rollout::Log(versions_.front(), base_ > 0 ? 1 : 0, base_state_);
         start(i);
@@ -174,7 +174,8 @@
     replica.name = names_[node];
     it.replica = std::make_unique<rollout::Replica>(
         replica, it.process,
-        rollout::ReplicaStored{disk.remembers, disk.promised, disk.committed, disk.log}, *it.replica_disk);
+        rollout::ReplicaStored{disk.storage_intact, disk.promised, disk.committed, disk.log},
+        *it.replica_disk);
     it.feeder = std::make_unique<rollout::Publisher>(rollout::PublisherSettings{}, it.replica->log());
     it.feeder->advance(now(), it.replica->commit_index(), it.replica->staging());
     rollout::LeaderSettings source;
@@ -283,7 +284,7 @@
         const Booked booked(meter_, account(to));
         std::uint64_t who = sender;
         const membership::OpenResult opened = nodes_[to].seal->open(bytes, who, payload);
-        if (opened != membership::OpenResult::fresh &&
+        if (opened != membership::OpenResult::accepted &&
             opened != membership::OpenResult::not_for_this_process)
             return;
     }
--- a/src/membership/datagram_auth.cpp
+++ b/src/membership/datagram_auth.cpp
@@ -126,7 +126,7 @@
     if (is_own_datagram || from == 0) return OpenResult::replayed;
     if (read_u64(bytes, kToOffset) != process_) return OpenResult::not_for_this_process;
     const bool is_new = accept_sequence(from, read_u64(bytes, kSequenceOffset));
-    return is_new ? OpenResult::fresh : OpenResult::replayed;
+    return is_new ? OpenResult::accepted : OpenResult::replayed;
 }
 
 bool DatagramAuth::has_valid_tag(std::string_view bytes) const {
--- a/src/membership/datagram_auth.hpp
+++ b/src/membership/datagram_auth.hpp
@@ -3,13 +3,13 @@
 //
 //   version 1, key id 1, zero 2, from 8, to 8, sequence 8, payload, tag 16
 //
-// A datagram is fresh if its tag was made with a known key, it is addressed to this very process, and its
-// sequence number was not accepted from that sender before. The tag is the keyed BLAKE2b hash of libsodium
-// (crypto_generichash).
+// A datagram is accepted if its tag was made with a known key, it is addressed to this very process, and
+// its sequence number was not accepted from that sender before. The tag is the keyed BLAKE2b hash of
+// libsodium (crypto_generichash).
 //
-// Invariant: `from` and `to` are process ids, which are drawn at each start, so a fresh datagram is never
-// older than this process. A datagram for another process, or for any process (`to` is 0), may be a replay;
-// the receiver may only answer it with its identity.
+// Invariant: `from` and `to` are process ids, which are drawn at each start, so an accepted datagram is
+// never older than this process. A datagram for another process, or for any process (`to` is 0), may be a
+// replay; the receiver may only answer it with its identity.
 //
 // The code does no I/O. GossipTransport and rollout::Transport each own an instance; counts() of the former
 // is a metric and part of the admin page.
@@ -36,7 +36,7 @@
 /// "line N: reason" and then leaves `keys` unchanged.
 std::string parse_keys(std::string_view text, std::vector<AuthKey>& keys);
 
-enum class OpenResult { fresh, not_for_this_process, bad_size, bad_version, bad_key, replayed };
+enum class OpenResult { accepted, not_for_this_process, bad_size, bad_version, bad_key, replayed };
 /// By OpenResult: metric labels, and keys on the admin page.
 inline constexpr std::array<std::string_view, 6> kOpenResultNames{"fresh",   "stranger", "size",
                                                                   "version", "key",      "replayed"};
--- a/src/membership/gossip_transport.cpp
+++ b/src/membership/gossip_transport.cpp
@@ -81,8 +81,8 @@
     std::uint64_t from = 0;
     std::string_view payload;
     const OpenResult result = auth_.open(bytes, from, payload);
-    if (result != OpenResult::fresh && result != OpenResult::not_for_this_process) return;
-    members_.receive(net::now(), from, result == OpenResult::fresh, payload);
+    if (result != OpenResult::accepted && result != OpenResult::not_for_this_process) return;
+    members_.receive(net::now(), from, result == OpenResult::accepted, payload);
     flush();
 }
 
--- a/src/rollout/transport.cpp
+++ b/src/rollout/transport.cpp
@@ -119,7 +119,7 @@
         const std::string answer = auth_.seal(process, encode_datagram(identity, {}));
         return count(socket_.send(from, answer), answer.size());
     }
-    if (opened != membership::OpenResult::fresh) return;
+    if (opened != membership::OpenResult::accepted) return;
     kept::Datagram received;
     if (!received.ParseFromArray(payload.data(), static_cast<int>(payload.size())) ||
         !is_plain_name(received.name())) {
--- a/src/rules/limiter.cpp
+++ b/src/rules/limiter.cpp
@@ -68,12 +68,12 @@
 // Returns the least of the key's counters. Each row combines the two halves of the hash in another way to
 // find its counter.
 std::uint8_t Limiter::estimated_count(const KeyHash& key) const {
-    std::uint8_t least = kMaxSketchCount;
+    std::uint8_t min_count = kMaxSketchCount;
     for (std::size_t row = 0; row < kSketchRows; ++row) {
         const std::uint64_t bits = key.high + row * (key.low | 1);
-        least = std::min(least, sketch_[row * sketch_width_ + (bits & (sketch_width_ - 1))]);
+        min_count = std::min(min_count, sketch_[row * sketch_width_ + (bits & (sketch_width_ - 1))]);
     }
-    return least;
+    return min_count;
 }
 
 void Limiter::record_request(const KeyHash& key) {
@@ -97,20 +97,20 @@
         return slot;
     }
     std::uint32_t victim = kNone;
-    int least = kMaxSketchCount + 1;
+    int min_count = kMaxSketchCount + 1;
     for (std::size_t i = 0; i < kEvictionCandidates; ++i) {
         clock_hand_ = (clock_hand_ + 1) % slots_.size();
         const Slot& candidate = slots_[clock_hand_];
         if (candidate.in_flight > 0) continue;
         const int count = candidate.full_at_s <= now ? kBucketFull : estimated_count(candidate.key);
-        if (count < least) {
+        if (count < min_count) {
             victim = static_cast<std::uint32_t>(clock_hand_);
-            least = count;
+            min_count = count;
         }
-        if (least == kBucketFull) break;
+        if (min_count == kBucketFull) break;
     }
-    if (victim == kNone || (least != kBucketFull && estimated_count(key) <= least)) return kNone;
-    if (least != kBucketFull) ++lossy_evictions_;
+    if (victim == kNone || (min_count != kBucketFull && estimated_count(key) <= min_count)) return kNone;
+    if (min_count != kBucketFull) ++lossy_evictions_;
     remove_from_index(victim);
     slots_[victim] = {key, now, 0, true};
     insert_into_index(victim);
--- a/tests/membership/swim_test.cpp
+++ b/tests/membership/swim_test.cpp
@@ -145,12 +145,12 @@
     std::uint64_t from = 0;
     std::string_view payload;
     const std::string datagram = a.seal(22, "words");
-    CHECK(b.open(datagram, from, payload) == OpenResult::fresh);
+    CHECK(b.open(datagram, from, payload) == OpenResult::accepted);
     CHECK(from == 11);
     CHECK(payload == "words");
     CHECK(b.open(datagram, from, payload) == OpenResult::replayed);
     // The previous key still verifies.
-    CHECK(both_keys.open(datagram, from, payload) == OpenResult::fresh);
+    CHECK(both_keys.open(datagram, from, payload) == OpenResult::accepted);
     CHECK(c.open(datagram, from, payload) == OpenResult::bad_key);
     // A process that was started later does not accept it.
     CHECK(DatagramAuth({kKey}, 44).open(datagram, from, payload) == OpenResult::not_for_this_process);
@@ -158,14 +158,14 @@
     for (std::size_t i = 0; i < datagram.size(); ++i) {
         std::string corrupted = a.seal(22, "words");
         corrupted[i] ^= 4;
-        CHECK(b.open(corrupted, from, payload) != OpenResult::fresh);
-        CHECK(b.open(corrupted.substr(0, i), from, payload) != OpenResult::fresh);
+        CHECK(b.open(corrupted, from, payload) != OpenResult::accepted);
+        CHECK(b.open(corrupted.substr(0, i), from, payload) != OpenResult::accepted);
     }
     // Datagrams may arrive out of order, but not too far behind.
     std::vector<std::string> many;
     for (int i = 0; i < 400; ++i) many.push_back(a.seal(22, "x"));
-    CHECK(b.open(many[399], from, payload) == OpenResult::fresh);
-    CHECK(b.open(many[300], from, payload) == OpenResult::fresh);
+    CHECK(b.open(many[399], from, payload) == OpenResult::accepted);
+    CHECK(b.open(many[300], from, payload) == OpenResult::accepted);
     CHECK(b.open(many[300], from, payload) == OpenResult::replayed);
     CHECK(b.open(many[10], from, payload) == OpenResult::replayed);
     CHECK(b.open(std::string(kMaxDatagramBytes + 1, 'x'), from, payload) == OpenResult::bad_size);
