--- a/src/quota/admission.cpp
+++ b/src/quota/admission.cpp
@@ -23,8 +23,8 @@
 
 }   // namespace
 
-unsigned SharedQuota::part_of(std::uint64_t customer) const {
-    return static_cast<unsigned>(customer * 0x9e3779b97f4a7c15ULL >> 33) % settings_.parts;
+unsigned SharedQuota::shard_of(std::uint64_t customer) const {
+    return static_cast<unsigned>(customer * 0x9e3779b97f4a7c15ULL >> 33) % settings_.shards;
 }
 
 BucketLayout SharedQuota::layout_of(const CustomerState& state) const {
@@ -35,20 +35,20 @@
 // while some of the customer's ingresses are cut off from the counter, as these admit from their fallback
 // buckets.
 double SharedQuota::cost_multiplier(const CustomerState& state) const {
-    const CounterPart& part = parts_[state.part];
+    const CounterShard& shard = shards_[state.shard];
     unsigned missing = 0;
     for (unsigned i = 0; i < state.ingresses.count; ++i) {
         const unsigned ingress = (state.ingresses.first + i) % settings_.ingress_count;
         missing += ingress != settings_.ingress_index &&
-                   now_ - part.last_heartbeat_at_s[ingress] > kIngressMissingAfterS;
+                   now_ - shard.last_heartbeat_at_s[ingress] > kIngressMissingAfterS;
     }
     const double ingresses = state.ingresses.count;
     return ingresses / (ingresses - std::min<double>(missing, ingresses - 1));
 }
 
 bool SharedQuota::uses_fallback(const CustomerState& state) const {
-    const CounterPart& part = parts_[state.part];
-    return part.unreachable || now_ < part.recovered_at_s + kRecoveryGraceS;
+    const CounterShard& shard = shards_[state.shard];
+    return shard.unreachable || now_ < shard.recovered_at_s + kRecoveryGraceS;
 }
 
 // Returns the units that the shared bucket will hold once all usage is reported.
@@ -109,7 +109,7 @@
     CustomerState new_state;
     new_state.plan = plan_index;
     new_state.ingresses = ingresses;
-    new_state.part = part_of(customer);
+    new_state.shard = shard_of(customer);
     const bool known =
         at != customers_.end() && at->second.plan == plan_index && at->second.ingresses == ingresses;
     const CustomerState& state = known ? at->second : new_state;
@@ -128,7 +128,7 @@
     // Another plan has other buckets, but the theoretical arrival times stay valid.
     state.plan = plan_index;
     state.ingresses = ingresses;
-    state.part = part_of(customer);
+    state.shard = shard_of(customer);
     if (!created || customers_.size() <= settings_.max_customers) return state;
     evict_one();
     return customers_[customer];
@@ -188,9 +188,9 @@
         std::max(state.fallback_full_at_s, fleet_time_s()) + units / layout_of(state).fallback_rate;
     // The usage is reported as shared usage until the other ingresses must have noticed that this one is
     // cut off, and have reserved its share.
-    const CounterPart& part = parts_[state.part];
+    const CounterShard& shard = shards_[state.shard];
     const bool share_reserved =
-        part.unreachable && now_ > part.unreachable_since_s + kIngressMissingAfterS + kHeartbeatTtlS;
+        shard.unreachable && now_ > shard.unreachable_since_s + kIngressMissingAfterS + kHeartbeatTtlS;
     if (!share_reserved) return consume_shared(customer, state, units);
     if (state.fallback_units == 0) state.fallback_since_s = fleet_time_s();
     state.fallback_units += units;
--- a/src/quota/counter_names.cpp
+++ b/src/quota/counter_names.cpp
@@ -22,7 +22,7 @@
     return "s." + std::to_string(ingress) + "." + hex(nonce) + "." + std::to_string(generation);
 }
 
-std::string heartbeat_name(unsigned part) { return "b." + std::to_string(part); }
+std::string heartbeat_name(unsigned shard) { return "b." + std::to_string(shard); }
 
 std::string incarnation_name(std::int64_t generation) { return "z." + std::to_string(generation); }
 
--- a/src/quota/counter_names.hpp
+++ b/src/quota/counter_names.hpp
@@ -17,8 +17,8 @@
 /// each restart of the ingress.
 std::string check_name(unsigned ingress, std::uint64_t nonce, std::int64_t generation);
 
-/// Name of the entry that holds the heartbeats of all ingresses on one part of the counter.
-std::string heartbeat_name(unsigned part);
+/// Name of the entry that holds the heartbeats of all ingresses on one shard of the counter.
+std::string heartbeat_name(unsigned shard);
 
 /// Name of the fleet's incarnation entry (counter_incarnation.hpp).
 std::string incarnation_name(std::int64_t generation);
--- a/src/quota/driver.cpp
+++ b/src/quota/driver.cpp
@@ -20,10 +20,10 @@
 }   // namespace
 
 struct Driver::Connection final : net::Protocol {
-    Connection(Driver& driver, std::size_t part)
+    Connection(Driver& driver, std::size_t shard)
         : driver_(driver),
-          part_(part),
-          protocol_(driver.options_.protocol == 0 ? http_counter_protocol(driver.parts_[part])
+          shard_(shard),
+          protocol_(driver.options_.protocol == 0 ? http_counter_protocol(driver.shards_[shard])
                                                   : resp_counter_protocol()) {}
 
     void call(const CounterCall& call) {
@@ -72,7 +72,7 @@
     void close() {
         stream.close();
         connecting = false;
-        if (driver_.connections_[part_].get() == this) driver_.connections_[part_].reset();
+        if (driver_.connections_[shard_].get() == this) driver_.connections_[shard_].reset();
         const double now = driver_.now();
         for (const std::uint64_t id : std::exchange(sent_calls_, {}))
             driver_.shared_quota_.on_unknown_result(now, id);
@@ -84,7 +84,7 @@
     double reply_deadline_s() const { return idle() ? kNoDeadlineS : last_reply_at_s + kReplyTimeoutS; }
 
     Driver& driver_;
-    const std::size_t part_;
+    const std::size_t shard_;
     net::Stream stream{*this};
     std::unique_ptr<CounterProtocol> protocol_;
     std::string unsent_bytes_;
@@ -98,15 +98,15 @@
 Driver::Driver(const Options& options, const Settings& settings, std::uint64_t seed, net::Timers& timers,
                Log& log)
     : options_(options),
-      parts_(options.parts()),
+      shards_(options.shards()),
       shared_quota_(settings, seed),
       timers_(timers),
       log_(log),
       timer_(timers, [this] { on_timer(); }),
-      connections_(settings.parts),
-      logged_unreachable_(settings.parts),
+      connections_(settings.shards),
+      logged_unreachable_(settings.shards),
       unix_offset_s_(unix_s() - net::now()) {
-    for (const std::string& part : parts_) addresses_.push_back(net::parse_address(part));
+    for (const std::string& shard : shards_) addresses_.push_back(net::parse_address(shard));
 }
 
 Driver::~Driver() {
@@ -122,14 +122,14 @@
     Options reloaded = options_;
     reloaded.counter = options.counter;
     reloaded.protocol = options.protocol;
-    const bool same_part_count = options.parts().size() == parts_.size();
-    if (same_part_count && reloaded != options_) {
+    const bool same_shard_count = options.shards().size() == shards_.size();
+    if (same_shard_count && reloaded != options_) {
         options_ = reloaded;
-        parts_ = options.parts();
+        shards_ = options.shards();
         addresses_.clear();
-        for (const std::string& part : parts_) addresses_.push_back(net::parse_address(part));
-        for (std::size_t part = 0; part < connections_.size(); ++part)
-            if (const auto connection = connections_[part]) connection->close();
+        for (const std::string& shard : shards_) addresses_.push_back(net::parse_address(shard));
+        for (std::size_t shard = 0; shard < connections_.size(); ++shard)
+            if (const auto connection = connections_[shard]) connection->close();
         pump();
     }
     return options == options_;
@@ -149,8 +149,8 @@
 
 void Driver::join_fleet(FleetCallbacks fleet) {
     fleet_ = std::move(fleet);
-    incarnation_.emplace(static_cast<unsigned>(parts_.size()));
-    logged_generation_.assign(parts_.size(), -1);
+    incarnation_.emplace(static_cast<unsigned>(shards_.size()));
+    logged_generation_.assign(shards_.size(), -1);
 }
 
 void Driver::on_leadership_change(bool is_leader) {
@@ -168,22 +168,22 @@
 // Passes the detected losses and incarnation reads of SharedQuota to CounterIncarnation, and the confirmed
 // losses and calls of CounterIncarnation back.
 void Driver::exchange_incarnation_events() {
-    for (const unsigned part : shared_quota_.take_detected_losses())
-        incarnation_->on_local_loss(now(), part);
+    for (const unsigned shard : shared_quota_.take_detected_losses())
+        incarnation_->on_local_loss(now(), shard);
     for (const auto& read : shared_quota_.take_incarnation_reads()) {
-        incarnation_->on_read(now(), read.part, read.generation, read.total);
+        incarnation_->on_read(now(), read.shard, read.generation, read.total);
         if (read.total < kMinSetTotal ||
-            std::exchange(logged_generation_[read.part], read.generation) == read.generation)
+            std::exchange(logged_generation_[read.shard], read.generation) == read.generation)
             continue;
         const std::pair<std::string_view, std::string> fields[] = {
-            {"part", std::to_string(read.part)}, {"generation", std::to_string(read.generation)}};
+            {"part", std::to_string(read.shard)}, {"generation", std::to_string(read.generation)}};
         log_.event("sentinel_seen", fields);
     }
-    for (const unsigned part : incarnation_->take_confirmed_losses())
-        shared_quota_.on_counter_state_lost(now(), part);
+    for (const unsigned shard : incarnation_->take_confirmed_losses())
+        shared_quota_.on_counter_state_lost(now(), shard);
     for (const auto& add : incarnation_->take_adds())
         if (add.amount == 0 || fleet_.leader_may_act())
-            shared_quota_.add_to_incarnation(now(), add.part, add.generation, add.amount);
+            shared_quota_.add_to_incarnation(now(), add.shard, add.generation, add.amount);
     for (const auto& outgoing : incarnation_->take_outgoing())
         fleet_.send(outgoing.broadcast, serialize(outgoing.message));
 }
@@ -200,11 +200,11 @@
     // ends.
     for (const CounterCall& call : shared_quota_.take_calls()) {
         ++calls_sent_;
-        auto& connection = connections_[call.part];
+        auto& connection = connections_[call.shard];
         if (!connection) {
-            connection = std::make_shared<Connection>(*this, call.part);
+            connection = std::make_shared<Connection>(*this, call.shard);
             connection->connecting = true;
-            if (!connection->stream.dial(addresses_[call.part].get())) {
+            if (!connection->stream.dial(addresses_[call.shard].get())) {
                 connection.reset();
                 shared_quota_.on_rejected(now(), call.id);
                 continue;
@@ -212,8 +212,8 @@
         }
         connection->call(call);
     }
-    for (std::size_t part = 0; part < connections_.size(); ++part)
-        if (const auto connection = connections_[part]) connection->flush();
+    for (std::size_t shard = 0; shard < connections_.size(); ++shard)
+        if (const auto connection = connections_[shard]) connection->flush();
 }
 
 void Driver::arm_timer() {
@@ -226,8 +226,8 @@
 }
 
 void Driver::on_timer() {
-    for (std::size_t part = 0; part < connections_.size(); ++part)
-        if (const auto connection = connections_[part]; connection && connection->timed_out(net::now()))
+    for (std::size_t shard = 0; shard < connections_.size(); ++shard)
+        if (const auto connection = connections_[shard]; connection && connection->timed_out(net::now()))
             connection->close();
     if (shared_quota_.next_deadline() <= now()) shared_quota_.on_timer(now());
     if (incarnation_ && incarnation_->next_deadline() <= now()) incarnation_->on_timer(now());
@@ -235,17 +235,17 @@
 }
 
 void Driver::log_counter_state() {
-    for (std::size_t part = 0; part < logged_unreachable_.size(); ++part) {
-        const bool unreachable = shared_quota_.unreachable(static_cast<unsigned>(part));
-        if (unreachable == logged_unreachable_[part]) continue;
-        logged_unreachable_[part] = unreachable;
+    for (std::size_t shard = 0; shard < logged_unreachable_.size(); ++shard) {
+        const bool unreachable = shared_quota_.unreachable(static_cast<unsigned>(shard));
+        if (unreachable == logged_unreachable_[shard]) continue;
+        logged_unreachable_[shard] = unreachable;
         if (unreachable)
             log_.write(Log::Level::warning, net::now(),
                        "quota: the counter at %s is unreachable; admitting from fallback buckets",
-                       parts_[part].c_str());
+                       shards_[shard].c_str());
         else
             log_.write(Log::Level::info, net::now(), "quota: the counter at %s is reachable again",
-                       parts_[part].c_str());
+                       shards_[shard].c_str());
     }
     if (shared_quota_.counter_losses() == logged_losses_) return;
     logged_losses_ = shared_quota_.counter_losses();
--- a/src/quota/driver.hpp
+++ b/src/quota/driver.hpp
@@ -1,6 +1,6 @@
 // Sends the calls of SharedQuota and CounterIncarnation to the counter and passes the replies back, over
-// one connection per part and with one timer. Logs when a part becomes unreachable or reachable again, and
-// when the counter has lost its state. Makes no decisions of its own. Owned by app::QuotaComponent.
+// one connection per shard and with one timer. Logs when a shard becomes unreachable or reachable again,
+// and when the counter has lost its state. Makes no decisions of its own. Owned by app::QuotaComponent.
 #pragma once
 
 #include <functional>
@@ -42,8 +42,8 @@
     void on_message(std::string_view body);
     const CounterIncarnation* incarnation() const { return incarnation_ ? &*incarnation_ : nullptr; }
     /// Applies new addresses or another protocol; calls in flight then have an unknown result. Any other
-    /// change, also one of the number of parts, takes effect at the next start only. Returns false if there
-    /// is such a change.
+    /// change, also one of the number of shards, takes effect at the next start only. Returns false if
+    /// there is such a change.
     bool reload(const Options& options);
 
     /// As the functions of SharedQuota; `plan` is the plan's index in the settings.
@@ -65,17 +65,17 @@
     void exchange_incarnation_events();
 
     Options options_;
-    std::vector<std::string> parts_;
+    std::vector<std::string> shards_;
     std::vector<net::Address> addresses_;
     SharedQuota shared_quota_;
     std::optional<CounterIncarnation> incarnation_;
     FleetCallbacks fleet_;
-    std::vector<std::int64_t> logged_generation_;   // by part: generation in the last sentinel_seen event
+    std::vector<std::int64_t> logged_generation_;   // by shard: generation in the last sentinel_seen event
     net::Timers& timers_;
     Log& log_;
     net::Timer timer_;
-    std::vector<std::shared_ptr<Connection>> connections_;   // by part; null if there is none
-    std::vector<bool> logged_unreachable_;                   // by part
+    std::vector<std::shared_ptr<Connection>> connections_;   // by shard; null if there is none
+    std::vector<bool> logged_unreachable_;                   // by shard
     std::uint64_t logged_losses_ = 0;
     std::uint64_t calls_sent_ = 0;
     double timer_deadline_s_ = 0;   // on the clock of net::now()
--- a/src/quota/plan.hpp
+++ b/src/quota/plan.hpp
@@ -26,15 +26,15 @@
 inline constexpr double kHeartbeatTtlS = 3;
 /// Time without a heartbeat after which an ingress counts as missing.
 inline constexpr double kIngressMissingAfterS = 5;
-/// Time between two checks that a part of the counter kept its state, while usage is reported to it.
+/// Time between two checks that a shard of the counter kept its state, while usage is reported to it.
 inline constexpr double kCheckPeriodS = 2;
-/// Time without any reply, while a call is in flight, after which a part counts as unreachable.
+/// Time without any reply, while a call is in flight, after which a shard counts as unreachable.
 inline constexpr double kUnreachableAfterS = 0.3;
-/// Consecutive failed calls after which a part counts as unreachable.
+/// Consecutive failed calls after which a shard counts as unreachable.
 inline constexpr int kUnreachableAfterFailures = 3;
-/// Time between two probes of an unreachable part.
+/// Time between two probes of an unreachable shard.
 inline constexpr double kProbePeriodS = 0.5;
-/// Time after the recovery of a part during which an ingress keeps using its fallback buckets, while the
+/// Time after the recovery of a shard during which an ingress keeps using its fallback buckets, while the
 /// other ingresses report their usage.
 inline constexpr double kRecoveryGraceS = 2;
 
@@ -51,8 +51,8 @@
     std::vector<PlanQuota> plans;
     unsigned ingress_index = 0;   ///< index of this ingress in the fleet, from 0
     unsigned ingress_count = 1;   ///< number of ingresses in the fleet
-    /// Number of parts of the counter. Each customer's entries are kept on one of them.
-    unsigned parts = 1;
+    /// Number of shards of the counter. Each customer's entries are kept on one of them.
+    unsigned shards = 1;
     double max_unreported_units = 4;   ///< units that an ingress may have admitted and not reported
     /// Fraction of each rate and burst that is split evenly over the ingresses and kept locally.
     double local_fraction = 0.3;
--- a/src/quota/reports.cpp
+++ b/src/quota/reports.cpp
@@ -55,7 +55,8 @@
 }
 
 void SharedQuota::report_if_due(std::uint64_t customer, CustomerState& state) {
-    if (state.call_in_flight || state.awaits_check || state.report_queued || parts_[state.part].unreachable)
+    if (state.call_in_flight || state.awaits_check || state.report_queued ||
+        shards_[state.shard].unreachable)
         return;
     if (!is_report_due(state)) return;
     if (call_budget_ < 1) {
@@ -81,7 +82,7 @@
     const double raise_to_s = std::max(since, state.full_at_s);
     const bool known = state.counter_full_at_s != kNeverS &&
                        state.generation == generation_of(fleet_time_s()) &&
-                       state.counter_incarnation == parts_[state.part].known_incarnation;
+                       state.counter_incarnation == shards_[state.shard].known_incarnation;
     const double raise_by_s = known ? raise_to_s - state.counter_full_at_s : 1;
     const bool others_may_have_raised =
         !state.sole_reporter && now_ - state.updated_at_s > kMaxReplyAgeBeforeRaiseS;
@@ -101,10 +102,10 @@
                               double amount) {
     state.call_in_flight = true;
     state.in_flight_units += units;
-    parts_[state.part].reported_since_check = true;
+    shards_[state.shard].reported_since_check = true;
     PendingCall pending;
     pending.customer = customer;
-    pending.part = state.part;
+    pending.shard = state.shard;
     pending.units = units;
     pending.raise_to_s = raise_to_s;
     pending.amount = amount;
@@ -134,7 +135,7 @@
     reply.is_fallback_usage = pending.is_fallback_usage;
     reply.generation = pending.generation;
     reply.entry_is_new = total - pending.amount < kCounterResolutionS && pending.amount >= 0;
-    reply.last_check_sent = parts_[pending.part].checks_sent;
+    reply.last_check_sent = shards_[pending.shard].checks_sent;
     return reply;
 }
 
@@ -143,18 +144,18 @@
     if (found == customers_.end()) return;
     CustomerState& state = found->second;
     state.call_in_flight = false;
-    CounterPart& part = parts_[state.part];
+    CounterShard& shard = shards_[state.shard];
     const CounterReply reply = decode_reply(pending, total);
     const bool known = state.counter_full_at_s != kNeverS && state.generation == pending.generation &&
-                       state.counter_incarnation == part.known_incarnation;
+                       state.counter_incarnation == shard.known_incarnation;
     const bool went_back = known && reply.full_at_before_s < state.counter_full_at_s - kCounterResolutionS;
     state.sole_reporter =
         known && std::abs(reply.full_at_before_s - state.counter_full_at_s) < kCounterResolutionS;
     if (!reply.entry_is_new && !went_back) return apply_reply(pending.customer, state, reply);
     state.awaits_check = true;
     state.unconfirmed_reply = reply;
-    part.awaiting_check.push_back(pending.customer);
-    request_check(state.part);
+    shard.awaiting_check.push_back(pending.customer);
+    request_check(state.shard);
 }
 
 // Handles an unconfirmed reply after a later check has shown whether the counter kept its state.
@@ -179,7 +180,7 @@
     PendingCall pending;
     pending.purpose = CallPurpose::previous_generation;
     pending.customer = customer;
-    pending.part = state.part;
+    pending.shard = state.shard;
     pending.generation = state.unconfirmed_reply.generation - 1;
     send(pending, customer_name(customer, pending.generation), kReadEntryTtlMs);
 }
@@ -197,13 +198,14 @@
 // Returns the theoretical arrival time without the units of the report.
 double SharedQuota::full_at_before_report(const CustomerState& state, const CounterReply& reply) const {
     const BucketLayout layout = layout_of(state);
-    const CounterPart& part = parts_[state.part];
+    const CounterShard& shard = shards_[state.shard];
     const double base_s = std::max(reply.full_at_before_s, reply.raise_to_s);
     // Other ingresses' reports were lost with the counter's state, so the bucket counts as empty at the
     // time of the loss.
-    const bool state_lost = state.full_at_s != kNeverS ? state.counter_incarnation != part.known_incarnation
-                                                       : reply.entry_is_new;
-    const double floor_s = part.state_lost_at_s + layout.burst / layout.rate;
+    const bool state_lost = state.full_at_s != kNeverS
+                                ? state.counter_incarnation != shard.known_incarnation
+                                : reply.entry_is_new;
+    const double floor_s = shard.state_lost_at_s + layout.burst / layout.rate;
     return state_lost && fleet_time_s() < floor_s ? std::max({base_s, state.full_at_s, floor_s}) : base_s;
 }
 
@@ -221,7 +223,7 @@
 // Applies a reply to the customer's state, and corrects the entry on the counter if it differs from it.
 void SharedQuota::apply_reply(std::uint64_t customer, CustomerState& state, const CounterReply& reply) {
     const BucketLayout layout = layout_of(state);
-    const CounterPart& part = parts_[state.part];
+    const CounterShard& shard = shards_[state.shard];
     const double ingresses = state.ingresses.count;
     const double multiplier = cost_multiplier(state);
     const double base_s = full_at_before_report(state, reply);
@@ -237,10 +239,10 @@
     state.full_at_s = target_full_at_s;
     state.counter_full_at_s = reply.full_at_s;
     state.generation = reply.generation;
-    state.counter_incarnation = part.known_incarnation;
+    state.counter_incarnation = shard.known_incarnation;
     state.updated_at_s = now_;
     const double correction_s = target_full_at_s - reply.full_at_s;
-    const bool correct = std::abs(correction_s) * layout.rate > kMinCorrectionUnits && !part.unreachable;
+    const bool correct = std::abs(correction_s) * layout.rate > kMinCorrectionUnits && !shard.unreachable;
     if (!correct) return report_if_due(customer, state);
     call_budget_ -= 1;
     send_report(customer, state, 0, correction_s > 0 ? target_full_at_s : kNeverS, correction_s);
--- a/src/quota/settings.cpp
+++ b/src/quota/settings.cpp
@@ -9,7 +9,7 @@
 namespace slatejunction::quota {
 namespace {
 
-constexpr std::size_t kMaxParts = 3;
+constexpr std::size_t kMaxShards = 3;
 constexpr int kBisectionSteps = 60;
 
 // A plan and its healthy error bound.
@@ -50,7 +50,7 @@
         settings.plans.push_back({plan.name, plan.rate, plan.burst, plan.max_in_flight});
     settings.ingress_count = static_cast<unsigned>(std::max(1.0, platform.ingress_count));
     settings.ingress_index = static_cast<unsigned>(platform.ingress_index);
-    settings.parts = static_cast<unsigned>(std::max<std::size_t>(1, options.parts().size()));
+    settings.shards = static_cast<unsigned>(std::max<std::size_t>(1, options.shards().size()));
     settings.max_unreported_units = options.credit;
     settings.local_fraction = options.free_part;
     settings.min_local_burst = options.free_units;
@@ -65,24 +65,24 @@
 std::string check_counter(const std::string& text) {
     Options options;
     options.counter = text;
-    const auto parts = options.parts();
-    if (parts.size() > kMaxParts) return "more than " + std::to_string(kMaxParts) + " addresses";
-    for (const std::string& part : parts)
-        if (!net::parse_address(part)) return "'" + part + "' is not ADDRESS:PORT";
+    const auto shards = options.shards();
+    if (shards.size() > kMaxShards) return "more than " + std::to_string(kMaxShards) + " addresses";
+    for (const std::string& shard : shards)
+        if (!net::parse_address(shard)) return "'" + shard + "' is not ADDRESS:PORT";
     return "";
 }
 
 }   // namespace
 
-std::vector<std::string> Options::parts() const {
-    std::vector<std::string> parts;
+std::vector<std::string> Options::shards() const {
+    std::vector<std::string> shards;
     std::istringstream rest(counter);
-    for (std::string part; std::getline(rest, part, ',');) {
-        part.erase(0, part.find_first_not_of(" \t"));
-        part.erase(part.find_last_not_of(" \t") + 1);
-        parts.push_back(part);
+    for (std::string shard; std::getline(rest, shard, ',');) {
+        shard.erase(0, shard.find_first_not_of(" \t"));
+        shard.erase(shard.find_last_not_of(" \t") + 1);
+        shards.push_back(shard);
     }
-    return parts;
+    return shards;
 }
 
 ini::Section Options::section() {
--- a/src/quota/settings.hpp
+++ b/src/quota/settings.hpp
@@ -13,7 +13,8 @@
 
 /// Values of the section's keys. Each field has the name of its key.
 struct Options {
-    /// Addresses (ADDRESS:PORT) of the counter's parts, separated by commas. Empty turns shared quotas off.
+    /// Addresses (ADDRESS:PORT) of the counter's shards, separated by commas. Empty turns shared quotas
+    /// off.
     std::string counter;
     int protocol = 0;         ///< 0 is http, 1 is resp
     double credit = 4;        ///< Settings::max_unreported_units
@@ -28,7 +29,7 @@
 
     bool on() const { return !counter.empty(); }
     /// Returns the addresses in `counter`, trimmed.
-    std::vector<std::string> parts() const;
+    std::vector<std::string> shards() const;
     ini::Section section();
 };
 
--- a/src/quota/shared_quota.cpp
+++ b/src/quota/shared_quota.cpp
@@ -28,10 +28,10 @@
         throw std::invalid_argument("ingress_count must be from 1 to " + std::to_string(kMaxIngresses));
     if (settings_.ingress_index >= settings_.ingress_count)
         throw std::invalid_argument("ingress_index must be less than ingress_count");
-    if (settings_.parts < 1) throw std::invalid_argument("parts must be at least 1");
+    if (settings_.shards < 1) throw std::invalid_argument("parts must be at least 1");
     nonce_ = random_() >> 24;
-    parts_.resize(settings_.parts);
-    for (CounterPart& part : parts_) part.last_heartbeat_at_s.assign(settings_.ingress_count, kNeverS);
+    shards_.resize(settings_.shards);
+    for (CounterShard& shard : shards_) shard.last_heartbeat_at_s.assign(settings_.ingress_count, kNeverS);
 }
 
 void SharedQuota::advance_time(double now) {
@@ -39,9 +39,9 @@
         if (now_ == 0) {
             call_budget_updated_at_s_ = now;
             call_budget_ = settings_.calls_per_s * kCallBudgetBurstS;
-            for (CounterPart& part : parts_) {
-                part.next_heartbeat_at_s = now;
-                part.last_heartbeat_at_s.assign(settings_.ingress_count, now);
+            for (CounterShard& shard : shards_) {
+                shard.next_heartbeat_at_s = now;
+                shard.last_heartbeat_at_s.assign(settings_.ingress_count, now);
             }
         }
         now_ = now;
@@ -58,10 +58,10 @@
 }
 
 std::uint64_t SharedQuota::send(PendingCall pending, std::string name, std::uint32_t ttl_ms) {
-    CounterPart& part = parts_[pending.part];
-    if (part.calls_in_flight++ == 0) part.awaiting_reply_since_s = now_;
+    CounterShard& shard = shards_[pending.shard];
+    if (shard.calls_in_flight++ == 0) shard.awaiting_reply_since_s = now_;
     const std::uint64_t id = ++last_call_id_;
-    outgoing_calls_.push_back({id, pending.part, std::move(name), pending.amount, ttl_ms});
+    outgoing_calls_.push_back({id, pending.shard, std::move(name), pending.amount, ttl_ms});
     pending_.emplace(id, pending);
     return id;
 }
@@ -79,8 +79,8 @@
     if (!std::isfinite(total) || total < -kCounterResolutionS || total > max_total)
         return on_unknown_result(now, call);
     pending_.erase(found);
-    --parts_[pending.part].calls_in_flight;
-    on_part_answered(pending.part);
+    --shards_[pending.shard].calls_in_flight;
+    on_shard_answered(pending.shard);
     dispatch_reply(pending, total);
     update_deadline();
 }
@@ -94,9 +94,9 @@
         case CallPurpose::check:
             return on_check(pending, total);
         case CallPurpose::heartbeat:
-            return on_heartbeat(pending.part, total);
+            return on_heartbeat(pending.shard, total);
         case CallPurpose::incarnation:
-            incarnation_reads_.push_back({pending.part, pending.generation, total});
+            incarnation_reads_.push_back({pending.shard, pending.generation, total});
             return;
     }
 }
@@ -107,18 +107,18 @@
     if (found == pending_.end()) return;
     const PendingCall pending = found->second;
     pending_.erase(found);
-    CounterPart& part = parts_[pending.part];
-    --part.calls_in_flight;
-    if (pending.purpose == CallPurpose::check) part.check_in_flight = false;
-    if (pending.purpose == CallPurpose::heartbeat) part.heartbeat_in_flight = false;
+    CounterShard& shard = shards_[pending.shard];
+    --shard.calls_in_flight;
+    if (pending.purpose == CallPurpose::check) shard.check_in_flight = false;
+    if (pending.purpose == CallPurpose::heartbeat) shard.heartbeat_in_flight = false;
     const auto state = customers_.find(pending.customer);
     if (state != customers_.end()) {
         if (pending.purpose == CallPurpose::previous_generation && state->second.awaits_check)
-            part.awaiting_check.push_back(pending.customer);   // read again after the next check
+            shard.awaiting_check.push_back(pending.customer);   // read again after the next check
         else if (pending.purpose == CallPurpose::report)
             requeue_report(pending, state->second);
     }
-    on_call_failed(pending.part);
+    on_call_failed(pending.shard);
     update_deadline();
 }
 
@@ -144,20 +144,21 @@
 
 void SharedQuota::on_timer(double now) {
     advance_time(now);
-    for (unsigned part_index = 0; part_index < parts_.size(); ++part_index) on_part_timer(part_index);
+    for (unsigned shard_index = 0; shard_index < shards_.size(); ++shard_index) on_shard_timer(shard_index);
     send_queued_reports();
     update_deadline();
 }
 
 void SharedQuota::update_deadline() {
     next_deadline_s_ = now_ + kHeartbeatPeriodS;
-    for (const CounterPart& part : parts_) {
-        if (part.unreachable)
-            next_deadline_s_ = std::min(next_deadline_s_, part.next_probe_at_s);
+    for (const CounterShard& shard : shards_) {
+        if (shard.unreachable)
+            next_deadline_s_ = std::min(next_deadline_s_, shard.next_probe_at_s);
         else if (settings_.ingress_count > 1)
-            next_deadline_s_ = std::min(next_deadline_s_, part.next_heartbeat_at_s);
-        if (!part.unreachable && part.awaiting_reply_since_s > 0)
-            next_deadline_s_ = std::min(next_deadline_s_, part.awaiting_reply_since_s + kUnreachableAfterS);
+            next_deadline_s_ = std::min(next_deadline_s_, shard.next_heartbeat_at_s);
+        if (!shard.unreachable && shard.awaiting_reply_since_s > 0)
+            next_deadline_s_ =
+                std::min(next_deadline_s_, shard.awaiting_reply_since_s + kUnreachableAfterS);
     }
     if (!queued_reports_.empty()) next_deadline_s_ = std::min(next_deadline_s_, now_ + kQueuePollPeriodS);
     next_deadline_s_ = std::max(next_deadline_s_, now_);
--- a/src/quota/shared_quota.hpp
+++ b/src/quota/shared_quota.hpp
@@ -17,7 +17,8 @@
 // so consuming units is a single atomic addition. A part of each rate is kept locally, so that customers
 // far below their quota need no calls. See docs/design/shared-quota.md.
 //
-// The counter consists of one or more independent parts, and each customer's entries are kept on one part.
+// The counter consists of one or more independent shards, and each customer's entries are kept on one
+// shard.
 //
 // A state machine without I/O, a clock or globals: equal settings, seed and inputs give equal calls. Driver
 // owns it and is its only caller.
@@ -37,11 +38,11 @@
 
 namespace slatejunction::quota {
 
-/// A call to be sent: adds `amount` to the entry `name` on a part of the counter. The calls to one part
+/// A call to be sent: adds `amount` to the entry `name` on a shard of the counter. The calls to one shard
 /// must reach it in their order.
 struct CounterCall {
     std::uint64_t id = 0;
-    unsigned part = 0;
+    unsigned shard = 0;
     std::string name;
     double amount = 0;               ///< in s for a customer's entry, a plain number for others
     std::uint32_t ttl_ms = 60'000;   ///< time to live of the entry if the call creates it
@@ -51,7 +52,7 @@
 class SharedQuota {
   public:
     /// Throws std::invalid_argument if ingress_count is not 1 to kMaxIngresses, ingress_index is not below
-    /// it, or parts is 0.
+    /// it, or shards is 0.
     SharedQuota(Settings settings, std::uint64_t seed);
 
     /// Returns the time (s) until a request of `units` may be admitted, or 0 if it may be admitted now.
@@ -71,17 +72,17 @@
     /// Handles a call that ended without a reply and may have added its amount.
     void on_unknown_result(double now, std::uint64_t call);
 
-    /// Handles a loss of the part's state that other ingresses found, as if this ingress's check had shown
+    /// Handles a loss of the shard's state that other ingresses found, as if this ingress's check had shown
     /// it.
-    void on_counter_state_lost(double now, unsigned part);
-    /// Returns the parts whose loss of state this ingress's check has proven since the last call. A check
+    void on_counter_state_lost(double now, unsigned shard);
+    /// Returns the shards whose loss of state this ingress's check has proven since the last call. A check
     /// whose entry may have expired proves nothing.
     std::vector<unsigned> take_detected_losses() { return std::exchange(detected_losses_, {}); }
-    /// Adds `amount` to the part's incarnation entry (counter_incarnation.hpp); 0 only reads it. The
+    /// Adds `amount` to the shard's incarnation entry (counter_incarnation.hpp); 0 only reads it. The
     /// resulting total is returned by take_incarnation_reads().
-    void add_to_incarnation(double now, unsigned part, std::int64_t generation, double amount);
+    void add_to_incarnation(double now, unsigned shard, std::int64_t generation, double amount);
     struct IncarnationRead {
-        unsigned part = 0;
+        unsigned shard = 0;
         std::int64_t generation = 0;
         double total = 0;
     };
@@ -94,9 +95,9 @@
     std::vector<CounterCall> take_calls();
     bool has_calls() const { return !outgoing_calls_.empty(); }
 
-    bool unreachable(unsigned part) const { return parts_[part].unreachable; }
+    bool unreachable(unsigned shard) const { return shards_[shard].unreachable; }
     std::size_t customers() const { return customers_.size(); }
-    /// Number of detected losses of a part's state.
+    /// Number of detected losses of a shard's state.
     std::uint64_t counter_losses() const { return counter_losses_; }
     /// Returns the units in the customer's shared bucket as far as this ingress knows; 0 for an unknown
     /// customer.
@@ -112,7 +113,7 @@
     void update_deadline();
 
     // admission.cpp: whether a customer's buckets hold the units of a request, and their consumption.
-    unsigned part_of(std::uint64_t customer) const;
+    unsigned shard_of(std::uint64_t customer) const;
     const PlanQuota& plan(const CustomerState& state) const { return settings_.plans[state.plan]; }
     BucketLayout layout_of(const CustomerState& state) const;
     double cost_multiplier(const CustomerState& state) const;
@@ -143,18 +144,18 @@
     void follow_faster_clock(double ahead_s);
     void apply_reply(std::uint64_t customer, CustomerState& state, const CounterReply& reply);
 
-    // counter_state.cpp: whether a part of the counter is reachable and kept its state, and which ingresses
-    // use it.
-    void request_check(unsigned part);
+    // counter_state.cpp: whether a shard of the counter is reachable and kept its state, and which
+    // ingresses use it.
+    void request_check(unsigned shard);
     void on_check(const PendingCall& pending, double total);
-    void confirm_replies_before(unsigned part, std::uint64_t check);
-    void on_state_lost(unsigned part);
-    void on_heartbeat(unsigned part, double total);
-    void on_part_answered(unsigned part);
-    void on_call_failed(unsigned part);
-    void on_part_unreachable(unsigned part);
-    void on_part_timer(unsigned part);
-    bool send_heartbeat(unsigned part, double jitter);
+    void confirm_replies_before(unsigned shard, std::uint64_t check);
+    void on_state_lost(unsigned shard);
+    void on_heartbeat(unsigned shard, double total);
+    void on_shard_answered(unsigned shard);
+    void on_call_failed(unsigned shard);
+    void on_shard_unreachable(unsigned shard);
+    void on_shard_timer(unsigned shard);
+    bool send_heartbeat(unsigned shard, double jitter);
 
     Settings settings_;
     std::mt19937_64 random_;
@@ -169,7 +170,7 @@
     std::uint64_t nonce_ = 0;   // identifies this process in the names of its checks
     std::unordered_map<std::uint64_t, CustomerState> customers_;
     std::unordered_map<std::uint64_t, PendingCall> pending_;
-    std::vector<CounterPart> parts_;
+    std::vector<CounterShard> shards_;
     std::vector<CounterCall> outgoing_calls_;
     std::vector<unsigned> detected_losses_;
     std::vector<IncarnationRead> incarnation_reads_;
--- a/src/quota/state.hpp
+++ b/src/quota/state.hpp
@@ -1,4 +1,4 @@
-// State of SharedQuota (shared_quota.hpp): what an ingress knows of a customer, of a part of the counter
+// State of SharedQuota (shared_quota.hpp): what an ingress knows of a customer, of a shard of the counter
 // and of a pending call.
 //
 // A field named `*full_at_s` is a theoretical arrival time (GCRA): the fleet time (s) at which the bucket
@@ -38,8 +38,8 @@
 
 /// What this ingress knows of one customer.
 struct CustomerState {
-    unsigned plan = 0;   ///< index in Settings::plans
-    unsigned part = 0;   ///< the part of the counter that keeps the customer's shared bucket
+    unsigned plan = 0;    ///< index in Settings::plans
+    unsigned shard = 0;   ///< the shard of the counter that keeps the customer's shared bucket
     IngressSet ingresses;
 
     // The shared bucket, kept on the counter.
@@ -50,7 +50,7 @@
     /// `counter_incarnation`.
     double counter_full_at_s = kNeverS;
     std::int64_t generation = 0;
-    std::uint64_t counter_incarnation = 0;   ///< CounterPart::known_incarnation at the last reply
+    std::uint64_t counter_incarnation = 0;   ///< CounterShard::known_incarnation at the last reply
     double updated_at_s = 0;                 ///< time of the last reply or of the last requested refresh
     double unreported_units = 0;
     double unreported_since_s = 0;   ///< fleet time of the first unreported unit
@@ -63,7 +63,7 @@
     bool awaits_check = false;
     CounterReply unconfirmed_reply;
 
-    // The fallback bucket, used while the part is unreachable.
+    // The fallback bucket, used while the shard is unreachable.
     double fallback_full_at_s = kNeverS;
     double fallback_units = 0;     ///< units admitted from the fallback bucket and not reported
     double fallback_since_s = 0;   ///< fleet time of the first of them
@@ -75,8 +75,8 @@
     unsigned attempts_in_flight = 0;
 };
 
-/// What this ingress knows of one part of the counter.
-struct CounterPart {
+/// What this ingress knows of one shard of the counter.
+struct CounterShard {
     bool unreachable = false;
     int consecutive_failures = 0;   ///< consecutive calls that were not carried out
     /// Time of the last reply or failed call, or of the first call after an idle period; 0 if no call is in
@@ -91,7 +91,7 @@
     std::uint64_t known_incarnation = 1;   ///< increased with each detected loss of its state
 
     // The check. This ingress keeps an entry of its own whose total only increases, so a total that has not
-    // increased shows that the part lost its state.
+    // increased shows that the shard lost its state.
     std::int64_t check_generation = -1;
     double check_min_total = 0;   ///< smallest total that the entry may hold; 0 if it is not created yet
     double check_created_at_s = 0;
@@ -110,8 +110,8 @@
 /// Purpose of a call to the counter.
 enum class CallPurpose {
     report,                ///< adds a customer's usage, or reads the customer's entry
-    check,                 ///< checks that the part kept its state
-    heartbeat,             ///< shows that this ingress uses the part, and reads which others do
+    check,                 ///< checks that the shard kept its state
+    heartbeat,             ///< shows that this ingress uses the shard, and reads which others do
     previous_generation,   ///< reads a customer's entry of the previous generation
     incarnation            ///< reads or sets the fleet's incarnation entry (counter_incarnation.hpp)
 };
@@ -120,7 +120,7 @@
 struct PendingCall {
     CallPurpose purpose = CallPurpose::report;
     std::uint64_t customer = 0;
-    unsigned part = 0;
+    unsigned shard = 0;
     double units = 0;              ///< reported units
     double raise_to_s = kNeverS;   ///< see CounterReply
     double amount = 0;             ///< amount that the call adds to the entry
--- a/tests/quota/counter_incarnation_test.cpp
+++ b/tests/quota/counter_incarnation_test.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-// Ingresses, a counter with one part, and a network that drops a fraction of the messages.
+// Ingresses, a counter with one shard, and a network that drops a fraction of the messages.
 struct Fleet {
     explicit Fleet(std::size_t count, double drop_fraction = 0, std::uint64_t seed = 1)
         : all(count, CounterIncarnation(1)), losses(count), drop_fraction(drop_fraction), random(seed) {
@@ -32,7 +32,7 @@
                     more = true;
                     double& value = entries[add.generation];
                     value += add.amount * (calls_run_twice ? 2 : 1);
-                    all[i].on_read(now, add.part, add.generation, value);
+                    all[i].on_read(now, add.shard, add.generation, value);
                 }
                 for (const auto& message : all[i].take_outgoing())
                     for (std::size_t to = 0; to < all.size(); ++to) {
@@ -42,7 +42,7 @@
                         all[to].on_message(now, *parsed);
                         more = true;
                     }
-                for ([[maybe_unused]] const unsigned part : all[i].take_confirmed_losses()) ++losses[i];
+                for ([[maybe_unused]] const unsigned shard : all[i].take_confirmed_losses()) ++losses[i];
             }
         }
     }
--- a/tests/quota/counter_protocol_test.cpp
+++ b/tests/quota/counter_protocol_test.cpp
@@ -207,7 +207,7 @@
     CHECK(losses >= 1);
     quota::Options options;
     options.counter = counter_settings.listen[0] + ", " + counter_settings.listen[0];
-    CHECK_FALSE(fixture.drivers[0]->reload(options));   // a change of the number of parts needs a restart
+    CHECK_FALSE(fixture.drivers[0]->reload(options));   // a change of the number of shards needs a restart
 }
 
 TEST_CASE("error_units sets max_unreported_units, or is rejected if it is too small") {
--- a/tests/quota/exhaustive_search.hpp
+++ b/tests/quota/exhaustive_search.hpp
@@ -81,7 +81,7 @@
         const auto collect = [&] {
             for (unsigned i = 0; i < 2; ++i) {
                 for (auto& call : ingresses[i].take_calls()) {
-                    digest_.add(i, call.id, call.part, call.name, call.amount, call.ttl_ms);
+                    digest_.add(i, call.id, call.shard, call.name, call.amount, call.ttl_ms);
                     calls.push_back({i, std::move(call)});
                 }
                 digest_.add(ingresses[i].next_deadline(), ingresses[i].counter_losses(),
--- a/tests/quota/simulation.hpp
+++ b/tests/quota/simulation.hpp
@@ -317,7 +317,7 @@
     void flush(unsigned i) {
         for (quota::CounterCall& call : ingresses_[i].shared_quota->take_calls()) {
             ++result_.calls;
-            digest_.add(now_, i, call.id, call.part, call.name, call.amount, call.ttl_ms);
+            digest_.add(now_, i, call.id, call.shard, call.name, call.amount, call.ttl_ms);
             ingresses_[i].pending_calls[call.id] = now_;
             const double arrives_at_s = now_ + kOneWayS * (0.7 + 0.6 * uniform());
             const bool cut_off = active(Fault::Kind::partition, i) || active(Fault::Kind::unreachable);
@@ -420,7 +420,7 @@
     Scenario scenario;
     scenario.settings.ingress_count = 2 + static_cast<unsigned>(random() % 3);
     scenario.spread = 2 + static_cast<unsigned>(random() % (scenario.settings.ingress_count - 1));
-    scenario.settings.parts = 1 + static_cast<unsigned>(random() % 2);
+    scenario.settings.shards = 1 + static_cast<unsigned>(random() % 2);
     scenario.customers = 1 + static_cast<unsigned>(random() % 3);
     const double rate = std::exp(uniform(std::log(0.6), std::log(9)));
     scenario.settings.plans = {{"p", rate, std::max(1.0, rate * uniform(1.2, 6)), 0}};
