--- a/src/rollout/follower.cpp
+++ b/src/rollout/follower.cpp
@@ -6,7 +6,7 @@
 namespace slatejunction::rollout {
 namespace {
 
-constexpr std::size_t kMaxEarlyOffers = 64;           // buffered offers that arrived out of order
+constexpr std::size_t kMaxEarlyAnnouncements = 64;    // buffered announcements that arrived out of order
 constexpr double kLeaveNoticeIntervalS = 10;          // between leave notices to one former parent
 constexpr unsigned kMaxLeaveNotices = 360;            // to one former parent that does not acknowledge them
 constexpr double kGapPullIntervalS = 0.2;             // minimum time between pulls because of a gap
@@ -162,31 +162,32 @@
     std::visit([&](const auto& typed) { handle(now, from, typed); }, message);
 }
 
-void Follower::handle(double now, const std::string& from, const Offer& offer) {
-    if (offer.leave_acknowledged) {
+void Follower::handle(double now, const std::string& from, const Announcement& announcement) {
+    if (announcement.leave_acknowledged) {
         leave_notices_.erase(from);
         return;
     }
     on_parent_contact(now, from);
-    staging_.merge(offer.staging);
-    activation_limit_ = std::max(activation_limit_, offer.activation_limit);
-    if (offer.diverged) {
+    staging_.merge(announcement.staging);
+    activation_limit_ = std::max(activation_limit_, announcement.activation_limit);
+    if (announcement.diverged) {
         diverged_ = true;
         return;
     }
-    const bool gap = !offer.records.empty() && offer.previous.number > log_.last().number;
+    const bool gap = !announcement.records.empty() && announcement.previous.number > log_.last().number;
     if (gap) {
         ++counts_.gaps;
-        if (early_offers_.size() < kMaxEarlyOffers)
-            early_offers_.insert_or_assign(offer.previous.number, offer);
-    } else if (!accept_records(offer)) {
+        if (early_announcements_.size() < kMaxEarlyAnnouncements)
+            early_announcements_.insert_or_assign(announcement.previous.number, announcement);
+    } else if (!accept_records(announcement)) {
         diverged_ = true;
     } else if (from == parent()) {
         diverged_ = false;
     }
-    accept_early_offers();
-    const bool more = offer.more && offer.previous.number + offer.records.size() == log_.last().number;
-    const bool still_missing = offer.previous.number > log_.last().number && gap;
+    accept_early_announcements();
+    const bool more = announcement.more &&
+                      announcement.previous.number + announcement.records.size() == log_.last().number;
+    const bool still_missing = announcement.previous.number > log_.last().number && gap;
     if (more) schedule_pull(now);
     if (still_missing) schedule_pull(std::max(now, last_pull_at_ + kGapPullIntervalS));
     try_activate(now);
@@ -197,12 +198,12 @@
 }
 
 // Appends the records that follow the last one (log matching). Returns false if they conflict with the log.
-bool Follower::accept_records(const Offer& offer) {
-    if (offer.records.empty()) return true;
-    Version version = offer.previous;
+bool Follower::accept_records(const Announcement& announcement) {
+    if (announcement.records.empty()) return true;
+    Version version = announcement.previous;
     const auto conflicts = [&] { return log_.contains_number(version.number) && !log_.contains(version); };
     if (conflicts()) return false;
-    for (const Record& record : offer.records) {
+    for (const Record& record : announcement.records) {
         const bool next = log_.last() == version;
         if (next && (pending_full() || record.term < log_.last_term())) return pending_full();
         if (next && !log_.push(record)) return false;
@@ -213,10 +214,10 @@
     return true;
 }
 
-void Follower::accept_early_offers() {
-    while (!early_offers_.empty() && early_offers_.begin()->first <= log_.last().number) {
-        if (!accept_records(early_offers_.begin()->second)) diverged_ = true;
-        early_offers_.erase(early_offers_.begin());
+void Follower::accept_early_announcements() {
+    while (!early_announcements_.empty() && early_announcements_.begin()->first <= log_.last().number) {
+        if (!accept_records(early_announcements_.begin()->second)) diverged_ = true;
+        early_announcements_.erase(early_announcements_.begin());
     }
 }
 
--- a/src/rollout/follower.hpp
+++ b/src/rollout/follower.hpp
@@ -90,7 +90,7 @@
              Validator validator, std::uint64_t seed);
 
     void start(double now);
-    /// Handles an Offer or SnapshotPart of a parent and ignores other messages.
+    /// Handles an Announcement or SnapshotPart of a parent and ignores other messages.
     void receive(double now, const std::string& from, const Message& message);
     void on_timer(double now);
     double next_deadline() const;   // s
@@ -123,13 +123,13 @@
         unsigned attempts = 0;
     };
 
-    void handle(double now, const std::string& from, const Offer& offer);
+    void handle(double now, const std::string& from, const Announcement& announcement);
     void handle(double now, const std::string& from, const SnapshotPart& part);
     template <class Other>
     void handle(double, const std::string&, const Other&) {}
     void on_parent_contact(double now, const std::string& from);
-    bool accept_records(const Offer& offer);
-    void accept_early_offers();
+    bool accept_records(const Announcement& announcement);
+    void accept_early_announcements();
     bool pending_full() const;
     std::uint64_t next_target();
     void try_activate(double now);
@@ -162,13 +162,14 @@
     State state_;   // of active_version_
     Version active_version_;
     Staging staging_;
-    std::uint64_t activation_limit_ = 0;            // the highest limit offered by a parent
-    std::uint64_t target_number_ = 0;               // next number to activate; fixed until it is reached
-    std::map<std::uint64_t, Offer> early_offers_;   // received out of order, by the previous number
-    std::uint64_t refused_number_ = 0;              // the faulty change
-    std::uint64_t refused_version_ = 0;             // the first consistent version that contains it
-    std::uint64_t refused_at_log_end_ = 0;          // number of the last record when it was refused
-    bool snapshot_refused_ = false;                 // a snapshot is invalid; the faulty change is unknown
+    std::uint64_t activation_limit_ = 0;   // the highest limit announced by a parent
+    std::uint64_t target_number_ = 0;      // next number to activate; fixed until it is reached
+    std::map<std::uint64_t, Announcement>
+        early_announcements_;                // received out of order, by the previous number
+    std::uint64_t refused_number_ = 0;       // the faulty change
+    std::uint64_t refused_version_ = 0;      // the first consistent version that contains it
+    std::uint64_t refused_at_log_end_ = 0;   // number of the last record when it was refused
+    bool snapshot_refused_ = false;          // a snapshot is invalid; the faulty change is unknown
     std::string refusal_reason_;
     bool diverged_ = false, disk_failed_ = false;
     double next_pull_at_ = kNever, last_pull_at_ = -kNever;
--- a/src/rollout/follower_activation.cpp
+++ b/src/rollout/follower_activation.cpp
@@ -223,7 +223,7 @@
     }
     ++counts_.snapshots;
     log_ = std::move(log);
-    early_offers_.clear();
+    early_announcements_.clear();
     records_since_compaction_ = 0;
     activation_limit_ = std::max(activation_limit_, log_.last().number);
     finish_activation(now, log_.last(), std::move(changes));
--- a/src/rollout/message.cpp
+++ b/src/rollout/message.cpp
@@ -60,7 +60,7 @@
     to.set_leaving(from.leaving);
     if (from.subtree) write(*from.subtree, *to.mutable_subtree());
 }
-void write(const Offer& from, wire::Offer& to) {
+void write(const Announcement& from, wire::Offer& to) {
     write(from.staging, *to.mutable_staging());
     write(from.previous, *to.mutable_previous());
     write_records(from.records, to);
@@ -215,7 +215,7 @@
     if (in.has_subtree()) return read(in.subtree(), out.subtree.emplace());
     return true;
 }
-bool read(const wire::Offer& in, Offer& out) {
+bool read(const wire::Offer& in, Announcement& out) {
     out.staging = read(in.staging());
     out.previous = read(in.previous());
     out.activation_limit = in.limit();
@@ -294,7 +294,7 @@
 struct Writer {
     wire::Message& out;
     void operator()(const Pull& message) { write(message, *out.mutable_pull()); }
-    void operator()(const Offer& message) { write(message, *out.mutable_offer()); }
+    void operator()(const Announcement& message) { write(message, *out.mutable_offer()); }
     void operator()(const SnapshotPartRequest& message) { write(message, *out.mutable_part_pull()); }
     void operator()(const SnapshotPart& message) { write(message, *out.mutable_snapshot_part()); }
     void operator()(const Prepare& message) { write(message, *out.mutable_prepare()); }
@@ -336,7 +336,7 @@
         case wire::Message::kPull:
             return decode_as<Pull>(in.pull());
         case wire::Message::kOffer:
-            return decode_as<Offer>(in.offer());
+            return decode_as<Announcement>(in.offer());
         case wire::Message::kPartPull:
             return decode_as<SnapshotPartRequest>(in.part_pull());
         case wire::Message::kSnapshotPart:
--- a/src/rollout/message.hpp
+++ b/src/rollout/message.hpp
@@ -1,7 +1,8 @@
 // Typed messages between the nodes of a rollout and their encoding (rollout.proto). No I/O and no clock.
 //
 // Only message.cpp maps the names of the protobuf schema to the terms of the code: `trouble` is fault,
-// `in_force` is active, `remembers` is storage_intact, `holding` is LogStatus, `told` is FollowerReport.
+// `Offer` is Announcement, `in_force` is active, `remembers` is storage_intact, `holding` is LogStatus,
+// `told` is FollowerReport.
 //
 // Every message is authenticated for one process (membership::DatagramAuth), so that a message sent to an
 // earlier process of a node is never delivered to a later one. Replica and Leader rely on that.
@@ -47,7 +48,7 @@
     bool operator==(const Pull&) const = default;
 };
 /// The records after `previous`; none if nothing is new.
-struct Offer {
+struct Announcement {
     Staging staging;
     Version previous;
     std::vector<Record> records;
@@ -55,7 +56,7 @@
     bool more = false;                    // more records follow; the child pulls again at once
     bool diverged = false;                // the child's version is not part of the publisher's log
     bool leave_acknowledged = false;      // answers a pull with `leaving`
-    bool operator==(const Offer&) const = default;
+    bool operator==(const Announcement&) const = default;
 };
 /// Requests `count` parts of a snapshot, beginning with index `from`.
 struct SnapshotPartRequest {
@@ -145,7 +146,7 @@
 };
 
 using Message =
-    std::variant<Pull, Offer, SnapshotPartRequest, SnapshotPart, Prepare, Promise, LogStatusRequest,
+    std::variant<Pull, Announcement, SnapshotPartRequest, SnapshotPart, Prepare, Promise, LogStatusRequest,
                  LogStatus, FetchRequest, FetchReply, Append, AppendReply, FollowerReport>;
 
 /// The result has at most kMaxBodyBytes if records and entries keep to the budgets below.
@@ -157,7 +158,8 @@
 std::size_t encoded_size(const Record& record);
 std::size_t encoded_size(const std::string& key, const std::string& value);
 std::size_t encoded_size(const Report& report);
-/// The bytes available for records in an Offer, FetchReply or Append, and for entries in a SnapshotPart.
+/// The bytes available for records in an Announcement, FetchReply or Append, and for entries in a
+/// SnapshotPart.
 inline constexpr std::size_t kRecordsBudgetBytes = 860;
 inline constexpr std::size_t kEntriesBudgetBytes = 860;
 
--- a/src/rollout/publisher.cpp
+++ b/src/rollout/publisher.cpp
@@ -54,9 +54,9 @@
     auto at = children_.find(from);
     if (pull.leaving) {
         if (at != children_.end() && at->second.process == process) children_.erase(at);
-        Offer offer;
-        offer.leave_acknowledged = true;
-        return send(from, body_of(offer));
+        Announcement announcement;
+        announcement.leave_acknowledged = true;
+        return send(from, body_of(announcement));
     }
     if (at == children_.end()) {
         if (children_.size() >= settings_.max_children) remove_silent(now, settings_.child_timeout_s);
@@ -88,51 +88,51 @@
 void Publisher::answer_pull(double now, const std::string& from, Child& child, const Pull& pull) {
     child.following = false;
     child.last_sent = pull.have.number;
-    if (pull.have.number < log_.base().number) return offer_snapshot(now, from);
+    if (pull.have.number < log_.base().number) return announce_snapshot(now, from);
     // A record above the commit index may still be replaced, so that a mismatch there is no divergence.
     if (pull.have.number <= commit_index_ && log_.contains_number(pull.have.number) &&
         !log_.contains(pull.have)) {
         ++counts_.diverged;
-        Offer offer;
-        offer.diverged = true;
-        return send(from, body_of(offer));
+        Announcement announcement;
+        announcement.diverged = true;
+        return send(from, body_of(announcement));
     }
     const std::uint64_t limit = activation_limit(child);
     const std::uint64_t end = std::min(limit, commit_index_);
     child.following = true;
-    if (pull.have.number >= end) return send(from, body_of(empty_offer(limit)));
+    if (pull.have.number >= end) return send(from, body_of(empty_announcement(limit)));
     std::uint64_t reached = 0;
     const std::vector<Body> bodies = encode_batches(child.last_sent, end, limit, reached);
     if (!consume_tokens(now, size_of(bodies))) {
         child.following = false;
-        return send(from, body_of(empty_offer(limit)));
+        return send(from, body_of(empty_announcement(limit)));
     }
     for (const Body& body : bodies) send(from, body);
     child.last_sent = reached;
     child.following = reached == end;
 }
 
-Offer Publisher::empty_offer(std::uint64_t limit) const {
-    Offer offer;
-    offer.staging = staging_;
-    offer.activation_limit = limit;
-    return offer;
+Announcement Publisher::empty_announcement(std::uint64_t limit) const {
+    Announcement announcement;
+    announcement.staging = staging_;
+    announcement.activation_limit = limit;
+    return announcement;
 }
 
-// Encodes offers with the records after `from` up to `end`, within window_bytes, and the activation limit
-// `limit`. Sets `reached` to the number of the last record.
+// Encodes announcements with the records after `from` up to `end`, within window_bytes, and the activation
+// limit `limit`. Sets `reached` to the number of the last record.
 std::vector<Body> Publisher::encode_batches(std::uint64_t from, std::uint64_t end, std::uint64_t limit,
                                             std::uint64_t& reached) const {
     std::vector<Body> bodies;
     std::size_t bytes = 0;
     std::uint64_t at = from;
     while (at < end && bytes < settings_.window_bytes) {
-        Offer offer = empty_offer(limit);
-        offer.previous = log_.version(at);
-        offer.records = next_batch(log_, at, end);
-        at += offer.records.size();
-        offer.more = at < end && bytes + kTypicalBodyBytes >= settings_.window_bytes;
-        bodies.push_back(body_of(offer));
+        Announcement announcement = empty_announcement(limit);
+        announcement.previous = log_.version(at);
+        announcement.records = next_batch(log_, at, end);
+        at += announcement.records.size();
+        announcement.more = at < end && bytes + kTypicalBodyBytes >= settings_.window_bytes;
+        bodies.push_back(body_of(announcement));
         bytes += kTypicalBodyBytes;
     }
     reached = at;
@@ -186,9 +186,10 @@
     return snapshots_.back().second;
 }
 
-void Publisher::offer_snapshot(double now, const std::string& from) {
+void Publisher::announce_snapshot(double now, const std::string& from) {
     const auto snapshot = newest_snapshot(now);
-    if (!snapshot || !consume_tokens(now, kTypicalBodyBytes)) return send(from, body_of(empty_offer(0)));
+    if (!snapshot || !consume_tokens(now, kTypicalBodyBytes))
+        return send(from, body_of(empty_announcement(0)));
     send(from, body_of(snapshot->part(0, staging_)));
 }
 
@@ -200,7 +201,7 @@
     const auto found = std::find_if(snapshots_.begin(), snapshots_.end(), [&](const auto& created) {
         return created.second->version() == request.version;
     });
-    if (found == snapshots_.end()) return offer_snapshot(now, from);
+    if (found == snapshots_.end()) return announce_snapshot(now, from);
     const Snapshot& snapshot = *found->second;
     for (std::uint32_t i = 0; i < std::min(request.count, SnapshotReceiver::kWindowParts); ++i) {
         if (request.from + i >= snapshot.parts() || !consume_tokens(now, kTypicalBodyBytes)) return;
--- a/src/rollout/publisher.hpp
+++ b/src/rollout/publisher.hpp
@@ -1,7 +1,7 @@
 // Publishes the committed log to children (ingresses and relays), on control machines and relays.
 //
 // The publisher pushes new records to children up to their activation limit, answers their pulls with
-// offers and snapshot parts, and aggregates their reports into the Report of the subtree.
+// announcements and snapshot parts, and aggregates their reports into the Report of the subtree.
 //
 // Invariants:
 // - Only committed records are published, and records that are not cleared only to canaries.
@@ -91,10 +91,10 @@
     template <class Other>
     void handle(double, const std::string&, std::uint64_t, const Other&) {}
     void answer_pull(double now, const std::string& from, Child& child, const Pull& pull);
-    void offer_snapshot(double now, const std::string& from);
+    void announce_snapshot(double now, const std::string& from);
     void push_batches(double now);
     std::uint64_t activation_limit(const Child& child) const;
-    Offer empty_offer(std::uint64_t limit) const;
+    Announcement empty_announcement(std::uint64_t limit) const;
     std::vector<Body> encode_batches(std::uint64_t from, std::uint64_t end, std::uint64_t limit,
                                      std::uint64_t& reached) const;
     bool behind(double now, const Child& child) const;
--- a/tests/rollout/rollout_test.cpp
+++ b/tests/rollout/rollout_test.cpp
@@ -36,13 +36,13 @@
         log.push(put_of(i, "k" + std::to_string(i % 10), std::to_string(i), term));
     return log;
 }
-Offer offer_of(const Log& log, std::uint64_t after, std::uint64_t to) {
-    Offer offer;
-    offer.previous = log.version(after);
-    for (std::uint64_t at = after + 1; at <= to; ++at) offer.records.push_back(log.record(at));
-    offer.activation_limit = to;
-    offer.staging.cleared = to;
-    return offer;
+Announcement announcement_of(const Log& log, std::uint64_t after, std::uint64_t to) {
+    Announcement announcement;
+    announcement.previous = log.version(after);
+    for (std::uint64_t at = after + 1; at <= to; ++at) announcement.records.push_back(log.record(at));
+    announcement.activation_limit = to;
+    announcement.staging.cleared = to;
+    return announcement;
 }
 Pull pull_of(const std::string& name, const Version& have) {
     Pull pull;
@@ -205,7 +205,7 @@
     const std::vector<Message> all{
         Pull{name, version, version.number, version.number, std::string(kMaxReasonBytes, 'r'),
              FollowerFault::refused, true, subtree},
-        Offer{staging, version, {large}, 1ull << 60, true, true, true},
+        Announcement{staging, version, {large}, 1ull << 60, true, true, true},
         SnapshotPartRequest{version, 7, 8},
         snapshot.part(0, staging),
         Prepare{1ull << 60, ~0ull},
@@ -238,7 +238,7 @@
     CHECK_FALSE(decode(encode(pull_of("", {}))));
     CHECK_FALSE(decode(encode(pull_of("a b", {}))));
     CHECK_FALSE(decode(encode(Prepare{})));
-    Offer gap;
+    Announcement gap;
     gap.previous.number = 4;
     gap.records = {put_of(6, "a", "1")};
     CHECK_FALSE(decode(encode(gap)));
@@ -350,15 +350,15 @@
     Follower follower(settings_of("f"), {}, storage, accept_all, 1);
     follower.start(0);
     const std::string parent = follower.parent();
-    follower.receive(1, parent, offer_of(log, 4, 6));
-    follower.receive(1.3, parent, offer_of(log, 2, 4));
+    follower.receive(1, parent, announcement_of(log, 4, 6));
+    follower.receive(1.3, parent, announcement_of(log, 2, 4));
     CHECK(follower.active_version().number == 0);
-    follower.receive(1.6, parent, offer_of(log, 2, 4));
-    follower.receive(1.9, parent, offer_of(log, 0, 2));
+    follower.receive(1.6, parent, announcement_of(log, 2, 4));
+    follower.receive(1.9, parent, announcement_of(log, 0, 2));
     CHECK(follower.active_version() == log.last());
     CHECK(follower.counts().versions == 1);   // all records in one step
     CHECK(follower.counts().records == 6);
-    follower.receive(3, parent, offer_of(log, 0, 6));
+    follower.receive(3, parent, announcement_of(log, 0, 6));
     CHECK(follower.counts().records == 6);
     CHECK(follower.fault() == FollowerFault::none);
     CHECK(follower.state() == log.state_at(6));
@@ -370,9 +370,9 @@
     Follower follower(settings_of("f"), {log}, storage, accept_all, 1);
     follower.start(0);
     const std::string parent = follower.parent();
-    follower.receive(1, parent, offer_of(other, 6, 8));
+    follower.receive(1, parent, announcement_of(other, 6, 8));
     CHECK(follower.fault() == FollowerFault::diverged);
-    follower.receive(2, parent, offer_of(other, 4, 8));   // its records conflict with the log
+    follower.receive(2, parent, announcement_of(other, 4, 8));   // its records conflict with the log
     CHECK(follower.active_version() == log.last());
     CHECK(follower.log().last() == log.last());
     // The publisher detects the divergence as well.
@@ -381,10 +381,10 @@
     publisher.receive(1, "f", 1, pull_of("f", log.last()));
     const auto messages = publisher.take_outgoing();
     REQUIRE(messages.size() == 1);
-    CHECK(std::get<Offer>(*decode(*messages[0].body)).diverged);
+    CHECK(std::get<Announcement>(*decode(*messages[0].body)).diverged);
     // Records whose term falls are rejected.
     Log falling = log;
-    Offer bad = offer_of(log, 5, 6);
+    Announcement bad = announcement_of(log, 5, 6);
     bad.previous = log.last();
     bad.records = {put_of(7, "a", "1", 0)};
     bad.activation_limit = 7;
@@ -398,12 +398,12 @@
     TestStorage storage;
     Follower follower(settings_of("f"), {log}, storage, accept_all, 1);
     follower.start(0);
-    Offer lower = offer_of(log, 3, 3);
+    Announcement lower = announcement_of(log, 3, 3);
     lower.staging = {99, 3, 0};
     follower.receive(1, follower.parent(), lower);
     CHECK(follower.active_version() == log.last());
     CHECK(follower.take_activations().empty());
-    follower.receive(2, follower.parent(), offer_of(log, 2, 5));
+    follower.receive(2, follower.parent(), announcement_of(log, 2, 5));
     CHECK(follower.active_version() == log.last());
 }
 
@@ -413,7 +413,7 @@
     Follower follower(settings_of("f"), {}, storage, accept_all, 1);
     follower.start(0);
     storage.full = true;
-    follower.receive(1, follower.parent(), offer_of(log, 0, 6));
+    follower.receive(1, follower.parent(), announcement_of(log, 0, 6));
     CHECK(follower.active_version().number == 0);
     CHECK(follower.state().empty());
     CHECK(follower.take_activations().empty());
@@ -436,9 +436,9 @@
     Follower follower(settings_of("f"), {}, storage, validate, 1);
     follower.start(0);
     for (std::uint64_t at = 0; at < 1'000; at += 20) {
-        Offer offer = offer_of(log, at, at + 20);
-        offer.activation_limit = 1'000;
-        follower.receive(1, follower.parent(), offer);
+        Announcement announcement = announcement_of(log, at, at + 20);
+        announcement.activation_limit = 1'000;
+        follower.receive(1, follower.parent(), announcement);
     }
     CHECK(follower.active_version().number == 616);
     CHECK(follower.refused() == 617);
