--- a/tests/rules/routes_test.cpp
+++ b/tests/rules/routes_test.cpp
@@ -92,7 +92,7 @@
     CHECK(load_errors_of("[subset s]\n  providers = true\n") == Errors{"line 2: indented"});
 }
 
-TEST_CASE("the first route by order matches; a condition with an error does not, and is reported") {
+TEST_CASE("the first route by order matches, and a condition with an error does not and is reported") {
     std::vector<std::string> reported;
     const auto rules = load(
         "[subset big]\nproviders = provider.flavor == 'large'\n[subset small]\nproviders = provider.flavor "
@@ -378,7 +378,7 @@
     CHECK(fallbacks > 100);
 }
 
-TEST_CASE("a subset in slow start gets a small part of its load; the rest falls back or is rejected") {
+TEST_CASE("a subset in slow start gets a small part of its load, and the rest falls back or is rejected") {
     GatewayHarness harness({{"warm", 2}});
     EndpointUpdate list{EndpointUpdateKind::delta, {endpoint("cold", "")}};
     list.endpoints[0].subsets = 1;
--- a/tests/rules/rules_test.cpp
+++ b/tests/rules/rules_test.cpp
@@ -187,7 +187,7 @@
 
 // Recordings of real runs (bench/alert-runs), at sixty times the speed that the durations in the rules are
 // meant for.
-TEST_CASE("no alert fires in the recording without faults; each fires and resolves in another") {
+TEST_CASE("no alert fires in the recording without faults, and each fires and resolves in another") {
     const auto rules = fakes::read_rules(SOURCE "/deploy/alerts.yml", 60);
     CHECK(fakes::evaluate(rules, fakes::read_recording(SOURCE "/tests/rules/recordings/calm.txt")).empty());
     std::set<std::string> fired, resolved;
