--- a/src/rules/condition_index.hpp
+++ b/src/rules/condition_index.hpp
@@ -8,8 +8,9 @@
 // - Inputs: the compiled conditions, at construction; the class, plan and path of each request.
 // - Output: the indices of the candidates, ascending.
 //
-// A condition that is not a candidate would have been false, because && is false if any operand is.
-// Owned by Rules.
+// A condition that is not a candidate would not have held: it is false, because && is false if any
+// operand is, or an error, if the class, the plan or the path is not UTF-8 or over its bound. Such an
+// error is not counted. Owned by Rules.
 #pragma once
 
 #include <cstdint>
