--- a/tests/log/log_test.cpp
+++ b/tests/log/log_test.cpp
@@ -65,7 +65,7 @@
 }
 
 TEST_CASE(
-    "lines over the rate limit are counted and reported with the next line; records are not limited") {
+    "lines over the rate limit are counted and reported with the next line, and records are not limited") {
     Pipe pipe;
     slatejunction::logging::Settings settings;
     settings.requests = 2;
--- a/tests/rules/limiter_test.cpp
+++ b/tests/rules/limiter_test.cpp
@@ -169,7 +169,7 @@
     CHECK(same_key.slot == in_flight.slot);
 }
 
-TEST_CASE("buckets are restored with the saved level; a level below empty restores an empty bucket") {
+TEST_CASE("buckets are restored with the saved level, and a level below empty restores an empty bucket") {
     Limiter limiter(limits(1, 10));
     for (int i = 0; i < 10; ++i) request(limiter, 100, "empty");
     for (int i = 0; i < 4; ++i) request(limiter, 100, "some");
