--- a/src/gateway/admission_controller.hpp
+++ b/src/gateway/admission_controller.hpp
@@ -24,7 +24,9 @@
 constexpr double kAdmissionPeriodS = 0.5;
 /// A period of this length is closed even with too few samples.
 constexpr double kMaxAdmissionPeriodS = 1.0;
-/// Samples at the reference latency for a full step down; at higher latencies fewer are needed.
+/// Samples that a period needs to be closed before kMaxAdmissionPeriodS. A step down is made in full if the
+/// samples times their mean latency ratio are at least this number times kReferenceLatencyRatio for each
+/// kAdmissionPeriodS, else in proportion: at higher latencies fewer samples are needed.
 constexpr double kMinSamplesPerPeriod = 2;
 /// Steps that one long period may make up for.
 constexpr double kMaxPeriodsPerStep = 4.0;
--- a/src/gateway/concurrency_limit.hpp
+++ b/src/gateway/concurrency_limit.hpp
@@ -20,7 +20,8 @@
 constexpr double kMinPriorityAllowance = 0.3;
 /// Time constant of the exponentially decaying rate of answers.
 constexpr double kAnswerRateDecayS = 1.5;
-/// Least weight by which the rate is corrected just after the first answer; 1 is a full average.
+/// Lower bound of the divisor that corrects the rate for the short time since the first answer. The divisor
+/// rises from 0 at that answer to 1, which is no correction.
 constexpr double kMinRateWeight = 0.1;
 /// Attempts in flight that are always allowed for each backend, over all ingresses.
 constexpr double kMinInFlightPerBackend = 4.0;
--- a/src/gateway/quota_estimator.hpp
+++ b/src/gateway/quota_estimator.hpp
@@ -26,8 +26,8 @@
 
 namespace slatejunction::gateway {
 
-/// The state of one customer. The number of requests "at the plan's rate" in a time is what the rate allows
-/// in it: the rate times that time over the mean units of a request.
+/// The state of one customer. Requests "at the plan's rate" are those that the rate allows in an interval:
+/// the rate times the length of the interval, divided by the mean units of a request.
 struct CustomerUsage {
     double last_request_at_s = 0;
     double ingress_count = 1;   // ingresses that its requests arrive through
--- a/src/gateway/watch_retry.hpp
+++ b/src/gateway/watch_retry.hpp
@@ -1,5 +1,6 @@
-// Watch retry: a lost endpoint watch is requested again kWatchRetryS after the loss, and in any case once
-// half of Settings::watch_retry_within_s has passed since it was last requested.
+// Watch retry: the endpoint watch is requested again kWatchRetryS after it was lost. Even if no loss was
+// reported, it is requested again once half of Settings::watch_retry_within_s, and at least kTickS, has
+// passed since the last request.
 //
 // - Inputs: times in seconds; watch_retry_within_s.
 // - Output: whether to request the watch now.
--- a/src/hot_restart/restart_channel.cpp
+++ b/src/hot_restart/restart_channel.cpp
@@ -194,7 +194,7 @@
     const auto self_reference = peer_;
     RestartMessage accepting;
     accepting.kind = RestartMessage::Kind::accepting;
-    apply_role();   // before the message, so that at any time one process accepts
+    apply_role();   // before the message, so that at any time at least one process accepts
     if (self_reference) self_reference->send(accepting);
 }
 
--- a/tests/client/arrival_times_test.cpp
+++ b/tests/client/arrival_times_test.cpp
@@ -5,7 +5,7 @@
 
 using slatejunction::client::ArrivalTimes;
 
-TEST_CASE("each byte has the arrival time of its piece", "[session][arrival]") {
+TEST_CASE("each byte has the arrival time that was recorded with it", "[session][arrival]") {
     ArrivalTimes times;
     CHECK(times.at(0) == 0);
     times.add(10, 1.0);
--- a/tests/gateway/endpoint_set_test.cpp
+++ b/tests/gateway/endpoint_set_test.cpp
@@ -123,7 +123,7 @@
     EXPECT_EQ(set.count_outliers(outliers, 100), 1);
 }
 
-TEST(SubsetIndex, IsTheBitPlusOne) {
+TEST(SubsetIndex, IsTheBitPositionPlusOneOrZeroForTheWholeFleet) {
     EXPECT_EQ(subset_index(0), 0u);
     EXPECT_EQ(subset_index(1), 1u);
     EXPECT_EQ(subset_index(std::uint64_t{1} << 62), 63u);
--- a/tests/gateway/fleet_test.cpp
+++ b/tests/gateway/fleet_test.cpp
@@ -378,7 +378,7 @@
     EXPECT_GT(static_cast<double>(other_to_rejecting), 0.3 * static_cast<double>(other));
 }
 
-TEST_F(LowTrafficGateway, FleetWideSilenceIsOverloadAndIsNotCancelled) {
+TEST_F(LowTrafficGateway, FleetWideSilenceCountsAsOverloadAndCancelsFewAttempts) {
     send_requests(20, 0.2, kAllOk);
     send_requests(20, 0.2, [](const auto&, const auto&) { return sj::AttemptResult::timeout; });
     const std::size_t cancelled_before = driver.cancelled.size(), rejected_before = driver.rejected.size();
--- a/tests/quota/decision_digest_test.cpp
+++ b/tests/quota/decision_digest_test.cpp
@@ -44,7 +44,8 @@
     CHECK(all.value() == 0xc4d49e8fc1286924ULL);
 }
 
-TEST_CASE("decisions of two ingresses match the digest of all short schedules", "[quota]") {
+TEST_CASE("decisions of two ingresses in all schedules of up to five steps match the recorded digest",
+          "[quota]") {
     slatejunction::quota::Settings settings;
     settings.ingress_count = 2;
     settings.plans = {{"p", 2, 3, 0}};
